--- a/scripts/traceDigest.js
+++ b/scripts/traceDigest.js
@@ -5,10 +5,11 @@
  *
  *   node scripts/traceDigest.js CHECKOUT [--scenario name,...|all] [--seed N] [--point N]
  *
- * CHECKOUT is a built checkout or its dist folder. One line a run: scenario, seed, fault point, then two digests
+ * CHECKOUT is a built checkout or its dist folder. One line a run: scenario, seed, fault point, then three digests
  * (SHA-256, 16 hex digits):
  *   - the trace: every envelope the codec encoded, in order, then the history that callers saw, then the virtual time;
- *   - the log: every line the simulated processes logged, in order.
+ *   - the log: every line the simulated processes logged, in order;
+ *   - the disks: name and content of every file that the simulated disks hold at the end.
  */
 const crypto = require("crypto");
 const fs = require("fs");
@@ -85,6 +86,16 @@
   return wanted === undefined ? points : points.filter((point) => point === wanted);
 }
 
+/** Hashes the synced files of every process's disk. */
+function hashDisks(disks) {
+  const hash = crypto.createHash("sha256");
+  for (const [process, disk] of disks) {
+    const files = [...disk.under("")].sort(([left], [right]) => (left < right ? -1 : 1));
+    for (const [file, content] of files) hash.update(`${process} ${file} ${content.length}\n`).update(content);
+  }
+  return hash;
+}
+
 const shortDigest = (hash) => hash.digest("hex").slice(0, DIGEST_HEX_DIGITS);
 
 async function main() {
@@ -106,7 +117,8 @@
       const report = await campaign.run(deployment.value, scenario, options.seed, point, logLine);
       trace.update(JSON.stringify(report.fleet.history.seen));
       trace.update(String(report.virtualMs));
-      console.log(`${scenario.name} ${options.seed} ${point} ${shortDigest(trace)} ${shortDigest(log)}`);
+      const digests = [trace, log, hashDisks(report.fleet.disks)].map(shortDigest);
+      console.log(`${scenario.name} ${options.seed} ${point} ${digests.join(" ")}`);
     }
   process.exit(0);
 }
