--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -1,33 +1,62 @@
-// Type-checked lint rules. Size and complexity limits warn: the files that exceed them are being split by job.
+// Lint rules of the whole repository: type-checked for TypeScript (src, platform, test), plain Node.js for the scripts.
 import js from "@eslint/js";
+import { defineConfig } from "eslint/config";
+import globals from "globals";
 import tseslint from "typescript-eslint";
 
-export default tseslint.config(
-  { ignores: ["dist/", "target/", "node_modules/", "journal/", "scripts/", "*.js", "*.mjs"] },
+/** Folders without a warning: there the rules that warn elsewhere are errors. */
+const strictFolders = ["scripts/"];
+
+const sizeLimits = (severity) => ({
+  complexity: [severity, 20],
+  "max-lines": [severity, 500],
+  "max-lines-per-function": [severity, 100],
+});
+
+const untypedValues = (severity) => ({
+  "@typescript-eslint/no-explicit-any": severity,
+  "@typescript-eslint/no-unsafe-argument": severity,
+  "@typescript-eslint/no-unsafe-assignment": severity,
+  "@typescript-eslint/no-unsafe-call": severity,
+  "@typescript-eslint/no-unsafe-member-access": severity,
+  "@typescript-eslint/no-unsafe-return": severity,
+});
+
+/** A leading underscore marks a name that is there for its position only. */
+const unusedNames = { argsIgnorePattern: "^_", varsIgnorePattern: "^_" };
+
+const strict = (extension) => strictFolders.map((folder) => `${folder}**/*.${extension}`);
+
+export default defineConfig(
+  { ignores: ["dist/", "target/", "node_modules/", "journal/"] },
+  { linterOptions: { reportUnusedDisableDirectives: "error" } },
   js.configs.recommended,
-  ...tseslint.configs.recommendedTypeChecked,
+  // A task is a generator also where it never waits.
+  { rules: { "require-yield": "off" } },
+  { rules: sizeLimits("warn") },
+  {
+    files: ["**/*.js", "**/*.cjs"],
+    languageOptions: { sourceType: "commonjs", globals: globals.node },
+  },
+  {
+    files: ["**/*.js", "**/*.cjs", "**/*.mjs"],
+    rules: { "no-unused-vars": ["error", unusedNames] },
+  },
   {
+    files: ["**/*.ts"],
+    extends: [tseslint.configs.recommendedTypeChecked],
     languageOptions: { parserOptions: { project: "./tsconfig.json", tsconfigRootDir: import.meta.dirname } },
-    linterOptions: { reportUnusedDisableDirectives: "error" },
     rules: {
-      // A task is a generator also where it never waits, and a nested task needs its object under a name.
-      "require-yield": "off",
+      // A nested task needs its object under a name.
       "@typescript-eslint/no-this-alias": "off",
-      "@typescript-eslint/no-unused-vars": ["error", { argsIgnorePattern: "^_", varsIgnorePattern: "^_" }],
+      "@typescript-eslint/no-unused-vars": ["error", unusedNames],
       "@typescript-eslint/no-base-to-string": "off",
       "@typescript-eslint/unbound-method": "off",
       // The packages without types of their own are loaded so, each in the one file that knows it.
       "@typescript-eslint/no-require-imports": ["error", { allow: ["^js-csp$", "^restructure$"] }],
-      // Bodies between processes are not typed yet (docs/status.md): these warn until they are.
-      "@typescript-eslint/no-explicit-any": "warn",
-      "@typescript-eslint/no-unsafe-argument": "warn",
-      "@typescript-eslint/no-unsafe-assignment": "warn",
-      "@typescript-eslint/no-unsafe-call": "warn",
-      "@typescript-eslint/no-unsafe-member-access": "warn",
-      "@typescript-eslint/no-unsafe-return": "warn",
-      complexity: ["warn", 20],
-      "max-lines": ["warn", 500],
-      "max-lines-per-function": ["warn", 100],
+      ...untypedValues("warn"),
     },
   },
+  { files: strict("js"), rules: sizeLimits("error") },
+  { files: strict("ts"), rules: { ...sizeLimits("error"), ...untypedValues("error") } },
 );
--- /dev/null
+++ b/scripts/days/siteFile.js
@@ -0,0 +1,55 @@
+// Reads the site file: the deployment's zones, machine classes, services, request classes and traffic. The platform writes
+// each list with one item a line, so lines are matched and no TOML parser is needed.
+const { InputError, readInputFile } = require("./input");
+
+const listHeader = (list) => `${list} = [`;
+const DAY_HEADER = "[[day]]";
+
+/**
+ * What a day may name of its deployment.
+ * @typedef {object} Site
+ * @property {string[]} zones
+ * @property {string[]} machines machine classes
+ * @property {string[]} services
+ * @property {string[]} classes request classes
+ * @property {string[]} traffic the lines of the deployment's own traffic list
+ */
+
+/** The distinct values of `field` in the items of `list`, in the file's order. */
+function listedNames(file, lines, list, field) {
+  const start = lines.findIndex((line) => line.startsWith(listHeader(list)));
+  if (start < 0) throw new InputError(`${file}: missing field \`${list}\``);
+  const pattern = new RegExp(`^  \\{(?: |.*?, )${field} = "([^"]+)"`);
+  const names = new Set();
+  for (let index = start + 1; index < lines.length && !lines[index].startsWith("]"); index++) {
+    const match = pattern.exec(lines[index]);
+    if (match === null) throw new InputError(`${file}:${index + 1}: missing field \`${list}.${field}\``);
+    names.add(match[1]);
+  }
+  if (names.size === 0) throw new InputError(`${file}: \`${list}\` is empty`);
+  return [...names];
+}
+
+/** The items of the traffic list at the top of the file; a list inside one of the days doesn't count. */
+function trafficLines(lines) {
+  const start = lines.findIndex((line) => line.startsWith(listHeader("traffic")));
+  const firstDay = lines.findIndex((line) => line.startsWith(DAY_HEADER));
+  const isInsideDay = firstDay >= 0 && start > firstDay;
+  if (start < 0 || isInsideDay) return [];
+  const end = lines.findIndex((line, index) => index > start && line.startsWith("]"));
+  return lines.slice(start + 1, end);
+}
+
+/** @returns {Site} */
+function readSite(file) {
+  const lines = readInputFile(file, "--site").split("\n");
+  return {
+    zones: listedNames(file, lines, "zones", "name"),
+    machines: listedNames(file, lines, "machines", "class"),
+    services: listedNames(file, lines, "services", "name"),
+    classes: listedNames(file, lines, "classes", "name"),
+    traffic: trafficLines(lines),
+  };
+}
+
+module.exports = { readSite };
