--- a/scripts/affinity.js
+++ b/scripts/affinity.js
@@ -3,7 +3,7 @@
 //   node scripts/affinity.js [seed ...]
 const fs = require("fs");
 const path = require("path");
-const { SimFleet } = require("../dist/src/sim/simFleet.js");
+const { SimFleet } = require("../dist/src/simulation/simFleet.js");
 const { Deployment } = require("../dist/src/tools/deployment.js");
 
 const text = fs.readFileSync(path.join(__dirname, "../deploy/kiln-commons.json"), "utf8");
--- a/scripts/dissemination.js
+++ b/scripts/dissemination.js
@@ -3,7 +3,7 @@
 // manifest size.   node scripts/dissemination.js
 const fs = require("fs");
 const path = require("path");
-const { SimFleet } = require("../dist/src/sim/simFleet.js");
+const { SimFleet } = require("../dist/src/simulation/simFleet.js");
 const { Deployment } = require("../dist/src/tools/deployment.js");
 
 const base = JSON.parse(fs.readFileSync(path.join(__dirname, "../deploy/sim.json"), "utf8"));
--- a/scripts/takeover.js
+++ b/scripts/takeover.js
@@ -3,7 +3,7 @@
 // shard or only held a copy; ten seeds for each kind of loss.   node scripts/takeover.js [seeds]
 const fs = require("fs");
 const path = require("path");
-const { SimFleet } = require("../dist/src/sim/simFleet.js");
+const { SimFleet } = require("../dist/src/simulation/simFleet.js");
 const { Deployment } = require("../dist/src/tools/deployment.js");
 
 const seeds = Number(process.argv[2] ?? 10);
--- a/src/adapters/callerHttp.ts
+++ b/src/adapters/callerHttp.ts
@@ -1,10 +1,10 @@
-import { Constants } from "../constants";
-import { Csp, Task } from "../csp/csp";
-import { EnvTools, HttpIn } from "../env/env";
-import { Fault, Result } from "../core/fault";
-import { Hash } from "../core/hash";
+import { Constants } from "../common/constants";
+import { Csp, Task } from "../runtime/csp";
+import { EnvTools, HttpIn } from "../runtime/env";
+import { Fault, Result } from "../common/fault";
+import { Hash } from "../common/hash";
 import type { Accepted, IngressNode, Reply } from "../ingress/ingressNode";
-import { HandedItem, LotIntake } from "../ingress/lotIntake";
+import { HandedItem, LotIntake } from "../ingress/batchSubmission";
 import { Http, Route } from "./http";
 import { OperatorSchemas } from "./operatorSchemas";
 
--- a/src/adapters/directHttp.ts
+++ b/src/adapters/directHttp.ts
@@ -1,8 +1,8 @@
-import { Constants } from "../constants";
-import { Task } from "../csp/csp";
-import { Env, EnvTools, HttpOut, HttpReply } from "../env/env";
-import { Fault, Result } from "../core/fault";
-import { Replica } from "../core/frame";
+import { Constants } from "../common/constants";
+import { Task } from "../runtime/csp";
+import { Env, EnvTools, HttpOut, HttpReply } from "../runtime/env";
+import { Fault, Result } from "../common/fault";
+import { Replica } from "../node/clusterSnapshot";
 import { HeaderNames } from "./headerNames";
 
 /** A request that is passed on as it is: target is path and query, headers are the end-to-end ones. */
--- a/src/adapters/eventPieces.ts
+++ b/src/adapters/eventStreamReader.ts
@@ -1,7 +1,7 @@
-import { Constants } from "../constants";
-import { Task } from "../csp/csp";
-import { Env, EnvTools, HttpReply } from "../env/env";
-import { Fault, Result } from "../core/fault";
+import { Constants } from "../common/constants";
+import { Task } from "../runtime/csp";
+import { Env, EnvTools, HttpReply } from "../runtime/env";
+import { Fault, Result } from "../common/fault";
 
 /** One server-sent event as it came: its id, its data, and its whole text. */
 export type EventPiece = { id: number; data: string; raw: Buffer };
--- a/src/adapters/http.ts
+++ b/src/adapters/http.ts
@@ -1,6 +1,6 @@
-import { Task } from "../csp/csp";
-import { HttpIn } from "../env/env";
-import { Fault, Result } from "../core/fault";
+import { Task } from "../runtime/csp";
+import { HttpIn } from "../runtime/env";
+import { Fault, Result } from "../common/fault";
 
 const statuses: Record<Fault["tag"], number> = {
   timeout: 504,
--- a/src/adapters/operatorHttp.ts
+++ b/src/adapters/operatorHttp.ts
@@ -1,13 +1,13 @@
-import { Constants } from "../constants";
-import { Task } from "../csp/csp";
-import { Env, EnvTools, HttpIn } from "../env/env";
+import { Constants } from "../common/constants";
+import { Task } from "../runtime/csp";
+import { Env, EnvTools, HttpIn } from "../runtime/env";
 import { Command, PolicyLine } from "../control/controlState";
-import { Fault, Result } from "../core/fault";
-import { Host } from "../core/host";
-import { Hash } from "../core/hash";
-import { Ledger } from "../core/ledger";
-import { Node } from "../core/node";
-import { Putter } from "../store/putter";
+import { Fault, Result } from "../common/fault";
+import { Host } from "../node/nodeContext";
+import { Hash } from "../common/hash";
+import { Ledger } from "../node/ledgerReader";
+import { Node } from "../node/node";
+import { Putter } from "../storage/putClient";
 import { Http, Route } from "./http";
 import { OperatorSchemas } from "./operatorSchemas";
 
--- a/src/adapters/operatorSchemas.ts
+++ b/src/adapters/operatorSchemas.ts
@@ -1,10 +1,10 @@
 import Ajv, { ValidateFunction } from "ajv";
-import { Constants } from "../constants";
+import { Constants } from "../common/constants";
 import { Manifest, Move, PolicyLine } from "../control/controlState";
-import { ManifestPatch, Manifests } from "../control/manifests";
-import { Fault, Result } from "../core/fault";
-import { Announcement } from "../core/host";
-import type { HandedItem } from "../ingress/lotIntake";
+import { ManifestPatch, Manifests } from "../control/configurations";
+import { Fault, Result } from "../common/fault";
+import { Announcement } from "../node/nodeContext";
+import type { HandedItem } from "../ingress/batchSubmission";
 
 const name = { type: "string", pattern: "^[A-Za-z0-9._-]{1,80}$" };
 const age = { type: "integer", minimum: 1 };
--- a/src/agent/agentNode.ts
+++ b/src/agent/agentNode.ts
@@ -1,12 +1,12 @@
-import { Constants } from "../constants";
-import { Task } from "../csp/csp";
-import { Env, EnvTools } from "../env/env";
-import { Fault, Result } from "../core/fault";
-import { Host } from "../core/host";
-import { Node } from "../core/node";
-import { Settings } from "../core/settings";
+import { Constants } from "../common/constants";
+import { Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
+import { Fault, Result } from "../common/fault";
+import { Host } from "../node/nodeContext";
+import { Node } from "../node/node";
+import { Settings } from "../common/settings";
 import { OperatorHttp } from "../adapters/operatorHttp";
-import { Putter } from "../store/putter";
+import { Putter } from "../storage/putClient";
 
 /* eslint-disable @typescript-eslint/no-explicit-any */
 /**
--- a/src/cli/daemonCommand.ts
+++ b/src/cli/daemonCommand.ts
@@ -1,11 +1,11 @@
 import * as fs from "fs";
 import type { Sade } from "sade";
-import { Daemon } from "../core/daemon";
-import { Fault, Result } from "../core/fault";
-import { Logger } from "../core/logger";
-import { Settings } from "../core/settings";
-import { Csp, Scope } from "../csp/csp";
-import { NodeEnv } from "../env/nodeEnv";
+import { Daemon } from "../daemon/daemon";
+import { Fault, Result } from "../common/fault";
+import { Logger } from "../common/logger";
+import { Settings } from "../common/settings";
+import { Csp, Scope } from "../runtime/csp";
+import { NodeEnv } from "../runtime/nodeEnv";
 
 const flags: [string, string][] = [
   ["cluster", "Name of the cluster"],
--- a/src/cli/fleetTroubles.ts
+++ b/src/cli/fleetFaults.ts
@@ -1,6 +1,6 @@
 import * as fs from "fs";
-import { Task } from "../csp/csp";
-import { EnvTools } from "../env/env";
+import { Task } from "../runtime/csp";
+import { EnvTools } from "../runtime/env";
 import { History } from "../tools/history";
 import { LinkProxies } from "../tools/linkProxies";
 import type { Fleet } from "./fleetCommand";
--- a/src/cli/operatorCommands.ts
+++ b/src/cli/operatorCommands.ts
@@ -2,7 +2,7 @@
 import * as http from "http";
 import type { Sade } from "sade";
 import { OperatorSchemas } from "../adapters/operatorSchemas";
-import { Events } from "../core/events";
+import { Events } from "../common/logEvents";
 
 type Said = { status: number; headers: http.IncomingHttpHeaders; body: any };
 const usual = "127.0.0.1:8080";
--- a/src/cli/simCommand.ts
+++ b/src/cli/simCommand.ts
@@ -1,7 +1,7 @@
 import * as fs from "fs";
 import type { Sade } from "sade";
-import { Campaign } from "../sim/campaign";
-import { Scenarios } from "../sim/scenarios/scenarios";
+import { Campaign } from "../simulation/campaign";
+import { Scenarios } from "../simulation/scenarios/scenarios";
 import { Checker } from "../tools/checker";
 import { Deployment } from "../tools/deployment";
 import { Report } from "../tools/report";
--- a/src/core/hash.ts
+++ b/src/common/hash.ts
@@ -1,4 +1,4 @@
-import { NodeLibs } from "../env/nodeLibs";
+import { NodeLibs } from "../runtime/nodeLibs";
 
 /**
  * Hashes for placement and digests.
--- a/src/core/spread.ts
+++ b/src/common/latencySummary.ts
@@ -1,4 +1,4 @@
-import { Constants } from "../constants";
+import { Constants } from "./constants";
 
 /**
  * The last thousand of a measured time, and their spread.
--- a/src/core/logger.ts
+++ b/src/common/logger.ts
@@ -1,5 +1,5 @@
 import loglevel from "loglevel";
-import { Events } from "./events";
+import { Events } from "./logEvents";
 
 /**
  * Numbered events as lines on standard error.
--- a/src/core/stamp.ts
+++ b/src/common/stamp.ts
@@ -1,4 +1,4 @@
-import { Constants } from "../constants";
+import { Constants } from "./constants";
 
 /** The system's own stamp: time in whole ms (so that its text loses nothing), node, and a count that parts equal times on one node. */
 export type Stamp = { time: number; node: string; seq: number };
--- a/src/control/group/appendReceiver.ts
+++ b/src/consensus/appendReceiver.ts
@@ -1,7 +1,7 @@
-import { Csp, Task } from "../../csp/csp";
-import { Env } from "../../env/env";
-import { Fault, Result } from "../../core/fault";
-import { ControlState } from "../controlState";
+import { Csp, Task } from "../runtime/csp";
+import { Env } from "../runtime/env";
+import { Fault, Result } from "../common/fault";
+import { ControlState } from "../control/controlState";
 import { ReplicatedLog } from "./log";
 import { Append, Appended, Messages, Snapshot } from "./messages";
 import { Replica } from "./replica";
--- a/src/control/group.ts
+++ b/src/consensus/consensusGroup.ts
@@ -1,20 +1,20 @@
-import { Constants } from "../constants";
-import { Csp, Task } from "../csp/csp";
-import { Env, EnvTools } from "../env/env";
-import { TwoSlots } from "../env/twoSlots";
-import { Fault, Result } from "../core/fault";
-import { Rpc } from "../wire/rpc";
-import { Command, ControlState, Outcome, View } from "./controlState";
-import { AppendReceiver } from "./group/appendReceiver";
-import { Election } from "./group/election";
-import { ReplicatedLog, Saved } from "./group/log";
-import { MembershipChange } from "./group/membershipChange";
-import { Entry, TakeOver } from "./group/messages";
-import { GroupHooks, Replica } from "./group/replica";
-import { Replication } from "./group/replication";
+import { Constants } from "../common/constants";
+import { Csp, Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
+import { TwoSlots } from "../runtime/twoSlots";
+import { Fault, Result } from "../common/fault";
+import { Rpc } from "../rpc/rpc";
+import { Command, ControlState, Outcome, View } from "../control/controlState";
+import { AppendReceiver } from "./appendReceiver";
+import { Election } from "./election";
+import { ReplicatedLog, Saved } from "./log";
+import { MembershipChange } from "./membershipChange";
+import { Entry, TakeOver } from "./messages";
+import { GroupHooks, Replica } from "./replica";
+import { Replication } from "./replication";
 
-export type { Entry } from "./group/messages";
-export type { GroupHooks } from "./group/replica";
+export type { Entry } from "./messages";
+export type { GroupHooks } from "./replica";
 /** What one replica of the log holds at this instant, for tools that compare replicas. */
 export type GroupInspection = { term: number; entries: readonly Entry[] };
 
--- a/src/control/group/election.ts
+++ b/src/consensus/election.ts
@@ -1,8 +1,8 @@
-import { Constants } from "../../constants";
-import { Csp, Task } from "../../csp/csp";
-import { Env, EnvTools } from "../../env/env";
-import { Fault, Result } from "../../core/fault";
-import { Rpc } from "../../wire/rpc";
+import { Constants } from "../common/constants";
+import { Csp, Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
+import { Fault, Result } from "../common/fault";
+import { Rpc } from "../rpc/rpc";
 import { ReplicatedLog } from "./log";
 import { AskVote, Messages, TakeOver, Vote } from "./messages";
 import { Replica } from "./replica";
--- a/src/control/group/log.ts
+++ b/src/consensus/log.ts
@@ -1,8 +1,8 @@
-import { Constants } from "../../constants";
-import { Chan, Csp, Task } from "../../csp/csp";
-import { TwoSlots } from "../../env/twoSlots";
-import { Fault, Result } from "../../core/fault";
-import { ControlState } from "../controlState";
+import { Constants } from "../common/constants";
+import { Chan, Csp, Task } from "../runtime/csp";
+import { TwoSlots } from "../runtime/twoSlots";
+import { Fault, Result } from "../common/fault";
+import { ControlState } from "../control/controlState";
 import { Entry } from "./messages";
 
 /** What a slot on disk holds: term and vote, a snapshot, and the synced entries past it. */
--- a/src/control/group/messages.ts
+++ b/src/consensus/messages.ts
@@ -1,4 +1,4 @@
-import { Command, ControlState } from "../controlState";
+import { Command, ControlState } from "../control/controlState";
 import type { Piece } from "./transfer";
 
 /** One entry of the replicated log. */
--- a/src/control/group/replica.ts
+++ b/src/consensus/replica.ts
@@ -1,9 +1,9 @@
 import invariant from "tiny-invariant";
-import { Constants } from "../../constants";
-import { Chan, Csp, Task } from "../../csp/csp";
-import { Env } from "../../env/env";
-import { Fault, Result } from "../../core/fault";
-import { ControlState, Outcome } from "../controlState";
+import { Constants } from "../common/constants";
+import { Chan, Csp, Task } from "../runtime/csp";
+import { Env } from "../runtime/env";
+import { Fault, Result } from "../common/fault";
+import { ControlState, Outcome } from "../control/controlState";
 import { ReplicatedLog, Saved } from "./log";
 
 /** What a lead knows of a follower: the next entry for it, up to where it matches, and when it last answered. */
--- a/src/control/group/replication.ts
+++ b/src/consensus/replication.ts
@@ -1,9 +1,9 @@
-import { Constants } from "../../constants";
-import { Csp, Task } from "../../csp/csp";
-import { Env, EnvTools } from "../../env/env";
-import { Fault, Result } from "../../core/fault";
-import { Rpc } from "../../wire/rpc";
-import { Command, ControlState } from "../controlState";
+import { Constants } from "../common/constants";
+import { Csp, Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
+import { Fault, Result } from "../common/fault";
+import { Rpc } from "../rpc/rpc";
+import { Command, ControlState } from "../control/controlState";
 import { ReplicatedLog } from "./log";
 import { Append, Appended, Entry } from "./messages";
 import { Follower, Replica } from "./replica";
--- a/src/control/group/transfer.ts
+++ b/src/consensus/transfer.ts
@@ -1,5 +1,5 @@
 import { crc32, deflateRawSync, inflateRawSync } from "zlib";
-import { Constants } from "../../constants";
+import { Constants } from "../common/constants";
 import { Append } from "./messages";
 
 const checksum = crc32 as (data: Buffer) => number;
--- a/src/control/acceptedChanges.ts
+++ b/src/control/acceptedChanges.ts
@@ -1,5 +1,5 @@
-import { Constants } from "../constants";
-import { Hash } from "../core/hash";
+import { Constants } from "../common/constants";
+import { Hash } from "../common/hash";
 
 /**
  * The changes of one document that were accepted, oldest first: the version that each was made against, and a digest of
--- a/src/control/calendar.ts
+++ b/src/control/calendar.ts
@@ -1,10 +1,10 @@
-import { Constants } from "../constants";
-import { Csp, Task } from "../csp/csp";
-import { Env, EnvTools } from "../env/env";
-import { Node } from "../core/node";
+import { Constants } from "../common/constants";
+import { Csp, Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
+import { Node } from "../node/node";
 import { CalendarEntry, Fate } from "./controlState";
-import { Group } from "./group";
-import { Views } from "./views";
+import { Group } from "../consensus/consensusGroup";
+import { Views } from "./shardPlacement";
 
 /**
  * Runs what is due in the calendar, each move once: every step is a logged change from one fate to the next,
--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -1,21 +1,21 @@
-import { Constants } from "../constants";
-import { Task } from "../csp/csp";
-import { Env, EnvTools } from "../env/env";
-import { TwoSlots } from "../env/twoSlots";
-import { ReadIndex } from "../core/confirmation";
-import { Fault, Result } from "../core/fault";
-import { LeadClock, OrderDeadline } from "../core/orderDeadline";
-import { Node } from "../core/node";
+import { Constants } from "../common/constants";
+import { Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
+import { TwoSlots } from "../runtime/twoSlots";
+import { ReadIndex } from "../node/readIndexConfirmation";
+import { Fault, Result } from "../common/fault";
+import { LeadClock, OrderDeadline } from "../node/orderDeadline";
+import { Node } from "../node/node";
 import { Member } from "../membership/member";
-import { Settings } from "../core/settings";
-import { Shapes } from "../core/shapes";
+import { Settings } from "../common/settings";
+import { Shapes } from "../daemon/protocolAdapters";
 import { OperatorHttp } from "../adapters/operatorHttp";
-import { Putter } from "../store/putter";
+import { Putter } from "../storage/putClient";
 import { Calendar } from "./calendar";
 import { CalendarEntry, Command, ControlState, Outcome, View } from "./controlState";
-import { Group } from "./group";
-import { VoterChoice, VoterSituation } from "./voterChoice";
-import { Views } from "./views";
+import { Group } from "../consensus/consensusGroup";
+import { VoterChoice, VoterSituation } from "./voterSelection";
+import { Views } from "./shardPlacement";
 
 const isLiving = (member: Member): boolean => member.state === "alive" || member.state === "suspect";
 
--- a/src/control/controlState.ts
+++ b/src/control/controlState.ts
@@ -1,6 +1,6 @@
-import { Constants } from "../constants";
+import { Constants } from "../common/constants";
 import { AcceptedChanges } from "./acceptedChanges";
-import { ManifestPatch, Manifests } from "./manifests";
+import { ManifestPatch, Manifests } from "./configurations";
 
 export type Binding = {
   kind: "lookup" | "stream" | "item";
--- a/src/control/views.ts
+++ b/src/control/shardPlacement.ts
@@ -1,12 +1,12 @@
-import { Constants } from "../constants";
-import { Csp, Task } from "../csp/csp";
-import { Env, EnvTools } from "../env/env";
-import { Hash } from "../core/hash";
-import { Node } from "../core/node";
+import { Constants } from "../common/constants";
+import { Csp, Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
+import { Hash } from "../common/hash";
+import { Node } from "../node/node";
 import { Member } from "../membership/member";
-import { CopyStatus } from "../shard/shardCopy";
+import { CopyStatus } from "../shard/shardReplica";
 import { View } from "./controlState";
-import { Group } from "./group";
+import { Group } from "../consensus/consensusGroup";
 
 type Sealed =
   { tag: "sealed"; seq: number; lastEpoch: number; tailFrom: number; grantLeftMs: number } | { tag: "stopped" };
--- a/src/core/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -1,13 +1,13 @@
 import { AgentNode } from "../agent/agentNode";
 import { ControlNode } from "../control/controlNode";
-import { Fault, Result } from "./fault";
-import { Settings } from "./settings";
+import { Fault, Result } from "../common/fault";
+import { Settings } from "../common/settings";
 import { ownHeaderNames } from "../adapters/headerNames";
-import { Shapes } from "./shapes";
-import { Task } from "../csp/csp";
-import { Env } from "../env/env";
+import { Shapes } from "./protocolAdapters";
+import { Task } from "../runtime/csp";
+import { Env } from "../runtime/env";
 import { IngressNode } from "../ingress/ingressNode";
-import { StoreNode } from "../store/storeNode";
+import { StoreNode } from "../storage/storageNode";
 
 export type Running = { stop(): Task<void> };
 /**
--- a/src/core/shapes.ts
+++ b/src/daemon/protocolAdapters.ts
@@ -1,8 +1,8 @@
 import type { ControlNode } from "../control/controlNode";
-import type { Task } from "../csp/csp";
-import type { HttpIn } from "../env/env";
+import type { Task } from "../runtime/csp";
+import type { HttpIn } from "../runtime/env";
 import type { HeaderNames } from "../adapters/headerNames";
-import type { DirectIntake } from "../ingress/directIntake";
+import type { DirectIntake } from "../ingress/directRequestHandler";
 import type { IngressNode } from "../ingress/ingressNode";
 
 /** A further HTTP surface of a process, at an address of its own. */
--- a/src/ingress/lotIntake.ts
+++ b/src/ingress/batchSubmission.ts
@@ -1,17 +1,17 @@
-import { Constants } from "../constants";
-import { Task } from "../csp/csp";
-import { Env, EnvTools } from "../env/env";
+import { Constants } from "../common/constants";
+import { Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
 import { DirectHttp } from "../adapters/directHttp";
-import { Chooser } from "../core/chooser";
-import { Fault, Result } from "../core/fault";
-import { Frame } from "../core/frame";
-import { Hash } from "../core/hash";
-import { Stamp } from "../core/stamp";
+import { Chooser } from "../routing/endpointSelector";
+import { Fault, Result } from "../common/fault";
+import { Frame } from "../node/clusterSnapshot";
+import { Hash } from "../common/hash";
+import { Stamp } from "../common/stamp";
 import { Binding } from "../control/controlState";
 import { Cause, ItemRequest, LotOrder } from "../shard/shardState";
-import type { HandedIn, Listing } from "../store/lots";
-import { Putter } from "../store/putter";
-import { Rpc } from "../wire/rpc";
+import type { HandedIn, Listing } from "../storage/batchJobs";
+import { Putter } from "../storage/putClient";
+import { Rpc } from "../rpc/rpc";
 
 /** What lots need of the process that takes them in. */
 export type IntakeHost = {
--- a/src/ingress/directIntake.ts
+++ b/src/ingress/directRequestHandler.ts
@@ -1,16 +1,16 @@
-import { Constants } from "../constants";
-import { Task } from "../csp/csp";
-import { Env, EnvTools, HttpIn, HttpOut } from "../env/env";
+import { Constants } from "../common/constants";
+import { Task } from "../runtime/csp";
+import { Env, EnvTools, HttpIn, HttpOut } from "../runtime/env";
 import { Direct, DirectHttp, DirectReply } from "../adapters/directHttp";
-import { EventPieces } from "../adapters/eventPieces";
+import { EventPieces } from "../adapters/eventStreamReader";
 import { Http } from "../adapters/http";
 import { Binding } from "../control/controlState";
-import { Chooser, Wish } from "../core/chooser";
-import { Fault, Result } from "../core/fault";
-import { Replica } from "../core/frame";
-import { Prompt, PromptLanes } from "../core/promptLanes";
+import { Chooser, Wish } from "../routing/endpointSelector";
+import { Fault, Result } from "../common/fault";
+import { Replica } from "../node/clusterSnapshot";
+import { Prompt, PromptLanes } from "../routing/longPromptIsolation";
 import { Cause } from "../shard/shardState";
-import { Bound, BindingTable } from "./bindingTable";
+import { Bound, BindingTable } from "../routing/routeTable";
 import type { IngressNode } from "./ingressNode";
 
 /** One request on its way: what came, and what of a stream has been passed on. */
--- a/src/ingress/rehearsal.ts
+++ b/src/ingress/warmUpRequests.ts
@@ -1,11 +1,11 @@
-import { Constants } from "../constants";
-import { Csp, Task } from "../csp/csp";
-import { Env, EnvTools, HttpIn } from "../env/env";
+import { Constants } from "../common/constants";
+import { Csp, Task } from "../runtime/csp";
+import { Env, EnvTools, HttpIn } from "../runtime/env";
 import { DirectHttp } from "../adapters/directHttp";
-import { EventPieces } from "../adapters/eventPieces";
+import { EventPieces } from "../adapters/eventStreamReader";
 import { HeaderNames } from "../adapters/headerNames";
 import { Route } from "../adapters/http";
-import { Replica } from "../core/frame";
+import { Replica } from "../node/clusterSnapshot";
 
 const path = "/v1/rehearsal";
 const event = (n: number): string => `id: ${n}\ndata: ${"rehearsal ".repeat(10)}\n\n`;
--- a/src/membership/news.ts
+++ b/src/membership/gossip.ts
@@ -1,11 +1,11 @@
-import { Constants } from "../constants";
-import { Chan, Csp, Task } from "../csp/csp";
-import { Env, EnvTools } from "../env/env";
-import { Fault, Result } from "../core/fault";
-import { Hash } from "../core/hash";
-import { Rpc } from "../wire/rpc";
+import { Constants } from "../common/constants";
+import { Chan, Csp, Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
+import { Fault, Result } from "../common/fault";
+import { Hash } from "../common/hash";
+import { Rpc } from "../rpc/rpc";
 import { ControlFrame, ControlState } from "../control/controlState";
-import { ManifestPatch, Manifests } from "../control/manifests";
+import { ManifestPatch, Manifests } from "../control/configurations";
 import { Member } from "./member";
 import { Membership, MemberStanding } from "./membership";
 
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,8 +1,8 @@
-import { Constants } from "../constants";
-import { Chan, Csp, Task } from "../csp/csp";
-import { DatagramSocket, Env, EnvTools } from "../env/env";
-import { Hash } from "../core/hash";
-import { Wire } from "../wire/wire";
+import { Constants } from "../common/constants";
+import { Chan, Csp, Task } from "../runtime/csp";
+import { DatagramSocket, Env, EnvTools } from "../runtime/env";
+import { Hash } from "../common/hash";
+import { Wire } from "../rpc/envelopeCodec";
 import { Member } from "./member";
 
 type Datagram =
--- a/src/model/invariants.ts
+++ b/src/model/invariants.ts
@@ -1,4 +1,4 @@
-import type { Group, GroupInspection } from "../control/group";
+import type { Group, GroupInspection } from "../consensus/consensusGroup";
 import type { ControlState, Outcome } from "../control/controlState";
 import { Reference } from "./reference";
 
--- a/src/model/troubledNetwork.ts
+++ b/src/model/troubledNetwork.ts
@@ -1,7 +1,7 @@
-import { Chan, Csp, Task } from "../csp/csp";
-import { Env, Link } from "../env/env";
-import type { SimWorld } from "../sim/simWorld";
-import { Fault, Result } from "../core/fault";
+import { Chan, Csp, Task } from "../runtime/csp";
+import { Env, Link } from "../runtime/env";
+import type { SimWorld } from "../simulation/simWorld";
+import { Fault, Result } from "../common/fault";
 
 const acceptBacklog = 1024;
 
--- a/src/model/walk.ts
+++ b/src/model/walk.ts
@@ -1,4 +1,4 @@
-import { Constants } from "../constants";
+import { Constants } from "../common/constants";
 import { Action, Target } from "./actions";
 import { GroupUnderTest, Machine, Plants } from "./groupUnderTest";
 
--- a/src/core/ledger.ts
+++ b/src/node/ledgerReader.ts
@@ -1,9 +1,9 @@
-import { Constants } from "../constants";
-import { Csp, Task } from "../csp/csp";
+import { Constants } from "../common/constants";
+import { Csp, Task } from "../runtime/csp";
 import { LedgerEntry } from "../shard/shardState";
-import { Fault, Result } from "./fault";
-import { Host } from "./host";
-import { Stamp } from "./stamp";
+import { Fault, Result } from "../common/fault";
+import { Host } from "./nodeContext";
+import { Stamp } from "../common/stamp";
 
 export type Told = { stamp: string; subject: string; decision: string; cause: LedgerEntry["cause"]; shard: number };
 
--- a/src/core/node.ts
+++ b/src/node/node.ts
@@ -1,16 +1,16 @@
-import { Constants } from "../constants";
-import { Csp, Task } from "../csp/csp";
-import { Env, EnvTools } from "../env/env";
+import { Constants } from "../common/constants";
+import { Csp, Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
 import { Member, Program } from "../membership/member";
 import { Membership } from "../membership/membership";
-import { News } from "../membership/news";
-import { Rpc } from "../wire/rpc";
-import { Confirmation, ReadIndex } from "./confirmation";
-import { Fault, Result } from "./fault";
-import { DataFolder } from "./dataFolder";
-import { Frame, Replica } from "./frame";
-import { Settings } from "./settings";
-import { Bounds, Stamp } from "./stamp";
+import { News } from "../membership/gossip";
+import { Rpc } from "../rpc/rpc";
+import { Confirmation, ReadIndex } from "./readIndexConfirmation";
+import { Fault, Result } from "../common/fault";
+import { DataFolder } from "../runtime/dataFolder";
+import { Frame, Replica } from "./clusterSnapshot";
+import { Settings } from "../common/settings";
+import { Bounds, Stamp } from "../common/stamp";
 
 /**
  * What agent, store and control have in common: identity, asks, membership, news and the frame.
--- a/src/core/host.ts
+++ b/src/node/nodeContext.ts
@@ -1,9 +1,9 @@
-import { Constants } from "../constants";
-import { Csp, Task } from "../csp/csp";
-import { Env, EnvTools } from "../env/env";
-import { Rpc } from "../wire/rpc";
-import { Fault, Result } from "./fault";
-import { Frame, Replica } from "./frame";
+import { Constants } from "../common/constants";
+import { Csp, Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
+import { Rpc } from "../rpc/rpc";
+import { Fault, Result } from "../common/fault";
+import { Frame, Replica } from "./clusterSnapshot";
 import { Node } from "./node";
 import { OrderDeadline, OrderDeadlines } from "./orderDeadline";
 
--- a/src/core/orderDeadline.ts
+++ b/src/node/orderDeadline.ts
@@ -1,8 +1,8 @@
-import { Constants } from "../constants";
-import { Task } from "../csp/csp";
-import { Env } from "../env/env";
-import { Rpc } from "../wire/rpc";
-import { Result } from "./fault";
+import { Constants } from "../common/constants";
+import { Task } from "../runtime/csp";
+import { Env } from "../runtime/env";
+import { Rpc } from "../rpc/rpc";
+import { Result } from "../common/fault";
 
 /** A reading of the control lead's monotonic clock, and which process's clock it is. */
 export type LeadClock = { clockId: string; now: number };
--- a/src/core/confirmation.ts
+++ b/src/node/readIndexConfirmation.ts
@@ -1,9 +1,9 @@
-import { Constants } from "../constants";
+import { Constants } from "../common/constants";
 import { ControlFrame, ControlState } from "../control/controlState";
-import { Chan, Csp, Task } from "../csp/csp";
-import { Env, EnvTools } from "../env/env";
-import { Rpc } from "../wire/rpc";
-import { Fault, Result } from "./fault";
+import { Chan, Csp, Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
+import { Rpc } from "../rpc/rpc";
+import { Fault, Result } from "../common/fault";
 
 /** The control lead's word: at the time `at`, of our monotonic clock, no configuration past `index` was committed. */
 export type ReadIndex = { group: string; index: number; at: number };
--- a/src/core/room.ts
+++ b/src/routing/admissionQueue.ts
@@ -1,8 +1,8 @@
-import { Constants } from "../constants";
-import { Chan, Csp, Task } from "../csp/csp";
-import { Env, EnvTools } from "../env/env";
-import { Chooser, Wish } from "./chooser";
-import { Replica } from "./frame";
+import { Constants } from "../common/constants";
+import { Chan, Csp, Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
+import { Chooser, Wish } from "./endpointSelector";
+import { Replica } from "../node/clusterSnapshot";
 
 type Waiter = { order: number; time: number; wake: Chan<true> };
 
--- a/src/core/chooser.ts
+++ b/src/routing/endpointSelector.ts
@@ -1,9 +1,9 @@
-import { Constants } from "../constants";
-import { Env } from "../env/env";
+import { Constants } from "../common/constants";
+import { Env } from "../runtime/env";
 import { PolicyLine } from "../control/controlState";
-import { Frame, Replica } from "./frame";
-import { Hash } from "./hash";
-import { Prompt, PromptLanes } from "./promptLanes";
+import { Frame, Replica } from "../node/clusterSnapshot";
+import { Hash } from "../common/hash";
+import { Prompt, PromptLanes } from "./longPromptIsolation";
 
 type Liveness = {
   failures: number;
--- a/src/core/promptLanes.ts
+++ b/src/routing/longPromptIsolation.ts
@@ -1,7 +1,7 @@
-import { Constants } from "../constants";
-import { Env } from "../env/env";
-import { Replica } from "./frame";
-import { Hash } from "./hash";
+import { Constants } from "../common/constants";
+import { Env } from "../runtime/env";
+import { Replica } from "../node/clusterSnapshot";
+import { Hash } from "../common/hash";
 
 /** The parts of a prompt in order, as its caller told them. */
 export type Prompt = { parts: { id: string; tokens: number }[]; tokens: number };
--- a/src/wire/wire.ts
+++ b/src/rpc/envelopeCodec.ts
@@ -1,5 +1,5 @@
 import { constants, deflateRawSync, inflateRawSync } from "zlib";
-import { Constants } from "../constants";
+import { Constants } from "../common/constants";
 
 /* eslint-disable @typescript-eslint/no-explicit-any */
 const r = require("restructure");
--- a/src/wire/rpc.ts
+++ b/src/rpc/rpc.ts
@@ -1,8 +1,8 @@
-import { Constants } from "../constants";
-import { Chan, Csp, Task } from "../csp/csp";
-import { Env, EnvTools, Link } from "../env/env";
-import { Fault, Result } from "../core/fault";
-import { Envelope, Wire } from "./wire";
+import { Constants } from "../common/constants";
+import { Chan, Csp, Task } from "../runtime/csp";
+import { Env, EnvTools, Link } from "../runtime/env";
+import { Fault, Result } from "../common/fault";
+import { Envelope, Wire } from "./envelopeCodec";
 
 /* eslint-disable @typescript-eslint/no-explicit-any */
 export type Handler = (body: any, sender: string) => Task<Result<unknown>>;
--- a/src/env/callbacks.ts
+++ b/src/runtime/callbacks.ts
@@ -1,4 +1,4 @@
-import { Chan, Csp, Scope, Task } from "../csp/csp";
+import { Chan, Csp, Scope, Task } from "./csp";
 
 /** Host and port of an address. @example addressParts("10.0.0.1:80") // { host: "10.0.0.1", port: 80 } */
 export const addressParts = (address: string): { host: string; port: number } => {
--- a/src/core/dataFolder.ts
+++ b/src/runtime/dataFolder.ts
@@ -1,8 +1,8 @@
 import { crc32 } from "zlib";
-import { Task } from "../csp/csp";
-import { Env } from "../env/env";
+import { Task } from "./csp";
+import { Env } from "./env";
 import { Program } from "../membership/member";
-import { Fault, Result } from "./fault";
+import { Fault, Result } from "../common/fault";
 
 /** Whose folder it is. */
 export type Identity = { id: string; cluster: string; program: Program };
--- a/src/env/diskSteps.ts
+++ b/src/runtime/diskSteps.ts
@@ -1,5 +1,5 @@
-import { Task } from "../csp/csp";
-import { Result } from "../core/fault";
+import { Task } from "./csp";
+import { Result } from "../common/fault";
 
 /**
  * The single steps that a disk is made of. After a loss of power a file's content is sure only up to its last sync, and a
--- a/src/env/durableDisk.ts
+++ b/src/runtime/durableDisk.ts
@@ -1,5 +1,5 @@
-import { Fault, Result } from "../core/fault";
-import { Task } from "../csp/csp";
+import { Fault, Result } from "../common/fault";
+import { Task } from "./csp";
 import { DiskSteps } from "./diskSteps";
 import { Disk } from "./env";
 
--- a/src/env/env.ts
+++ b/src/runtime/env.ts
@@ -1,5 +1,5 @@
-import { Chan, Csp, Picked, Scope, Task } from "../csp/csp";
-import { Result } from "../core/fault";
+import { Chan, Csp, Picked, Scope, Task } from "./csp";
+import { Result } from "../common/fault";
 
 /** One connection that carries whole frames. */
 export interface Link {
--- a/src/env/httpClient.ts
+++ b/src/runtime/httpClient.ts
@@ -1,8 +1,8 @@
 import type * as http from "http";
 import type * as net from "net";
-import { Constants } from "../constants";
-import { Csp, Task } from "../csp/csp";
-import { Fault, Result } from "../core/fault";
+import { Constants } from "../common/constants";
+import { Csp, Task } from "./csp";
+import { Fault, Result } from "../common/fault";
 import { addressParts, pump, pumpScope, wait } from "./callbacks";
 import { HttpOut, HttpReply } from "./env";
 import { NodeLibs } from "./nodeLibs";
--- a/src/env/httpServer.ts
+++ b/src/runtime/httpServer.ts
@@ -1,8 +1,8 @@
 import type * as http from "http";
 import type * as net from "net";
-import { Constants } from "../constants";
-import { Csp, Scope, Task } from "../csp/csp";
-import { Fault, Result } from "../core/fault";
+import { Constants } from "../common/constants";
+import { Csp, Scope, Task } from "./csp";
+import { Fault, Result } from "../common/fault";
 import { addressParts, wait } from "./callbacks";
 import { HttpIn, HttpLimits } from "./env";
 import { NodeLibs } from "./nodeLibs";
--- a/src/env/nodeDisk.ts
+++ b/src/runtime/nodeDisk.ts
@@ -1,7 +1,7 @@
 import * as fs from "fs";
 import * as path from "path";
-import { Csp, Task } from "../csp/csp";
-import { Fault, Result } from "../core/fault";
+import { Csp, Task } from "./csp";
+import { Fault, Result } from "../common/fault";
 import { DiskSteps } from "./diskSteps";
 
 type LockHolder = { pid: number; startTime: string; owner: string };
--- a/src/env/nodeEnv.ts
+++ b/src/runtime/nodeEnv.ts
@@ -1,7 +1,7 @@
 import type * as net from "net";
-import { Constants } from "../constants";
-import { Csp, Scope } from "../csp/csp";
-import { Fault, Result } from "../core/fault";
+import { Constants } from "../common/constants";
+import { Csp, Scope } from "./csp";
+import { Fault, Result } from "../common/fault";
 import { DurableDisk } from "./durableDisk";
 import { NodeDisk } from "./nodeDisk";
 import { NodeLibs } from "./nodeLibs";
--- a/src/env/twoSlots.ts
+++ b/src/runtime/twoSlots.ts
@@ -1,6 +1,6 @@
 import { crc32 } from "zlib";
-import { Task } from "../csp/csp";
-import { Fault, Result } from "../core/fault";
+import { Task } from "./csp";
+import { Fault, Result } from "../common/fault";
 import { Env } from "./env";
 
 type Opened = { state: unknown; records: unknown[] };
--- a/src/shard/lotOperations.ts
+++ b/src/shard/lotOperations.ts
@@ -1,5 +1,5 @@
 /** Operations on lots and their items. */
-import { Stamp } from "../core/stamp";
+import { Stamp } from "../common/stamp";
 import { Item, ItemOutcome, Lot, OperationContext, OperationOf, PutOutcome, ShardData } from "./shardTypes";
 
 /** A lot is taken in, once by its id. */
--- a/src/shard/requestOperations.ts
+++ b/src/shard/requestOperations.ts
@@ -1,5 +1,5 @@
 /** Operations on one request: opened, claimed for an attempt, given pieces, closed. */
-import { Stamp } from "../core/stamp";
+import { Stamp } from "../common/stamp";
 import { isClosed, OperationContext, OperationOf, PutOutcome } from "./shardTypes";
 
 /** A request is taken in; what was refused may come again, but only as an arrival later than the refusal. */
--- a/src/shard/segments.ts
+++ b/src/shard/segments.ts
@@ -1,10 +1,10 @@
 import { crc32 } from "zlib";
-import { Constants } from "../constants";
-import { Hash } from "../core/hash";
-import { Fault, Result } from "../core/fault";
-import { Stamp } from "../core/stamp";
-import { Task } from "../csp/csp";
-import { Env } from "../env/env";
+import { Constants } from "../common/constants";
+import { Hash } from "../common/hash";
+import { Fault, Result } from "../common/fault";
+import { Stamp } from "../common/stamp";
+import { Task } from "../runtime/csp";
+import { Env } from "../runtime/env";
 import { IdTable } from "./idTable";
 import type { LedgerEntry, Lot, Work } from "./shardState";
 
--- a/src/shard/shardState.ts
+++ b/src/shard/shardState.ts
@@ -1,7 +1,7 @@
 import invariant from "tiny-invariant";
-import { Constants } from "../constants";
-import { Hash } from "../core/hash";
-import { Stamp } from "../core/stamp";
+import { Constants } from "../common/constants";
+import { Hash } from "../common/hash";
+import { Stamp } from "../common/stamp";
 import type { Sealing, SegmentCounts } from "./segments";
 import { acceptLot, refuseLot, addItemResults, claimItem, releaseItem, addItemResult, endLot } from "./lotOperations";
 import { openRequest, claimRequest, releaseRequest, addPieces, closeRequest } from "./requestOperations";
--- a/src/shard/shardTypes.ts
+++ b/src/shard/shardTypes.ts
@@ -1,6 +1,6 @@
 /** What a shard holds, and the operations that change it. */
 import type { Binding } from "../control/controlState";
-import type { Stamp } from "../core/stamp";
+import type { Stamp } from "../common/stamp";
 import type { Found, Sealing, SegmentCounts } from "./segments";
 
 export type Piece = { n: number; stamp: Stamp; data: string };
--- a/src/sim/simDisk.ts
+++ b/src/simulation/simDisk.ts
@@ -1,8 +1,8 @@
-import { Csp, Task } from "../csp/csp";
-import { DiskSteps } from "../env/diskSteps";
-import { DurableDisk } from "../env/durableDisk";
-import { Disk } from "../env/env";
-import { Fault, Result } from "../core/fault";
+import { Csp, Task } from "../runtime/csp";
+import { DiskSteps } from "../runtime/diskSteps";
+import { DurableDisk } from "../runtime/durableDisk";
+import { Disk } from "../runtime/env";
+import { Fault, Result } from "../common/fault";
 import type { SimProcess, SimWorld } from "./simWorld";
 
 /** What becomes of each thing that wasn't synced when power is lost: one of so many outcomes, 0 lost, the last one kept. */
--- a/src/sim/simFleet.ts
+++ b/src/simulation/simFleet.ts
@@ -1,10 +1,10 @@
-import { Constants } from "../constants";
-import { Daemon, Running } from "../core/daemon";
-import { Csp, Task } from "../csp/csp";
-import { EnvTools } from "../env/env";
-import { TwoSlots } from "../env/twoSlots";
+import { Constants } from "../common/constants";
+import { Daemon, Running } from "../daemon/daemon";
+import { Csp, Task } from "../runtime/csp";
+import { EnvTools } from "../runtime/env";
+import { TwoSlots } from "../runtime/twoSlots";
 import { View } from "../control/controlState";
-import { ShardCopy } from "../shard/shardCopy";
+import { ShardCopy } from "../shard/shardReplica";
 import { Callers } from "../tools/callers";
 import { CheckOptions, Checker, Violation } from "../tools/checker";
 import { Deployment, Plan, ProcessPlan } from "../tools/deployment";
--- a/src/sim/simWorld.ts
+++ b/src/simulation/simWorld.ts
@@ -1,7 +1,7 @@
-import { Chan, Csp, Scope } from "../csp/csp";
-import { About, DatagramSocket, Env, HttpIn, HttpReply, Link, Timer } from "../env/env";
-import { Fault, Result } from "../core/fault";
-import { Task } from "../csp/csp";
+import { Chan, Csp, Scope } from "../runtime/csp";
+import { About, DatagramSocket, Env, HttpIn, HttpReply, Link, Timer } from "../runtime/env";
+import { Fault, Result } from "../common/fault";
+import { Task } from "../runtime/csp";
 import { SimDisk } from "./simDisk";
 
 type Event = { time: number; order: number; run: () => void };
--- a/src/store/lots.ts
+++ b/src/storage/batchJobs.ts
@@ -1,12 +1,12 @@
-import { Constants } from "../constants";
-import { Chan, Csp, Task } from "../csp/csp";
-import { Env } from "../env/env";
-import { Fault, Result } from "../core/fault";
-import { Node } from "../core/node";
-import { Stamp } from "../core/stamp";
-import { ShardCopy } from "../shard/shardCopy";
+import { Constants } from "../common/constants";
+import { Chan, Csp, Task } from "../runtime/csp";
+import { Env } from "../runtime/env";
+import { Fault, Result } from "../common/fault";
+import { Node } from "../node/node";
+import { Stamp } from "../common/stamp";
+import { ShardCopy } from "../shard/shardReplica";
 import { Cause, Lot, LotOrder } from "../shard/shardState";
-import { ItemRuns } from "./itemRuns";
+import { ItemRuns } from "./itemExecution";
 import { Quota } from "./quota";
 
 export type HandIn = { stamp: Stamp; life: string; lot: LotOrder; cause: Cause };
--- a/src/store/itemRuns.ts
+++ b/src/storage/itemExecution.ts
@@ -1,16 +1,16 @@
-import { Constants } from "../constants";
-import { Chan, Csp, Task } from "../csp/csp";
-import { Env, EnvTools, HttpReply } from "../env/env";
+import { Constants } from "../common/constants";
+import { Chan, Csp, Task } from "../runtime/csp";
+import { Env, EnvTools, HttpReply } from "../runtime/env";
 import { DirectHttp, DirectReply } from "../adapters/directHttp";
-import { EventPieces } from "../adapters/eventPieces";
+import { EventPieces } from "../adapters/eventStreamReader";
 import { HeaderNames } from "../adapters/headerNames";
-import { Chooser } from "../core/chooser";
-import { Frame, Replica } from "../core/frame";
-import { Node } from "../core/node";
+import { Chooser } from "../routing/endpointSelector";
+import { Frame, Replica } from "../node/clusterSnapshot";
+import { Node } from "../node/node";
 import { Binding } from "../control/controlState";
-import { ShardCopy } from "../shard/shardCopy";
+import { ShardCopy } from "../shard/shardReplica";
 import { ItemOutcome, Lot, Op } from "../shard/shardState";
-import { Putter } from "./putter";
+import { Putter } from "./putClient";
 
 /** What is known of an item between its rounds; a new lead begins it anew. */
 type Progress = { after: number; data: string[]; failures: number; notBefore: number; avoid: string };
--- a/src/store/putter.ts
+++ b/src/storage/putClient.ts
@@ -1,11 +1,11 @@
-import { Constants } from "../constants";
-import { Task } from "../csp/csp";
-import { Env, EnvTools } from "../env/env";
-import { Frame } from "../core/frame";
-import { Fault, Result } from "../core/fault";
-import { Hash } from "../core/hash";
-import { Stamp } from "../core/stamp";
-import { Rpc } from "../wire/rpc";
+import { Constants } from "../common/constants";
+import { Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
+import { Frame } from "../node/clusterSnapshot";
+import { Fault, Result } from "../common/fault";
+import { Hash } from "../common/hash";
+import { Stamp } from "../common/stamp";
+import { Rpc } from "../rpc/rpc";
 import { Cause, Op, PutOutcome } from "../shard/shardState";
 
 /**
--- a/src/store/quota.ts
+++ b/src/storage/quota.ts
@@ -1,10 +1,10 @@
-import { Constants } from "../constants";
-import { Csp, Task } from "../csp/csp";
-import { Env } from "../env/env";
-import { Fault, Result } from "../core/fault";
-import { Node } from "../core/node";
-import { ShardCopy } from "../shard/shardCopy";
-import { Putter } from "./putter";
+import { Constants } from "../common/constants";
+import { Csp, Task } from "../runtime/csp";
+import { Env } from "../runtime/env";
+import { Fault, Result } from "../common/fault";
+import { Node } from "../node/node";
+import { ShardCopy } from "../shard/shardReplica";
+import { Putter } from "./putClient";
 
 /** What waits on a binding in one shard, as its lead counts it; the lots it has asked for are in it, by id. */
 export type Tally = { shard: number; epoch: number; turn: number; tokens: number; asking: Record<string, number> };
--- a/src/store/storeNode.ts
+++ b/src/storage/storageNode.ts
@@ -1,21 +1,21 @@
-import { Constants } from "../constants";
-import { Csp, Task } from "../csp/csp";
-import { Env, EnvTools } from "../env/env";
-import { Chooser } from "../core/chooser";
-import { Fault, Result } from "../core/fault";
-import { Node } from "../core/node";
-import { Settings } from "../core/settings";
-import { Spread } from "../core/spread";
-import { Stamp } from "../core/stamp";
+import { Constants } from "../common/constants";
+import { Csp, Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
+import { Chooser } from "../routing/endpointSelector";
+import { Fault, Result } from "../common/fault";
+import { Node } from "../node/node";
+import { Settings } from "../common/settings";
+import { Spread } from "../common/latencySummary";
+import { Stamp } from "../common/stamp";
 import { HeaderNames, ownHeaderNames } from "../adapters/headerNames";
 import { OperatorHttp } from "../adapters/operatorHttp";
-import { ShardCopy } from "../shard/shardCopy";
+import { ShardCopy } from "../shard/shardReplica";
 import { LedgerEntry, ShardState } from "../shard/shardState";
-import { ItemRuns } from "./itemRuns";
-import { Lots } from "./lots";
-import { Putter } from "./putter";
+import { ItemRuns } from "./itemExecution";
+import { Lots } from "./batchJobs";
+import { Putter } from "./putClient";
 import { Quota } from "./quota";
-import { Work } from "./work";
+import { Work } from "./workExecutor";
 
 /* eslint-disable @typescript-eslint/no-explicit-any */
 /**
--- a/src/store/work.ts
+++ b/src/storage/workExecutor.ts
@@ -1,17 +1,17 @@
-import { Constants } from "../constants";
-import { Chan, Csp, Task } from "../csp/csp";
-import { Env, EnvTools } from "../env/env";
-import { Delivery, ReplicaHttp, ReplicaStream } from "../adapters/replicaHttp";
-import { Chooser, Wish } from "../core/chooser";
-import { Fault, Result } from "../core/fault";
-import { Replica } from "../core/frame";
-import { Room } from "../core/room";
-import { Node } from "../core/node";
-import { Stamp } from "../core/stamp";
+import { Constants } from "../common/constants";
+import { Chan, Csp, Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
+import { Delivery, ReplicaHttp, ReplicaStream } from "../adapters/endpointHttp";
+import { Chooser, Wish } from "../routing/endpointSelector";
+import { Fault, Result } from "../common/fault";
+import { Replica } from "../node/clusterSnapshot";
+import { Room } from "../routing/admissionQueue";
+import { Node } from "../node/node";
+import { Stamp } from "../common/stamp";
 import { Binding } from "../control/controlState";
-import { ShardCopy } from "../shard/shardCopy";
+import { ShardCopy } from "../shard/shardReplica";
 import { Cause, Lot, LotOrder, Op, PutOutcome, ShardState, Work as Held } from "../shard/shardState";
-import { Putter } from "./putter";
+import { Putter } from "./putClient";
 
 /* eslint-disable @typescript-eslint/no-explicit-any */
 type OpenBody = {
--- a/src/tools/callers.ts
+++ b/src/tools/callers.ts
@@ -1,6 +1,6 @@
-import { Csp, Task } from "../csp/csp";
-import { Env, EnvTools, HttpReply } from "../env/env";
-import { Result } from "../core/fault";
+import { Csp, Task } from "../runtime/csp";
+import { Env, EnvTools, HttpReply } from "../runtime/env";
+import { Result } from "../common/fault";
 import { Mix } from "./deployment";
 import { History } from "./history";
 import { StandInReplica } from "./standIns";
--- a/src/tools/checker.ts
+++ b/src/tools/checker.ts
@@ -1,4 +1,4 @@
-import { Stamp } from "../core/stamp";
+import { Stamp } from "../common/stamp";
 import { History, Seen } from "./history";
 
 export type RunSeen = { id: string; round: number; at: number; kind: "stream" | "single"; continued: number };
--- a/src/tools/deployment.ts
+++ b/src/tools/deployment.ts
@@ -1,8 +1,8 @@
 import Ajv from "ajv";
 import { OperatorSchemas } from "../adapters/operatorSchemas";
 import { Manifest, PolicyLine } from "../control/controlState";
-import { Fault, Result } from "../core/fault";
-import { Settings } from "../core/settings";
+import { Fault, Result } from "../common/fault";
+import { Settings } from "../common/settings";
 import { Proxied } from "./linkProxies";
 import { ReplicaSettings } from "./standIns";
 
--- a/src/tools/eventStandIn.ts
+++ b/src/tools/eventStandIn.ts
@@ -1,5 +1,5 @@
-import { Csp, Task } from "../csp/csp";
-import { Env, EnvTools, HttpIn } from "../env/env";
+import { Csp, Task } from "../runtime/csp";
+import { Env, EnvTools, HttpIn } from "../runtime/env";
 import { HeaderNames, ownHeaderNames } from "../adapters/headerNames";
 
 export type EventRun = {
--- a/src/tools/linkProxies.ts
+++ b/src/tools/linkProxies.ts
@@ -1,6 +1,6 @@
 import * as dgram from "dgram";
 import * as net from "net";
-import { Wire } from "../wire/wire";
+import { Wire } from "../rpc/envelopeCodec";
 
 export type Proxied = { name: string; cluster: string; address: string; bind: string };
 type Flow = { from: string; to: string; source: net.Socket; target: net.Socket };
--- a/src/tools/scale/choiceScale.ts
+++ b/src/tools/scale/choiceScale.ts
@@ -1,7 +1,7 @@
-import { Chooser, Wish } from "../../core/chooser";
-import { Replica } from "../../core/frame";
-import { Scope } from "../../csp/csp";
-import { NodeEnv } from "../../env/nodeEnv";
+import { Chooser, Wish } from "../../routing/endpointSelector";
+import { Replica } from "../../node/clusterSnapshot";
+import { Scope } from "../../runtime/csp";
+import { NodeEnv } from "../../runtime/nodeEnv";
 import { Experiment } from "./experiment";
 import { HollowWorld } from "./hollowWorld";
 
--- a/src/tools/scale/groupWorld.ts
+++ b/src/tools/scale/groupWorld.ts
@@ -1,10 +1,10 @@
 import { Command } from "../../control/controlState";
-import { Group } from "../../control/group";
-import { Csp } from "../../csp/csp";
-import { TwoSlots } from "../../env/twoSlots";
-import { SimDisk } from "../../sim/simDisk";
-import { SimProcess, SimWorld } from "../../sim/simWorld";
-import { Rpc } from "../../wire/rpc";
+import { Group } from "../../consensus/consensusGroup";
+import { Csp } from "../../runtime/csp";
+import { TwoSlots } from "../../runtime/twoSlots";
+import { SimDisk } from "../../simulation/simDisk";
+import { SimProcess, SimWorld } from "../../simulation/simWorld";
+import { Rpc } from "../../rpc/rpc";
 import { Meter } from "./meter";
 
 export type Voter = { id: string; process: SimProcess; group: Group; rpc: Rpc; meter: Meter };
--- a/src/tools/scale/hollowMember.ts
+++ b/src/tools/scale/hollowMember.ts
@@ -1,8 +1,8 @@
-import { Fault, Result } from "../../core/fault";
-import { Host } from "../../core/host";
-import { Node } from "../../core/node";
-import { Task } from "../../csp/csp";
-import { Env, EnvTools } from "../../env/env";
+import { Fault, Result } from "../../common/fault";
+import { Host } from "../../node/nodeContext";
+import { Node } from "../../node/node";
+import { Task } from "../../runtime/csp";
+import { Env, EnvTools } from "../../runtime/env";
 import { Program } from "../../membership/member";
 
 export type HollowSettings = { program: Program; district: string; address: string; seeds: string[] };
--- a/src/tools/scale/hollowWorld.ts
+++ b/src/tools/scale/hollowWorld.ts
@@ -1,8 +1,8 @@
 import { ControlFrame, ControlState } from "../../control/controlState";
-import { Manifests } from "../../control/manifests";
-import { Csp } from "../../csp/csp";
-import { SimDisk } from "../../sim/simDisk";
-import { SimWorld } from "../../sim/simWorld";
+import { Manifests } from "../../control/configurations";
+import { Csp } from "../../runtime/csp";
+import { SimDisk } from "../../simulation/simDisk";
+import { SimWorld } from "../../simulation/simWorld";
 import { HollowMember } from "./hollowMember";
 import { Counts, Meter } from "./meter";
 
--- a/src/tools/scale/idleRun.ts
+++ b/src/tools/scale/idleRun.ts
@@ -2,7 +2,7 @@
 import * as fs from "fs";
 import * as os from "os";
 import * as path from "path";
-import { Settings } from "../../core/settings";
+import { Settings } from "../../common/settings";
 import { ProcessUse, Use } from "./processUse";
 
 export type IdlePlan = {
--- a/src/tools/scale/meter.ts
+++ b/src/tools/scale/meter.ts
@@ -1,6 +1,6 @@
-import { DatagramSocket, Disk, Env, Link } from "../../env/env";
-import { Result } from "../../core/fault";
-import { Csp, Task } from "../../csp/csp";
+import { DatagramSocket, Disk, Env, Link } from "../../runtime/env";
+import { Result } from "../../common/fault";
+import { Csp, Task } from "../../runtime/csp";
 
 export type Counts = {
   datagrams: number;
--- a/src/tools/scale/quietFleet.ts
+++ b/src/tools/scale/quietFleet.ts
@@ -1,4 +1,4 @@
-import { SimFleet } from "../../sim/simFleet";
+import { SimFleet } from "../../simulation/simFleet";
 import { Deployment } from "../deployment";
 import { Counts, Meter } from "./meter";
 
--- a/src/tools/scale/sizes.ts
+++ b/src/tools/scale/sizes.ts
@@ -1,5 +1,5 @@
 import * as os from "os";
-import { Fault, Result } from "../../core/fault";
+import { Fault, Result } from "../../common/fault";
 
 export type Bound = { name: string; least: number; most: number; why: string };
 const hollowMember = 1_500_000; // bytes; one hollow member at rest, measured by `scale members`
--- a/src/tools/scale/slope.ts
+++ b/src/tools/scale/slope.ts
@@ -1,4 +1,4 @@
-import { Fault, Result } from "../../core/fault";
+import { Fault, Result } from "../../common/fault";
 
 export type Point = { at: number; value: number };
 export type Slope = { perUnit: number; base: number; from: number; to: number; sizes: number; spread: number };
--- a/src/tools/scale/wholeWorker.ts
+++ b/src/tools/scale/wholeWorker.ts
@@ -1,6 +1,6 @@
-import { Csp, Scope, Task } from "../../csp/csp";
-import { EnvTools } from "../../env/env";
-import { NodeEnv } from "../../env/nodeEnv";
+import { Csp, Scope, Task } from "../../runtime/csp";
+import { EnvTools } from "../../runtime/env";
+import { NodeEnv } from "../../runtime/nodeEnv";
 import { Program } from "../../membership/member";
 import { HollowMember } from "./hollowMember";
 import { HollowWorld } from "./hollowWorld";
--- a/src/tools/standIns.ts
+++ b/src/tools/standIns.ts
@@ -1,6 +1,6 @@
-import { Csp, Task } from "../csp/csp";
-import { Env, EnvTools, HttpIn } from "../env/env";
-import { Result } from "../core/fault";
+import { Csp, Task } from "../runtime/csp";
+import { Env, EnvTools, HttpIn } from "../runtime/env";
+import { Result } from "../common/fault";
 
 export type ReplicaSettings = {
   id: string;
--- a/test/callerLimits.test.ts
+++ b/test/callerLimits.test.ts
@@ -1,4 +1,4 @@
-import { HttpLimits } from "../src/env/env";
+import { HttpLimits } from "../src/runtime/env";
 import { RawClient, RawWorld } from "./rawSockets";
 
 const responses = (text: string): number => text.split("HTTP/1.1 ").length - 1;
--- a/test/clock.test.ts
+++ b/test/clock.test.ts
@@ -1,4 +1,4 @@
-import { Stamp } from "../src/core/stamp";
+import { Stamp } from "../src/common/stamp";
 import { Put, ShardState } from "../src/shard/shardState";
 
 const kept = {
--- a/test/confirmation.test.ts
+++ b/test/confirmation.test.ts
@@ -1,8 +1,8 @@
-import { Confirmation, ReadIndex } from "../src/core/confirmation";
+import { Confirmation, ReadIndex } from "../src/node/readIndexConfirmation";
 import { ControlState } from "../src/control/controlState";
-import { SimDisk } from "../src/sim/simDisk";
-import { SimWorld } from "../src/sim/simWorld";
-import { Rpc } from "../src/wire/rpc";
+import { SimDisk } from "../src/simulation/simDisk";
+import { SimWorld } from "../src/simulation/simWorld";
+import { Rpc } from "../src/rpc/rpc";
 
 /** A confirmation whose read index and configuration are set by hand. */
 class Bench {
--- a/test/control.test.ts
+++ b/test/control.test.ts
@@ -1,8 +1,8 @@
-import { Constants } from "../src/constants";
+import { Constants } from "../src/common/constants";
 import { ControlState } from "../src/control/controlState";
-import { Group } from "../src/control/group";
-import { Manifests } from "../src/control/manifests";
-import { Rpc } from "../src/wire/rpc";
+import { Group } from "../src/consensus/consensusGroup";
+import { Manifests } from "../src/control/configurations";
+import { Rpc } from "../src/rpc/rpc";
 import { ControlFleet } from "./controlFleet";
 import { ControlHunt } from "./controlHunt";
 
--- a/test/controlFleet.ts
+++ b/test/controlFleet.ts
@@ -1,12 +1,12 @@
-import { Daemon, Running } from "../src/core/daemon";
-import { Settings } from "../src/core/settings";
-import { Shapes } from "../src/core/shapes";
+import { Daemon, Running } from "../src/daemon/daemon";
+import { Settings } from "../src/common/settings";
+import { Shapes } from "../src/daemon/protocolAdapters";
 import { ControlNode } from "../src/control/controlNode";
-import { Csp } from "../src/csp/csp";
-import { EnvTools } from "../src/env/env";
+import { Csp } from "../src/runtime/csp";
+import { EnvTools } from "../src/runtime/env";
 import { IngressNode } from "../src/ingress/ingressNode";
-import { SimDisk } from "../src/sim/simDisk";
-import { SimProcess, SimWorld } from "../src/sim/simWorld";
+import { SimDisk } from "../src/simulation/simDisk";
+import { SimProcess, SimWorld } from "../src/simulation/simWorld";
 
 export type Answer = { status: number; body: any; headers: Record<string, string> };
 type Options = {
--- a/test/controlHunt.ts
+++ b/test/controlHunt.ts
@@ -1,5 +1,5 @@
-import { Csp, Task } from "../src/csp/csp";
-import { EnvTools } from "../src/env/env";
+import { Csp, Task } from "../src/runtime/csp";
+import { EnvTools } from "../src/runtime/env";
 import { ControlFleet } from "./controlFleet";
 import { ConfigurationState, ControlHistory, Judged, Operation } from "./controlHistory";
 
--- a/test/copyRecovery.ts
+++ b/test/copyRecovery.ts
@@ -1,5 +1,5 @@
 import { View } from "../src/control/controlState";
-import { StoreNode } from "../src/store/storeNode";
+import { StoreNode } from "../src/storage/storageNode";
 import { ControlFleet } from "./controlFleet";
 
 export type CopyTrial = {
--- a/test/cutOff.test.ts
+++ b/test/cutOff.test.ts
@@ -1,4 +1,4 @@
-import { StoreNode } from "../src/store/storeNode";
+import { StoreNode } from "../src/storage/storageNode";
 import { ControlFleet } from "./controlFleet";
 
 type Way = "in" | "out" | "both";
--- a/test/dataFolder.test.ts
+++ b/test/dataFolder.test.ts
@@ -1,6 +1,6 @@
-import { DataFolder, Identity } from "../src/core/dataFolder";
-import { SimDisk } from "../src/sim/simDisk";
-import { SimWorld } from "../src/sim/simWorld";
+import { DataFolder, Identity } from "../src/runtime/dataFolder";
+import { SimDisk } from "../src/simulation/simDisk";
+import { SimWorld } from "../src/simulation/simWorld";
 
 const first: Identity = { id: "control-1", cluster: "c", program: "control" };
 /** What a start says of a folder that holds these files, and what stands in it then. */
--- a/test/disk.test.ts
+++ b/test/disk.test.ts
@@ -1,7 +1,7 @@
-import { Csp, Task } from "../src/csp/csp";
-import { TwoSlots } from "../src/env/twoSlots";
-import { SimDisk } from "../src/sim/simDisk";
-import { SimWorld } from "../src/sim/simWorld";
+import { Csp, Task } from "../src/runtime/csp";
+import { TwoSlots } from "../src/runtime/twoSlots";
+import { SimDisk } from "../src/simulation/simDisk";
+import { SimWorld } from "../src/simulation/simWorld";
 
 const inWorld = async <T>(world: SimWorld, disk: SimDisk, body: (slots: TwoSlots) => Task<T>): Promise<T> => {
   const process = world.start(`p${world.now}`, disk);
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -2,7 +2,7 @@
 import * as os from "os";
 import * as path from "path";
 import { Fleet } from "../src/cli/fleetCommand";
-import { EnvTools } from "../src/env/env";
+import { EnvTools } from "../src/runtime/env";
 import { Callers } from "../src/tools/callers";
 import { Checker } from "../src/tools/checker";
 import { Deployment } from "../src/tools/deployment";
--- a/test/fuzz.test.ts
+++ b/test/fuzz.test.ts
@@ -1,12 +1,12 @@
 import * as fc from "fast-check";
 import * as net from "net";
-import { EventPieces } from "../src/adapters/eventPieces";
-import { Csp } from "../src/csp/csp";
-import { HttpReply } from "../src/env/env";
-import { SimDisk } from "../src/sim/simDisk";
-import { SimWorld } from "../src/sim/simWorld";
-import { Rpc } from "../src/wire/rpc";
-import { Wire } from "../src/wire/wire";
+import { EventPieces } from "../src/adapters/eventStreamReader";
+import { Csp } from "../src/runtime/csp";
+import { HttpReply } from "../src/runtime/env";
+import { SimDisk } from "../src/simulation/simDisk";
+import { SimWorld } from "../src/simulation/simWorld";
+import { Rpc } from "../src/rpc/rpc";
+import { Wire } from "../src/rpc/envelopeCodec";
 import { RawClient, RawWorld } from "./rawSockets";
 
 // Seeds are kept; FUZZ_RUNS=20000 FUZZ_SEED=7 npx jest dist/test/fuzz.test.js runs longer, from elsewhere.
--- a/test/group.test.ts
+++ b/test/group.test.ts
@@ -1,9 +1,9 @@
-import { Constants } from "../src/constants";
+import { Constants } from "../src/common/constants";
 import { Command, Outcome } from "../src/control/controlState";
-import { Piece, Transfer, TransferReceiver } from "../src/control/group/transfer";
-import { Result } from "../src/core/fault";
-import { Csp } from "../src/csp/csp";
-import { EnvTools } from "../src/env/env";
+import { Piece, Transfer, TransferReceiver } from "../src/consensus/transfer";
+import { Result } from "../src/common/fault";
+import { Csp } from "../src/runtime/csp";
+import { EnvTools } from "../src/runtime/env";
 import { GroupWorld, Voter } from "../src/tools/scale/groupWorld";
 
 const noop: Command = { tag: "noop" };
--- a/test/kept.test.ts
+++ b/test/kept.test.ts
@@ -1,14 +1,14 @@
 import { OperatorSchemas } from "../src/adapters/operatorSchemas";
-import { Constants } from "../src/constants";
-import { Stamp } from "../src/core/stamp";
-import { Task } from "../src/csp/csp";
-import { EnvTools } from "../src/env/env";
-import { TwoSlots } from "../src/env/twoSlots";
-import { ShardCopy } from "../src/shard/shardCopy";
+import { Constants } from "../src/common/constants";
+import { Stamp } from "../src/common/stamp";
+import { Task } from "../src/runtime/csp";
+import { EnvTools } from "../src/runtime/env";
+import { TwoSlots } from "../src/runtime/twoSlots";
+import { ShardCopy } from "../src/shard/shardReplica";
 import { Op, PutOutcome } from "../src/shard/shardState";
-import { SimDisk } from "../src/sim/simDisk";
-import { SimProcess, SimWorld } from "../src/sim/simWorld";
-import { Rpc } from "../src/wire/rpc";
+import { SimDisk } from "../src/simulation/simDisk";
+import { SimProcess, SimWorld } from "../src/simulation/simWorld";
+import { Rpc } from "../src/rpc/rpc";
 
 const binding = {
   kind: "item" as const,
--- a/test/lotDays.test.ts
+++ b/test/lotDays.test.ts
@@ -1,6 +1,6 @@
-import { Csp, Task } from "../src/csp/csp";
-import { EnvTools } from "../src/env/env";
-import { IntakeHost, LotIntake } from "../src/ingress/lotIntake";
+import { Csp, Task } from "../src/runtime/csp";
+import { EnvTools } from "../src/runtime/env";
+import { IntakeHost, LotIntake } from "../src/ingress/batchSubmission";
 import { EventStandIn } from "../src/tools/eventStandIn";
 import { LotBounds, LotChecker, LotRun, LotSeen, LotSent } from "../src/tools/lotChecker";
 import { LotWorld } from "./lotWorld";
--- a/test/lots.test.ts
+++ b/test/lots.test.ts
@@ -1,4 +1,4 @@
-import { LotIntake } from "../src/ingress/lotIntake";
+import { LotIntake } from "../src/ingress/batchSubmission";
 import { EventStandIn } from "../src/tools/eventStandIn";
 import { LotWorld } from "./lotWorld";
 
--- a/test/manifestSteps.test.ts
+++ b/test/manifestSteps.test.ts
@@ -1,5 +1,5 @@
 import { Manifest } from "../src/control/controlState";
-import { Manifests } from "../src/control/manifests";
+import { Manifests } from "../src/control/configurations";
 import { HollowWorld } from "../src/tools/scale/hollowWorld";
 
 const doc = (count: number): Manifest => HollowWorld.frame(count, 1).manifest.doc;
--- a/test/model.test.ts
+++ b/test/model.test.ts
@@ -1,16 +1,16 @@
-import { Constants } from "../src/constants";
+import { Constants } from "../src/common/constants";
 import { ControlState } from "../src/control/controlState";
-import { Group } from "../src/control/group";
-import { MembershipChange } from "../src/control/group/membershipChange";
-import { Fault } from "../src/core/fault";
-import { Csp } from "../src/csp/csp";
-import { Env } from "../src/env/env";
+import { Group } from "../src/consensus/consensusGroup";
+import { MembershipChange } from "../src/consensus/membershipChange";
+import { Fault } from "../src/common/fault";
+import { Csp } from "../src/runtime/csp";
+import { Env } from "../src/runtime/env";
 import { Action } from "../src/model/actions";
 import { ModelCampaign } from "../src/model/campaign";
 import { Plants } from "../src/model/groupUnderTest";
 import { InvariantName } from "../src/model/invariants";
 import { Walk } from "../src/model/walk";
-import { Handler, Rpc } from "../src/wire/rpc";
+import { Handler, Rpc } from "../src/rpc/rpc";
 
 /* eslint-disable @typescript-eslint/no-explicit-any */
 describe("random walks over the control group, every invariant after each step", () => {
--- a/test/news.test.ts
+++ b/test/news.test.ts
@@ -1,5 +1,5 @@
 import { HollowWorld } from "../src/tools/scale/hollowWorld";
-import { News } from "../src/membership/news";
+import { News } from "../src/membership/gossip";
 
 const replica = (active: number, more: Record<string, unknown> = {}): Record<string, unknown> => ({
   id: "r1",
--- a/test/orders.test.ts
+++ b/test/orders.test.ts
@@ -1,9 +1,9 @@
-import { Constants } from "../src/constants";
+import { Constants } from "../src/common/constants";
 import { Command, ControlState, Outcome } from "../src/control/controlState";
-import { Fault } from "../src/core/fault";
-import { Csp, Task } from "../src/csp/csp";
-import { EnvTools } from "../src/env/env";
-import { Rpc } from "../src/wire/rpc";
+import { Fault } from "../src/common/fault";
+import { Csp, Task } from "../src/runtime/csp";
+import { EnvTools } from "../src/runtime/env";
+import { Rpc } from "../src/rpc/rpc";
 import { Answer, ControlFleet } from "./controlFleet";
 
 const manifest = (version: number, path = "/x"): Record<string, unknown> => ({
--- a/test/powerLoss.test.ts
+++ b/test/powerLoss.test.ts
@@ -1,11 +1,11 @@
-import { DataFolder } from "../src/core/dataFolder";
-import { Task } from "../src/csp/csp";
-import { DiskSteps } from "../src/env/diskSteps";
-import { DurableDisk } from "../src/env/durableDisk";
-import { Disk, Env } from "../src/env/env";
-import { TwoSlots } from "../src/env/twoSlots";
-import { PowerLoss, SimDisk } from "../src/sim/simDisk";
-import { SimWorld } from "../src/sim/simWorld";
+import { DataFolder } from "../src/runtime/dataFolder";
+import { Task } from "../src/runtime/csp";
+import { DiskSteps } from "../src/runtime/diskSteps";
+import { DurableDisk } from "../src/runtime/durableDisk";
+import { Disk, Env } from "../src/runtime/env";
+import { TwoSlots } from "../src/runtime/twoSlots";
+import { PowerLoss, SimDisk } from "../src/simulation/simDisk";
+import { SimWorld } from "../src/simulation/simWorld";
 
 const folder = "mount/data";
 class Ended extends Error {}
--- a/test/rawSockets.ts
+++ b/test/rawSockets.ts
@@ -1,7 +1,7 @@
 import * as net from "net";
-import { Csp, Scope, Task } from "../src/csp/csp";
-import { Env, HttpIn, HttpLimits } from "../src/env/env";
-import { NodeEnv } from "../src/env/nodeEnv";
+import { Csp, Scope, Task } from "../src/runtime/csp";
+import { Env, HttpIn, HttpLimits } from "../src/runtime/env";
+import { NodeEnv } from "../src/runtime/nodeEnv";
 
 /** A client that writes bytes as they are and keeps what comes. */
 export class RawClient {
--- a/test/repair.test.ts
+++ b/test/repair.test.ts
@@ -1,9 +1,9 @@
 import * as fs from "fs";
 import * as path from "path";
-import { Constants } from "../src/constants";
-import { ShardCopy } from "../src/shard/shardCopy";
+import { Constants } from "../src/common/constants";
+import { ShardCopy } from "../src/shard/shardReplica";
 import { ShardState } from "../src/shard/shardState";
-import { SimFleet } from "../src/sim/simFleet";
+import { SimFleet } from "../src/simulation/simFleet";
 import { Deployment } from "../src/tools/deployment";
 
 const read = Deployment.check(JSON.parse(fs.readFileSync(path.join(__dirname, "../../deploy/sim.json"), "utf8")));
--- a/test/replicaSockets.test.ts
+++ b/test/replicaSockets.test.ts
@@ -1,11 +1,11 @@
 import * as net from "net";
 import { ownHeaderNames } from "../src/adapters/headerNames";
 import { Binding, ControlState } from "../src/control/controlState";
-import { Chooser } from "../src/core/chooser";
-import { Replica } from "../src/core/frame";
-import { Room } from "../src/core/room";
-import { Task } from "../src/csp/csp";
-import { DirectIntake } from "../src/ingress/directIntake";
+import { Chooser } from "../src/routing/endpointSelector";
+import { Replica } from "../src/node/clusterSnapshot";
+import { Room } from "../src/routing/admissionQueue";
+import { Task } from "../src/runtime/csp";
+import { DirectIntake } from "../src/ingress/directRequestHandler";
 import { IngressNode } from "../src/ingress/ingressNode";
 import { RawClient, RawWorld } from "./rawSockets";
 
--- a/test/rpc.test.ts
+++ b/test/rpc.test.ts
@@ -1,10 +1,10 @@
-import { Result } from "../src/core/fault";
-import { Csp } from "../src/csp/csp";
-import { Link } from "../src/env/env";
-import { SimDisk } from "../src/sim/simDisk";
-import { SimProcess, SimWorld } from "../src/sim/simWorld";
-import { Rpc } from "../src/wire/rpc";
-import { Envelope, Wire } from "../src/wire/wire";
+import { Result } from "../src/common/fault";
+import { Csp } from "../src/runtime/csp";
+import { Link } from "../src/runtime/env";
+import { SimDisk } from "../src/simulation/simDisk";
+import { SimProcess, SimWorld } from "../src/simulation/simWorld";
+import { Rpc } from "../src/rpc/rpc";
+import { Envelope, Wire } from "../src/rpc/envelopeCodec";
 
 const address = "10.0.0.1:7";
 let world: SimWorld;
--- a/test/sameSeed.test.ts
+++ b/test/sameSeed.test.ts
@@ -1,7 +1,7 @@
 import * as fs from "fs";
 import * as path from "path";
-import { Campaign } from "../src/sim/campaign";
-import { Scenarios } from "../src/sim/scenarios/scenarios";
+import { Campaign } from "../src/simulation/campaign";
+import { Scenarios } from "../src/simulation/scenarios/scenarios";
 import { Deployment } from "../src/tools/deployment";
 
 test("one seed gives one history and one log, byte for byte", async () => {
--- a/test/slowLeadDisk.test.ts
+++ b/test/slowLeadDisk.test.ts
@@ -1,4 +1,4 @@
-import { Constants } from "../src/constants";
+import { Constants } from "../src/common/constants";
 import { GroupUnderTest, Machine } from "../src/model/groupUnderTest";
 
 /** A group whose lead has committed changes by its followers' disks while its own disk stalls. */
--- a/test/stopping.test.ts
+++ b/test/stopping.test.ts
@@ -1,8 +1,8 @@
 import * as fs from "fs";
 import * as os from "os";
 import * as path from "path";
-import { Csp } from "../src/csp/csp";
-import { EnvTools, HttpIn } from "../src/env/env";
+import { Csp } from "../src/runtime/csp";
+import { EnvTools, HttpIn } from "../src/runtime/env";
 import { TestTools } from "./tools";
 
 test("a process that stops serving takes no new connection, and what is in flight is still answered whole", async () => {
--- a/test/surface.test.ts
+++ b/test/surface.test.ts
@@ -2,11 +2,11 @@
 import * as fs from "fs";
 import * as os from "os";
 import * as path from "path";
-import { Settings } from "../src/core/settings";
-import { Slab } from "../src/ingress/slab";
-import { SimFleet } from "../src/sim/simFleet";
+import { Settings } from "../src/common/settings";
+import { Slab } from "../src/ingress/requestTable";
+import { SimFleet } from "../src/simulation/simFleet";
 import { Deployment } from "../src/tools/deployment";
-import { Wire } from "../src/wire/wire";
+import { Wire } from "../src/rpc/envelopeCodec";
 
 const deployment = (name: string): Deployment => {
   const read = Deployment.check(JSON.parse(fs.readFileSync(path.join(__dirname, `../../deploy/${name}.json`), "utf8")));
--- a/test/tools.ts
+++ b/test/tools.ts
@@ -1,6 +1,6 @@
-import { Csp, Scope, Task } from "../src/csp/csp";
-import { Env } from "../src/env/env";
-import { NodeEnv } from "../src/env/nodeEnv";
+import { Csp, Scope, Task } from "../src/runtime/csp";
+import { Env } from "../src/runtime/env";
+import { NodeEnv } from "../src/runtime/nodeEnv";
 
 /**
  * Runs a task to its end as a promise, over real time.
--- a/test/voters.test.ts
+++ b/test/voters.test.ts
@@ -1,4 +1,4 @@
-import { Csp } from "../src/csp/csp";
+import { Csp } from "../src/runtime/csp";
 import { ControlFleet } from "./controlFleet";
 import { VoterRecovery, VoterRecoveryTimes, VoterTrial } from "./voterRecovery";
 
