--- a/scripts/dissemination.js
+++ b/scripts/dissemination.js
@@ -27,7 +27,7 @@
     const seen = () =>
       fleet
         .names("ingress")
-        .every((name) => (fleet.running.get(name).frame().control?.manifest.version ?? 0) >= changed.version);
+        .every((name) => (fleet.running.get(name).snapshot().control?.manifest.version ?? 0) >= changed.version);
     while (!seen() && fleet.world.now - from < 5000) await fleet.run(5);
     times.push(fleet.world.now - from);
     await fleet.run(800);
--- a/src/adapters/callerHttp.ts
+++ b/src/adapters/callerHttp.ts
@@ -1,11 +1,11 @@
 import { Constants } from "../common/constants";
 import { Csp, Task } from "../runtime/csp";
-import { EnvTools, HttpIn } from "../runtime/env";
+import { EnvTools, HttpExchange } from "../runtime/env";
 import { Fault, Result } from "../common/fault";
 import { Hash } from "../common/hash";
-import type { Accepted, IngressNode, Reply } from "../ingress/ingressNode";
-import { HandedItem, LotIntake } from "../ingress/batchSubmission";
-import { Http, Route } from "./http";
+import type { AdmittedRequest, IngressNode, CallerResponse } from "../ingress/ingressNode";
+import { SubmittedItem, BatchSubmission } from "../ingress/batchSubmission";
+import { Http, HttpRoute } from "./http";
 import { OperatorSchemas } from "./operatorSchemas";
 
 /* eslint-disable @typescript-eslint/no-explicit-any */
@@ -50,12 +50,12 @@
  * const routes = CallerHttp.routes(ingress);
  */
 export const CallerHttp = {
-  routes(ingress: IngressNode): Route[] {
+  routes(ingress: IngressNode): HttpRoute[] {
     const { env } = ingress;
 
     /** Pieces from the shard to the caller, each once and in order. */
     const relay = function* (
-      incoming: HttpIn,
+      incoming: HttpExchange,
       id: string,
       from: number,
       untilMono: number,
@@ -122,7 +122,7 @@
       }
     };
     /** The whole reply of a single request held by a shard. */
-    const single = function* (incoming: HttpIn, id: string, untilMono: number): Task<void> {
+    const single = function* (incoming: HttpExchange, id: string, untilMono: number): Task<void> {
       for (;;) {
         const read: Result<any> = yield* ingress.read(
           id,
@@ -156,9 +156,9 @@
           );
       }
     };
-    const lookup = function* (incoming: HttpIn, id: string, accepted: Accepted, body: string): Task<void> {
-      const replied = Csp.chan<true>(1);
-      const ticket = ingress.slab.open((outcome: Result<Reply>) => {
+    const lookup = function* (incoming: HttpExchange, id: string, accepted: AdmittedRequest, body: string): Task<void> {
+      const response = Csp.chan<true>(1);
+      const ticket = ingress.requestTable.open((outcome: Result<CallerResponse>) => {
         if (outcome.ok)
           incoming.send(
             outcome.value.status,
@@ -166,7 +166,7 @@
             outcome.value.body,
           );
         else Http.problem(incoming, outcome.fault, undefined, { requestId: id });
-        replied.close();
+        response.close();
       });
       if (!ticket)
         return Http.problem(incoming, {
@@ -177,10 +177,10 @@
           retryAfterMs: Constants.retryAfterMs,
         });
       Csp.go(env.scope, `lookup ${id}`, () => ingress.lookup(ticket, id, accepted, body));
-      yield* Csp.select([replied, incoming.gone]);
-      if (ingress.slab.holds(ticket)) ingress.slab.drop(ticket);
+      yield* Csp.select([response, incoming.gone]);
+      if (ingress.requestTable.holds(ticket)) ingress.requestTable.drop(ticket);
     };
-    const request = function* (incoming: HttpIn, [name]: string[]): Task<void> {
+    const request = function* (incoming: HttpExchange, [name]: string[]): Task<void> {
       const accepted = ingress.accept(name, incoming.headers);
       if (!accepted.ok) return Http.problem(incoming, accepted.fault);
       const read = yield* Http.body(incoming, ingress.bodyLimit());
@@ -194,9 +194,9 @@
         });
       const stamp = ingress.stamp();
       if (!stamp.ok) return Http.problem(incoming, stamp.fault);
-      const { binding } = accepted.value;
+      const { route } = accepted.value;
       yield* ingress.counted(name, function* () {
-        if (binding.kind === "lookup" && binding.safe)
+        if (route.kind === "lookup" && route.safe)
           return yield* lookup(incoming, EnvTools.id(env, "req"), accepted.value, read.text);
         const key = incoming.headers["idempotency-key"];
         const id = key ? ingress.keyedId(name, key) : EnvTools.id(env, "req");
@@ -233,11 +233,11 @@
             },
             422,
           );
-        if (binding.kind === "stream") yield* relay(incoming, id, 0, untilMono, true);
+        if (route.kind === "stream") yield* relay(incoming, id, 0, untilMono, true);
         else yield* single(incoming, id, untilMono);
       });
     };
-    const resume = function* (incoming: HttpIn, [id]: string[]): Task<void> {
+    const resume = function* (incoming: HttpExchange, [id]: string[]): Task<void> {
       const why = ingress.unready();
       if (why)
         return Http.problem(incoming, {
@@ -260,9 +260,21 @@
     };
 
     /** A lot whose items are whole requests: 202 also for a repeat, since each of its callers may have lost the first reply. */
-    const handIn = function* (incoming: HttpIn, id: string, accepted: Accepted, items: HandedItem[]): Task<void> {
+    const handIn = function* (
+      incoming: HttpExchange,
+      id: string,
+      accepted: AdmittedRequest,
+      items: SubmittedItem[],
+    ): Task<void> {
       ingress.counts.lots += 1;
-      const handed = yield* LotIntake.handIn(ingress, id, accepted.name, accepted.binding, items, Constants.lotHoldMs);
+      const handed = yield* BatchSubmission.handIn(
+        ingress,
+        id,
+        accepted.name,
+        accepted.route,
+        items,
+        Constants.jobHoldMs,
+      );
       if (!handed.ok)
         return Http.problem(
           incoming,
@@ -285,14 +297,14 @@
         );
       Http.json(incoming, 202, { id, items: items.length });
     };
-    const acceptLot = function* (incoming: HttpIn): Task<void> {
+    const acceptJob = function* (incoming: HttpExchange): Task<void> {
       const body = yield* Http.body(incoming, ingress.bodyLimit());
       if (!body) return;
       const checked = OperatorSchemas.lot(body.value);
       if (!checked.ok) return Http.problem(incoming, checked.fault);
       const accepted = ingress.accept(checked.value.binding, incoming.headers);
       if (!accepted.ok) return Http.problem(incoming, accepted.fault);
-      if (accepted.value.binding.kind !== "item")
+      if (accepted.value.route.kind !== "item")
         return Http.problem(incoming, {
           tag: "invalid",
           step: "accept lot",
@@ -304,26 +316,26 @@
       const stamp = ingress.stamp();
       if (!stamp.ok) return Http.problem(incoming, stamp.fault);
       const bodies = checked.value.items!.map((item) => JSON.stringify(item));
-      const lot = {
+      const job = {
         id,
         binding: accepted.value.name,
         bodyHash: Hash.text(JSON.stringify([accepted.value.name, bodies])),
         bodies,
-        safe: accepted.value.binding.safe,
+        safe: accepted.value.route.safe,
         order: accepted.value.order,
-        kept: accepted.value.binding,
+        kept: accepted.value.route,
       };
       ingress.counts.lots += 1;
       let first = true;
-      const done: Result<any> = yield* ingress.putter.askLead(
-        ingress.putter.shardOf(id),
+      const done: Result<any> = yield* ingress.putClient.askLeader(
+        ingress.putClient.shardOf(id),
         "lot.accept",
         () => {
-          const arrival = first ? stamp.value : ingress.putter.stamp(env.wall());
+          const arrival = first ? stamp.value : ingress.putClient.stamp(env.wall());
           first = false;
-          return { stamp: arrival, lot, cause: accepted.value.cause };
+          return { stamp: arrival, lot: job, cause: accepted.value.cause };
         },
-        Constants.lotPatienceMs,
+        Constants.jobPatienceMs,
         2000,
         Constants.openPatienceMs,
       );
@@ -359,9 +371,9 @@
         );
       Http.json(incoming, done.value.tag === "exists" ? 200 : 202, { id, items: bodies.length });
     };
-    const askLot = function* (verb: string, id: string, body: () => Record<string, unknown>): Task<Result<any>> {
-      const done: Result<any> = yield* ingress.putter.askLead(
-        ingress.putter.shardOf(id),
+    const askJob = function* (verb: string, id: string, body: () => Record<string, unknown>): Task<Result<any>> {
+      const done: Result<any> = yield* ingress.putClient.askLeader(
+        ingress.putClient.shardOf(id),
         verb,
         () => ({ id, ...body() }),
         5000,
@@ -376,7 +388,7 @@
         return done;
       return Fault.busy(done.fault.step, done.fault.member, done.fault.detail, Constants.retryAfterMs);
     };
-    const number = (incoming: HttpIn, name: string, otherwise: number, most: number): number | undefined => {
+    const number = (incoming: HttpExchange, name: string, otherwise: number, most: number): number | undefined => {
       const given = incoming.query.get(name);
       if (given === null) return otherwise;
       if (!/^\d{1,9}$/.test(given)) {
@@ -393,12 +405,12 @@
     return [
       { method: "POST", path: /^\/v1\/requests\/([^/]+)$/, run: request },
       { method: "GET", path: /^\/v1\/streams\/([^/]+)$/, run: resume },
-      { method: "POST", path: /^\/v1\/lots$/, run: acceptLot },
+      { method: "POST", path: /^\/v1\/lots$/, run: acceptJob },
       {
         method: "GET",
         path: /^\/v1\/lots\/([^/]+)$/,
         *run(incoming, [id]) {
-          const status = yield* askLot("lot.status", id, () => ({}));
+          const status = yield* askJob("lot.status", id, () => ({}));
           if (!status.ok) return Http.problem(incoming, status.fault);
           Http.json(incoming, 200, status.value);
         },
@@ -411,7 +423,7 @@
           const limit = number(incoming, "limit", 500, 2000);
           const waitMs = number(incoming, "waitMs", 0, Constants.readWaitMs);
           if (after === undefined || limit === undefined || waitMs === undefined) return;
-          const read = yield* ingress.lotResults(id, after, Math.max(1, limit), waitMs);
+          const read = yield* ingress.jobResults(id, after, Math.max(1, limit), waitMs);
           if (!read.ok) return Http.problem(incoming, read.fault);
           Http.json(incoming, 200, { id, ...read.value, next: after + read.value.results.length });
         },
@@ -420,7 +432,7 @@
         method: "GET",
         path: /^\/v1\/lots\/([^/]+)\/items\/([^/]+)$/,
         *run(incoming, [id, item]) {
-          const found = yield* LotIntake.itemBody(ingress, id, item);
+          const found = yield* BatchSubmission.itemBody(ingress, id, item);
           if (!found.ok) return Http.problem(incoming, found.fault);
           incoming.send(200, { "content-type": "application/octet-stream" }, Buffer.from(found.value.body, "base64"));
         },
@@ -430,7 +442,7 @@
         path: /^\/v1\/lots\/([^/]+)\/end$/,
         *run(incoming, [id]) {
           const by = incoming.headers["x-caller"] || "caller";
-          const ended = yield* askLot("lot.end", id, () => ({ stamp: ingress.putter.stamp(env.wall()), by }));
+          const ended = yield* askJob("lot.end", id, () => ({ stamp: ingress.putClient.stamp(env.wall()), by }));
           if (!ended.ok) return Http.problem(incoming, ended.fault);
           Http.json(incoming, 200, { id, ended: true });
         },
--- a/src/adapters/directHttp.ts
+++ b/src/adapters/directHttp.ts
@@ -1,12 +1,12 @@
 import { Constants } from "../common/constants";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools, HttpOut, HttpReply } from "../runtime/env";
+import { Env, EnvTools, HttpRequest, HttpResponse } from "../runtime/env";
 import { Fault, Result } from "../common/fault";
-import { Replica } from "../node/clusterSnapshot";
+import { Endpoint } from "../node/clusterSnapshot";
 import { HeaderNames } from "./headerNames";
 
 /** A request that is passed on as it is: target is path and query, headers are the end-to-end ones. */
-export type Direct = {
+export type DirectRequest = {
   method: string;
   target: string;
   headers: Record<string, string>;
@@ -16,7 +16,7 @@
   after: number;
   order: number;
 };
-export type DirectReply = { status: number; headers: Record<string, string>; reply: HttpReply };
+export type DirectResponse = { status: number; headers: Record<string, string>; reply: HttpResponse };
 
 const perConnection = new Set([
   "connection",
@@ -53,18 +53,18 @@
   *open(
     env: Env,
     names: HeaderNames,
-    replica: Replica,
-    direct: Direct,
+    endpoint: Endpoint,
+    direct: DirectRequest,
     headWithinMs: number,
-    cancellation?: HttpOut["cancellation"],
-  ): Task<Result<DirectReply>> {
+    cancellation?: HttpRequest["cancellation"],
+  ): Task<Result<DirectResponse>> {
     const headers: Record<string, string> = { ...direct.headers };
     headers[names.requestId] = direct.id;
     headers[names.remainingMs] = String(Math.max(1, Math.floor(direct.remainingMs)));
-    headers[names.target] = replica.instance;
+    headers[names.target] = endpoint.instance;
     headers[names.order] = String(direct.order);
     if (direct.after > 0) headers[names.lastPiece] = String(direct.after);
-    const replied = yield* env.http(replica.address, {
+    const response = yield* env.http(endpoint.address, {
       method: direct.method,
       path: direct.target,
       headers,
@@ -73,16 +73,16 @@
       connectMs: Constants.connectMs,
       cancellation,
     });
-    if (!replied.ok) return replied;
-    const reply = replied.value;
+    if (!response.ok) return response;
+    const reply = response.value;
     // first of all: a late refusal of another request says nothing about this one, which may be running
     if (reply.headers[names.requestId] !== direct.id) {
       reply.abort();
-      return Fault.fail("broken", "check reply", replica.id, "the reply is another request's");
+      return Fault.fail("broken", "check reply", endpoint.id, "the reply is another request's");
     }
     if (reply.headers[names.notRun] !== undefined || reply.status === 421) {
       reply.finish();
-      return Fault.fail("refused", "deliver", replica.id, `replica replied ${reply.status}: not run`);
+      return Fault.fail("refused", "deliver", endpoint.id, `replica replied ${reply.status}: not run`);
     }
     const kept = DirectHttp.endToEnd(reply.headers);
     const length = reply.headers["content-length"];
@@ -91,6 +91,6 @@
     return Fault.ok({ status: reply.status, headers: kept, reply });
   },
   /** The whole body, or undefined if it was cut, too long or too slow. @example yield* DirectHttp.whole(env, opened, 500) */
-  whole: (env: Env, opened: DirectReply, withinMs: number): Task<Buffer | undefined> =>
-    EnvTools.bytesOf(env, opened.reply, Constants.replyLimitBytes, withinMs),
+  whole: (env: Env, opened: DirectResponse, withinMs: number): Task<Buffer | undefined> =>
+    EnvTools.bytesOf(env, opened.reply, Constants.responseLimitBytes, withinMs),
 };
--- a/src/adapters/endpointHttp.ts
+++ b/src/adapters/endpointHttp.ts
@@ -1,11 +1,11 @@
 import { Constants } from "../common/constants";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools, HttpReply } from "../runtime/env";
+import { Env, EnvTools, HttpResponse } from "../runtime/env";
 import { Fault, Result } from "../common/fault";
-import { Replica } from "../node/clusterSnapshot";
+import { Endpoint } from "../node/clusterSnapshot";
 import { Http } from "./http";
 
-export type Delivery = {
+export type ForwardedRequest = {
   path: string;
   id: string;
   round: number;
@@ -16,13 +16,13 @@
 };
 
 /** One opened stream of a replica: pieces one by one. */
-export class ReplicaStream {
+export class EndpointStream {
   private held = "";
   private size = 0;
   constructor(
     private readonly env: Env,
-    private readonly replica: Replica,
-    private readonly reply: HttpReply,
+    private readonly endpoint: Endpoint,
+    private readonly response: HttpResponse,
   ) {}
   /** Next pieces, or undefined at the proper end. @example const pieces = yield* stream.next(3000); */
   *next(withinMs: number): Task<Result<string[] | undefined>> {
@@ -47,32 +47,32 @@
         } else return this.fail("invalid", "line is neither piece nor end");
       }
       if (pieces.length > 0) return Fault.ok(pieces);
-      const chunk = yield* EnvTools.takeWithin(this.env, this.reply.chunks, until - this.env.mono());
+      const chunk = yield* EnvTools.takeWithin(this.env, this.response.chunks, until - this.env.mono());
       if (chunk === undefined) return this.fail("timeout", "replica fell silent");
       if (chunk === null) return this.fail("broken", "replica ended without saying so");
       this.size += chunk.length;
-      if (this.size > Constants.replyLimitBytes) return this.fail("invalid", "reply over the limit");
+      if (this.size > Constants.responseLimitBytes) return this.fail("invalid", "reply over the limit");
       this.held += chunk.toString("utf8");
     }
   }
   /** @example stream.abort(); */
   abort(): void {
-    this.reply.abort();
+    this.response.abort();
   }
   private fail(tag: "invalid" | "timeout" | "broken", detail: string): Result<undefined> {
-    this.reply.abort();
-    return Fault.fail(tag, "read replica", this.replica.id, detail);
+    this.response.abort();
+    return Fault.fail(tag, "read replica", this.endpoint.id, detail);
   }
 }
 
-const head = (delivery: Delivery): Record<string, string> => ({
+const head = (delivery: ForwardedRequest): Record<string, string> => ({
   "x-request-id": delivery.id,
   "x-round": String(delivery.round),
   "x-deadline-ms": String(Math.max(1, Math.round(delivery.deadlineMs))),
 });
 /** Only a replica's plain word counts as "not accepted"; any other refusal may have run. */
-const notAccepted = (reply: HttpReply): boolean =>
-  (reply.status === 429 || reply.status === 503) && reply.headers["x-accepted"] === "no";
+const notAccepted = (response: HttpResponse): boolean =>
+  (response.status === 429 || response.status === 503) && response.headers["x-accepted"] === "no";
 
 /**
  * How replicas are spoken to: JSON in; for a stream JSON lines of pieces and an end, else one JSON body.
@@ -81,13 +81,13 @@
  * const opened = yield* ReplicaHttp.stream(env, replica, delivery);
  * const looked = yield* ReplicaHttp.single(env, replica, delivery);
  */
-export const ReplicaHttp = {
-  *stream(env: Env, replica: Replica, delivery: Delivery): Task<Result<ReplicaStream>> {
+export const EndpointHttp = {
+  *stream(env: Env, endpoint: Endpoint, delivery: ForwardedRequest): Task<Result<EndpointStream>> {
     const body =
       delivery.pieces.length > 0
         ? JSON.stringify({ ...JSON.parse(delivery.body), continueFrom: delivery.pieces })
         : delivery.body;
-    const replied = yield* env.http(replica.address, {
+    const response = yield* env.http(endpoint.address, {
       method: "POST",
       path: delivery.path,
       headers: { ...head(delivery), accept: "application/x-ndjson" },
@@ -95,14 +95,19 @@
       timeoutMs: Math.min(delivery.deadlineMs, Constants.firstPieceMs),
       fresh: !delivery.safe,
     });
-    if (!replied.ok) return replied;
-    if (replied.value.status === 200) return Fault.ok(new ReplicaStream(env, replica, replied.value));
-    const refused = notAccepted(replied.value);
-    replied.value.abort();
-    return Fault.fail(refused ? "refused" : "broken", "deliver", replica.id, `replica replied ${replied.value.status}`);
+    if (!response.ok) return response;
+    if (response.value.status === 200) return Fault.ok(new EndpointStream(env, endpoint, response.value));
+    const refused = notAccepted(response.value);
+    response.value.abort();
+    return Fault.fail(
+      refused ? "refused" : "broken",
+      "deliver",
+      endpoint.id,
+      `replica replied ${response.value.status}`,
+    );
   },
-  *single(env: Env, replica: Replica, delivery: Delivery): Task<Result<{ status: number; body: string }>> {
-    const replied = yield* env.http(replica.address, {
+  *single(env: Env, endpoint: Endpoint, delivery: ForwardedRequest): Task<Result<{ status: number; body: string }>> {
+    const response = yield* env.http(endpoint.address, {
       method: "POST",
       path: delivery.path,
       headers: head(delivery),
@@ -110,21 +115,21 @@
       timeoutMs: delivery.deadlineMs,
       fresh: !delivery.safe,
     });
-    if (!replied.ok) return replied;
-    const reply = replied.value;
+    if (!response.ok) return response;
+    const reply = response.value;
     if (notAccepted(reply)) {
       reply.abort();
-      return Fault.fail("refused", "deliver", replica.id, "not accepted");
+      return Fault.fail("refused", "deliver", endpoint.id, "not accepted");
     }
-    const body = yield* EnvTools.bodyOf(env, reply, Constants.replyLimitBytes, delivery.deadlineMs);
+    const body = yield* EnvTools.bodyOf(env, reply, Constants.responseLimitBytes, delivery.deadlineMs);
     if (body === undefined)
-      return Fault.fail("broken", "read replica", replica.id, "reply broken, too long or too slow");
+      return Fault.fail("broken", "read replica", endpoint.id, "reply broken, too long or too slow");
     if (reply.status >= 500 || Http.promisesNotRun(reply.status))
-      return Fault.fail("broken", "deliver", replica.id, `replica replied ${reply.status}`);
+      return Fault.fail("broken", "deliver", endpoint.id, `replica replied ${reply.status}`);
     try {
       JSON.parse(body);
     } catch {
-      return Fault.fail("invalid", "read replica", replica.id, "reply is not JSON");
+      return Fault.fail("invalid", "read replica", endpoint.id, "reply is not JSON");
     }
     return Fault.ok({ status: reply.status, body });
   },
--- a/src/adapters/eventStreamReader.ts
+++ b/src/adapters/eventStreamReader.ts
@@ -1,10 +1,10 @@
 import { Constants } from "../common/constants";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools, HttpReply } from "../runtime/env";
+import { Env, EnvTools, HttpResponse } from "../runtime/env";
 import { Fault, Result } from "../common/fault";
 
 /** One server-sent event as it came: its id, its data, and its whole text. */
-export type EventPiece = { id: number; data: string; raw: Buffer };
+export type StreamEvent = { id: number; data: string; raw: Buffer };
 const dataOf = (text: string): string =>
   text
     .split(/\r?\n/)
@@ -23,20 +23,20 @@
  * const pieces = new EventPieces(env, "r1", reply, 0);
  * const got = yield* pieces.next(1000); // ok with undefined: the proper end
  */
-export class EventPieces {
+export class EventStreamReader {
   private held: Buffer = Buffer.alloc(0);
   private size = 0;
   constructor(
     private readonly env: Env,
-    private readonly replica: string,
-    private readonly reply: HttpReply,
+    private readonly endpoint: string,
+    private readonly response: HttpResponse,
     public lastId: number,
   ) {}
   /** The events that have come, at least one; undefined at the proper end. @example yield* pieces.next(500) */
-  *next(withinMs: number): Task<Result<EventPiece[] | undefined>> {
+  *next(withinMs: number): Task<Result<StreamEvent[] | undefined>> {
     const until = this.env.mono() + withinMs;
     for (;;) {
-      const pieces: EventPiece[] = [];
+      const pieces: StreamEvent[] = [];
       for (let end = this.endOfEvent(); end > 0; end = this.endOfEvent()) {
         const raw = this.held.subarray(0, end);
         const text = raw.toString("utf8");
@@ -49,14 +49,14 @@
         pieces.push({ id, data: dataOf(text), raw });
       }
       if (pieces.length > 0) return Fault.ok(pieces);
-      const chunk = yield* EnvTools.takeWithin(this.env, this.reply.chunks, until - this.env.mono());
+      const chunk = yield* EnvTools.takeWithin(this.env, this.response.chunks, until - this.env.mono());
       if (chunk === undefined) return this.fail("timeout", "replica fell silent");
       if (chunk === null) {
-        if (this.reply.broken()) return this.fail("broken", "reply ended early");
+        if (this.response.broken()) return this.fail("broken", "reply ended early");
         return this.held.length > 0 ? this.fail("broken", "reply ended inside an event") : Fault.ok(undefined);
       }
       this.size += chunk.length;
-      if (this.size > Constants.replyLimitBytes) return this.fail("invalid", "reply over the limit");
+      if (this.size > Constants.responseLimitBytes) return this.fail("invalid", "reply over the limit");
       this.held = this.held.length === 0 ? chunk : Buffer.concat([this.held, chunk]);
     }
   }
@@ -67,7 +67,7 @@
     return plain >= 0 ? plain + 2 : -1;
   }
   private fail(tag: "invalid" | "timeout" | "broken", detail: string): Result<undefined> {
-    this.reply.abort();
-    return Fault.fail(tag, "read stream", this.replica, detail);
+    this.response.abort();
+    return Fault.fail(tag, "read stream", this.endpoint, detail);
   }
 }
--- a/src/adapters/http.ts
+++ b/src/adapters/http.ts
@@ -1,5 +1,5 @@
 import { Task } from "../runtime/csp";
-import { HttpIn } from "../runtime/env";
+import { HttpExchange } from "../runtime/env";
 import { Fault, Result } from "../common/fault";
 
 const statuses: Record<Fault["tag"], number> = {
@@ -17,7 +17,7 @@
   disk: 500,
   internal: 500,
 };
-export type Route = { method: string; path: RegExp; run: (incoming: HttpIn, parts: string[]) => Task<void> };
+export type HttpRoute = { method: string; path: RegExp; run: (incoming: HttpExchange, parts: string[]) => Task<void> };
 
 /**
  * What every HTTP shape shares: JSON replies, problem objects, routes.
@@ -33,11 +33,16 @@
    * @example Http.promisesNotRun(429) // true
    */
   promisesNotRun: (status: number): boolean => status === 408 || status === 421 || status === 429 || status === 503,
-  json(incoming: HttpIn, status: number, body: unknown, headers: Record<string, string> = {}): void {
+  json(incoming: HttpExchange, status: number, body: unknown, headers: Record<string, string> = {}): void {
     incoming.send(status, { "content-type": "application/json", ...headers }, JSON.stringify(body));
   },
   /** A problem object with a code, the step and the member. @example Http.problem(incoming, fault, 422) */
-  problem(incoming: HttpIn, fault: Fault, status = statuses[fault.tag], extra: Record<string, unknown> = {}): void {
+  problem(
+    incoming: HttpExchange,
+    fault: Fault,
+    status = statuses[fault.tag],
+    extra: Record<string, unknown> = {},
+  ): void {
     const retry =
       fault.tag === "busy"
         ? { "retry-after": String(Math.max(1, Math.ceil(fault.retryAfterMs / 1000))) }
@@ -69,7 +74,7 @@
     ...extra,
   }),
   /** Body as JSON; on failure the reply has been sent. @example const body = yield* Http.body(incoming, 1000); if (!body) return; */
-  *body(incoming: HttpIn, limit: number): Task<{ value: any; text: string } | undefined> {
+  *body(incoming: HttpExchange, limit: number): Task<{ value: any; text: string } | undefined> {
     const read: Result<Buffer> = yield* incoming.body(limit);
     if (!read.ok) {
       Http.problem(incoming, read.fault, read.fault.tag === "invalid" ? 413 : 400);
@@ -84,7 +89,7 @@
     }
   },
   /** Runs the route that fits: 404 for an unknown path, 405 for a known path with another method. @example yield* Http.dispatch(routes, incoming) */
-  *dispatch(routes: Route[], incoming: HttpIn): Task<void> {
+  *dispatch(routes: HttpRoute[], incoming: HttpExchange): Task<void> {
     const fitting = routes
       .map((route) => ({ route, match: route.path.exec(incoming.path) }))
       .filter(({ match }) => match);
--- a/src/adapters/operatorHttp.ts
+++ b/src/adapters/operatorHttp.ts
@@ -1,24 +1,24 @@
 import { Constants } from "../common/constants";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools, HttpIn } from "../runtime/env";
+import { Env, EnvTools, HttpExchange } from "../runtime/env";
 import { Command, PolicyLine } from "../control/controlState";
 import { Fault, Result } from "../common/fault";
-import { Host } from "../node/nodeContext";
+import { NodeContext } from "../node/nodeContext";
 import { Hash } from "../common/hash";
-import { Ledger } from "../node/ledgerReader";
+import { LedgerReader } from "../node/ledgerReader";
 import { Node } from "../node/node";
-import { Putter } from "../storage/putClient";
-import { Http, Route } from "./http";
+import { PutClient } from "../storage/putClient";
+import { Http, HttpRoute } from "./http";
 import { OperatorSchemas } from "./operatorSchemas";
 
 export type OperatorHooks = {
   ready: () => string | undefined;
   metrics: () => Record<string, number>;
-  ledgerSource: Putter;
+  ledgerSource: PutClient;
 };
 
 /** If-Match as a version, or a reply that one is needed. */
-function versionOf(incoming: HttpIn): number | undefined {
+function versionOf(incoming: HttpExchange): number | undefined {
   const given = (incoming.headers["if-match"] ?? "").replace(/^W\//, "").replace(/"/g, "");
   if (/^\d+$/.test(given)) return +given;
   Http.problem(
@@ -42,37 +42,37 @@
  */
 export const OperatorHttp = {
   *serve(env: Env, address: string, node: Node, hooks: OperatorHooks): Task<Result<true>> {
-    const routes = OperatorHttp.routes(Host.of(node), hooks);
+    const routes = OperatorHttp.routes(NodeContext.of(node), hooks);
     return yield* env.serveHttp(address, (incoming) => Http.dispatch(routes, incoming));
   },
 
   /** The id of a change that was given none: the same change again has the same. @example OperatorHttp.changeId(incoming, 7, body.text) */
-  changeId: (incoming: HttpIn, ifVersion: number, body: string): string =>
+  changeId: (incoming: HttpExchange, ifVersion: number, body: string): string =>
     `change-${Hash.text(`${incoming.method} ${incoming.path} ${ifVersion} ${body}`)}`,
   /**
    * Whether the caller still waits. A process that was frozen reads an order and the end of its connection at once: an
    * order that names no version must not be carried out for a caller that left before.
    * @example if (!(yield* OperatorHttp.callerWaits(env, incoming))) return;
    */
-  *callerWaits(env: Env, incoming: HttpIn): Task<boolean> {
+  *callerWaits(env: Env, incoming: HttpExchange): Task<boolean> {
     const gone = yield* EnvTools.takeWithin(env, incoming.gone, Constants.callerGoneLookMs);
     return gone === undefined;
   },
   /** If-Match as a version, or a reply that one is needed. @example const ifVersion = OperatorHttp.versionOf(incoming); */
   versionOf,
   /** @example const routes = OperatorHttp.routes(host, hooks); */
-  routes(host: Host, hooks: OperatorHooks): Route[] {
+  routes(host: NodeContext, hooks: OperatorHooks): HttpRoute[] {
     const { env } = host;
-    const by = (incoming: HttpIn): string => incoming.headers["x-operator"] || "operator";
+    const by = (incoming: HttpExchange): string => incoming.headers["x-operator"] || "operator";
     const changed = function* (
-      incoming: HttpIn,
+      incoming: HttpExchange,
       body: string,
       make: (base: { changeId: string; ifVersion: number; by: string }) => Command,
     ): Task<void> {
       const ifVersion = versionOf(incoming);
       if (ifVersion === undefined) return;
       const changeId = incoming.headers["x-change-id"] || OperatorHttp.changeId(incoming, ifVersion, body);
-      const done = yield* Host.askControl(
+      const done = yield* NodeContext.askControl(
         host,
         { op: "change", command: make({ changeId, ifVersion, by: by(incoming) }) },
         Constants.changeWaitMs,
@@ -80,12 +80,12 @@
       if (!done.ok) return Http.problem(incoming, done.fault, undefined, { changeId });
       Http.json(incoming, 200, { version: done.value.version, changeId }, { etag: `"${done.value.version}"` });
     };
-    const doc = (what: "manifest" | "policies", limit: number): Route[] => [
+    const doc = (what: "manifest" | "policies", limit: number): HttpRoute[] => [
       {
         method: "GET",
         path: new RegExp(`^/v1/${what}$`),
         *run(incoming) {
-          const read = yield* Host.askControl(host, { op: "read", what }, 4000);
+          const read = yield* NodeContext.askControl(host, { op: "read", what }, 4000);
           if (!read.ok) return Http.problem(incoming, read.fault);
           Http.json(incoming, 200, read.value, { etag: `"${read.value.version}"` });
         },
@@ -107,7 +107,10 @@
         },
       },
     ];
-    const reading = (path: RegExp, read: (incoming: HttpIn, parts: string[]) => Task<Result<unknown>>): Route => ({
+    const reading = (
+      path: RegExp,
+      read: (incoming: HttpExchange, parts: string[]) => Task<Result<unknown>>,
+    ): HttpRoute => ({
       method: "GET",
       path,
       *run(incoming, parts) {
@@ -125,13 +128,13 @@
     });
     /** An order of one word, with no version: said again, it stays as it is. */
     const ordered = function* (
-      incoming: HttpIn,
+      incoming: HttpExchange,
       make: (base: { changeId: string; by: string; identified: boolean }) => Record<string, unknown>,
     ): Task<void> {
       const given = incoming.headers["x-change-id"];
       const changeId = given || EnvTools.id(env, "change");
       if (!(yield* OperatorHttp.callerWaits(env, incoming))) return;
-      const done = yield* Host.askControl(
+      const done = yield* NodeContext.askControl(
         host,
         make({ changeId, by: by(incoming), identified: Boolean(given) }),
         Constants.changeWaitMs,
@@ -140,24 +143,24 @@
         return Http.problem(incoming, done.fault, done.fault.tag === "conflict" ? 409 : undefined, { changeId });
       Http.json(incoming, 200, { version: done.value.version, changeId });
     };
-    const drains = (["drain", "undrain"] as const).map((tag): Route => ({
+    const drains = (["drain", "undrain"] as const).map((tag): HttpRoute => ({
       method: tag === "drain" ? "POST" : "DELETE",
       path: /^\/v1\/districts\/([^/]{1,80})\/drain$/,
-      run: (incoming, [district]) =>
-        ordered(incoming, (base) => ({ op: "change", command: { tag, ...base, district, at: env.wall() } })),
+      run: (incoming, [zone]) =>
+        ordered(incoming, (base) => ({ op: "change", command: { tag, ...base, district: zone, at: env.wall() } })),
     }));
-    const number = (incoming: HttpIn, name: string, otherwise: number, most: number): number => {
+    const number = (incoming: HttpExchange, name: string, otherwise: number, most: number): number => {
       const given = Number(incoming.query.get(name) ?? otherwise);
       return Number.isFinite(given) && given >= 0 ? Math.min(given, most) : otherwise;
     };
     return [
-      ...doc("manifest", Constants.manifestLimitBytes),
+      ...doc("manifest", Constants.configurationLimitBytes),
       ...doc("policies", Constants.bodyLimitBytes),
       {
         method: "PATCH",
         path: /^\/v1\/manifest$/,
         *run(incoming) {
-          const body = yield* Http.body(incoming, Constants.manifestLimitBytes);
+          const body = yield* Http.body(incoming, Constants.configurationLimitBytes);
           if (!body) return;
           const checked = OperatorSchemas.manifestPatch(body.value);
           if (!checked.ok) return Http.problem(incoming, checked.fault);
@@ -171,20 +174,20 @@
         run: (incoming, [store]) => ordered(incoming, (base) => ({ op: "retire", ...base, store })),
       },
       reading(/^\/v1\/stores\/([^/]{1,120})\/retirement$/, (_incoming, [id]) =>
-        Host.askControl(host, { op: "read", what: "retirement", id }, 4000),
+        NodeContext.askControl(host, { op: "read", what: "retirement", id }, 4000),
       ),
-      reading(/^\/v1\/calendar$/, () => Host.askControl(host, { op: "read", what: "calendar" }, 4000)),
+      reading(/^\/v1\/calendar$/, () => NodeContext.askControl(host, { op: "read", what: "calendar" }, 4000)),
       reading(/^\/v1\/calendar\/([^/]+)$/, (_incoming, [id]) =>
-        Host.askControl(host, { op: "read", what: "calendar", id }, 4000),
+        NodeContext.askControl(host, { op: "read", what: "calendar", id }, 4000),
       ),
       reading(/^\/v1\/changes\/([^/]+)$/, (_incoming, [id]) =>
-        Host.askControl(host, { op: "read", what: "change", id }, 4000),
+        NodeContext.askControl(host, { op: "read", what: "change", id }, 4000),
       ),
       {
         method: "PUT",
         path: /^\/v1\/calendar\/([A-Za-z0-9._-]{1,80})$/,
         *run(incoming, [id]) {
-          const body = yield* Http.body(incoming, Constants.manifestLimitBytes);
+          const body = yield* Http.body(incoming, Constants.configurationLimitBytes);
           if (!body) return;
           const checked = OperatorSchemas.calendar(body.value, env.wall());
           if (!checked.ok) return Http.problem(incoming, checked.fault);
@@ -213,7 +216,7 @@
           const checked = OperatorSchemas.recovery(body.value);
           if (!checked.ok) return Http.problem(incoming, checked.fault);
           const address = host
-            .frame()
+            .snapshot()
             .members.find((member) => member.id === checked.value.voter && member.program === "control")?.address;
           if (!address)
             return Http.problem(incoming, {
@@ -222,7 +225,7 @@
               member: host.id,
               detail: `no living control member ${checked.value.voter}`,
             });
-          const done = yield* host.rpc.ask(
+          const done = yield* host.rpc.call(
             address,
             "control.recover",
             { ...checked.value, by: incoming.headers["x-operator"] || "operator" },
@@ -233,16 +236,16 @@
         },
       },
       reading(/^\/v1\/ledger$/, (incoming) =>
-        Ledger.read(host, incoming.query.get("after") ?? "", number(incoming, "limit", 200, 2000)),
+        LedgerReader.read(host, incoming.query.get("after") ?? "", number(incoming, "limit", 200, 2000)),
       ),
       reading(/^\/v1\/why\/(.+)$/, function* (_incoming, [id]) {
-        const why = yield* Ledger.why(host, id);
+        const why = yield* LedgerReader.why(host, id);
         return why.ok && why.value.entries.length === 0
           ? Fault.fail("notFound", "why", host.id, `nothing in the ledger bears on ${id}`)
           : why;
       }),
       reading(/^\/v1\/at\/(.+)$/, (incoming, [subject]) =>
-        hooks.ledgerSource.askLead(
+        hooks.ledgerSource.askLeader(
           hooks.ledgerSource.shardOf(subject.replace(/^(request|lot) /, "")),
           "temporal.get",
           () => ({
@@ -255,40 +258,40 @@
         ),
       ),
       reading(/^\/v1\/members$/, function* () {
-        const frame = host.frame();
+        const snapshot = host.snapshot();
         return Fault.ok({
-          members: frame.members.map(({ id, program, district, address, http, state }) => ({
+          members: snapshot.members.map(({ id, program, district: zone, address, http, state }) => ({
             id,
             program,
-            district,
+            district: zone,
             address,
             http,
             state,
           })),
-          replicas: frame.replicas,
-          group: frame.control?.group ?? null,
-          frame: frame.control?.index ?? 0,
-          manifest: frame.control?.manifest.version ?? 0,
-          views: Object.values(frame.control?.views ?? {}),
-          drained: frame.control?.drained ?? [],
-          retiring: frame.control?.retiring ?? [],
-          releases: frame.control?.releases ?? {},
+          replicas: snapshot.replicas,
+          group: snapshot.control?.group ?? null,
+          frame: snapshot.control?.index ?? 0,
+          manifest: snapshot.control?.manifest.version ?? 0,
+          views: Object.values(snapshot.control?.views ?? {}),
+          drained: snapshot.control?.drained ?? [],
+          retiring: snapshot.control?.retiring ?? [],
+          releases: snapshot.control?.releases ?? {},
         });
       }),
       reading(/^\/v1\/inforce$/, function* () {
         // a node that holds new work has nothing in force
         const held = hooks.ready();
         if (held) return Fault.busy("read what is in force", host.id, held, Constants.retryAfterMs);
-        const control = host.frame().control;
+        const control = host.snapshot().control;
         return Fault.ok(
           control ? { frame: control.index, manifest: control.manifest, policies: control.policies } : null,
         );
       }),
       reading(/^\/v1\/shards$/, function* () {
         const stores: unknown[] = [];
-        for (const member of host.frame().members.filter((each) => each.program === "store")) {
-          const replied = yield* host.rpc.ask(member.address, "store.shards", {}, 800);
-          if (replied.ok) stores.push({ store: member.id, ...replied.value });
+        for (const member of host.snapshot().members.filter((each) => each.program === "store")) {
+          const response = yield* host.rpc.call(member.address, "store.shards", {}, 800);
+          if (response.ok) stores.push({ store: member.id, ...response.value });
         }
         return Fault.ok({ stores });
       }),
@@ -302,7 +305,7 @@
           if (!checked.ok) return Http.problem(incoming, checked.fault);
           const done = yield* host.announce({ ...checked.value, id });
           if (!done.ok) return Http.problem(incoming, done.fault, done.fault.tag === "conflict" ? 409 : undefined);
-          Http.json(incoming, 200, { ...(done.value as object), grantMs: Constants.replicaGrantMs });
+          Http.json(incoming, 200, { ...(done.value as object), grantMs: Constants.endpointLeaseMs });
         },
       },
       {
--- a/src/adapters/operatorSchemas.ts
+++ b/src/adapters/operatorSchemas.ts
@@ -1,10 +1,10 @@
 import Ajv, { ValidateFunction } from "ajv";
 import { Constants } from "../common/constants";
-import { Manifest, Move, PolicyLine } from "../control/controlState";
-import { ManifestPatch, Manifests } from "../control/configurations";
+import { Configuration, Move, PolicyLine } from "../control/controlState";
+import { ConfigurationPatch, Configurations } from "../control/configurations";
 import { Fault, Result } from "../common/fault";
 import { Announcement } from "../node/nodeContext";
-import type { HandedItem } from "../ingress/batchSubmission";
+import type { SubmittedItem } from "../ingress/batchSubmission";
 
 const name = { type: "string", pattern: "^[A-Za-z0-9._-]{1,80}$" };
 const age = { type: "integer", minimum: 1 };
@@ -21,7 +21,7 @@
     properties: { pool: name, weight: atLeast0 },
   },
 };
-const bindingSchema = {
+const routeSchema = {
   type: "object",
   additionalProperties: false,
   required: ["kind", "pool", "path"],
@@ -87,7 +87,7 @@
       type: "object",
       additionalProperties: false,
       default: {},
-      properties: { bindings: byName(bindingSchema), pools: byName(poolSchema) },
+      properties: { bindings: byName(routeSchema), pools: byName(poolSchema) },
     },
     remove: {
       type: "object",
@@ -97,12 +97,12 @@
     },
   },
 };
-const manifestSchema = {
+const configurationSchema = {
   type: "object",
   additionalProperties: false,
   required: ["bindings"],
   properties: {
-    bindings: byName(bindingSchema),
+    bindings: byName(routeSchema),
     pools: byName(poolSchema),
     limits: limitsSchema,
     origin: {},
@@ -123,7 +123,7 @@
     },
   },
 };
-const versionedSchema = { ...manifestSchema, properties: { version, ...manifestSchema.properties } };
+const versionedSchema = { ...configurationSchema, properties: { version, ...configurationSchema.properties } };
 const names = { type: "array", items: { type: "string", minLength: 1, maxLength: 80 }, uniqueItems: true };
 const policiesSchema = {
   type: "array",
@@ -179,7 +179,10 @@
         move("drain", { district: text, until: { type: "number" } }, ["district"]),
         move("undrain", { district: text }, ["district"]),
         move("retire", { store: text }, ["store"]),
-        move("manifest", { ifVersion: { type: "integer", minimum: 0 }, doc: manifestSchema }, ["ifVersion", "doc"]),
+        move("manifest", { ifVersion: { type: "integer", minimum: 0 }, doc: configurationSchema }, [
+          "ifVersion",
+          "doc",
+        ]),
       ],
     },
   },
@@ -204,7 +207,7 @@
     sequence: { type: "integer", minimum: 0 },
   },
 };
-const lotSchema = {
+const jobSchema = {
   type: "object",
   additionalProperties: false,
   required: ["binding"],
@@ -212,11 +215,11 @@
   properties: {
     id: { type: "string", pattern: "^[A-Za-z0-9._-]{1,120}$" },
     binding: name,
-    items: { type: "array", minItems: 1, maxItems: Constants.lotItemsMax },
+    items: { type: "array", minItems: 1, maxItems: Constants.jobItemsMax },
     requests: {
       type: "array",
       minItems: 1,
-      maxItems: Constants.lotItemsMax,
+      maxItems: Constants.jobItemsMax,
       items: {
         type: "object",
         additionalProperties: false,
@@ -240,13 +243,13 @@
 };
 const ajv = new Ajv({ allErrors: true, useDefaults: true, strict: false });
 const compiled = {
-  manifest: ajv.compile(manifestSchema),
+  manifest: ajv.compile(configurationSchema),
   versioned: ajv.compile(versionedSchema),
   patch: ajv.compile(patchSchema),
   policies: ajv.compile(policiesSchema),
   calendar: ajv.compile(calendarSchema),
   announcement: ajv.compile(announcementSchema),
-  lot: ajv.compile(lotSchema),
+  lot: ajv.compile(jobSchema),
   recovery: ajv.compile(recoverySchema),
 };
 function run<T>(check: ValidateFunction, what: string, candidate: unknown): Result<T> {
@@ -269,7 +272,7 @@
   };
 }
 
-const manifestWrong = (paths: string[]): Result<never> => ({
+const configurationWrong = (paths: string[]): Result<never> => ({
   ok: false,
   fault: { tag: "invalid", step: "check manifest", member: "operator", detail: "manifest is wrong", paths },
 });
@@ -283,29 +286,29 @@
  */
 export const OperatorSchemas = {
   /** Retention may not be shorter than the longest deadline: a repeat within it must find its reply. @example OperatorSchemas.manifest(doc) */
-  manifest(candidate: unknown): Result<Manifest> {
-    const checked = run<Manifest>(compiled.manifest, "manifest", candidate);
+  manifest(candidate: unknown): Result<Configuration> {
+    const checked = run<Configuration>(compiled.manifest, "manifest", candidate);
     if (!checked.ok) return checked;
-    const faults = Manifests.faults(checked.value);
-    if (faults.length > 0) return manifestWrong(faults);
-    const longest = Math.max(0, ...Object.values(checked.value.bindings).map((binding) => binding.deadlineMs));
+    const faults = Configurations.faults(checked.value);
+    if (faults.length > 0) return configurationWrong(faults);
+    const longest = Math.max(0, ...Object.values(checked.value.bindings).map((route) => route.deadlineMs));
     const short = Object.entries(checked.value.retention ?? {}).filter(([, keepMs]) => keepMs < longest);
     if (short.length === 0) return checked;
-    return manifestWrong(
+    return configurationWrong(
       short.map(([setting]) => `/retention/${setting}: must not be shorter than the longest deadline, ${longest}`),
     );
   },
   /** A whole manifest as it is put, with the operator's own version if one is given. @example OperatorSchemas.manifestChange({ version: 7, bindings }) */
-  manifestChange(candidate: unknown): Result<{ version?: number; doc: Manifest }> {
-    const checked = run<Manifest & { version?: number }>(compiled.versioned, "manifest", candidate);
+  manifestChange(candidate: unknown): Result<{ version?: number; doc: Configuration }> {
+    const checked = run<Configuration & { version?: number }>(compiled.versioned, "manifest", candidate);
     if (!checked.ok) return checked;
     const { version: given, ...doc } = checked.value;
     const whole = OperatorSchemas.manifest(doc);
     return whole.ok ? Fault.ok({ ...(given === undefined ? {} : { version: given }), doc: whole.value }) : whole;
   },
   /** A change by item; what results is checked where it is applied. @example OperatorSchemas.manifestPatch({ remove: { bindings: ["b"] } }) */
-  manifestPatch(candidate: unknown): Result<{ version?: number; patch: ManifestPatch }> {
-    const checked = run<ManifestPatch & { version?: number }>(compiled.patch, "manifest patch", candidate);
+  manifestPatch(candidate: unknown): Result<{ version?: number; patch: ConfigurationPatch }> {
+    const checked = run<ConfigurationPatch & { version?: number }>(compiled.patch, "manifest patch", candidate);
     if (!checked.ok) return checked;
     const { version: given, ...patch } = checked.value;
     return Fault.ok({ ...(given === undefined ? {} : { version: given }), patch });
@@ -316,8 +319,8 @@
     const checked = run<{ due: string; move: Move }>(compiled.calendar, "calendar entry", candidate);
     if (!checked.ok) return checked;
     const { move: planned } = checked.value;
-    const manifest = planned.kind === "manifest" ? OperatorSchemas.manifest(planned.doc) : checked;
-    if (!manifest.ok) return manifest;
+    const configuration = planned.kind === "manifest" ? OperatorSchemas.manifest(planned.doc) : checked;
+    if (!configuration.ok) return configuration;
     const due = checked.value.due === "now" ? now : Date.parse(checked.value.due);
     if (!Number.isFinite(due))
       return {
@@ -335,6 +338,6 @@
   announcement: (candidate: unknown): Result<Announcement> => run(compiled.announcement, "announcement", candidate),
   recovery: (candidate: unknown): Result<{ group: string; voter: string }> =>
     run(compiled.recovery, "recovery", candidate),
-  lot: (candidate: unknown): Result<{ id?: string; binding: string; items?: unknown[]; requests?: HandedItem[] }> =>
+  lot: (candidate: unknown): Result<{ id?: string; binding: string; items?: unknown[]; requests?: SubmittedItem[] }> =>
     run(compiled.lot, "lot", candidate),
 };
--- a/src/agent/agentNode.ts
+++ b/src/agent/agentNode.ts
@@ -2,11 +2,11 @@
 import { Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
 import { Fault, Result } from "../common/fault";
-import { Host } from "../node/nodeContext";
+import { NodeContext } from "../node/nodeContext";
 import { Node } from "../node/node";
 import { Settings } from "../common/settings";
 import { OperatorHttp } from "../adapters/operatorHttp";
-import { Putter } from "../storage/putClient";
+import { PutClient } from "../storage/putClient";
 
 /* eslint-disable @typescript-eslint/no-explicit-any */
 /**
@@ -27,26 +27,26 @@
     const started = yield* Node.start(env, settings, "agent");
     if (!started.ok) return started;
     const agent = new AgentNode(env, settings, started.value);
-    const host = Host.of(agent.node);
+    const host = NodeContext.of(agent.node);
     const { rpc } = agent.node;
     rpc.handle("agent.feed", (body) => agent.feed(body));
     rpc.handle("agent.announce", (body) => host.announce(body));
     rpc.handle("agent.goodbye", (body) => host.goodbye(body.id));
     rpc.handle("agent.tell", function* (body) {
-      agent.node.news.tell(body.key, body.value, body.grantMs, true);
+      agent.node.gossip.tell(body.key, body.value, body.grantMs, true);
       return Fault.ok(true);
     });
     const http = yield* OperatorHttp.serve(env, settings.http, agent.node, {
-      ready: () => (agent.node.stopping ? "stopping" : agent.node.news.frame ? undefined : "no control frame yet"),
+      ready: () => (agent.node.stopping ? "stopping" : agent.node.gossip.snapshot ? undefined : "no control frame yet"),
       metrics: () => ({
         members: agent.node.membership.alive().length,
-        replicas: agent.node.frame().replicas.length,
+        replicas: agent.node.snapshot().replicas.length,
         feeds: agent.feeds,
-        frame_index: agent.node.news.frame?.index ?? 0,
+        frame_index: agent.node.gossip.snapshot?.index ?? 0,
         probes: agent.node.membership.probes,
         dropped_datagrams: agent.node.membership.dropped,
       }),
-      ledgerSource: new Putter(env, rpc, agent.node.self.id, () => agent.node.frame()),
+      ledgerSource: new PutClient(env, rpc, agent.node.self.id, () => agent.node.snapshot()),
     });
     if (!http.ok) return http;
     return Fault.ok(agent);
@@ -55,13 +55,13 @@
   private *feed(body: { seen: number; controlIndex: number }): Task<Result<any>> {
     this.feeds += 1;
     const until = this.env.mono() + Constants.feedWaitMs;
-    while (this.node.frame().number === body.seen && this.env.mono() < until)
+    while (this.node.snapshot().number === body.seen && this.env.mono() < until)
       yield* EnvTools.sleep(this.env, Constants.feedTickMs);
-    const frame = this.node.frame();
+    const snapshot = this.node.snapshot();
     return Fault.ok({
-      ...frame,
-      controlIndex: frame.control?.index ?? 0,
-      control: frame.control?.index === body.controlIndex ? undefined : frame.control,
+      ...snapshot,
+      controlIndex: snapshot.control?.index ?? 0,
+      control: snapshot.control?.index === body.controlIndex ? undefined : snapshot.control,
       stopping: this.node.stopping,
     });
   }
--- a/src/cli/fleetCommand.ts
+++ b/src/cli/fleetCommand.ts
@@ -44,7 +44,7 @@
  */
 export class Fleet {
   readonly children = new Map<string, ChildProcess>();
-  readonly replicas: StandInReplica[] = [];
+  readonly endpoints: StandInReplica[] = [];
   proxies: LinkProxies | undefined;
   constructor(
     readonly env: Env,
@@ -84,11 +84,11 @@
     yield* Csp.take(opened);
   }
   /** Stand-in replicas run in this process, so that what they ran can be checked. @example yield* fleet.startReplicas(); */
-  *startReplicas(): Task<void> {
+  *startEndpoints(): Task<void> {
     for (const settings of this.plan.replicas) {
-      const replica = new StandInReplica(this.env, settings);
-      yield* replica.start();
-      this.replicas.push(replica);
+      const endpoint = new StandInReplica(this.env, settings);
+      yield* endpoint.start();
+      this.endpoints.push(endpoint);
     }
   }
   /** @example fleet.signal("store-1", "SIGKILL"); */
@@ -121,20 +121,20 @@
     body?: unknown,
     headers: Record<string, string> = {},
   ): Task<{ status: number; body: any } | undefined> {
-    const replied = yield* env.http(address, {
+    const response = yield* env.http(address, {
       method,
       path: path_,
       body: body === undefined ? undefined : JSON.stringify(body),
       headers,
       timeoutMs: 8000,
     });
-    if (!replied.ok) return undefined;
-    const text = yield* EnvTools.bodyOf(env, replied.value, 16_000_000, 8000);
+    if (!response.ok) return undefined;
+    const text = yield* EnvTools.bodyOf(env, response.value, 16_000_000, 8000);
     if (text === undefined) return undefined;
     try {
-      return { status: replied.value.status, body: JSON.parse(text) };
+      return { status: response.value.status, body: JSON.parse(text) };
     } catch {
-      return { status: replied.value.status, body: text };
+      return { status: response.value.status, body: text };
     }
   }
   /** Waits until every ingress is ready and every shard is led; false if not in time. @example yield* Fleet.ready(env, plan, 30_000) */
@@ -262,7 +262,7 @@
           function* () {
             yield* fleet.startProxies();
             fleet.startAll();
-            yield* fleet.startReplicas();
+            yield* fleet.startEndpoints();
             const startedAt = env.mono();
             if (!(yield* Fleet.configure(env, fleet.plan, deployment, 30_000))) {
               say("no configuration was taken in 30 s; see the logs in the folder");
@@ -273,7 +273,7 @@
               return 1;
             }
             say(
-              `ready after ${((env.mono() - startedAt) / 1000).toFixed(1)} s: ${fleet.plan.processes.length} processes, ${fleet.replicas.length} stand-in replicas`,
+              `ready after ${((env.mono() - startedAt) / 1000).toFixed(1)} s: ${fleet.plan.processes.length} processes, ${fleet.endpoints.length} stand-in replicas`,
             );
             say(`ingresses: ${fleet.plan.ingressHttp.join(" ")}`);
             say(`operators: ${fleet.plan.controlHttp.join(" ")}`);
@@ -285,7 +285,7 @@
               deployment,
               seconds,
               Number(options.load),
-              fleet.replicas,
+              fleet.endpoints,
               { fleet, named },
             );
           },
@@ -319,7 +319,7 @@
     deployment: Deployment,
     seconds: number,
     load_: number,
-    replicas: StandInReplica[],
+    endpoints: StandInReplica[],
     troubles?: { fleet: Fleet; named: string[] },
   ): Task<number> {
     const history = new History();
@@ -336,7 +336,7 @@
     const until = env.mono() + 100_000;
     while (callers.running > 0 && env.mono() < until) yield* EnvTools.sleep(env, 100);
     for (const ingress of plan.ingressHttp) yield* callers.reread(ingress);
-    const violations = Checker.check(history, replicas, { settledAt: env.wall() });
+    const violations = Checker.check(history, endpoints, { settledAt: env.wall() });
     say(Report.text(history, forMs));
     for (const fault of history.of("fault")) {
       const back = (["lookup", "stream", "lot"] as const).map(
--- a/src/cli/fleetFaults.ts
+++ b/src/cli/fleetFaults.ts
@@ -17,11 +17,11 @@
     members?.body.members.find((member: { id: string }) => member.id === id)?.address ?? "";
   const of = fleet.plan.processes.filter((each) => each.settings.program === program);
   if (program === "store") {
-    const leads = new Map<string, number>();
+    const leaders = new Map<string, number>();
     for (const view of members?.body.views ?? [])
-      leads.set(addressOf(view.lead), (leads.get(addressOf(view.lead)) ?? 0) + 1);
+      leaders.set(addressOf(view.lead), (leaders.get(addressOf(view.lead)) ?? 0) + 1);
     return [...of].sort(
-      (left, right) => (leads.get(right.settings.address) ?? 0) - (leads.get(left.settings.address) ?? 0),
+      (left, right) => (leaders.get(right.settings.address) ?? 0) - (leaders.get(left.settings.address) ?? 0),
     )[0].name;
   }
   for (const each of of) {
--- a/src/cli/operatorCommands.ts
+++ b/src/cli/operatorCommands.ts
@@ -2,7 +2,7 @@
 import * as http from "http";
 import type { Sade } from "sade";
 import { OperatorSchemas } from "../adapters/operatorSchemas";
-import { Events } from "../common/logEvents";
+import { LogEvents } from "../common/logEvents";
 
 type Said = { status: number; headers: http.IncomingHttpHeaders; body: any };
 const usual = "127.0.0.1:8080";
@@ -183,13 +183,13 @@
       "drain <district>",
       "Drains a district: in force once it is acknowledged.",
       "POST",
-      (district) => `/v1/districts/${district}/drain`,
+      (zone) => `/v1/districts/${zone}/drain`,
     );
     order(
       "undrain <district>",
       "Lets work land in a district again.",
       "DELETE",
-      (district) => `/v1/districts/${district}/drain`,
+      (zone) => `/v1/districts/${zone}/drain`,
     );
     order(
       "retire <store>",
@@ -277,9 +277,9 @@
       reading(options, "/v1/members", (body) => {
         for (const member of body.members)
           print(`${member.program}  ${member.id}  ${member.district}  ${member.address}  ${member.state}`);
-        for (const replica of body.replicas)
+        for (const endpoint of body.replicas)
           print(
-            `replica  ${replica.id}  ${replica.pool}  ${replica.district}  ${replica.address}  ${replica.active}/${replica.capacity}  ${replica.version}`,
+            `replica  ${endpoint.id}  ${endpoint.pool}  ${endpoint.district}  ${endpoint.address}  ${endpoint.active}/${endpoint.capacity}  ${endpoint.version}`,
           );
         print(
           `group ${body.group}, frame ${body.frame}, manifest ${body.manifest}, drained: ${body.drained.join(" ") || "none"}, retiring: ${body.retiring.join(" ") || "none"}`,
@@ -308,7 +308,7 @@
         print(
           "# Log events\n\nWritten by `petrelbeam events`.\n\n| number | level | event | what to do |\n|---|---|---|---|",
         );
-        for (const [number, event] of Object.entries(Events))
+        for (const [number, event] of Object.entries(LogEvents))
           print(`| PB${number} | ${event.level} | ${event.text} | ${event.act} |`);
       });
   },
--- a/src/cli/scaleCommand.ts
+++ b/src/cli/scaleCommand.ts
@@ -37,7 +37,7 @@
 }
 const seedBound: Bound = { name: "seed", least: 1, most: 1_000_000, why: "any other gives another run" };
 const memberBound: Bound = { name: "members", least: 3, most: 5000, why: "loopback addresses are made for no more" };
-const replicaBound: Bound = { name: "replicas", least: 0, most: 100_000, why: "ten times the size to design for" };
+const endpointBound: Bound = { name: "replicas", least: 0, most: 100_000, why: "ten times the size to design for" };
 
 /**
  * Measures how costs grow with sizes; docs/CAPACITY.md is worked out from what it prints.
@@ -67,7 +67,7 @@
           most: 1000,
           why: "virtual time holds all of them in one process",
         });
-        const replicas = whole(options.replicas, {
+        const endpoints = whole(options.replicas, {
           name: "replicas",
           least: 0,
           most: 3000,
@@ -81,7 +81,7 @@
         });
         say(
           LossScale.text(
-            await LossScale.measure(kind, members, replicas, seconds * 1000, whole(options.seed, seedBound)),
+            await LossScale.measure(kind, members, endpoints, seconds * 1000, whole(options.seed, seedBound)),
           ),
         );
         process.exit(0);
@@ -137,7 +137,7 @@
       .option("--seconds", "How long", 60)
       .action(async (options: Record<string, unknown>) => {
         const members = whole(options.members, memberBound);
-        const replicas = whole(options.replicas, replicaBound);
+        const endpoints = whole(options.replicas, endpointBound);
         const processes = whole(options.processes, {
           name: "processes",
           least: 1,
@@ -150,9 +150,12 @@
           most: 600,
           why: "others use this machine",
         });
-        const fits = Sizes.fits(members, replicas);
+        const fits = Sizes.fits(members, endpoints);
         if (!fits.ok) return wrong(fits.fault.detail);
-        const run = new WholeRun({ members, replicas, processes, seconds, memoryLimit: Sizes.memoryLimit() }, say);
+        const run = new WholeRun(
+          { members, replicas: endpoints, processes, seconds, memoryLimit: Sizes.memoryLimit() },
+          say,
+        );
         process.on("SIGINT", () => (run.cut = true));
         process.on("SIGTERM", () => (run.cut = true));
         await run.run();
--- a/src/cli/simCommand.ts
+++ b/src/cli/simCommand.ts
@@ -81,7 +81,7 @@
               if (report.violations.length > 0) failed += 1;
               say(Campaign.line(report, file));
               if (options.report) say(Report.text(report.fleet.history, report.virtualMs));
-              if (options.report) say(JSON.stringify(Checker.judged(report.fleet.history, report.fleet.pastReplicas)));
+              if (options.report) say(JSON.stringify(Checker.judged(report.fleet.history, report.fleet.pastEndpoints)));
               if (options.trace)
                 fs.writeFileSync(String(options.trace), [...report.acts, ...report.notes, ...lines].join("\n"));
             }
--- a/src/common/constants.ts
+++ b/src/common/constants.ts
@@ -20,7 +20,7 @@
   suspicionMs: 1500, // ms; a suspect may refute; keeps detection under 2.5 s and takeover under 12 s
   deadKeepMs: 60_000, // ms; a dead or departed member is remembered so that old news can't raise it
   piggybackUpdates: 8, // updates a datagram; keeps a datagram under one 1500 byte frame... of loopback size
-  piggybackRounds: 6, // times an update is passed on by each node: about 2·log2 of 24 members
+  piggybackAttempts: 6, // times an update is passed on by each node: about 2·log2 of 24 members
   clockSamples: 9, // samples; median of the last ones is the estimated skew
   youthMs: 4000, // ms; a member that has just started asks and compares more often: after a common start nobody knows anybody
   youthFactor: 0.25, // share; of the usual periods while so young
@@ -29,17 +29,17 @@
   rejoinMs: 2000, // ms; and so often once somebody is, so that a healed cut is noticed
 
   // --- news ---
-  newsFlushMs: 250, // ms; not urgent news waits this long for company: four times a second, whatever comes
-  manifestSteps: 64, // changes by item; kept for those who have the version before: a minute of them at 91,000 a day
-  newsBuckets: 64, // ranges of facts; compared one by one only where the sum of all differs
-  newsPartners: 24, // members; in a larger fleet one talks to these only, so that the connections of a node stay few
+  gossipFlushMs: 250, // ms; not urgent news waits this long for company: four times a second, whatever comes
+  configurationSteps: 64, // changes by item; kept for those who have the version before: a minute of them at 91,000 a day
+  gossipBuckets: 64, // ranges of facts; compared one by one only where the sum of all differs
+  gossipPartners: 24, // members; in a larger fleet one talks to these only, so that the connections of a node stay few
   staleShare: 0.45, // of a grant; a fact not renewed for so long, two announcements and the way of news, is asked after with each digest
   staleAsked: 200, // facts; asked after at once
-  newsFanout: 3, // members told at once
+  gossipFanout: 3, // members told at once
   digestPeriodMs: 500, // ms; digests compared with one member; mends gaps well inside two seconds
-  replicaGrantMs: 4000, // ms; a replica not heard of for this long is not chosen
-  replicaQuietMs: 2700, // ms; not heard of for two announcements and the way of news: others are chosen where there are any
-  replicaRenewMs: 900, // ms; an unchanged announcement is passed on at most this often: under the usual pause between two
+  endpointLeaseMs: 4000, // ms; a replica not heard of for this long is not chosen
+  endpointQuietMs: 2700, // ms; not heard of for two announcements and the way of news: others are chosen where there are any
+  endpointRenewMs: 900, // ms; an unchanged announcement is passed on at most this often: under the usual pause between two
   tombstoneMs: 30_000, // ms; outlives every grant, so a goodbye is never undone by old news
 
   warmJitterMs: 250, // ms; an end of warming that moves by less, with delays on the way, is no news
@@ -65,7 +65,7 @@
   electionLookMs: 300, // ms; a follower looks at least so often whether its election is due
   electionSpreadMs: 700, // ms; spread so that two seldom ask at once
   heartbeatMs: 150, // ms; lead tells the others it is there
-  controlGrantMs: 800, // ms; lead counts its majority as held for this long from before the asking; below electionMinMs
+  controlLeaseMs: 800, // ms; lead counts its majority as held for this long from before the asking; below electionMinMs
   handOverWaitMs: 300, // ms; a lead that stops waits so long for a voter that holds its whole log, and for the word to reach it
   appendBytes: 131_072, // bytes; of entries in one append, and of a piece of what is longer: 52 ms at 20 Mbit/s
   pieceBytesMin: 8192, // bytes; pieces get smaller so far while they are not acknowledged in time
@@ -92,7 +92,7 @@
   foundRetryMs: 300, // ms; founders ask each other again
   movesKept: 1000, // calendar entries; of those that have ended: the ledger tells of older ones
   orderResendMs: 5000, // ms; a drain, undrain or retirement may be sent again for so long after its first sending: ack_timeout_ms and one answer
-  leadClockKeptMs: 60_000, // ms; a reading of the lead's clock is used for so long: clocks part by less than 10 ms in it
+  leaderClockKeptMs: 60_000, // ms; a reading of the lead's clock is used for so long: clocks part by less than 10 ms in it
   callerGoneLookMs: 5, // ms; an order that carries no version waits so long for the news that its caller has gone
   controlAskMs: 2200, // ms; one control member is waited for so long, before the next is asked
   acceptedKept: 10_000, // accepted changes of a document; 26 bytes each in a snapshot; a resend of an older one gets no clear answer
@@ -102,13 +102,13 @@
 
   // --- shards ---
   shardCount: 8, // shards; twice the store machines, so that a lost one spreads its work
-  copies: 3, // copies; two stores may be lost at once
-  minCopiesForLots: 2, // copies; below this new lots get busy
-  shardGrantMs: 800, // ms; the lead's grant from every other member of its view; a lost lead's must be waited for
-  shardGrantMarginMs: 100, // ms; the lead stops this much before the grant's end
-  grantRenewMs: 150, // ms; idle renewal, also carries the frontier to the copies; where puts go, they renew
+  replicas: 3, // copies; two stores may be lost at once
+  minReplicasForJobs: 2, // copies; below this new lots get busy
+  shardLeaseMs: 800, // ms; the lead's grant from every other member of its view; a lost lead's must be waited for
+  shardLeaseMarginMs: 100, // ms; the lead stops this much before the grant's end
+  leaseRenewMs: 150, // ms; idle renewal, also carries the frontier to the copies; where puts go, they renew
   memberSilentMs: 400, // ms; a member that has not synced for this long is left out by a new view while its lead lives: some 10 of the longest stalls seen
-  leadSilentMs: 500, // ms; three renewals missed, as control and every other member say: a new view need not wait for suspicion
+  leaderSilentMs: 500, // ms; three renewals missed, as control and every other member say: a new view need not wait for suspicion
   replicateTimeoutMs: 300, // ms; a member that does not sync by then counts as silent since it was asked
   sealTimeoutMs: 700, // ms; survivors answer a seal by then or stay out
   levelTimeoutMs: 1500, // ms; who is not at the sealed end by then is left out of the next view; a missing tail takes a few ms
@@ -136,7 +136,7 @@
   aboutEntriesMax: 2000, // entries; sealed ones told about one subject of a shard
   fillPieceBytes: 1_048_576, // bytes; of a segment in one message
   fillBytesPerSecond: 16_777_216, // bytes a second; a copy being filled takes no more from its source, so that live traffic keeps the disk
-  lateRounds: 8, // rounds; a late put is stamped anew at most this often
+  lateAttempts: 8, // rounds; a late put is stamped anew at most this often
 
   // --- callers ---
   bodyLimitBytes: 1_048_576, // bytes; a caller's or operator's body, except a manifest
@@ -148,8 +148,8 @@
   idleMarginMs: 1000, // ms; it is closed so much later, so that no request is on its way then
   connectionCheckMs: 500, // ms; slow headers are looked for this often
   refusedLingerMs: 300, // ms; a connection whose framing was wrong stays open so long, so that its caller sees why
-  manifestLimitBytes: 8_388_608, // bytes; thousands of bindings
-  replyLimitBytes: 4_194_304, // bytes; a replica that replies more than this has failed
+  configurationLimitBytes: 8_388_608, // bytes; thousands of bindings
+  responseLimitBytes: 4_194_304, // bytes; a replica that replies more than this has failed
   deflateBytes: 1024, // bytes; a longer body between processes is deflated: links between districts are dearer than the work
   deflateSearchBytes: 16_384, // bytes; in a longer body no repeats are looked for
   deflateShare: 0.9, // share; of its length that a deflated body must stay under
@@ -158,7 +158,7 @@
   changeWaitMs: 6000, // ms; an operator's change is followed through a change of lead this long
   deadlineMaxMs: 600_000, // ms; a binding's deadline, at most: refusals are remembered for longer
   requestDeadlineMs: 10_000, // ms; when neither caller nor binding says
-  lookupRounds: 3, // rounds; a safe lookup is tried on this many replicas
+  lookupAttempts: 3, // rounds; a safe lookup is tried on this many replicas
   liveBuffer: 64, // requests; waiting for room at one ingress, per class
   resumeWaitMs: 5000, // ms; a stream that lost its replica after some pieces waits this long for another
   roomTurnMs: 50, // ms; the foremost that waits looks again this often, for what only the time brings
@@ -169,11 +169,11 @@
   feedTickMs: 20, // ms; how often it looks for a newer frame
   frameStaleMs: 1500, // ms; without word from the others (an ingress: from its agent) new work is held; under the two seconds in which a configuration must be in force
   readWaitMs: 2500, // ms; a read past the frontier waits at most this long
-  storeRoundMs: 100, // ms; between rounds while a shard's lead is being found
-  leadChangedMs: 60, // ms; an ask that waits for its reply looks so often whether another leads by now
-  lotPatienceMs: 5000, // ms; a lot whose acceptance is not known by then: its caller may ask again by the same id, elsewhere
+  storeAttemptMs: 100, // ms; between rounds while a shard's lead is being found
+  leaderChangedMs: 60, // ms; an ask that waits for its reply looks so often whether another leads by now
+  jobPatienceMs: 5000, // ms; a lot whose acceptance is not known by then: its caller may ask again by the same id, elsewhere
   openPatienceMs: 1500, // ms; a shard's lead that cannot be reached is looked for this long, then busy is said
-  slabSlots: 4096, // continuations; requests at once in one process
+  requestTableSlots: 4096, // continuations; requests at once in one process
 
   // --- work ---
   slowStartMs: 6000, // ms; a new replica comes up to its full share over this time
@@ -194,11 +194,11 @@
   promptTokensPerMs: 100, // tokens; read in a ms by a replica: a guess that only sorts prompts into long and short
   promptPartsMax: 64, // parts; of one prompt that are looked at
   longPromptShare: 0.25, // share; of the pause that others bear, past which reading a prompt alone makes it long
-  laneFadeMs: 8000, // ms; over which the rate of long prompts fades
-  laneBusyShare: 0.1, // share; of its time that a replica of the long prompts' own may read them
-  laneReplicasMin: 4, // replicas; smaller pools are not parted
-  rehearsalRequests: 160, // requests; an ingress passes to itself before it says that it is ready, so that callers meet warm code
-  rehearsalMs: 1500, // ms; at most
+  longPromptFadeMs: 8000, // ms; over which the rate of long prompts fades
+  longPromptBusyShare: 0.1, // share; of its time that a replica of the long prompts' own may read them
+  longPromptEndpointsMin: 4, // replicas; smaller pools are not parted
+  warmUpRequests: 160, // requests; an ingress passes to itself before it says that it is ready, so that callers meet warm code
+  warmUpMs: 1500, // ms; at most
   boundedLoad: 1.25, // factor; prefix affinity gives way above this multiple of mean load
   ejectFailures: 3, // failures in a row; then the replica is left alone
   ejectMs: 3000, // ms; left alone this long, then tried with one request
@@ -206,38 +206,38 @@
   connectTimeoutMs: 1000, // ms; a replica that does not take a connection
   firstPieceMs: 3000, // ms; a replica that accepts and stays silent has gone dark
   pieceGapMs: 3000, // ms; the same between pieces
-  lotWindowMax: 8, // items; in flight per store and pool, at most
-  lotWindowMin: 1, // items; in flight per store while live work crowds
+  jobWindowMax: 8, // items; in flight per store and pool, at most
+  jobWindowMin: 1, // items; in flight per store while live work crowds
   orphanPeriodMs: 2500, // ms; leads look for claims that nobody runs
-  lotTickMs: 40, // ms; the dispatcher looks for room
-  lotCrowdHoldMs: 600, // ms; after a sign of crowding the window stays small
-  lotShare: 0.7, // share; of a pool's slots that items of lots may hold, over all stores; live work takes their place at a replica
-  lotAffinityTokens: 2000, // tokens; a shared first part shorter than this is read faster than its replica's queue shortens
-  lotDemandItems: 16, // items; a store that runs fewer takes so little of the room that it need not tell the others
-  lotDemandMs: 300, // ms; a changed demand is told this often
-  lotDemandGrantMs: 900, // ms; and believed for so long
-  lotCrowdedShare: 0.25, // share; of that, while live work has to wait somewhere and no lot is nearly due
-  lotUrgentMs: 4000, // ms; a lot due so soon is not held back by a crowd: it is worth as much as what crowds
-  lotResultsMs: 30, // ms; results that come within it share one put
-  lotHeadMs: 2500, // ms; an item's replica that shows nothing by then is given up; below the time in which an ended lot must be still
-  lotAgainMs: 60, // ms; before an item that did not run is tried elsewhere
-  lotFailedMs: 250, // ms; the same after a reply that was a failure
-  lotBodiesKeepMs: 10_000, // ms; a closed lot's bodies are still given to whoever has not heard of its last results
-  lotGiveUpMarginMs: 1000, // ms; an item is given up so much later than it may be: clocks differ
-  lotListLagMs: 500, // ms; a copy whose frontier is behind by so much more than it must be leaves the listing to another
-  lotNearShare: 0.6, // share; of its district's slots that a store's items fill before they go farther
-  lotListBytes: 700_000, // bytes; of results in one listing, so that it stays under 1 MB as JSON
-  lotRegainMs: 3000, // ms; items run on so long after their lead lost its duty: it mostly has it back within a few ms
-  lotHoldMs: 3000, // ms; a lot waits so long for its shard's lead to be found: past a takeover
-  lotRoundMs: 1500, // ms; one ask to take a lot in: past a put that waits for a member to be left out
-  lotReadMs: 2000, // ms; a listing is looked for so long at all members, beyond what its caller would wait
-  lotReadRoundMs: 250, // ms; the same at one member
-  lotRefuseMs: 900, // ms; to make sure that a lot given up on is never kept
+  jobTickMs: 40, // ms; the dispatcher looks for room
+  jobOverloadHoldMs: 600, // ms; after a sign of crowding the window stays small
+  jobShare: 0.7, // share; of a pool's slots that items of lots may hold, over all stores; live work takes their place at a replica
+  jobAffinityTokens: 2000, // tokens; a shared first part shorter than this is read faster than its replica's queue shortens
+  jobDemandItems: 16, // items; a store that runs fewer takes so little of the room that it need not tell the others
+  jobDemandMs: 300, // ms; a changed demand is told this often
+  jobDemandLeaseMs: 900, // ms; and believed for so long
+  jobOverloadedShare: 0.25, // share; of that, while live work has to wait somewhere and no lot is nearly due
+  jobUrgentMs: 4000, // ms; a lot due so soon is not held back by a crowd: it is worth as much as what crowds
+  jobResultsMs: 30, // ms; results that come within it share one put
+  jobHeadMs: 2500, // ms; an item's replica that shows nothing by then is given up; below the time in which an ended lot must be still
+  jobAgainMs: 60, // ms; before an item that did not run is tried elsewhere
+  jobFailedMs: 250, // ms; the same after a reply that was a failure
+  jobBodiesKeepMs: 10_000, // ms; a closed lot's bodies are still given to whoever has not heard of its last results
+  jobGiveUpMarginMs: 1000, // ms; an item is given up so much later than it may be: clocks differ
+  jobListLagMs: 500, // ms; a copy whose frontier is behind by so much more than it must be leaves the listing to another
+  jobNearShare: 0.6, // share; of its district's slots that a store's items fill before they go farther
+  jobListBytes: 700_000, // bytes; of results in one listing, so that it stays under 1 MB as JSON
+  jobRegainMs: 3000, // ms; items run on so long after their lead lost its duty: it mostly has it back within a few ms
+  jobHoldMs: 3000, // ms; a lot waits so long for its shard's lead to be found: past a takeover
+  jobAttemptMs: 1500, // ms; one ask to take a lot in: past a put that waits for a member to be left out
+  jobReadMs: 2000, // ms; a listing is looked for so long at all members, beyond what its caller would wait
+  jobReadAttemptMs: 250, // ms; the same at one member
+  jobRefuseMs: 900, // ms; to make sure that a lot given up on is never kept
   quotaAskMs: 250, // ms; a lead that has not told its tally by then is counted as another copy knows it
   quotaFreshMs: 60, // ms; tallies so young are not asked for again before a lot is refused
-  quotaGrantsKept: 512, // grants; remembered until their lots are in the tallies told
+  quotaLeasesKept: 512, // grants; remembered until their lots are in the tallies told
   reservedShare: 0.34, // share; of a pool's slots that lots never take
-  lotItemsMax: 2000, // items; in one lot
+  jobItemsMax: 2000, // items; in one lot
   ledgerFlushMs: 250, // ms; decisions of lookups are put in batches
   ledgerBatch: 500, // entries; waiting for that; beyond it the oldest are counted as lost
 
--- a/src/common/latencySummary.ts
+++ b/src/common/latencySummary.ts
@@ -8,7 +8,7 @@
  * puts.add(3.2);
  * puts.metrics("put_ms").put_ms_p99;
  */
-export class Spread {
+export class LatencySummary {
   private readonly kept: number[] = [];
   private next = 0;
   private greatest = 0;
--- a/src/common/logEvents.ts
+++ b/src/common/logEvents.ts
@@ -1,5 +1,5 @@
 /** The catalogue of numbered log events; docs/events.md is written from it by `petrelbeam events`. */
-export const Events: Record<number, { level: "info" | "warn" | "error"; text: string; act: string }> = {
+export const LogEvents: Record<number, { level: "info" | "warn" | "error"; text: string; act: string }> = {
   1001: { level: "info", text: "process started", act: "nothing to do" },
   1002: { level: "info", text: "process stopping", act: "wait; it refuses new work and finishes what it has" },
   1003: { level: "info", text: "process stopped", act: "nothing to do" },
--- a/src/common/logger.ts
+++ b/src/common/logger.ts
@@ -1,5 +1,5 @@
 import loglevel from "loglevel";
-import { Events } from "./logEvents";
+import { LogEvents } from "./logEvents";
 
 /**
  * Numbered events as lines on standard error.
@@ -17,7 +17,7 @@
         void process.stderr.write(`${new Date().toISOString()} ${methodName} ${parts.join(" ")}\n`);
     logger.setLevel(level, false);
     return (event, fields) => {
-      const entry = Events[event];
+      const entry = LogEvents[event];
       const levelName = entry?.level ?? "error";
       logger[levelName](
         `PB${event} ${name} ${entry?.text ?? "event not in the catalogue"}${fields ? " " + JSON.stringify(fields) : ""}`,
--- a/src/consensus/appendReceiver.ts
+++ b/src/consensus/appendReceiver.ts
@@ -3,9 +3,9 @@
 import { Fault, Result } from "../common/fault";
 import { ControlState } from "../control/controlState";
 import { ReplicatedLog } from "./log";
-import { Append, Appended, Messages, Snapshot } from "./messages";
-import { Replica } from "./replica";
-import { Piece, TransferReceiver } from "./transfer";
+import { AppendRequest, AppendResponse, Messages, Snapshot } from "./messages";
+import { ConsensusReplica } from "./replica";
+import { TransferChunk, TransferReceiver } from "./transfer";
 
 /**
  * The follower's side: appends, snapshots and pieces of either, checked and put on disk before they are acknowledged.
@@ -17,19 +17,19 @@
 export class AppendReceiver {
   private readonly receiver = new TransferReceiver();
   /** The last transfer that was taken whole, and what was said to it: in the same term this stays true. */
-  private completed: { transfer: string; appended: Appended } | undefined;
+  private completed: { transfer: string; appended: AppendResponse } | undefined;
   private readonly env: Env;
   private readonly self: string;
   private readonly log: ReplicatedLog;
 
-  constructor(private readonly replica: Replica) {
+  constructor(private readonly replica: ConsensusReplica) {
     this.env = replica.env;
     this.self = replica.self;
     this.log = replica.log;
   }
 
   /** Takes an append in, or says why not. */
-  *onAppend(body: Append): Task<Result<Appended>> {
+  *onAppend(body: AppendRequest): Task<Result<AppendResponse>> {
     const misdirected = this.replica.forUs(body.to, "append");
     if (misdirected) return misdirected;
     const malformed = Messages.appendFault(body);
@@ -49,7 +49,7 @@
     }
   }
   /** One piece of an append; with the last of them, the append itself. */
-  private *takePiece(body: Append, piece: Piece, superseded: boolean): Task<Result<Appended>> {
+  private *takePiece(body: AppendRequest, piece: TransferChunk, superseded: boolean): Task<Result<AppendResponse>> {
     // the response to the last piece was lost, and it came again
     if (this.completed?.transfer === piece.transfer) return Fault.ok(this.completed.appended);
     const taken = this.receiver.take(piece);
@@ -59,7 +59,7 @@
       case "dropped":
         return this.replica.drop(1321, "append", body.lead, taken.cause);
       case "whole": {
-        const whole: Append = { ...body, ...taken.content, piece: undefined };
+        const whole: AppendRequest = { ...body, ...taken.content, piece: undefined };
         const malformed = Messages.appendFault(whole);
         if (malformed !== undefined) return this.replica.drop(1321, "append", body.lead, malformed);
         const appended = yield* this.appendFrom(whole, superseded);
@@ -73,8 +73,8 @@
     }
   }
   /** An append that is well-formed and of this group, or of the one that supersedes it. */
-  private *appendFrom(body: Append, superseded: boolean): Task<Result<Appended>> {
-    const unmatched = (last: number): Result<Appended> => Fault.ok({ term: this.log.term, matched: false, last });
+  private *appendFrom(body: AppendRequest, superseded: boolean): Task<Result<AppendResponse>> {
+    const unmatched = (last: number): Result<AppendResponse> => Fault.ok({ term: this.log.term, matched: false, last });
     if (body.term < this.log.term) return unmatched(this.log.lastIndex());
     if (!(yield* this.follow(body.lead, body.term))) return Fault.fail("disk", "append", this.self, "term not saved");
     if (!superseded && this.contradictsCommitted(body))
@@ -110,13 +110,13 @@
     return Fault.ok({ term: this.log.term, matched: true, match });
   }
   /** Takes over a lead's term and its word that it lives. False if the disk doesn't take the term. */
-  private *follow(lead: string, term: number): Task<boolean> {
+  private *follow(leader: string, term: number): Task<boolean> {
     if (term > this.log.term || this.replica.role !== "follower")
       if (!(yield* this.replica.stepDown(term, true))) return false;
     this.replica.heardAt = this.env.mono();
     this.replica.newborn = false;
     this.replica.setElection();
-    this.replica.lead = lead;
+    this.replica.leader = leader;
     // entries of our own time as lead that never reached our disk are not ours to acknowledge
     return (yield* this.log.dropUnsynced(this.replica.commit)).ok;
   }
@@ -129,7 +129,7 @@
     return Math.max(last, this.replica.commit);
   }
   /** What is committed here, every later lead has: an append that says otherwise is none of this group's log. */
-  private contradictsCommitted(body: Append): boolean {
+  private contradictsCommitted(body: AppendRequest): boolean {
     const places = [
       { index: body.prevIndex, term: body.prevTerm },
       ...body.entries,
--- a/src/consensus/consensusGroup.ts
+++ b/src/consensus/consensusGroup.ts
@@ -4,19 +4,19 @@
 import { TwoSlots } from "../runtime/twoSlots";
 import { Fault, Result } from "../common/fault";
 import { Rpc } from "../rpc/rpc";
-import { Command, ControlState, Outcome, View } from "../control/controlState";
+import { Command, ControlState, Outcome, ShardView } from "../control/controlState";
 import { AppendReceiver } from "./appendReceiver";
 import { Election } from "./election";
 import { ReplicatedLog, Saved } from "./log";
 import { MembershipChange } from "./membershipChange";
-import { Entry, TakeOver } from "./messages";
-import { GroupHooks, Replica } from "./replica";
+import { LogEntry, LeadershipTransferRequest } from "./messages";
+import { ConsensusGroupHooks, ConsensusReplica } from "./replica";
 import { Replication } from "./replication";
 
-export type { Entry } from "./messages";
-export type { GroupHooks } from "./replica";
+export type { LogEntry as Entry } from "./messages";
+export type { ConsensusGroupHooks as GroupHooks } from "./replica";
 /** What one replica of the log holds at this instant, for tools that compare replicas. */
-export type GroupInspection = { term: number; entries: readonly Entry[] };
+export type ConsensusGroupInspection = { term: number; entries: readonly LogEntry[] };
 
 /**
  * The control group's log: election with terms and pre-vote, entries synced on a majority before any
@@ -28,9 +28,9 @@
  * group.start();
  * const outcome = yield* group.propose({ tag: "noop" }, 1500);
  */
-export class Group {
+export class ConsensusGroup {
   private readonly log: ReplicatedLog;
-  private readonly replica: Replica;
+  private readonly replica: ConsensusReplica;
   private readonly replication: Replication;
   private readonly election: Election;
   private readonly receiver: AppendReceiver;
@@ -40,10 +40,10 @@
     private readonly rpc: Rpc,
     private readonly self: string,
     slots: TwoSlots,
-    hooks: GroupHooks,
+    hooks: ConsensusGroupHooks,
   ) {
     this.log = new ReplicatedLog(slots);
-    this.replica = new Replica(env, self, this.log, hooks);
+    this.replica = new ConsensusReplica(env, self, this.log, hooks);
     this.replication = new Replication(this.replica, rpc);
     this.election = new Election(this.replica, this.replication, rpc);
     this.receiver = new AppendReceiver(this.replica);
@@ -77,7 +77,7 @@
     return this.log.voters();
   }
   /** The log as it is held now; what it returns must not be changed. @example group.inspect().entries.length */
-  inspect(): GroupInspection {
+  inspect(): ConsensusGroupInspection {
     return { term: this.log.term, entries: this.log.entries };
   }
   /** Index of the newest entry known to be on a majority of disks. */
@@ -93,16 +93,16 @@
     return this.replica.state;
   }
   /** Whether this node follows, asks for votes or leads. */
-  get role(): Replica["role"] {
+  get role(): ConsensusReplica["role"] {
     return this.replica.role;
   }
   /** The lead last heard of, or "". */
-  get lead(): string {
-    return this.replica.lead;
+  get leader(): string {
+    return this.replica.leader;
   }
   /** When this node was last elected, on its monotonic clock. */
-  get leadSince(): number {
-    return this.replica.leadSince;
+  get leaderSince(): number {
+    return this.replica.leaderSince;
   }
   /** How often this node asked for votes. */
   get elections(): number {
@@ -121,8 +121,8 @@
    * applied here: an entry of its own term is committed.
    * @example if (!group.holdsLead()) return;
    */
-  holdsLead(): boolean {
-    return this.replication.holdsLead();
+  holdsLeader(): boolean {
+    return this.replication.holdsLeader();
   }
   /**
    * The newest time T on this node's monotonic clock such that a majority of the voters acknowledged this lead in
@@ -165,7 +165,7 @@
    */
   *recover(
     asked: { group: string; voter: string; by: string },
-    views: View[],
+    views: ShardView[],
   ): Task<Result<{ group: string; upTo: number }>> {
     yield* Csp.take(this.log.diskToken);
     try {
@@ -174,7 +174,7 @@
         return refuse(`this voter belongs to group ${this.replica.groupId() || "none"}`);
       if (asked.voter !== this.self || !this.log.voters().includes(this.self))
         return refuse(`this is ${this.self}, voters are ${this.log.voters().join(", ")}`);
-      if (this.replica.role === "lead" && this.holdsLead()) return refuse("the group has a lead");
+      if (this.replica.role === "lead" && this.holdsLeader()) return refuse("the group has a lead");
       const state = structuredClone(this.replica.state);
       for (const entry of this.log.entries.filter(
         (each) => each.index > this.replica.applied && each.index <= this.log.synced,
@@ -203,14 +203,14 @@
   }
   /** Puts a command to the group; the fault "unknown" means it may yet be taken. @example yield* group.propose(command, 1500) */
   *propose(command: Command, withinMs: number): Task<Result<Outcome>> {
-    if (!this.holdsLead())
-      return Fault.fail("notLead", "propose", this.self, this.replica.role === "lead" ? "" : this.replica.lead);
+    if (!this.holdsLeader())
+      return Fault.fail("notLead", "propose", this.self, this.replica.role === "lead" ? "" : this.replica.leader);
     const refusal = MembershipChange.refusal(command, this.log, this.replica.commit);
     if (refusal !== undefined) return Fault.fail("conflict", "propose", this.self, refusal);
     const entry = this.replication.append(command);
-    const reply = Csp.chan<Result<Outcome>>(1);
-    this.replica.waiting.set(entry.index, { term: entry.term, reply });
-    const replied = yield* EnvTools.takeWithin(this.env, reply, withinMs);
+    const response = Csp.chan<Result<Outcome>>(1);
+    this.replica.waiting.set(entry.index, { term: entry.term, reply: response });
+    const replied = yield* EnvTools.takeWithin(this.env, response, withinMs);
     this.replica.waiting.delete(entry.index);
     return replied ?? Fault.fail("unknown", "propose", this.self, "no majority answered in time");
   }
@@ -224,13 +224,13 @@
     const until = this.env.mono() + Constants.handOverWaitMs;
     const settled = (): boolean =>
       this.replica.commit === this.log.lastIndex() && this.lag(this.replication.successor()) === 0;
-    while (this.holdsLead() && !settled() && this.env.mono() < until) yield* EnvTools.sleep(this.env, 10);
+    while (this.holdsLeader() && !settled() && this.env.mono() < until) yield* EnvTools.sleep(this.env, 10);
     const successor = this.replication.successor();
     const address = this.replica.hooks.addressOf(successor);
-    if (!this.holdsLead() || this.log.term !== term || !address) return;
+    if (!this.holdsLeader() || this.log.term !== term || !address) return;
     this.replica.resign();
     this.replica.setElection();
-    const body: TakeOver = { to: successor, group: this.replica.groupId(), term };
-    yield* this.rpc.ask(address, "group.takeOver", body, Constants.handOverWaitMs);
+    const body: LeadershipTransferRequest = { to: successor, group: this.replica.groupId(), term };
+    yield* this.rpc.call(address, "group.takeOver", body, Constants.handOverWaitMs);
   }
 }
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -4,8 +4,8 @@
 import { Fault, Result } from "../common/fault";
 import { Rpc } from "../rpc/rpc";
 import { ReplicatedLog } from "./log";
-import { AskVote, Messages, TakeOver, Vote } from "./messages";
-import { Replica } from "./replica";
+import { VoteRequest, Messages, LeadershipTransferRequest, VoteResponse } from "./messages";
+import { ConsensusReplica } from "./replica";
 import { Replication } from "./replication";
 
 /**
@@ -24,7 +24,7 @@
   private readonly log: ReplicatedLog;
 
   constructor(
-    private readonly replica: Replica,
+    private readonly replica: ConsensusReplica,
     private readonly replication: Replication,
     private readonly rpc: Rpc,
   ) {
@@ -47,9 +47,9 @@
               id === this.self ||
               now - (this.replica.followers.get(id)?.heardAt ?? -Infinity) < 2 * Constants.electionMinMs,
           );
-        if (heard.length < this.replica.majority() && now - this.replica.leadSince > 2 * Constants.electionMinMs) {
+        if (heard.length < this.replica.majority() && now - this.replica.leaderSince > 2 * Constants.electionMinMs) {
           this.env.log(1307, { heard });
-          this.replica.lead = "";
+          this.replica.leader = "";
           yield* this.replica.stepDown(this.log.term, false);
         }
         continue;
@@ -78,7 +78,7 @@
   /** Whether so many of the voters grant their vote. */
   private *askVotes(verb: string, term: number, ofNewborns: boolean, needed: number): Task<boolean> {
     const voters = this.log.voters();
-    const replies = Csp.chan<boolean>(Math.max(1, voters.length));
+    const responses = Csp.chan<boolean>(Math.max(1, voters.length));
     const election = this;
     const body = {
       group: this.replica.groupId(),
@@ -93,16 +93,16 @@
     for (const id of others)
       Csp.go(this.env.scope, verb, function* () {
         const address = election.replica.hooks.addressOf(id);
-        const replied = address
-          ? yield* election.rpc.ask<Vote>(address, verb, { to: id, ...body } satisfies AskVote, 300)
+        const response = address
+          ? yield* election.rpc.call<VoteResponse>(address, verb, { to: id, ...body } satisfies VoteRequest, 300)
           : undefined;
-        if (replied?.ok && replied.value.term > election.log.term)
-          yield* election.replica.stepDown(replied.value.term, false);
-        Csp.offer(replies, replied?.ok === true && replied.value.granted === true);
+        if (response?.ok && response.value.term > election.log.term)
+          yield* election.replica.stepDown(response.value.term, false);
+        Csp.offer(responses, response?.ok === true && response.value.granted === true);
       });
     let granted = voters.length - others.length; // our own vote, if we are a voter
     for (let heard = 0; heard < others.length && granted < needed; heard += 1)
-      if (yield* Csp.take(replies)) granted += 1;
+      if (yield* Csp.take(responses)) granted += 1;
     return granted >= needed;
   }
   /**
@@ -142,7 +142,7 @@
     return true;
   }
   /** The lead that stops asks this node to stand for election. */
-  *onTakeOver(body: TakeOver): Task<Result<true>> {
+  *onTakeOver(body: LeadershipTransferRequest): Task<Result<true>> {
     const other = this.replica.forUs(body.to, "takeOver");
     if (other) return other;
     const fits =
@@ -154,7 +154,7 @@
     return Fault.ok(true as const);
   }
   /** Whether this node would vote so: it binds nobody. */
-  *onPreVote(body: AskVote): Task<Result<Vote>> {
+  *onPreVote(body: VoteRequest): Task<Result<VoteResponse>> {
     const refused = this.replica.forUs(body.to, "preVote") ?? this.voteRefusal(body, "preVote");
     if (refused) return refused;
     return Fault.ok({
@@ -163,7 +163,7 @@
     });
   }
   /** A vote, on disk before it is given. */
-  *onVote(body: AskVote): Task<Result<Vote>> {
+  *onVote(body: VoteRequest): Task<Result<VoteResponse>> {
     const refused = this.replica.forUs(body.to, "vote") ?? this.voteRefusal(body, "vote");
     if (refused) return refused;
     if (!this.log.founded()) return Fault.ok({ term: this.log.term, granted: false });
@@ -186,7 +186,7 @@
     }
   }
   /** Drops what asks for no vote of this group. */
-  private voteRefusal(body: AskVote, step: string): Result<Vote> | undefined {
+  private voteRefusal(body: VoteRequest, step: string): Result<VoteResponse> | undefined {
     const fault =
       Messages.voteFault(body) ?? (body.group === this.replica.groupId() ? undefined : "another group's candidate");
     if (fault === undefined) return undefined;
@@ -194,7 +194,7 @@
     return Fault.ok({ term: this.log.term, granted: false });
   }
   /** Whether nothing but our own start speaks against a vote that all voters, just started too, are asked for. */
-  private waives = (body: AskVote): boolean =>
+  private waives = (body: VoteRequest): boolean =>
     this.replica.role !== "lead" &&
     ((body.ofNewborns && this.replica.newborn) || (!!body.handedOver && body.term === this.log.term + 1));
   /** Whether a candidate's log holds all that this one may have acknowledged. */
@@ -206,8 +206,8 @@
   private won(): void {
     this.replica.role = "lead";
     this.replica.newborn = false;
-    this.replica.lead = this.self;
-    this.replica.leadSince = this.env.mono();
+    this.replica.leader = this.self;
+    this.replica.leaderSince = this.env.mono();
     this.replica.followers.clear();
     this.env.log(1303, { term: this.log.term });
     this.replication.append({ tag: "noop" });
--- a/src/consensus/log.ts
+++ b/src/consensus/log.ts
@@ -3,7 +3,7 @@
 import { TwoSlots } from "../runtime/twoSlots";
 import { Fault, Result } from "../common/fault";
 import { ControlState } from "../control/controlState";
-import { Entry } from "./messages";
+import { LogEntry } from "./messages";
 
 /** What a slot on disk holds: term and vote, a snapshot, and the synced entries past it. */
 export type Saved = {
@@ -12,11 +12,13 @@
   baseIndex: number;
   baseTerm: number;
   base: ControlState;
-  entries: Entry[];
+  entries: LogEntry[];
 };
 /** One record of the file between two slots. */
 type LogRecord =
-  { tag: "hard"; term: number; votedFor: string } | { tag: "entries"; entries: Entry[] } | { tag: "cut"; from: number };
+  | { tag: "hard"; term: number; votedFor: string }
+  | { tag: "entries"; entries: LogEntry[] }
+  | { tag: "cut"; from: number };
 
 /**
  * What a node keeps on disk: term and vote, a snapshot and the entries past it. Whoever writes holds the disk token.
@@ -30,17 +32,17 @@
   term = 0;
   votedFor = "";
   /** Entries after `startIndex`: those past the snapshot, and some before it for followers a little behind. */
-  entries: Entry[] = [];
+  entries: LogEntry[] = [];
   startIndex = 0;
   startTerm = 0;
   baseIndex = 0;
   baseTerm = 0;
   base = ControlState.empty();
   synced = 0;
-  unsynced: Entry[] = [];
+  unsynced: LogEntry[] = [];
   writeWake: Chan<true> = Csp.sliding(1);
   diskToken: Chan<true> = Csp.chan(1);
-  private readonly entryBytes = new WeakMap<Entry, number>();
+  private readonly entryBytes = new WeakMap<LogEntry, number>();
 
   constructor(private readonly slots: TwoSlots) {
     Csp.offer(this.diskToken, true);
@@ -83,7 +85,7 @@
   }
   /** Writes the founding entry, the first of all. */
   *found(group: string, voters: string[]): Task<Result<true>> {
-    const entry: Entry = { index: 1, term: 1, command: { tag: "found", group, voters } };
+    const entry: LogEntry = { index: 1, term: 1, command: { tag: "found", group, voters } };
     const done = yield* this.slots.append([
       { tag: "hard", term: 1, votedFor: "" },
       { tag: "entries", entries: [entry] },
@@ -118,7 +120,7 @@
     if (index === this.startIndex) return this.startTerm;
     return this.entries[index - this.startIndex - 1]?.term;
   }
-  bytesOf(entry: Entry): number {
+  bytesOf(entry: LogEntry): number {
     const known = this.entryBytes.get(entry);
     if (known !== undefined) return known;
     const bytes = Buffer.byteLength(JSON.stringify(entry));
@@ -136,7 +138,7 @@
   /** Whether the log holds the entry that stands at this place in the lead's log. */
   holds = (index: number, term: number): boolean => this.termAt(index) === term;
   /** Appends an entry of this node's own term in memory; the log writer syncs it. */
-  append(entry: Entry): void {
+  append(entry: LogEntry): void {
     this.entries.push(entry);
     this.unsynced.push(entry);
     Csp.offer(this.writeWake, true);
@@ -172,7 +174,7 @@
     return Fault.ok(true as const);
   }
   /** Puts a lead's entries on disk and into the log, in place of those that differ. */
-  *store(entries: Entry[]): Task<Result<true>> {
+  *store(entries: LogEntry[]): Task<Result<true>> {
     const from = entries.find((entry) => !this.holds(entry.index, entry.term))?.index;
     if (from === undefined) return Fault.ok(true as const);
     const added = entries.filter((entry) => entry.index >= from);
--- a/src/consensus/messages.ts
+++ b/src/consensus/messages.ts
@@ -1,25 +1,25 @@
 import { Command, ControlState } from "../control/controlState";
-import type { Piece } from "./transfer";
+import type { TransferChunk } from "./transfer";
 
 /** One entry of the replicated log. */
-export type Entry = { index: number; term: number; command: Command };
+export type LogEntry = { index: number; term: number; command: Command };
 /** The state after the entry at `index`, sent in place of the entries up to it. */
 export type Snapshot = { index: number; term: number; state: ControlState };
 /** What a lead sends to a follower: entries after a position in the log, with a snapshot before them where needed. */
-export type Append = {
+export type AppendRequest = {
   to: string;
   group: string;
   term: number;
   lead: string;
   prevIndex: number;
   prevTerm: number;
-  entries: Entry[];
+  entries: LogEntry[];
   commit: number;
   whole?: Snapshot;
-  piece?: Piece; // of a content too long for one message; the rest of the append is then a heartbeat
+  piece?: TransferChunk; // of a content too long for one message; the rest of the append is then a heartbeat
 };
 /** What a candidate asks of a voter, before an election (pre-vote) and in it. */
-export type AskVote = {
+export type VoteRequest = {
   to: string;
   group: string;
   term: number;
@@ -31,13 +31,13 @@
   handedOver?: boolean;
 };
 /** What a lead that stops tells the voter that is to lead after it. */
-export type TakeOver = { to: string; group: string; term: number };
-export type Vote = { term: number; granted: boolean };
+export type LeadershipTransferRequest = { to: string; group: string; term: number };
+export type VoteResponse = { term: number; granted: boolean };
 /**
  * What a follower says to an append: up to where its log equals the lead's, or where to try next. After a piece that was
  * not the last, how many bytes have come instead.
  */
-export type Appended =
+export type AppendResponse =
   | { term: number; matched: true; match: number; received?: undefined }
   | { term: number; matched: false; last: number; received?: number };
 
--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -8,7 +8,7 @@
 
 /** What a lead knows of a follower: the next entry for it, up to where it matches, and when it last answered. */
 export type Follower = { next: number; match: number; heardAt: number; wake: Chan<true> };
-export type GroupHooks = {
+export type ConsensusGroupHooks = {
   addressOf(id: string): string | undefined;
   /** Every control node now alive, this one left out: voters or standbys. */
   others(): string[];
@@ -22,13 +22,13 @@
  * @example
  * const replica = new Replica(env, "node-1", new ReplicatedLog(slots), hooks);
  */
-export class Replica {
+export class ConsensusReplica {
   commit = 0;
   applied = 0;
   state = ControlState.empty();
   role: "follower" | "candidate" | "lead" = "follower";
-  lead = "";
-  leadSince = 0;
+  leader = "";
+  leaderSince = 0;
   heardAt: number;
   followers = new Map<string, Follower>();
   waiting = new Map<number, { term: number; reply: Chan<Result<Outcome>> }>();
@@ -41,7 +41,7 @@
     readonly env: Env,
     readonly self: string,
     readonly log: ReplicatedLog,
-    readonly hooks: GroupHooks,
+    readonly hooks: ConsensusGroupHooks,
   ) {
     this.heardAt = env.mono();
   }
--- a/src/consensus/replication.ts
+++ b/src/consensus/replication.ts
@@ -5,8 +5,8 @@
 import { Rpc } from "../rpc/rpc";
 import { Command, ControlState } from "../control/controlState";
 import { ReplicatedLog } from "./log";
-import { Append, Appended, Entry } from "./messages";
-import { Follower, Replica } from "./replica";
+import { AppendRequest, AppendResponse, LogEntry } from "./messages";
+import { Follower, ConsensusReplica } from "./replica";
 import { Content, Packed, Transfer } from "./transfer";
 
 /**
@@ -24,7 +24,7 @@
   private readonly log: ReplicatedLog;
 
   constructor(
-    private readonly replica: Replica,
+    private readonly replica: ConsensusReplica,
     private readonly rpc: Rpc,
   ) {
     this.env = replica.env;
@@ -37,14 +37,14 @@
    * applied here: an entry of its own term is committed.
    * @example if (!group.holdsLead()) return;
    */
-  holdsLead(): boolean {
+  holdsLeader(): boolean {
     if (!this.replica.leadsCommitted()) return false;
     const now = this.env.mono();
     const heard = this.log
       .voters()
       .filter(
         (id) =>
-          id === this.self || now - (this.replica.followers.get(id)?.heardAt ?? -Infinity) < Constants.controlGrantMs,
+          id === this.self || now - (this.replica.followers.get(id)?.heardAt ?? -Infinity) < Constants.controlLeaseMs,
       );
     return heard.length >= this.replica.majority();
   }
@@ -83,8 +83,8 @@
     return others.sort((left, right) => this.lag(left) - this.lag(right))[0] ?? "";
   }
   /** Appends a command in this node's term, and wakes disk and followers. */
-  append(command: Command): Entry {
-    const entry: Entry = { index: this.log.lastIndex() + 1, term: this.log.term, command };
+  append(command: Command): LogEntry {
+    const entry: LogEntry = { index: this.log.lastIndex() + 1, term: this.log.term, command };
     this.log.append(entry);
     for (const follower of this.replica.followers.values()) Csp.offer(follower.wake, true);
     return entry;
@@ -147,34 +147,34 @@
       }
       const content = this.contentFor(follower, this.lastIndexFor(id));
       const askedAt = this.env.mono();
-      const replied = Replication.needsPieces(content, (entry) => this.log.bytesOf(entry))
+      const response = Replication.needsPieces(content, (entry) => this.log.bytesOf(entry))
         ? yield* this.sendInPieces(id, follower, term, content)
-        : yield* this.rpc.ask<Appended>(
+        : yield* this.rpc.call<AppendResponse>(
             address,
             "group.append",
-            { ...this.header(id), ...content } satisfies Append,
+            { ...this.header(id), ...content } satisfies AppendRequest,
             Constants.appendTimeoutMs,
           );
       if (this.replica.role !== "lead" || this.log.term !== term) return;
-      if (replied.ok) {
-        if (replied.value.term > this.log.term) return void (yield* this.replica.stepDown(replied.value.term, false));
+      if (response.ok) {
+        if (response.value.term > this.log.term) return void (yield* this.replica.stepDown(response.value.term, false));
         follower.heardAt = Math.max(follower.heardAt, askedAt);
-        if (replied.value.matched) {
-          follower.match = Math.max(follower.match, replied.value.match);
+        if (response.value.matched) {
+          follower.match = Math.max(follower.match, response.value.match);
           follower.next = follower.match + 1;
           this.advance();
-        } else follower.next = Math.max(1, Math.min(follower.next - 1, replied.value.last + 1));
+        } else follower.next = Math.max(1, Math.min(follower.next - 1, response.value.last + 1));
         if (follower.next <= this.lastIndexFor(id)) continue;
       }
       yield* EnvTools.takeWithin(
         this.env,
         follower.wake,
-        replied.ok ? Constants.heartbeatMs : Constants.heartbeatMs / 2,
+        response.ok ? Constants.heartbeatMs : Constants.heartbeatMs / 2,
       );
     }
   }
   /** What every append begins with. */
-  private header(to: string): Pick<Append, "to" | "group" | "term" | "lead" | "commit"> {
+  private header(to: string): Pick<AppendRequest, "to" | "group" | "term" | "lead" | "commit"> {
     return { to, group: this.replica.groupId(), term: this.log.term, lead: this.self, commit: this.replica.commit };
   }
   /**
@@ -194,7 +194,7 @@
       const whole = { index: this.log.baseIndex, term: this.log.baseTerm, state: this.log.base };
       return { prevIndex, prevTerm, entries: [], whole };
     }
-    const entries: Entry[] = [];
+    const entries: LogEntry[] = [];
     let bytes = 0;
     for (let at = prevIndex - this.log.startIndex; at < lastIndex - this.log.startIndex; at += 1) {
       bytes += this.log.bytesOf(this.log.entries[at]);
@@ -204,7 +204,7 @@
     return { prevIndex, prevTerm, entries };
   }
   /** Entries stay within one message, unless the first of them alone is longer. */
-  private static needsPieces(content: Content, bytesOf: (entry: Entry) => number): boolean {
+  private static needsPieces(content: Content, bytesOf: (entry: LogEntry) => number): boolean {
     if (content.whole) return true;
     return content.entries.length === 1 && bytesOf(content.entries[0]) > Constants.appendBytes;
   }
@@ -219,7 +219,7 @@
    * Sends a long content in pieces, one under way at a time. Each piece is a heartbeat too, and short enough for that on a
    * slow link; after one that was lost, the follower's count of bytes tells where to go on.
    */
-  private *sendInPieces(id: string, follower: Follower, term: number, content: Content): Task<Result<Appended>> {
+  private *sendInPieces(id: string, follower: Follower, term: number, content: Content): Task<Result<AppendResponse>> {
     this.transfers += 1;
     const transfer = `${this.self}-${term}-${this.transfers}`;
     // a follower whose log differs before the entries says so to the first piece; a snapshot stands for itself
@@ -234,22 +234,22 @@
       const address = this.replica.hooks.addressOf(id);
       if (!address) return Fault.fail("refused", "append", id, "no address");
       const piece = Transfer.piece(transfer, packed, received, length);
-      const body = { ...this.header(id), ...place, entries: [], piece } satisfies Append;
+      const body = { ...this.header(id), ...place, entries: [], piece } satisfies AppendRequest;
       const askedAt = this.env.mono();
-      const replied = yield* this.rpc.ask<Appended>(address, "group.append", body, Constants.appendTimeoutMs);
-      if (this.replica.role !== "lead" || this.log.term !== term) return replied;
-      if (!replied.ok) {
+      const response = yield* this.rpc.call<AppendResponse>(address, "group.append", body, Constants.appendTimeoutMs);
+      if (this.replica.role !== "lead" || this.log.term !== term) return response;
+      if (!response.ok) {
         failures += 1;
-        if (replied.fault.tag === "invalid" || failures >= Constants.transferTries) return replied;
+        if (response.fault.tag === "invalid" || failures >= Constants.transferTries) return response;
         length = Math.max(Constants.pieceBytesMin, length / 2);
         yield* EnvTools.sleep(this.env, Constants.heartbeatMs / 2);
         continue;
       }
-      if (replied.value.term > term) return replied;
+      if (response.value.term > term) return response;
       follower.heardAt = askedAt;
-      if (replied.value.received === undefined) return replied;
+      if (response.value.received === undefined) return response;
       failures = 0;
-      received = replied.value.received;
+      received = response.value.received;
       length = Math.min(Constants.appendBytes, length * 2);
     }
   }
--- a/src/consensus/transfer.ts
+++ b/src/consensus/transfer.ts
@@ -1,13 +1,13 @@
 import { crc32, deflateRawSync, inflateRawSync } from "zlib";
 import { Constants } from "../common/constants";
-import { Append } from "./messages";
+import { AppendRequest } from "./messages";
 
 const checksum = crc32 as (data: Buffer) => number;
 
 /** What an append carries beyond its header; where it is long, it is sent in pieces. */
-export type Content = Pick<Append, "prevIndex" | "prevTerm" | "entries" | "whole">;
+export type Content = Pick<AppendRequest, "prevIndex" | "prevTerm" | "entries" | "whole">;
 /** One piece of a packed content, with what tells it from pieces of others. */
-export type Piece = { transfer: string; size: number; checksum: number; offset: number; data: string };
+export type TransferChunk = { transfer: string; size: number; checksum: number; offset: number; data: string };
 export type Packed = { bytes: Buffer; checksum: number };
 
 /**
@@ -24,7 +24,7 @@
     return { bytes, checksum: checksum(bytes) };
   },
   /** @example Transfer.piece("3-1", packed, 65_536, 65_536) */
-  piece: (transfer: string, packed: Packed, offset: number, length: number): Piece => ({
+  piece: (transfer: string, packed: Packed, offset: number, length: number): TransferChunk => ({
     transfer,
     size: packed.bytes.length,
     checksum: packed.checksum,
@@ -59,7 +59,7 @@
   private current: { transfer: string; size: number; parts: Buffer[]; received: number } | undefined;
 
   /** @example receiver.take(piece).tag === "more" */
-  take(piece: Piece): Taken {
+  take(piece: TransferChunk): Taken {
     const cause = TransferReceiver.fault(piece);
     if (cause !== undefined) return { tag: "dropped", cause };
     if (this.current?.transfer !== piece.transfer || this.current.size !== piece.size)
@@ -78,7 +78,7 @@
     const content = Transfer.unpack(Buffer.concat(current.parts), piece.checksum);
     return content ? { tag: "whole", content } : { tag: "dropped", cause: "transfer damaged on its way" };
   }
-  private static fault(piece: Piece): string | undefined {
+  private static fault(piece: TransferChunk): string | undefined {
     const { transfer, size, offset, data, checksum: sum } = piece;
     if (typeof transfer !== "string" || typeof data !== "string") return "malformed piece";
     if (![size, offset, sum].every((each) => Number.isSafeInteger(each) && each >= 0)) return "malformed piece";
--- a/src/control/calendar.ts
+++ b/src/control/calendar.ts
@@ -2,9 +2,9 @@
 import { Csp, Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
 import { Node } from "../node/node";
-import { CalendarEntry, Fate } from "./controlState";
-import { Group } from "../consensus/consensusGroup";
-import { Views } from "./shardPlacement";
+import { CalendarEntry, CalendarEntryState } from "./controlState";
+import { ConsensusGroup } from "../consensus/consensusGroup";
+import { ShardPlacement } from "./shardPlacement";
 
 /**
  * Runs what is due in the calendar, each move once: every step is a logged change from one fate to the next,
@@ -20,8 +20,8 @@
   constructor(
     private readonly env: Env,
     private readonly node: Node,
-    private readonly group: Group,
-    private readonly views: Views,
+    private readonly group: ConsensusGroup,
+    private readonly views: ShardPlacement,
   ) {}
   /** @example calendar.start(); */
   start(): void {
@@ -30,7 +30,7 @@
   private *loop(): Task<void> {
     for (;;) {
       yield* EnvTools.sleep(this.env, this.group.role === "lead" ? Constants.movePeriodMs : Constants.dutyPeriodMs);
-      if (!this.group.holdsLead()) continue;
+      if (!this.group.holdsLeader()) continue;
       for (const entry of Object.values(this.group.state.calendar)) {
         const due = entry.due <= this.env.wall();
         if (this.busy.has(entry.id) || !(entry.fate === "started" || (entry.fate === "pencilled" && due))) continue;
@@ -46,7 +46,7 @@
       }
     }
   }
-  private *mark(entry: CalendarEntry, to: Fate, detail: string): Task<boolean> {
+  private *mark(entry: CalendarEntry, to: CalendarEntryState, detail: string): Task<boolean> {
     this.env.point(61);
     const outcome = yield* this.group.propose(
       { tag: "move", id: entry.id, from: entry.fate, to, detail, at: this.env.wall() },
@@ -79,8 +79,8 @@
         else {
           if (move.until !== undefined && this.env.wall() < move.until) return;
           const left = this.node
-            .frame()
-            .replicas.filter((replica) => replica.district === move.district && replica.active > 0);
+            .snapshot()
+            .replicas.filter((endpoint) => endpoint.district === move.district && endpoint.active > 0);
           if (move.until === undefined && left.length === 0)
             yield* this.mark(entry, "finished", "no work left in the district");
           else if (move.until !== undefined) yield* this.mark(entry, "finished", "time is up");
@@ -90,8 +90,8 @@
       case "release": {
         if (pencilled) {
           const there = this.node
-            .frame()
-            .replicas.some((replica) => replica.pool === move.pool && replica.version === move.version);
+            .snapshot()
+            .replicas.some((endpoint) => endpoint.pool === move.pool && endpoint.version === move.version);
           yield* this.mark(
             entry,
             there ? "started" : "failed",
@@ -109,11 +109,11 @@
           const staying = this.views.staying(move.store);
           const known = this.node.membership.find(move.store);
           if (!known || known.program !== "store") yield* this.mark(entry, "failed", `no store ${move.store}`);
-          else if (staying.length < this.views.copiesWanted)
+          else if (staying.length < this.views.replicasWanted)
             yield* this.mark(
               entry,
               "failed",
-              `too few stores would stay: ${staying.length}, needed ${this.views.copiesWanted}`,
+              `too few stores would stay: ${staying.length}, needed ${this.views.replicasWanted}`,
             );
           else yield* this.mark(entry, "started", "");
           return;
--- a/src/control/configurations.ts
+++ b/src/control/configurations.ts
@@ -1,12 +1,12 @@
-import { Binding, Limits, Manifest, Pool } from "./controlState";
+import { Route, Limits, Configuration, EndpointPool } from "./controlState";
 
 /** A change of a manifest item by item, by name. */
-export type ManifestPatch = {
-  upsert: { bindings?: Record<string, Binding>; pools?: Record<string, Pool> };
+export type ConfigurationPatch = {
+  upsert: { bindings?: Record<string, Route>; pools?: Record<string, EndpointPool> };
   remove: { bindings?: string[]; pools?: string[] };
   limits?: Limits;
 };
-const bared = new WeakMap<Manifest, Manifest>();
+const bared = new WeakMap<Configuration, Configuration>();
 const bareItem = <T extends { origin?: unknown }>({ origin: _told, ...rest }: T): Omit<T, "origin"> => rest;
 const bareItems = new WeakMap<object, object>();
 /** The same object for the same item, so that what stayed as it was is known without comparing. */
@@ -37,16 +37,16 @@
   for (const name of remove) delete next[name];
   return Object.assign(next, upsert);
 }
-function bindingFaults(name: string, binding: Binding, pools: Record<string, Pool> | undefined): string[] {
+function routeFaults(name: string, route: Route, pools: Record<string, EndpointPool> | undefined): string[] {
   const faults: string[] = [];
   const unknown = (pool: string): boolean => pools !== undefined && !Object.hasOwn(pools, pool);
-  for (const pool of new Set([binding.pool, ...(binding.split ?? []).map((part) => part.pool)]))
+  for (const pool of new Set([route.pool, ...(route.split ?? []).map((part) => part.pool)]))
     if (unknown(pool)) faults.push(`/bindings/${name}: names pool ${pool}, which is not there`);
-  if (binding.split && binding.split.reduce((sum, part) => sum + part.weight, 0) <= 0)
+  if (route.split && route.split.reduce((sum, part) => sum + part.weight, 0) <= 0)
     faults.push(`/bindings/${name}/split: weights add up to 0`);
-  if (binding.split?.some((part) => part.weight < 0)) faults.push(`/bindings/${name}/split: a weight is under 0`);
-  if (!(binding.deadlineMs > 0)) faults.push(`/bindings/${name}/deadlineMs: must be over 0`);
-  if ((binding.host === undefined) !== (binding.prefix === undefined))
+  if (route.split?.some((part) => part.weight < 0)) faults.push(`/bindings/${name}/split: a weight is under 0`);
+  if (!(route.deadlineMs > 0)) faults.push(`/bindings/${name}/deadlineMs: must be over 0`);
+  if ((route.host === undefined) !== (route.prefix === undefined))
     faults.push(`/bindings/${name}: host and prefix go together`);
   return faults;
 }
@@ -58,14 +58,14 @@
  * const next = Manifests.patched(doc, { upsert: { bindings: { b } }, remove: {} });
  * if (Manifests.faults(next).length > 0) return refused;
  */
-export const Manifests = {
+export const Configurations = {
   /** What is wrong with it, each with its path; none: it is well. @example Manifests.faults(doc)[0] */
-  faults(doc: Manifest): string[] {
-    const faults = Object.entries(doc.bindings).flatMap(([name, binding]) => bindingFaults(name, binding, doc.pools));
+  faults(doc: Configuration): string[] {
+    const faults = Object.entries(doc.bindings).flatMap(([name, route]) => routeFaults(name, route, doc.pools));
     const places = new Map<string, string>();
-    for (const [name, binding] of Object.entries(doc.bindings)) {
-      if (binding.host === undefined) continue;
-      const place = `${binding.host.toLowerCase()} ${binding.prefix}`;
+    for (const [name, route] of Object.entries(doc.bindings)) {
+      if (route.host === undefined) continue;
+      const place = `${route.host.toLowerCase()} ${route.prefix}`;
       const other = places.get(place);
       if (other !== undefined) faults.push(`/bindings/${name}: host and prefix are those of ${other}`);
       else places.set(place, name);
@@ -73,7 +73,7 @@
     return faults;
   },
   /** The manifest after a change by item. @example Manifests.patched(doc, { upsert: {}, remove: { bindings: ["old"] } }) */
-  patched(doc: Manifest, patch: ManifestPatch): Manifest {
+  patched(doc: Configuration, patch: ConfigurationPatch): Configuration {
     const pools =
       (doc.pools ?? patch.upsert.pools)
         ? { pools: merged(doc.pools ?? {}, patch.upsert.pools, patch.remove.pools) }
@@ -91,8 +91,8 @@
    * are known by being the same objects.
    * @example Manifests.between(former, next)?.upsert.bindings
    */
-  between(from: Manifest, to: Manifest): ManifestPatch | undefined {
-    const rest = ({ bindings: _bindings, pools: _pools, limits: _limits, ...others }: Manifest): string =>
+  between(from: Configuration, to: Configuration): ConfigurationPatch | undefined {
+    const rest = ({ bindings: _bindings, pools: _pools, limits: _limits, ...others }: Configuration): string =>
       JSON.stringify(others);
     if (
       rest(from) !== rest(to) ||
@@ -100,19 +100,19 @@
       (from.limits && !to.limits)
     )
       return undefined;
-    const bindings = between(from.bindings, to.bindings);
+    const routes = between(from.bindings, to.bindings);
     const pools = between(from.pools ?? {}, to.pools ?? {});
-    if (!bindings || !pools) return undefined;
-    const touched = Object.keys(bindings.upsert).length + Object.keys(pools.upsert).length;
+    if (!routes || !pools) return undefined;
+    const touched = Object.keys(routes.upsert).length + Object.keys(pools.upsert).length;
     if (touched * 4 > Object.keys(to.bindings).length + Object.keys(to.pools ?? {}).length) return undefined;
     return {
-      upsert: { bindings: bindings.upsert, ...(to.pools ? { pools: pools.upsert } : {}) },
-      remove: { bindings: bindings.remove, pools: pools.remove },
+      upsert: { bindings: routes.upsert, ...(to.pools ? { pools: pools.upsert } : {}) },
+      remove: { bindings: routes.remove, pools: pools.remove },
       ...(to.limits ? { limits: to.limits } : {}),
     };
   },
   /** Without the operator's own form, which only control keeps; the same object for the same manifest. @example Manifests.bare(doc).origin // undefined */
-  bare(doc: Manifest): Manifest {
+  bare(doc: Configuration): Configuration {
     let bare = bared.get(doc);
     if (!bare) {
       const { pools, ...rest } = bareItem(doc);
--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -4,18 +4,18 @@
 import { TwoSlots } from "../runtime/twoSlots";
 import { ReadIndex } from "../node/readIndexConfirmation";
 import { Fault, Result } from "../common/fault";
-import { LeadClock, OrderDeadline } from "../node/orderDeadline";
+import { LeaderClock, OrderDeadline } from "../node/orderDeadline";
 import { Node } from "../node/node";
 import { Member } from "../membership/member";
 import { Settings } from "../common/settings";
-import { Shapes } from "../daemon/protocolAdapters";
+import { ProtocolAdapters } from "../daemon/protocolAdapters";
 import { OperatorHttp } from "../adapters/operatorHttp";
-import { Putter } from "../storage/putClient";
+import { PutClient } from "../storage/putClient";
 import { Calendar } from "./calendar";
-import { CalendarEntry, Command, ControlState, Outcome, View } from "./controlState";
-import { Group } from "../consensus/consensusGroup";
-import { VoterChoice, VoterSituation } from "./voterSelection";
-import { Views } from "./shardPlacement";
+import { CalendarEntry, Command, ControlState, Outcome, ShardView } from "./controlState";
+import { ConsensusGroup } from "../consensus/consensusGroup";
+import { VoterSelection, VoterSituation } from "./voterSelection";
+import { ShardPlacement } from "./shardPlacement";
 
 const isLiving = (member: Member): boolean => member.state === "alive" || member.state === "suspect";
 
@@ -27,10 +27,10 @@
  * const started = yield* ControlNode.start(env, settings);
  */
 export class ControlNode {
-  readonly group: Group;
-  readonly views: Views;
+  readonly group: ConsensusGroup;
+  readonly views: ShardPlacement;
   readonly calendar: Calendar;
-  private readonly putter: Putter;
+  private readonly putClient: PutClient;
   /** Names this process's clock: a reading of it means nothing to another process, nor to this one's next start. */
   private readonly clockId: string;
   /** A majority stays when as many as may be lost at once are lost. */
@@ -44,7 +44,7 @@
     this.clockId = `${node.self.id}@${env.wall()}/${env.mono()}`;
     this.startedAt = env.mono();
     this.votersWanted = 2 * (settings.losses ?? Constants.losses) + 1;
-    this.group = new Group(env, node.rpc, node.self.id, new TwoSlots(env, `${settings.data}/group`), {
+    this.group = new ConsensusGroup(env, node.rpc, node.self.id, new TwoSlots(env, `${settings.data}/group`), {
       addressOf: (id) => node.addressOf(id),
       others: () =>
         node.membership
@@ -53,13 +53,13 @@
           .filter((id) => id !== node.self.id),
       applied: (state, index) => this.applied(state, index),
     });
-    this.views = new Views(env, node, this.group);
+    this.views = new ShardPlacement(env, node, this.group);
     this.calendar = new Calendar(env, node, this.group, this.views);
-    this.putter = new Putter(env, node.rpc, node.self.id, () => node.frame());
+    this.putClient = new PutClient(env, node.rpc, node.self.id, () => node.snapshot());
   }
 
   /** @example yield* ControlNode.start(env, settings) */
-  static *start(env: Env, settings: Settings, shapes: Shapes = {}): Task<Result<ControlNode>> {
+  static *start(env: Env, settings: Settings, shapes: ProtocolAdapters = {}): Task<Result<ControlNode>> {
     const started = yield* Node.start(env, settings, "control");
     if (!started.ok) return started;
     const control = new ControlNode(env, settings, started.value);
@@ -69,18 +69,18 @@
       return opened;
     }
     control.node.readIndex = () => control.readIndex();
-    control.node.leadAddress = () => control.leadAddress();
+    control.node.leaderAddress = () => control.leaderAddress();
     const { rpc } = control.node;
     rpc.handle("found.status", function* () {
       return Fault.ok({
         id: control.node.self.id,
         founded: control.group.founded(),
-        group: control.group.groupId() || control.node.news.frame?.group || "",
+        group: control.group.groupId() || control.node.gossip.snapshot?.group || "",
         founders: [...(settings.founders ?? [])].sort(),
       });
     });
     rpc.handle("found.commit", function* (body) {
-      if (control.node.news.frame && control.node.news.frame.group !== body.group)
+      if (control.node.gossip.snapshot && control.node.gossip.snapshot.group !== body.group)
         return Fault.fail("conflict", "found", control.node.self.id, "a group is known");
       return yield* control.group.found(body.group, body.voters);
     });
@@ -94,10 +94,10 @@
       return Fault.ok({
         id: control.node.self.id,
         role: control.group.role,
-        lead: control.group.lead,
+        lead: control.group.leader,
         voters: control.group.voters(),
         applied: control.group.applied,
-        holds: control.group.holdsLead(),
+        holds: control.group.holdsLeader(),
       });
     });
     control.group.start();
@@ -109,7 +109,7 @@
     const http = yield* OperatorHttp.serve(env, settings.http, control.node, {
       ready: () => (control.node.stopping ? "stopping" : !control.group.founded() ? "no control group yet" : undefined),
       metrics: () => control.metrics(),
-      ledgerSource: control.putter,
+      ledgerSource: control.putClient,
     });
     if (!http.ok) return http;
     for (const surface of shapes.control?.(control) ?? []) {
@@ -121,7 +121,7 @@
   /** @example control.metrics().is_lead */
   metrics(): Record<string, number> {
     return {
-      is_lead: this.group.holdsLead() ? 1 : 0,
+      is_lead: this.group.holdsLeader() ? 1 : 0,
       applied_index: this.group.applied,
       elections: this.group.elections,
       voters: this.group.voters().length,
@@ -130,7 +130,7 @@
     };
   }
   private applied(state: ControlState, index: number): void {
-    if (state.group) this.node.news.offerFrame(ControlState.frame(state, index));
+    if (state.group) this.node.gossip.offerSnapshot(ControlState.frame(state, index));
   }
 
   /** Founding: every founder empty, all agreed, and nobody in reach knows a group. */
@@ -143,7 +143,7 @@
         if (reason !== told) this.env.log(1302, { reason });
         told = reason;
       };
-      if (this.node.news.frame) {
+      if (this.node.gossip.snapshot) {
         hold(`a group is known here; waiting to be taken in as standby`);
         continue;
       }
@@ -155,7 +155,7 @@
           ids.push(this.node.self.id);
           continue;
         }
-        const status = yield* this.node.rpc.ask(address, "found.status", {}, 500);
+        const status = yield* this.node.rpc.call(address, "found.status", {}, 500);
         if (!status.ok) hold(`founder ${address} does not answer`);
         else if (status.value.founded || status.value.group)
           hold(`founder ${address} knows group ${status.value.group}`);
@@ -167,8 +167,8 @@
       let known = "";
       for (const member of this.node.membership.alive()) {
         if (member.id === this.node.self.id) continue;
-        const frame = yield* this.node.rpc.ask(member.address, "frame.fetch", { have: 0 }, 500);
-        if (frame.ok && frame.value) known = member.id;
+        const snapshot = yield* this.node.rpc.call(member.address, "frame.fetch", { have: 0 }, 500);
+        if (snapshot.ok && snapshot.value) known = member.id;
       }
       if (known) {
         hold(`member ${known} knows a group`);
@@ -184,7 +184,7 @@
       this.env.log(1301, { group, voters });
       for (const address of founders)
         if (address !== this.settings.address)
-          yield* this.node.rpc.ask(address, "found.commit", { group, voters }, 1000);
+          yield* this.node.rpc.call(address, "found.commit", { group, voters }, 1000);
     }
     for (;;) yield* EnvTools.sleep(this.env, 3_600_000);
   }
@@ -197,10 +197,10 @@
     for (const id of voters) {
       const address = node.addressOf(id);
       const state = node.membership.find(id)?.state;
-      const replied =
-        address === undefined ? undefined : yield* node.rpc.ask<{ id: string }>(address, "control.status", {}, 500);
+      const response =
+        address === undefined ? undefined : yield* node.rpc.call<{ id: string }>(address, "control.status", {}, 500);
       // another id at the same address: that voter's folder is gone
-      const there = replied?.ok ? replied.value.id === id : state === "alive" || state === "suspect";
+      const there = response?.ok ? response.value.id === id : state === "alive" || state === "suspect";
       if (id === node.self.id || there) living += 1;
     }
     if (living > voters.length / 2)
@@ -211,10 +211,15 @@
         `${living} of ${voters.length} voters live: they go on by themselves`,
       );
     // views that only the lost voters knew are on the stores' disks
-    const views: View[] = [];
+    const views: ShardView[] = [];
     for (const store of node.membership.alive("store")) {
-      const status = yield* node.rpc.ask<{ shards: { view: View | null }[] }>(store.address, "store.status", {}, 800);
-      if (status.ok) views.push(...status.value.shards.flatMap((copy) => copy.view ?? []));
+      const status = yield* node.rpc.call<{ shards: { view: ShardView | null }[] }>(
+        store.address,
+        "store.status",
+        {},
+        800,
+      );
+      if (status.ok) views.push(...status.value.shards.flatMap((replica) => replica.view ?? []));
     }
     return yield* group.recover(body, views);
   }
@@ -228,7 +233,7 @@
   /** How long a node that this lead never heard of could have made itself known, ms. */
   private unheardFor(): number {
     const now = this.env.mono();
-    const leadsLongEnough = now - this.group.leadSince > Constants.voterUnknownLeadMs;
+    const leadsLongEnough = now - this.group.leaderSince > Constants.voterUnknownLeadMs;
     return leadsLongEnough ? now - this.startedAt : 0;
   }
   /** A voter that is gone for so long that another should stand in for it. */
@@ -274,8 +279,8 @@
   private *dutyLoop(): Task<void> {
     for (;;) {
       yield* EnvTools.sleep(this.env, Constants.dutyPeriodMs);
-      if (!this.group.holdsLead()) continue;
-      const voters = VoterChoice.next(this.voterSituation());
+      if (!this.group.holdsLeader()) continue;
+      const voters = VoterSelection.next(this.voterSituation());
       if (!voters) continue;
       const outcome = yield* this.group.propose({ tag: "voters", voters }, Constants.proposeTimeoutMs);
       if (outcome.ok) this.env.log(1305, { voters });
@@ -283,10 +288,10 @@
   }
   /** A group founded by fewer than it needs takes no first change until it has grown, or has waited long enough. */
   private growing(): boolean {
-    const { manifest, policies, calendar } = this.group.state;
-    const first = manifest.version === 0 && policies.version === 0 && Object.keys(calendar).length === 0;
+    const { manifest: configuration, policies, calendar } = this.group.state;
+    const first = configuration.version === 0 && policies.version === 0 && Object.keys(calendar).length === 0;
     if (!first || this.group.state.voters.length >= this.votersWanted) return false;
-    const waiting = this.env.mono() - this.group.leadSince < Constants.groupGrowMs;
+    const waiting = this.env.mono() - this.group.leaderSince < Constants.groupGrowMs;
     if (!waiting) this.env.log(1309, { voters: this.group.state.voters.length, wanted: this.votersWanted });
     return waiting;
   }
@@ -294,13 +299,13 @@
   private *tellLoop(): Task<void> {
     for (;;) {
       yield* EnvTools.sleep(this.env, this.group.role === "lead" ? 200 : Constants.dutyPeriodMs);
-      if (!this.group.holdsLead()) continue;
+      if (!this.group.holdsLeader()) continue;
       const untold = this.group.state.untold.slice(0, 50);
       if (untold.length === 0 || Object.keys(this.group.state.views).length < Constants.shardCount) continue;
       let upTo = 0;
       for (const decision of untold) {
-        const told = yield* this.putter.put(
-          this.putter.shardOf(decision.subject),
+        const told = yield* this.putClient.put(
+          this.putClient.shardOf(decision.subject),
           `control-${decision.index}`,
           [
             {
@@ -323,37 +328,37 @@
   /** As the lead: nothing that nodes are told past this index was committed when contact with a majority last began. */
   private readIndex(): ReadIndex | undefined {
     const { group } = this;
-    if (!group.holdsLead()) return undefined;
+    if (!group.holdsLeader()) return undefined;
     return { group: group.groupId(), index: group.state.frameIndex ?? group.applied, at: group.quorumContactAt() };
   }
-  private leadAddress(): string | undefined {
-    const { lead } = this.group;
+  private leaderAddress(): string | undefined {
+    const { leader: lead } = this.group;
     return lead === "" || lead === this.node.self.id ? undefined : this.node.addressOf(lead);
   }
-  private notLead = (): Result<never> =>
+  private notLeader = (): Result<never> =>
     Fault.fail(
       "notLead",
       "control op",
       this.node.self.id,
-      this.group.role === "lead" ? "" : (this.leadAddress() ?? ""),
+      this.group.role === "lead" ? "" : (this.leaderAddress() ?? ""),
     );
   /**
    * What operators ask for; only the lead answers, and only while it holds its lease. What it says from memory alone is
    * said only if the lease still stands afterwards; what went through the log is true whatever became of the lease.
    */
   private *operate(body: any): Task<Result<any>> {
-    if (!this.group.holdsLead()) return this.notLead();
-    const response = yield* this.operateAsLead(body);
+    if (!this.group.holdsLeader()) return this.notLeader();
+    const response = yield* this.operateAsLeader(body);
     const fromMemory = body.op === "read" || (!response.ok && response.fault.tag !== "unknown");
-    return fromMemory && !this.group.holdsLead() ? this.notLead() : response;
+    return fromMemory && !this.group.holdsLeader() ? this.notLeader() : response;
   }
-  private *operateAsLead(body: any): Task<Result<any>> {
+  private *operateAsLeader(body: any): Task<Result<any>> {
     const { group } = this;
     const late = this.lateOrder(body.deadline);
     if (late) return late;
     switch (body.op) {
       case "clock":
-        return Fault.ok({ clockId: this.clockId, now: this.env.mono() } satisfies LeadClock);
+        return Fault.ok({ clockId: this.clockId, now: this.env.mono() } satisfies LeaderClock);
       case "read":
         if (body.what === "retirement") return Fault.ok(yield* this.confirmedRetirement(body.id));
         return Fault.ok(this.read(group.state, body.what, body.id));
@@ -414,11 +419,11 @@
     const stores = this.storesCalled(body.store);
     const living = stores.find(isLiving);
     const store = living ?? stores[0];
-    const needed = this.views.copiesWanted;
+    const needed = this.views.replicasWanted;
     const staying = store ? this.views.knownWithout(store) : 0;
     const again = store !== undefined && this.group.state.retiring.includes(store.id);
     // a lead that was just chosen may not have heard of every store yet
-    if (!again && (!store || staying < needed) && this.env.mono() - this.group.leadSince < Constants.voterGoneMs)
+    if (!again && (!store || staying < needed) && this.env.mono() - this.group.leaderSince < Constants.voterGoneMs)
       return Fault.busy("retire", this.node.self.id, "the stores are not all known here yet", Constants.retryAfterMs);
     const earlier = living ? null : this.retirement(this.group.state, body.store);
     if (earlier) return this.retiredEarlier(earlier);
--- a/src/control/controlState.ts
+++ b/src/control/controlState.ts
@@ -1,8 +1,8 @@
 import { Constants } from "../common/constants";
 import { AcceptedChanges } from "./acceptedChanges";
-import { ManifestPatch, Manifests } from "./configurations";
+import { ConfigurationPatch, Configurations } from "./configurations";
 
-export type Binding = {
+export type Route = {
   kind: "lookup" | "stream" | "item";
   pool: string;
   path: string;
@@ -24,7 +24,7 @@
   origin?: unknown; // the operator's own form of this binding, kept as it was given
 };
 /** What the operator says of a pool of replicas. */
-export type Pool = {
+export type EndpointPool = {
   probePath?: string;
   connections?: number; // a replica takes from all senders together, at most
   warmMs?: number;
@@ -33,30 +33,37 @@
   origin?: unknown;
 };
 export type Limits = { headerBytes?: number; bodyBytes?: number; headerMs?: number; idleMs?: number };
-export type Manifest = {
-  bindings: Record<string, Binding>;
-  pools?: Record<string, Pool>;
+export type Configuration = {
+  bindings: Record<string, Route>;
+  pools?: Record<string, EndpointPool>;
   limits?: Limits;
   origin?: unknown; // the rest of the operator's own form
   clock?: { deltaMs: number; epsilonMs: number; bigDeltaMs: number };
   retention?: { lotsMs?: number; requestsMs?: number; ledgerMs?: number }; // none: kept for good
 };
 export type PolicyLine = {
-  match: { binding?: string; kind?: Binding["kind"]; caller?: string };
+  match: { binding?: string; kind?: Route["kind"]; caller?: string };
   order?: number; // who goes first: lower before higher
   land?: { districts?: string[]; avoid?: string[] }; // where work may land
   limit?: number; // requests at once at one ingress
 };
-export type Fate = "pencilled" | "started" | "finished" | "failed" | "removed";
-export type CalendarEntry = { id: string; due: number; version: number; fate: Fate; detail?: string; move: Move };
+export type CalendarEntryState = "pencilled" | "started" | "finished" | "failed" | "removed";
+export type CalendarEntry = {
+  id: string;
+  due: number;
+  version: number;
+  fate: CalendarEntryState;
+  detail?: string;
+  move: Move;
+};
 export type Move =
   | { kind: "release"; pool: string; version: string; overMs: number }
   | { kind: "rollback"; pool: string } // back to what was before the pool's last release
   | { kind: "drain"; district: string; until?: number }
   | { kind: "undrain"; district: string }
   | { kind: "retire"; store: string; name?: string } // name: the machine's, where the order named that
-  | { kind: "manifest"; ifVersion: number; doc: Manifest };
-export type View = { shard: number; epoch: number; members: string[]; lead: string };
+  | { kind: "manifest"; ifVersion: number; doc: Configuration };
+export type ShardView = { shard: number; epoch: number; members: string[]; lead: string };
 /** Which version of a pool new work goes to ("": any), and which was withdrawn: it gets none while others are there. */
 export type Release = {
   version: string;
@@ -75,23 +82,23 @@
   | { tag: "noop" }
   | { tag: "found"; group: string; voters: string[] }
   | { tag: "voters"; voters: string[] }
-  | { tag: "manifest"; changeId: string; ifVersion: number; version?: number; doc: Manifest; by: string }
-  | { tag: "patch"; changeId: string; ifVersion: number; version?: number; patch: ManifestPatch; by: string }
+  | { tag: "manifest"; changeId: string; ifVersion: number; version?: number; doc: Configuration; by: string }
+  | { tag: "patch"; changeId: string; ifVersion: number; version?: number; patch: ConfigurationPatch; by: string }
   | { tag: "policies"; changeId: string; ifVersion: number; doc: PolicyLine[]; by: string }
   | { tag: "pencil"; changeId: string; ifVersion: number; id: string; due: number; move: Move; by: string }
   | { tag: "erase"; changeId: string; ifVersion: number; id: string; by: string }
   | { tag: "drain" | "undrain"; changeId: string; district: string; by: string; at: number; identified?: boolean }
   | { tag: "retire"; changeId: string; store: string; name: string; by: string; at: number }
-  | { tag: "move"; id: string; from: Fate; to: Fate; detail: string; at: number }
-  | { tag: "view"; view: View; reason: string }
+  | { tag: "move"; id: string; from: CalendarEntryState; to: CalendarEntryState; detail: string; at: number }
+  | { tag: "view"; view: ShardView; reason: string }
   | { tag: "told"; upTo: number };
 export type ControlState = {
   group: string;
   voters: string[];
-  manifest: { version: number; doc: Manifest };
+  manifest: { version: number; doc: Configuration };
   policies: { version: number; doc: PolicyLine[] };
   calendar: Record<string, CalendarEntry>;
-  views: Record<string, View>;
+  views: Record<string, ShardView>;
   drained: string[];
   retiring: string[];
   releases: Record<string, Release>;
@@ -103,7 +110,7 @@
   frameIndex?: number; // of the last entry that changed what nodes are told; absent in a state kept by an older version
 };
 /** What every node is told of the control state. */
-export type ControlFrame = Pick<
+export type ControlSnapshot = Pick<
   ControlState,
   "group" | "voters" | "manifest" | "policies" | "views" | "drained" | "retiring" | "releases"
 > & {
@@ -193,18 +200,22 @@
   return settle(state, index, command, subject, { tag: "done", version: applied }, `accepted as version ${applied}`);
 }
 /** Puts a whole manifest in force, under the operator's version or the next; or says why not. */
-function takeManifest(state: ControlState, doc: Manifest, version = state.manifest.version + 1): number | string {
+function takeConfiguration(
+  state: ControlState,
+  doc: Configuration,
+  version = state.manifest.version + 1,
+): number | string {
   if (version <= state.manifest.version)
     return `version ${version} is not higher than the current one, ${state.manifest.version}`;
-  const [fault] = Manifests.faults(doc);
+  const [fault] = Configurations.faults(doc);
   if (fault !== undefined) return fault;
   state.manifest = { version, doc };
   return version;
 }
 /** When an order of this kind was last taken for the zone, by the clock of the lead that took it. */
-function lastOrderAt(state: ControlState, kind: "drain" | "undrain", district: string): number | undefined {
+function lastOrderAt(state: ControlState, kind: "drain" | "undrain", zone: string): number | undefined {
   const times = Object.values(state.calendar)
-    .filter(({ id, move }) => move.kind === kind && move.district === district && id.startsWith(`${kind}-${district}-`))
+    .filter(({ id, move }) => move.kind === kind && move.district === zone && id.startsWith(`${kind}-${zone}-`))
     .map(({ due }) => due);
   return times.length > 0 ? Math.max(...times) : undefined;
 }
@@ -221,18 +232,18 @@
 }
 /** A district drained or given back by one word: in force with this entry. Said again, it stays as it is. */
 function drain(state: ControlState, index: number, command: Extract<Command, { tag: "drain" | "undrain" }>): Outcome {
-  const { tag, district } = command;
+  const { tag, district: zone } = command;
   const earlier = state.changes[command.changeId];
   if (earlier) return earlier;
-  if (state.drained.includes(district) === (tag === "drain")) return { tag: "done", version: index };
+  if (state.drained.includes(zone) === (tag === "drain")) return { tag: "done", version: index };
   if (maybeResent(state, command))
     return { tag: "undecided", detail: `the same ${tag} was taken a moment ago, and taken back since` };
-  const others = state.drained.filter((each) => each !== district);
-  state.drained = tag === "drain" ? [...others, district] : others;
-  const id = `${tag}-${district}-${index}`;
+  const others = state.drained.filter((each) => each !== zone);
+  state.drained = tag === "drain" ? [...others, zone] : others;
+  const id = `${tag}-${zone}-${index}`;
   if (tag === "undrain")
     for (const entry of Object.values(state.calendar))
-      if (entry.fate === "started" && entry.move.kind === "drain" && entry.move.district === district)
+      if (entry.fate === "started" && entry.move.kind === "drain" && entry.move.district === zone)
         state.calendar = entered(state, {
           ...entry,
           fate: "finished",
@@ -240,7 +251,7 @@
           version: entry.version + 1,
         });
   const fate = tag === "drain" ? "started" : "finished";
-  state.calendar = entered(state, { id, due: command.at, version: 1, fate, move: { kind: tag, district } });
+  state.calendar = entered(state, { id, due: command.at, version: 1, fate, move: { kind: tag, district: zone } });
   return settle(state, index, command, `move ${id}`, { tag: "done", version: index }, `${tag} in force`);
 }
 /** A store's retirement, started by one word; said again, it is the same one. */
@@ -274,10 +285,10 @@
       if (fate === "started" && !state.drained.includes(move.district))
         state.drained = [...state.drained, move.district];
       if (fate === "finished" && move.until !== undefined)
-        state.drained = state.drained.filter((district) => district !== move.district);
+        state.drained = state.drained.filter((zone) => zone !== move.district);
       break;
     case "undrain":
-      if (fate === "finished") state.drained = state.drained.filter((district) => district !== move.district);
+      if (fate === "finished") state.drained = state.drained.filter((zone) => zone !== move.district);
       break;
     case "retire":
       if (fate === "started" && !state.retiring.includes(move.store)) state.retiring = [...state.retiring, move.store];
@@ -311,7 +322,7 @@
         const current = state.manifest.version;
         const taken =
           move.ifVersion === current
-            ? takeManifest(state, move.doc)
+            ? takeConfiguration(state, move.doc)
             : `made against version ${move.ifVersion}, current is ${current}`;
         if (typeof taken === "number")
           AcceptedChanges.add(acceptedOf(state, "manifest"), move.ifVersion, `calendar entry ${entry.id}`);
@@ -357,10 +368,12 @@
       decide(state, index, "control group", `voters are ${command.voters.join(", ")}`, "voter replaced or removed");
       return { tag: "done", version: index };
     case "manifest":
-      return changeDocument(state, index, command, "manifest", () => takeManifest(state, command.doc, command.version));
+      return changeDocument(state, index, command, "manifest", () =>
+        takeConfiguration(state, command.doc, command.version),
+      );
     case "patch": {
-      const doc = Manifests.patched(state.manifest.doc, command.patch);
-      return changeDocument(state, index, command, "manifest", () => takeManifest(state, doc, command.version));
+      const doc = Configurations.patched(state.manifest.doc, command.patch);
+      return changeDocument(state, index, command, "manifest", () => takeConfiguration(state, doc, command.version));
     }
     case "drain":
     case "undrain":
@@ -470,7 +483,7 @@
     group.replace(/\+\d+$/, "") === former.replace(/\+\d+$/, "") &&
     ControlState.generation(group) > ControlState.generation(former),
   /** The state that a lone voter goes on from by an operator's word. @example ControlState.recovered(state, 1_000_007, "c1", views, "ann") */
-  recovered(former: ControlState, index: number, voter: string, views: View[], by: string): ControlState {
+  recovered(former: ControlState, index: number, voter: string, views: ShardView[], by: string): ControlState {
     const state = structuredClone(former);
     const generation = ControlState.generation(state.group) + 1;
     const lost = state.voters.filter((id) => id !== voter);
@@ -484,11 +497,11 @@
     return state;
   },
   /** What nodes are told, under the index of the entry that last changed it. @example ControlState.frame(state, 12).index */
-  frame: (state: ControlState, index: number): ControlFrame => ({
+  frame: (state: ControlState, index: number): ControlSnapshot => ({
     group: state.group,
     index: state.frameIndex ?? index,
     voters: state.voters,
-    manifest: { version: state.manifest.version, doc: Manifests.bare(state.manifest.doc) },
+    manifest: { version: state.manifest.version, doc: Configurations.bare(state.manifest.doc) },
     policies: state.policies,
     views: state.views,
     drained: state.drained,
--- a/src/control/shardPlacement.ts
+++ b/src/control/shardPlacement.ts
@@ -4,13 +4,13 @@
 import { Hash } from "../common/hash";
 import { Node } from "../node/node";
 import { Member } from "../membership/member";
-import { CopyStatus } from "../shard/shardReplica";
-import { View } from "./controlState";
-import { Group } from "../consensus/consensusGroup";
+import { ShardReplicaStatus } from "../shard/shardReplica";
+import { ShardView } from "./controlState";
+import { ConsensusGroup } from "../consensus/consensusGroup";
 
 type Sealed =
   { tag: "sealed"; seq: number; lastEpoch: number; tailFrom: number; grantLeftMs: number } | { tag: "stopped" };
-type StoreStatus = { shards: CopyStatus[]; stopping: boolean; vouches: boolean; heardAt: number };
+type StoreStatus = { shards: ShardReplicaStatus[]; stopping: boolean; vouches: boolean; heardAt: number };
 
 /**
  * The control lead's care for shards: first views, takeover after a loss, filling and joining of new copies,
@@ -20,10 +20,10 @@
  * const views = new Views(env, node, group);
  * views.start();
  */
-export class Views {
+export class ShardPlacement {
   private statuses = new Map<string, StoreStatus>();
   private busy = new Set<number>();
-  private planned = new Map<number, View>();
+  private planned = new Map<number, ShardView>();
   private firstStoreAt = Infinity;
   private waitingSaid = new Set<number>();
   private lastRebalanceAt = -Infinity;
@@ -32,13 +32,13 @@
   private readonly called = Csp.sliding<true>(1);
   changed = 0;
   /** Copies of a shard: after the loss of as many as may be lost at once, two are left. */
-  readonly copiesWanted: number;
+  readonly replicasWanted: number;
   constructor(
     private readonly env: Env,
     private readonly node: Node,
-    private readonly group: Group,
+    private readonly group: ConsensusGroup,
   ) {
-    this.copiesWanted = (node.settings.losses ?? Constants.losses) + 2;
+    this.replicasWanted = (node.settings.losses ?? Constants.losses) + 2;
   }
 
   /** @example views.start(); */
@@ -48,7 +48,7 @@
   private *loop(): Task<void> {
     for (;;) {
       yield* EnvTools.takeWithin(this.env, this.called, Constants.statusPeriodMs);
-      if (!this.group.holdsLead()) {
+      if (!this.group.holdsLeader()) {
         this.statuses.clear();
         this.firstStoreAt = Infinity;
         continue;
@@ -70,8 +70,8 @@
     const views = this;
     for (const store of stores)
       Csp.go(this.env.scope, `status of ${store.id}`, function* () {
-        const replied = yield* views.node.rpc.ask(store.address, "store.status", {}, 350);
-        if (replied.ok) views.statuses.set(store.id, { ...replied.value, heardAt: views.env.mono() });
+        const response = yield* views.node.rpc.call(store.address, "store.status", {}, 350);
+        if (response.ok) views.statuses.set(store.id, { ...response.value, heardAt: views.env.mono() });
         Csp.offer(done, true);
       });
     // who takes longer is heard all the same, for the next look
@@ -93,30 +93,31 @@
   }
   private isGone(id: string): boolean {
     const member = this.node.membership.find(id);
-    if (!member) return this.env.mono() - this.group.leadSince > Constants.voterGoneMs;
+    if (!member) return this.env.mono() - this.group.leaderSince > Constants.voterGoneMs;
     return member.state === "dead" || member.state === "left";
   }
   /** Whether a store has answered the last look, or since: only such are waited for, or given something to do. */
   private answers = (id: string): boolean => (this.statuses.get(id)?.heardAt ?? -Infinity) >= this.lookedAt;
   /** Neither we nor any other member of the view heard from the lead for three renewals: it is not waited for. */
-  private leadSilent(view: View): boolean {
-    if (this.env.mono() - (this.statuses.get(view.lead)?.heardAt ?? this.env.mono()) < Constants.leadSilentMs)
+  private leaderSilent(view: ShardView): boolean {
+    if (this.env.mono() - (this.statuses.get(view.lead)?.heardAt ?? this.env.mono()) < Constants.leaderSilentMs)
       return false;
     const others = view.members
       .filter((id) => id !== view.lead)
-      .map((id) => (this.answers(id) ? this.copyOf(id, view.shard) : undefined));
+      .map((id) => (this.answers(id) ? this.replicaOf(id, view.shard) : undefined));
     return (
       others.length > 0 &&
       others.every(
-        (copy) => copy !== undefined && copy.epoch === view.epoch && copy.leadSilentMs > Constants.leadSilentMs,
+        (replica) =>
+          replica !== undefined && replica.epoch === view.epoch && replica.leadSilentMs > Constants.leaderSilentMs,
       )
     );
   }
-  private copyOf(id: string, shard: number): CopyStatus | undefined {
-    return this.statuses.get(id)?.shards.find((copy) => copy.shard === shard);
+  private replicaOf(id: string, shard: number): ShardReplicaStatus | undefined {
+    return this.statuses.get(id)?.shards.find((replica) => replica.shard === shard);
   }
   /** Views in force, and first views on their way: they are proposed side by side and must see each other. */
-  private known(): View[] {
+  private known(): ShardView[] {
     const { views } = this.group.state;
     return [...Object.values(views), ...[...this.planned.values()].filter((view) => !views[view.shard])];
   }
@@ -140,13 +141,13 @@
   }
   /** Stores that may take a copy of the shard, best first: new districts, then few copies, then by weight. */
   private candidates(shard: number, members: string[]): Member[] {
-    const districts = new Set(members.map((id) => this.node.membership.find(id)?.district));
+    const zones = new Set(members.map((id) => this.node.membership.find(id)?.district));
     const weight = Hash.rendezvous(
       `shard-${shard}`,
       this.node.membership.alive("store").map((store) => store.id),
     );
     const rank = (store: Member): number =>
-      (districts.has(store.district) ? 1000 : 0) + this.load(store.id) * 10 + weight.indexOf(store.id);
+      (zones.has(store.district) ? 1000 : 0) + this.load(store.id) * 10 + weight.indexOf(store.id);
     return this.node.membership
       .alive("store")
       .filter(
@@ -157,7 +158,7 @@
           !this.isRetiring(store.id) &&
           !this.statuses.get(store.id)!.stopping &&
           this.statuses.get(store.id)!.vouches &&
-          !this.copyOf(store.id, shard)?.broken,
+          !this.replicaOf(store.id, shard)?.broken,
       )
       .sort((left, right) => rank(left) - rank(right));
   }
@@ -182,42 +183,46 @@
       if (stores.length > 0 && settled) act("first view of", () => this.first(shard));
       return;
     }
-    const leadCopy = this.copyOf(view.lead, shard);
-    const leadUp = this.isUp(view.lead);
+    const leaderReplica = this.replicaOf(view.lead, shard);
+    const leaderUp = this.isUp(view.lead);
     const gone = view.members.filter((id) => this.isGone(id));
-    const broken = view.members.filter((id) => this.copyOf(id, shard)?.broken);
+    const broken = view.members.filter((id) => this.replicaOf(id, shard)?.broken);
     const failing =
-      leadUp && leadCopy?.epoch === view.epoch ? leadCopy.failing.filter((id) => view.members.includes(id)) : [];
-    const sealedAhead = view.members.some((id) => this.isUp(id) && (this.copyOf(id, shard)?.sealed ?? 0) > view.epoch);
+      leaderUp && leaderReplica?.epoch === view.epoch
+        ? leaderReplica.failing.filter((id) => view.members.includes(id))
+        : [];
+    const sealedAhead = view.members.some(
+      (id) => this.isUp(id) && (this.replicaOf(id, shard)?.sealed ?? 0) > view.epoch,
+    );
     const leaving = view.members.filter((id) => this.statuses.get(id)?.stopping && this.isUp(id));
-    const unvouched = leadUp && !this.statuses.get(view.lead)!.vouches;
+    const unvouched = leaderUp && !this.statuses.get(view.lead)!.vouches;
     const now = this.env.mono();
-    const idleLead =
-      leadUp &&
-      (leadCopy === undefined ||
-        leadCopy.epoch < view.epoch ||
-        (leadCopy.role !== "lead" && leadCopy.role !== "starting"));
-    if (idleLead || unvouched) this.troubledSince.set(shard, this.troubledSince.get(shard) ?? now);
+    const idleLeader =
+      leaderUp &&
+      (leaderReplica === undefined ||
+        leaderReplica.epoch < view.epoch ||
+        (leaderReplica.role !== "lead" && leaderReplica.role !== "starting"));
+    if (idleLeader || unvouched) this.troubledSince.set(shard, this.troubledSince.get(shard) ?? now);
     else this.troubledSince.delete(shard);
     const troubledFor = now - (this.troubledSince.get(shard) ?? now);
 
     let reason = "";
     if (gone.length > 0) reason = `members gone: ${gone.join(", ")}`;
-    else if (this.leadSilent(view)) reason = `lead silent, by control and the other members: ${view.lead}`;
+    else if (this.leaderSilent(view)) reason = `lead silent, by control and the other members: ${view.lead}`;
     else if (broken.length > 0) reason = `disk failed at ${broken.join(", ")}`;
     else if (leaving.length > 0) reason = `members leaving: ${leaving.join(", ")}`;
     else if (failing.length > 0) reason = `members not syncing: ${failing.join(", ")}`;
     // what it said in an earlier view has been seen to
-    else if (leadUp && leadCopy?.epoch === view.epoch && leadCopy.wantsView)
-      reason = `lead asks: ${leadCopy.wantsView}`;
+    else if (leaderUp && leaderReplica?.epoch === view.epoch && leaderReplica.wantsView)
+      reason = `lead asks: ${leaderReplica.wantsView}`;
     else if (sealedAhead) reason = "an earlier change of view was not finished";
     else if (troubledFor > 1500) reason = unvouched ? "lead's clock is not vouched for" : "lead does not lead";
     if (reason) return act("new view of", () => this.reconfigure(shard, reason, []));
 
-    if (!leadUp || leadCopy?.role !== "lead") return;
+    if (!leaderUp || leaderReplica?.role !== "lead") return;
     const retiring = view.members.filter((id) => this.isRetiring(id));
-    if (view.members.length - retiring.length < this.copiesWanted) {
-      if (view.members.length < this.copiesWanted && !this.waitingSaid.has(shard))
+    if (view.members.length - retiring.length < this.replicasWanted) {
+      if (view.members.length < this.replicasWanted && !this.waitingSaid.has(shard))
         this.env.log(1402, { shard, members: view.members });
       const [target] = this.candidates(shard, view.members);
       if (target)
@@ -225,15 +230,15 @@
           this.fillAndJoin(shard, target, retiring[0] ? `off retiring ${retiring[0]}` : "too few copies"),
         );
     }
-    if (retiring.length > 0 && view.members.length - retiring.length >= Constants.minCopiesForLots) {
+    if (retiring.length > 0 && view.members.length - retiring.length >= Constants.minReplicasForJobs) {
       return act("retire from", () => this.reconfigure(shard, `retiring ${retiring.join(", ")}`, []));
     }
-    if (view.members.length > this.copiesWanted)
+    if (view.members.length > this.replicasWanted)
       return act("trim", () => this.reconfigure(shard, "one copy too many", []));
     this.rebalance(shard, view, act);
   }
   /** A machine that was added gets copies, one shard at a time. */
-  private rebalance(shard: number, view: View, act: (name: string, body: () => Task<unknown>) => void): void {
+  private rebalance(shard: number, view: ShardView, act: (name: string, body: () => Task<unknown>) => void): void {
     const now = this.env.mono();
     if (this.busy.size > 0 || now - this.lastRebalanceAt < 2000) return;
     const [target] = this.candidates(shard, view.members);
@@ -253,18 +258,18 @@
   }
   private *first(shard: number): Task<void> {
     const members: string[] = [];
-    while (members.length < this.copiesWanted) {
+    while (members.length < this.replicasWanted) {
       const [next] = this.candidates(shard, members);
       if (!next) break;
       members.push(next.id);
     }
-    const lead = [...members].sort((left, right) => this.leads(left) - this.leads(right))[0];
-    const view: View = { shard, epoch: 1, members, lead };
+    const leader = [...members].sort((left, right) => this.leads(left) - this.leads(right))[0];
+    const view: ShardView = { shard, epoch: 1, members, lead: leader };
     this.planned.set(shard, view);
     yield* this.propose(view, "first view", 0);
     this.planned.delete(shard);
   }
-  private *propose(view: View, reason: string, waitMs: number, joiners: string[] = []): Task<boolean> {
+  private *propose(view: ShardView, reason: string, waitMs: number, joiners: string[] = []): Task<boolean> {
     const outcome = yield* this.group.propose({ tag: "view", view, reason }, Constants.proposeTimeoutMs);
     if (!outcome.ok || outcome.value.tag !== "done") return false;
     this.changed += 1;
@@ -289,8 +294,8 @@
       Csp.go(this.env.scope, `${verb} at ${id}`, function* () {
         const address = views.node.addressOf(id);
         const moot = whileAnswering ? (): boolean => !views.answers(id) : undefined;
-        const replied = address ? yield* views.node.rpc.ask<T>(address, verb, body, timeoutMs, moot) : undefined;
-        if (replied?.ok) heard.push({ id, ...replied.value });
+        const response = address ? yield* views.node.rpc.call<T>(address, verb, body, timeoutMs, moot) : undefined;
+        if (response?.ok) heard.push({ id, ...response.value });
         Csp.offer(done, id);
       });
     const awaited = new Set(ids.some(waitFor) ? ids.filter(waitFor) : ids);
@@ -315,7 +320,7 @@
       Constants.sealTimeoutMs,
       this.answers,
     );
-    const sealed = answered.flatMap((copy) => (copy.tag === "sealed" ? [copy] : []));
+    const sealed = answered.flatMap((replica) => (replica.tag === "sealed" ? [replica] : []));
     const sealedAt = this.env.mono();
     this.env.point(39, { shard, joiners });
     if (sealed.length === 0) {
@@ -329,7 +334,7 @@
       (left, right) => right.lastEpoch - left.lastEpoch || right.seq - left.seq || left.tailFrom - right.tailFrom,
     );
     // with their addresses: a store may not have heard yet of a machine that was just added
-    const targets = [...sealed.slice(1).map((copy) => copy.id), ...joiners].flatMap((id) => {
+    const targets = [...sealed.slice(1).map((replica) => replica.id), ...joiners].flatMap((id) => {
       const address = this.node.addressOf(id);
       return address ? [{ id, address }] : [];
     });
@@ -345,10 +350,10 @@
     this.env.point(36, { shard, joiners });
     const next = this.choose(view, level.ids, joiners);
     // the old lead has stopped if it sealed; else its grant ends with the first member that will not renew it
-    const leadSealed = answered.some((copy) => copy.id === view.lead);
-    const grantLeftMs = leadSealed ? 0 : Math.min(...sealed.map((copy) => copy.grantLeftMs)) + 50;
+    const leaderSealed = answered.some((replica) => replica.id === view.lead);
+    const leaseLeftMs = leaderSealed ? 0 : Math.min(...sealed.map((replica) => replica.grantLeftMs)) + 50;
     const levelledAt = this.env.mono();
-    const waitMs = Math.round(Math.max(0, grantLeftMs - (levelledAt - sealedAt)));
+    const waitMs = Math.round(Math.max(0, leaseLeftMs - (levelledAt - sealedAt)));
     const stages = {
       silentMs,
       sealMs: Math.round(sealedAt - startedAt),
@@ -374,11 +379,11 @@
     return done;
   }
   /** Members and lead of the next view, out of those that stand at the sealed end. */
-  private choose(view: View, level: string[], joiners: string[]): { members: string[]; lead: string } {
+  private choose(view: ShardView, level: string[], joiners: string[]): { members: string[]; lead: string } {
     // who may stay: not retiring and not leaving, unless too few others are intact
     const wanted = (id: string): boolean => !this.isRetiring(id) && !this.statuses.get(id)?.stopping;
     const staying = level.filter(wanted);
-    let members = staying.length < Constants.minCopiesForLots ? level : staying;
+    let members = staying.length < Constants.minReplicasForJobs ? level : staying;
     const clockOk = (id: string): boolean => this.statuses.get(id)?.vouches !== false;
     const choices = [members.filter((id) => wanted(id) && clockOk(id)), members.filter(wanted), members].find(
       (choice) => choice.length > 0,
@@ -386,30 +391,30 @@
     const byLoad = [...choices].sort(
       (left, right) => +joiners.includes(left) - +joiners.includes(right) || this.leads(left) - this.leads(right),
     );
-    const lead = choices.find((id) => id === view.lead) ?? byLoad[0];
+    const leader = choices.find((id) => id === view.lead) ?? byLoad[0];
     const droppable = members
-      .filter((id) => id !== lead && !joiners.includes(id))
+      .filter((id) => id !== leader && !joiners.includes(id))
       .sort((left, right) => this.load(right) - this.load(left));
-    const dropped = droppable.slice(0, Math.max(0, members.length - this.copiesWanted));
-    members = members.filter((id) => id !== lead && !dropped.includes(id));
-    return { members: [lead, ...members], lead };
+    const dropped = droppable.slice(0, Math.max(0, members.length - this.replicasWanted));
+    members = members.filter((id) => id !== leader && !dropped.includes(id));
+    return { members: [leader, ...members], lead: leader };
   }
   private *fillAndJoin(shard: number, target: Member, reason: string): Task<void> {
     const view = this.group.state.views[shard];
-    const lead = this.node.addressOf(view.lead);
-    if (!lead) return;
+    const leader = this.node.addressOf(view.lead);
+    if (!leader) return;
     // it may take long: the copy goes on by itself, and is asked again whether it is there
-    const filled = yield* this.node.rpc.ask(
+    const filled = yield* this.node.rpc.call(
       target.address,
       "shard.fill",
-      { shard, from: lead },
+      { shard, from: leader },
       Constants.fillAskMs,
       () => !this.answers(target.id),
     );
     if (
       !filled.ok ||
       filled.value.tag !== "ok" ||
-      !this.group.holdsLead() ||
+      !this.group.holdsLeader() ||
       this.group.state.views[shard].epoch !== view.epoch
     )
       return;
@@ -424,31 +429,31 @@
   emptied(move: { store: string; name?: string }): boolean {
     const onIt = (id: string): boolean =>
       id === move.store || (move.name !== undefined && this.node.membership.find(id)?.name === move.name);
-    const elsewhere = (view: View): number =>
+    const elsewhere = (view: ShardView): number =>
       new Set(view.members.filter((id) => this.isIntact(view, id)).map((id) => this.node.addressOf(id))).size;
     return Object.values(this.group.state.views).every(
-      (view) => !view.members.some(onIt) && elsewhere(view) >= this.copiesWanted,
+      (view) => !view.members.some(onIt) && elsewhere(view) >= this.replicasWanted,
     );
   }
   /** The same, by what the stores say now. @example if (yield* views.confirmEmptied(move)) yield* finish(); */
   *confirmEmptied(move: { store: string; name?: string }): Task<boolean> {
     yield* this.look();
-    return this.group.holdsLead() && this.emptied(move);
+    return this.group.holdsLeader() && this.emptied(move);
   }
   /** A copy counts while its store answers, holds all that the view acknowledged on a disk that works, and stays. */
-  private isIntact(view: View, id: string): boolean {
-    const copy = this.copyOf(id, view.shard);
-    const leadCopy = this.copyOf(view.lead, view.shard);
+  private isIntact(view: ShardView, id: string): boolean {
+    const replica = this.replicaOf(id, view.shard);
+    const leaderReplica = this.replicaOf(view.lead, view.shard);
     return (
       this.isUp(id) &&
       this.answers(id) &&
       !this.isRetiring(id) &&
       !this.statuses.get(id)!.stopping &&
-      copy !== undefined &&
-      copy.epoch === view.epoch &&
-      (copy.role === "lead" || copy.role === "member") &&
-      !copy.broken &&
-      !leadCopy?.failing.includes(id)
+      replica !== undefined &&
+      replica.epoch === view.epoch &&
+      (replica.role === "lead" || replica.role === "member") &&
+      !replica.broken &&
+      !leaderReplica?.failing.includes(id)
     );
   }
   /** Stores, up or lost for a moment, that would stay if this one went; a machine counts once. @example views.knownWithout(member) */
--- a/src/control/voterSelection.ts
+++ b/src/control/voterSelection.ts
@@ -26,7 +26,7 @@
  * const next = VoterChoice.next(situation);
  * if (next) yield* group.propose({ tag: "voters", voters: next }, 1500);
  */
-export const VoterChoice = {
+export const VoterSelection = {
   /** Whether a change of voters is on its way: its outcome is waited for. @example VoterChoice.isPending(situation) */
   isPending: ({ committed, newest }: VoterSituation): boolean =>
     committed.length !== newest.length || committed.some((id) => !newest.includes(id)),
@@ -38,10 +38,10 @@
    * @example VoterChoice.next(situation)
    */
   next(situation: VoterSituation): string[] | undefined {
-    if (VoterChoice.isPending(situation)) return undefined;
+    if (VoterSelection.isPending(situation)) return undefined;
     const { committed, wanted, standbys } = situation;
     const without = (left: string): string[] => committed.filter((id) => id !== left);
-    const leaving = VoterChoice.leaving(situation);
+    const leaving = VoterSelection.leaving(situation);
     if (leaving !== undefined) return without(leaving);
     if (committed.length < wanted && standbys.length > 0) return [...committed, standbys[0]];
     return undefined;
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -3,13 +3,13 @@
 import { Fault, Result } from "../common/fault";
 import { Settings } from "../common/settings";
 import { ownHeaderNames } from "../adapters/headerNames";
-import { Shapes } from "./protocolAdapters";
+import { ProtocolAdapters } from "./protocolAdapters";
 import { Task } from "../runtime/csp";
 import { Env } from "../runtime/env";
 import { IngressNode } from "../ingress/ingressNode";
-import { StoreNode } from "../storage/storageNode";
+import { StorageNode } from "../storage/storageNode";
 
-export type Running = { stop(): Task<void> };
+export type RunningDaemon = { stop(): Task<void> };
 /**
  * Starts the program that the settings name, in any environment.
  *
@@ -18,14 +18,14 @@
  * if (running.ok) yield* running.value.stop();
  */
 export const Daemon = {
-  *start(env: Env, settings: Settings, shapes: Shapes = {}): Task<Result<Running>> {
+  *start(env: Env, settings: Settings, shapes: ProtocolAdapters = {}): Task<Result<RunningDaemon>> {
     switch (settings.program) {
       case "agent":
         return yield* AgentNode.start(env, settings);
       case "ingress":
         return yield* IngressNode.start(env, settings, shapes);
       case "store":
-        return yield* StoreNode.start(env, settings, shapes.names ?? ownHeaderNames);
+        return yield* StorageNode.start(env, settings, shapes.names ?? ownHeaderNames);
       case "control":
         return yield* ControlNode.start(env, settings, shapes);
       default: {
--- a/src/ingress/batchSubmission.ts
+++ b/src/ingress/batchSubmission.ts
@@ -2,27 +2,27 @@
 import { Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
 import { DirectHttp } from "../adapters/directHttp";
-import { Chooser } from "../routing/endpointSelector";
+import { EndpointSelector } from "../routing/endpointSelector";
 import { Fault, Result } from "../common/fault";
-import { Frame } from "../node/clusterSnapshot";
+import { ClusterSnapshot } from "../node/clusterSnapshot";
 import { Hash } from "../common/hash";
 import { Stamp } from "../common/stamp";
-import { Binding } from "../control/controlState";
-import { Cause, ItemRequest, LotOrder } from "../shard/shardState";
-import type { HandedIn, Listing } from "../storage/batchJobs";
-import { Putter } from "../storage/putClient";
+import { Route } from "../control/controlState";
+import { Cause, ItemRequest, BatchJobSpec } from "../shard/shardState";
+import type { JobSubmissionResult, JobListing } from "../storage/batchJobs";
+import { PutClient } from "../storage/putClient";
 import { Rpc } from "../rpc/rpc";
 
 /** What lots need of the process that takes them in. */
-export type IntakeHost = {
+export type BatchSubmissionHost = {
   readonly env: Env;
   readonly rpc: Rpc;
-  readonly putter: Putter;
+  readonly putClient: PutClient;
   readonly settings?: { district: string };
-  frame(): Frame;
+  snapshot(): ClusterSnapshot;
 };
 /** An item as it is handed in: a whole request, its body in base64. */
-export type HandedItem = ItemRequest & { body: string };
+export type SubmittedItem = ItemRequest & { body: string };
 
 const lowered = (headers: Record<string, string>): Record<string, string> =>
   Object.fromEntries(Object.entries(headers).map(([name, value]) => [name.toLowerCase(), String(value)]));
@@ -36,37 +36,37 @@
  * const handed = yield* LotIntake.handIn(ingress, "lot-17", "audit", binding, items, 3000);
  * const listing = yield* LotIntake.list(ingress, "lot-17", 0, 1000);
  */
-export const LotIntake = {
+export const BatchSubmission = {
   /**
    * Ok once the lot stands on every copy of its shard. "busy" promises that this arrival of it never will, with the step
    * "quota" if it didn't fit; "unknown" promises nothing.
    * @example yield* LotIntake.handIn(ingress, "lot-17", "audit", binding, items, 3000)
    */
   *handIn(
-    host: IntakeHost,
+    host: BatchSubmissionHost,
     id: string,
     name: string,
-    binding: Binding,
-    items: HandedItem[],
+    route: Route,
+    items: SubmittedItem[],
     withinMs: number,
-  ): Task<Result<HandedIn>> {
-    const { env, putter } = host;
+  ): Task<Result<JobSubmissionResult>> {
+    const { env, putClient: putter } = host;
     const arrival = putter.stamp(env.wall());
-    const control = host.frame().control;
+    const control = host.snapshot().control;
     if (!Stamp.admits(arrival.time, env.wall(), control?.manifest.doc.clock ?? Stamp.defaults))
       return Fault.busy("stamp", "ingress", "our stamps are ahead of our clock", Constants.retryAfterMs);
-    const { lot, cause } = LotIntake.order(host, id, name, binding, items);
+    const { lot: job, cause } = BatchSubmission.order(host, id, name, route, items);
     const life = Stamp.text(arrival);
-    let rounds = 0;
-    const handed = yield* putter.askLead<HandedIn>(
+    let attempts = 0;
+    const handed = yield* putter.askLeader<JobSubmissionResult>(
       putter.shardOf(id),
       "lot.handIn",
       () => {
-        rounds += 1;
-        return { stamp: rounds === 1 ? arrival : putter.stamp(env.wall()), life, lot, cause };
+        attempts += 1;
+        return { stamp: attempts === 1 ? arrival : putter.stamp(env.wall()), life, lot: job, cause };
       },
       withinMs,
-      Constants.lotRoundMs,
+      Constants.jobAttemptMs,
     );
     if (handed.ok) return handed;
     switch (handed.fault.tag) {
@@ -77,29 +77,29 @@
         return busy(handed.fault); // nothing of it can have arrived in time
       case "busy":
         // an earlier round of ours may still be on its way
-        return rounds === 1 ? handed : yield* LotIntake.refuse(host, id, handed.fault);
+        return attempts === 1 ? handed : yield* BatchSubmission.refuse(host, id, handed.fault);
       case "unknown":
-        return yield* LotIntake.refuse(host, id, handed.fault);
+        return yield* BatchSubmission.refuse(host, id, handed.fault);
       default:
         return handed;
     }
   },
   /** The lot as it is put, and what it was taken in by. @example LotIntake.order(host, "lot-17", "audit", binding, items).lot */
   order(
-    host: IntakeHost,
+    host: BatchSubmissionHost,
     id: string,
     name: string,
-    binding: Binding,
-    items: HandedItem[],
-  ): { lot: LotOrder; cause: Cause } {
-    const { control } = host.frame();
+    route: Route,
+    items: SubmittedItem[],
+  ): { lot: BatchJobSpec; cause: Cause } {
+    const { control } = host.snapshot();
     const policies = control?.policies;
-    const line = Chooser.line(
-      { binding: name, kind: binding.kind, caller: "" },
+    const line = EndpointSelector.line(
+      { route: name, kind: route.kind, caller: "" },
       policies?.doc ?? [],
       (each) => each.order !== undefined,
     );
-    const { origin: _origin, ...kept } = binding;
+    const { origin: _origin, ...kept } = route;
     const requests = items.map(({ id: item, target, headers, tokens }): ItemRequest => ({
       id: item,
       target,
@@ -119,7 +119,7 @@
         bodies,
         requests,
         safe: true,
-        order: line?.order ?? binding.order ?? 100,
+        order: line?.order ?? route.order ?? 100,
         kept,
         since: control?.manifest.version ?? 0,
       },
@@ -127,65 +127,65 @@
     };
   },
   /** Its fate is not known: it is closed as refused at its shard, or found to be kept; else nothing can be said. */
-  *refuse(host: IntakeHost, id: string, fault: Fault): Task<Result<HandedIn>> {
-    const { env, putter } = host;
-    const refused = yield* putter.askLead<{ refused: boolean }>(
+  *refuse(host: BatchSubmissionHost, id: string, fault: Fault): Task<Result<JobSubmissionResult>> {
+    const { env, putClient: putter } = host;
+    const refused = yield* putter.askLeader<{ refused: boolean }>(
       putter.shardOf(id),
       "lot.refuse",
       () => ({ id, stamp: putter.stamp(env.wall()) }),
-      Constants.lotRefuseMs,
+      Constants.jobRefuseMs,
     );
     if (!refused.ok) return Fault.fail("unknown", "hand in", fault.member, fault.detail);
     if (!refused.value.refused) return Fault.ok({ tag: "exists", same: true, state: "" });
     return fault.tag === "busy" ? { ok: false, fault } : busy(fault);
   },
   /** Results from a position on, from a member of the lot's shard in our district, else any. "notFound" is certain, all else is "busy". @example yield* LotIntake.list(ingress, "lot-17", 0, 1000) */
-  list: (host: IntakeHost, id: string, from: number, waitMs: number): Task<Result<Listing>> =>
-    LotIntake.askMembers<Listing>(host, id, "lot.list", { from, waitMs }, waitMs),
+  list: (host: BatchSubmissionHost, id: string, from: number, waitMs: number): Task<Result<JobListing>> =>
+    BatchSubmission.askMembers<JobListing>(host, id, "lot.list", { from, waitMs }, waitMs),
   /** The body, in base64, of an item that is not listed yet. @example yield* LotIntake.itemBody(ingress, "lot-17", "i1") */
-  itemBody: (host: IntakeHost, id: string, item: string): Task<Result<{ body: string }>> =>
-    LotIntake.askMembers<{ body: string }>(host, id, "lot.itemBody", { item }, 0),
+  itemBody: (host: BatchSubmissionHost, id: string, item: string): Task<Result<{ body: string }>> =>
+    BatchSubmission.askMembers<{ body: string }>(host, id, "lot.itemBody", { item }, 0),
   /** Ends a lot, as often as it is asked. @example yield* LotIntake.end(ingress, "lot-17", "caller") */
-  *end(host: IntakeHost, id: string, by: string): Task<Result<{ ended: true }>> {
-    const { env, putter } = host;
-    const ended = yield* putter.askLead<{ ended: true }>(
+  *end(host: BatchSubmissionHost, id: string, by: string): Task<Result<{ ended: true }>> {
+    const { env, putClient: putter } = host;
+    const ended = yield* putter.askLeader<{ ended: true }>(
       putter.shardOf(id),
       "lot.end",
       () => ({ id, stamp: putter.stamp(env.wall()), by }),
-      Constants.lotHoldMs,
+      Constants.jobHoldMs,
     );
     if (ended.ok || ended.fault.tag === "notFound" || ended.fault.tag === "gone" || ended.fault.tag === "unknown")
       return ended;
     return Fault.busy("end lot", ended.fault.member, ended.fault.detail, Constants.retryAfterMs);
   },
   *askMembers<T>(
-    host: IntakeHost,
+    host: BatchSubmissionHost,
     id: string,
     verb: string,
     body: Record<string, unknown>,
     waitMs: number,
   ): Task<Result<T>> {
-    const { env, putter, rpc } = host;
+    const { env, putClient: putter, rpc } = host;
     const shard = putter.shardOf(id);
-    const until = env.mono() + waitMs + Constants.lotReadMs;
+    const until = env.mono() + waitMs + Constants.jobReadMs;
     let last: Result<T> = Fault.fail("timeout", verb, `shard ${shard}`, "no view is known");
-    for (let round = 0; ; round += 1) {
-      const frame = host.frame();
-      const view = frame.control?.views[shard];
-      const members = (view?.members ?? []).flatMap((id) => frame.members.find((each) => each.id === id) ?? []);
+    for (let attempt = 0; ; attempt += 1) {
+      const snapshot = host.snapshot();
+      const view = snapshot.control?.views[shard];
+      const members = (view?.members ?? []).flatMap((id) => snapshot.members.find((each) => each.id === id) ?? []);
       // what is listed is much: rather from nearby than from the lead, who is asked next
-      const near = verb === "lot.list" && round === 0 ? host.settings?.district : undefined;
-      const rank = ({ id, district }: { id: string; district: string }): number =>
-        district === near ? 0 : id === view!.lead ? 1 : 2;
+      const near = verb === "lot.list" && attempt === 0 ? host.settings?.district : undefined;
+      const rank = ({ id, district: zone }: { id: string; district: string }): number =>
+        zone === near ? 0 : id === view!.lead ? 1 : 2;
       for (const { address } of members.sort((left, right) => rank(left) - rank(right))) {
         const left = until - env.mono();
         if (left <= 0) continue;
-        last = yield* rpc.ask<T>(
+        last = yield* rpc.call<T>(
           address,
           verb,
-          { ...body, shard, id, anyAge: round > 0 },
-          Math.min(left, waitMs + Constants.lotReadRoundMs),
-          () => host.frame().control?.views[shard]?.epoch !== view?.epoch,
+          { ...body, shard, id, anyAge: attempt > 0 },
+          Math.min(left, waitMs + Constants.jobReadAttemptMs),
+          () => host.snapshot().control?.views[shard]?.epoch !== view?.epoch,
         );
         if (last.ok || last.fault.tag === "notFound" || last.fault.tag === "gone") return last;
       }
