--- a/src/ingress/directRequestHandler.ts
+++ b/src/ingress/directRequestHandler.ts
@@ -1,24 +1,24 @@
 import { Constants } from "../common/constants";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools, HttpIn, HttpOut } from "../runtime/env";
-import { Direct, DirectHttp, DirectReply } from "../adapters/directHttp";
-import { EventPieces } from "../adapters/eventStreamReader";
+import { Env, EnvTools, HttpExchange, HttpRequest } from "../runtime/env";
+import { DirectRequest, DirectHttp, DirectResponse } from "../adapters/directHttp";
+import { EventStreamReader } from "../adapters/eventStreamReader";
 import { Http } from "../adapters/http";
-import { Binding } from "../control/controlState";
-import { Chooser, Wish } from "../routing/endpointSelector";
+import { Route } from "../control/controlState";
+import { EndpointSelector, SelectionCriteria } from "../routing/endpointSelector";
 import { Fault, Result } from "../common/fault";
-import { Replica } from "../node/clusterSnapshot";
-import { Prompt, PromptLanes } from "../routing/longPromptIsolation";
+import { Endpoint } from "../node/clusterSnapshot";
+import { Prompt, LongPromptIsolation } from "../routing/longPromptIsolation";
 import { Cause } from "../shard/shardState";
-import { Bound, BindingTable } from "../routing/routeTable";
+import { MatchedRoute, RouteTable } from "../routing/routeTable";
 import type { IngressNode } from "./ingressNode";
 
 /** One request on its way: what came, and what of a stream has been passed on. */
 type Passing = {
-  incoming: HttpIn;
+  incoming: HttpExchange;
   name: string;
-  binding: Binding;
-  direct: Direct;
+  binding: Route;
+  direct: DirectRequest;
   cause: Cause;
   untilMono: number;
   arrivedAt: number;
@@ -32,7 +32,7 @@
   | { tag: "gone" }
   | { tag: "unrun"; fault: Fault; sent: boolean }
   | { tag: "lost"; fault: Fault };
-export type LotIntake = (incoming: HttpIn, bound: Bound, body: Buffer) => Task<void>;
+export type LotIntake = (incoming: HttpExchange, bound: MatchedRoute, body: Buffer) => Task<void>;
 
 /**
  * Requests that are passed on as they are, by host and path: straight to a replica, streams as their events come.
@@ -43,20 +43,20 @@
  * const direct = new DirectIntake(ingress);
  * yield* direct.serve(incoming);
  */
-export class DirectIntake {
+export class DirectRequestHandler {
   private readonly env: Env;
   constructor(private readonly ingress: IngressNode) {
     this.env = ingress.env;
   }
-  private bound(incoming: HttpIn): Bound | undefined {
-    const control = this.ingress.frame().control;
-    return control && BindingTable.of(control.manifest.doc).find(incoming.headers.host ?? "", incoming.path);
+  private bound(incoming: HttpExchange): MatchedRoute | undefined {
+    const control = this.ingress.snapshot().control;
+    return control && RouteTable.of(control.manifest.doc).find(incoming.headers.host ?? "", incoming.path);
   }
   /** Whether some binding is reached by this host and path. @example direct.fits(incoming) */
-  fits = (incoming: HttpIn): boolean => this.bound(incoming) !== undefined;
+  fits = (incoming: HttpExchange): boolean => this.bound(incoming) !== undefined;
 
   /** @example yield* direct.serve(incoming, (each, bound, body) => lots.handIn(each, bound, body)) */
-  *serve(incoming: HttpIn, lots?: LotIntake): Task<void> {
+  *serve(incoming: HttpExchange, jobs?: LotIntake): Task<void> {
     const { ingress } = this;
     const arrivedAt = this.env.mono();
     const why = ingress.held();
@@ -70,33 +70,38 @@
       });
     const bound = this.bound(incoming);
     if (!bound)
-      return this.reply(
+      return this.response(
         incoming,
         { tag: "notFound", step: "find binding", member: ingress.id, detail: `no binding for ${incoming.path}` },
         404,
       );
     const read: Result<Buffer> = yield* incoming.body(ingress.bodyLimit());
-    if (!read.ok) return this.reply(incoming, read.fault, read.fault.tag === "invalid" ? 413 : 400);
-    if (bound.binding.kind === "item") {
-      if (lots) return yield* lots(incoming, bound, read.value);
-      return this.reply(
+    if (!read.ok) return this.response(incoming, read.fault, read.fault.tag === "invalid" ? 413 : 400);
+    if (bound.route.kind === "item") {
+      if (jobs) return yield* jobs(incoming, bound, read.value);
+      return this.response(
         incoming,
         { tag: "invalid", step: "accept", member: ingress.id, detail: "this binding takes lots only" },
         400,
       );
     }
     const passing = this.passing(incoming, bound, read.value, arrivedAt);
-    if (!passing.ok) return this.reply(incoming, passing.fault, 400);
+    if (!passing.ok) return this.response(incoming, passing.fault, 400);
     yield* ingress.counted(bound.name, () => this.pass(passing.value));
   }
-  private passing(incoming: HttpIn, { name, binding }: Bound, body: Buffer, arrivedAt: number): Result<Passing> {
+  private passing(
+    incoming: HttpExchange,
+    { name, route: binding }: MatchedRoute,
+    body: Buffer,
+    arrivedAt: number,
+  ): Result<Passing> {
     const { names } = this.ingress;
     const { headers } = incoming;
     const asked = Number(headers[names.remainingMs]);
     const left = Math.min(binding.deadlineMs, Number.isFinite(asked) && asked > 0 ? asked : binding.deadlineMs);
     const after = headers[names.lastPiece] ?? "0";
     if (!/^\d{1,9}$/.test(after)) return Fault.fail("invalid", "read last piece", "caller", "not a piece number");
-    const direct: Direct = {
+    const direct: DirectRequest = {
       method: incoming.method,
       target: incoming.target,
       headers: DirectHttp.endToEnd(headers),
@@ -106,15 +111,16 @@
       after: +after,
       order: Math.min(7, binding.order ?? 5),
     };
-    const prompt = PromptLanes.parse(binding.affinity ? (headers[names.promptParts] ?? "") : "");
-    const pool = DirectIntake.poolOf(binding, this.env.random());
-    if (binding.kind === "stream" && binding.pieceGapMs) this.ingress.chooser.saw(pool, prompt, binding.pieceGapMs);
+    const prompt = LongPromptIsolation.parse(binding.affinity ? (headers[names.promptParts] ?? "") : "");
+    const pool = DirectRequestHandler.poolOf(binding, this.env.random());
+    if (binding.kind === "stream" && binding.pieceGapMs)
+      this.ingress.endpointSelector.saw(pool, prompt, binding.pieceGapMs);
     return Fault.ok({
       incoming,
       name,
       binding,
       direct,
-      cause: { manifest: this.ingress.frame().control!.manifest.version },
+      cause: { manifest: this.ingress.snapshot().control!.manifest.version },
       untilMono: arrivedAt + left,
       arrivedAt,
       open: false,
@@ -124,22 +130,22 @@
     });
   }
   /** The pool by weight, for a number between 0 and 1. @example DirectIntake.poolOf(binding, 0.3) */
-  static poolOf(binding: Binding, at: number): string {
-    if (!binding.split?.length) return binding.pool;
-    let left = at * binding.split.reduce((sum, share) => sum + share.weight, 0);
-    for (const share of binding.split) if ((left -= share.weight) < 0) return share.pool;
-    return binding.split.filter((share) => share.weight > 0).at(-1)!.pool;
+  static poolOf(route: Route, at: number): string {
+    if (!route.split?.length) return route.pool;
+    let left = at * route.split.reduce((sum, share) => sum + share.weight, 0);
+    for (const share of route.split) if ((left -= share.weight) < 0) return share.pool;
+    return route.split.filter((share) => share.weight > 0).at(-1)!.pool;
   }
 
-  private wish(passing: Passing, exclude: Set<string>): Wish {
-    const { name, binding, pool, prompt } = passing;
-    const gapMs = binding.kind === "stream" ? binding.pieceGapMs : undefined;
+  private criteria(passing: Passing, exclude: Set<string>): SelectionCriteria {
+    const { name, binding: route, pool, prompt } = passing;
+    const gapMs = route.kind === "stream" ? route.pieceGapMs : undefined;
     return {
-      frame: this.ingress.frame(),
+      snapshot: this.ingress.snapshot(),
       pool,
-      binding: name,
+      route: name,
       caller: "",
-      kind: binding.kind,
+      kind: route.kind,
       prefix: prompt.parts[0]?.id ?? "",
       lane: "live",
       exclude,
@@ -149,17 +155,17 @@
   }
   private *pass(passing: Passing): Task<void> {
     const { ingress } = this;
-    const { binding, incoming } = passing;
+    const { binding: route, incoming } = passing;
     const exclude = new Set<string>();
     let last: Fault | undefined;
     let sentTo = 0;
     for (;;) {
       if (incoming.gone.isClosed()) return;
       const left = passing.untilMono - this.env.mono();
-      const rounds = binding.rounds ?? Constants.lookupRounds;
-      const chosen = left > 0 && sentTo < rounds ? yield* this.take(passing, exclude, left) : undefined;
+      const attempts = route.rounds ?? Constants.lookupAttempts;
+      const chosen = left > 0 && sentTo < attempts ? yield* this.take(passing, exclude, left) : undefined;
       if (!chosen) return this.giveUp(passing, last);
-      const outcome = yield* this.round(passing, chosen, sentTo + 1 < rounds);
+      const outcome = yield* this.attempt(passing, chosen, sentTo + 1 < attempts);
       switch (outcome.tag) {
         case "gone":
           return;
@@ -172,8 +178,7 @@
         case "lost":
           sentTo += 1;
           passing.mayHaveRun = true;
-          if (!binding.safe || (passing.open && binding.continues !== "exact"))
-            return this.giveUp(passing, outcome.fault);
+          if (!route.safe || (passing.open && route.continues !== "exact")) return this.giveUp(passing, outcome.fault);
           break;
         default: {
           const never: never = outcome;
@@ -186,18 +191,18 @@
     }
   }
   /** A place at a replica: waited for only as long as a later try elsewhere is still worth something. */
-  private *take(passing: Passing, exclude: Set<string>, left: number): Task<Replica | undefined> {
-    const { binding, pool } = passing;
+  private *take(passing: Passing, exclude: Set<string>, left: number): Task<Endpoint | undefined> {
+    const { binding: route, pool } = passing;
     const waited = this.env.mono() - passing.arrivedAt;
     const patience = passing.open
       ? Constants.resumeWaitMs
-      : (binding.targetMs ?? Constants.liveWaitMs) * Constants.refuseShare - waited;
-    const eligible = Chooser.inPool(this.wish(passing, exclude));
-    if (eligible.every((replica) => exclude.has(replica.key)) && exclude.size > 0) exclude.clear();
+      : (route.targetMs ?? Constants.liveWaitMs) * Constants.refuseShare - waited;
+    const eligible = EndpointSelector.inPool(this.criteria(passing, exclude));
+    if (eligible.every((endpoint) => exclude.has(endpoint.key)) && exclude.size > 0) exclude.clear();
     this.ingress.counts.lookups += 1;
     return yield* this.ingress.room.take(
-      () => this.wish(passing, exclude),
-      binding.order ?? 100,
+      () => this.criteria(passing, exclude),
+      route.order ?? 100,
       passing.arrivedAt,
       Math.min(left, patience),
       pool,
@@ -223,16 +228,16 @@
         retryAfterMs: Constants.comeBackMs,
       });
     ingress.counts.failures += 1;
-    this.reply(passing.incoming, fault, this.env.mono() >= passing.untilMono ? 504 : 502);
+    this.response(passing.incoming, fault, this.env.mono() >= passing.untilMono ? 504 : 502);
   }
   /** A promise that it did not run and never will, with when to come back. */
-  private refuse(incoming: HttpIn, fault: Extract<Fault, { tag: "busy" }>): void {
+  private refuse(incoming: HttpExchange, fault: Extract<Fault, { tag: "busy" }>): void {
     this.ingress.counts.busies += 1;
-    this.reply(incoming, fault, 503, {
+    this.response(incoming, fault, 503, {
       "retry-after": ((fault.retryAfterMs * (0.85 + 0.3 * this.env.random())) / 1000).toFixed(2),
     });
   }
-  private reply(incoming: HttpIn, fault: Fault, status: number, headers: Record<string, string> = {}): void {
+  private response(incoming: HttpExchange, fault: Fault, status: number, headers: Record<string, string> = {}): void {
     const close = this.ingress.stopping || status === 413 ? { connection: "close" } : {};
     incoming.send(
       status,
@@ -242,41 +247,40 @@
   }
 
   /** One replica tried, its place given back whatever comes. */
-  private *round(passing: Passing, replica: Replica, more: boolean): Task<Outcome> {
-    const { binding, direct } = passing;
+  private *attempt(passing: Passing, endpoint: Endpoint, more: boolean): Task<Outcome> {
+    const { binding: route, direct } = passing;
     const { room } = this.ingress;
     const left = passing.untilMono - this.env.mono();
-    const patience =
-      binding.safe && more ? Math.min(left, Math.max(Constants.headMs, 2 * (binding.targetMs ?? 0))) : left;
-    const cancellation: NonNullable<HttpOut["cancellation"]> = {};
+    const patience = route.safe && more ? Math.min(left, Math.max(Constants.headMs, 2 * (route.targetMs ?? 0))) : left;
+    const cancellation: NonNullable<HttpRequest["cancellation"]> = {};
     // nobody waits for it any more: the replica need not go on
     passing.incoming.onGone = () => cancellation.cancel?.();
     const opened = yield* DirectHttp.open(
       this.env,
       this.ingress.names,
-      replica,
+      endpoint,
       { ...direct, remainingMs: left },
       patience,
       cancellation,
     );
     if (!opened.ok && passing.incoming.gone.isClosed()) {
-      room.leave(replica, true);
+      room.leave(endpoint, true);
       return { tag: "gone" };
     }
     if (!opened.ok) {
       const unrun = opened.fault.tag === "refused";
       const sent = opened.fault.step === "deliver";
       // a connection that is not taken, or a silence, says more than a single bad reply
-      room.leave(replica, unrun && sent, !sent && opened.fault.tag !== "broken");
+      room.leave(endpoint, unrun && sent, !sent && opened.fault.tag !== "broken");
       return unrun ? { tag: "unrun", fault: opened.fault, sent } : { tag: "lost", fault: opened.fault };
     }
-    const outcome = yield* this.relay(passing, replica, opened.value, patience);
+    const outcome = yield* this.relay(passing, endpoint, opened.value, patience);
     passing.incoming.onGone = undefined;
-    room.leave(replica, outcome.tag !== "lost", outcome.tag === "lost" && outcome.fault.tag === "timeout");
+    room.leave(endpoint, outcome.tag !== "lost", outcome.tag === "lost" && outcome.fault.tag === "timeout");
     return outcome;
   }
-  private *relay(passing: Passing, replica: Replica, opened: DirectReply, firstWithin: number): Task<Outcome> {
-    const { binding, incoming } = passing;
+  private *relay(passing: Passing, endpoint: Endpoint, opened: DirectResponse, firstWithin: number): Task<Outcome> {
+    const { binding: route, incoming } = passing;
     const { names } = this.ingress;
     const streams = opened.status === 200 && (opened.headers["content-type"] ?? "").startsWith("text/event-stream");
     if (opened.status < 300 && names.mark !== "" && opened.headers[names.mark] === undefined) {
@@ -286,39 +290,44 @@
         fault: {
           tag: "broken",
           step: "check reply",
-          member: replica.id,
+          member: endpoint.id,
           detail: "a success without the replica's mark",
         },
       };
     }
-    if (streams) return yield* this.stream(passing, replica, opened, firstWithin);
+    if (streams) return yield* this.stream(passing, endpoint, opened, firstWithin);
     const body = yield* DirectHttp.whole(this.env, opened, passing.untilMono - this.env.mono());
     if (!body && incoming.gone.isClosed()) return { tag: "gone" };
     if (!body)
       return {
         tag: "lost",
-        fault: { tag: "broken", step: "read reply", member: replica.id, detail: "reply was cut, too long or too slow" },
+        fault: {
+          tag: "broken",
+          step: "read reply",
+          member: endpoint.id,
+          detail: "reply was cut, too long or too slow",
+        },
       };
-    if (passing.open || Http.promisesNotRun(opened.status) || (opened.status >= 500 && binding.safe)) {
+    if (passing.open || Http.promisesNotRun(opened.status) || (opened.status >= 500 && route.safe)) {
       return {
         tag: "lost",
-        fault: { tag: "broken", step: "read reply", member: replica.id, detail: `replica replied ${opened.status}` },
+        fault: { tag: "broken", step: "read reply", member: endpoint.id, detail: `replica replied ${opened.status}` },
       };
     }
     const close = this.ingress.stopping ? { connection: "close" } : {};
     incoming.send(opened.status, { ...opened.headers, ...close } as Record<string, string>, body);
     return { tag: "replied", status: opened.status };
   }
-  private *stream(passing: Passing, replica: Replica, opened: DirectReply, firstWithin: number): Task<Outcome> {
-    const { binding, incoming, direct } = passing;
-    const pieces = new EventPieces(this.env, replica.id, opened.reply, direct.after);
-    const exact = binding.safe && binding.continues === "exact";
+  private *stream(passing: Passing, endpoint: Endpoint, opened: DirectResponse, firstWithin: number): Task<Outcome> {
+    const { binding: route, incoming, direct } = passing;
+    const pieces = new EventStreamReader(this.env, endpoint.id, opened.reply, direct.after);
+    const exact = route.safe && route.continues === "exact";
     for (let first = true; ; first = false) {
       const left = passing.untilMono - this.env.mono();
       const silence = first
         ? firstWithin
         : exact
-          ? Math.max(Constants.silentPieceMs, 3 * (binding.pieceGapMs ?? 0))
+          ? Math.max(Constants.silentPieceMs, 3 * (route.pieceGapMs ?? 0))
           : left;
       const got = yield* pieces.next(Math.min(left, silence));
       if (incoming.gone.isClosed()) {
--- a/src/ingress/ingressNode.ts
+++ b/src/ingress/ingressNode.ts
@@ -2,35 +2,35 @@
 import { Csp, Task } from "../runtime/csp";
 import { Env, EnvTools, HttpLimits } from "../runtime/env";
 import { defaultHttpLimits } from "../runtime/httpServer";
-import { Chooser, Wish } from "../routing/endpointSelector";
-import { Confirmation } from "../node/readIndexConfirmation";
+import { EndpointSelector, SelectionCriteria } from "../routing/endpointSelector";
+import { ReadIndexConfirmation } from "../node/readIndexConfirmation";
 import { Fault, Result } from "../common/fault";
-import { Frame } from "../node/clusterSnapshot";
+import { ClusterSnapshot } from "../node/clusterSnapshot";
 import { Node } from "../node/node";
 import { HeaderNames, ownHeaderNames } from "../adapters/headerNames";
-import { DirectIntake } from "./directRequestHandler";
+import { DirectRequestHandler } from "./directRequestHandler";
 import { Hash } from "../common/hash";
-import { Host } from "../node/nodeContext";
-import { Room } from "../routing/admissionQueue";
+import { NodeContext } from "../node/nodeContext";
+import { AdmissionQueue } from "../routing/admissionQueue";
 import { Settings } from "../common/settings";
-import { Shapes, Surface } from "../daemon/protocolAdapters";
+import { ProtocolAdapters, HttpSurface } from "../daemon/protocolAdapters";
 import { Stamp } from "../common/stamp";
 import { Http } from "../adapters/http";
 import { CallerHttp } from "../adapters/callerHttp";
 import { OperatorHttp } from "../adapters/operatorHttp";
-import { ReplicaHttp } from "../adapters/endpointHttp";
-import { Binding, Limits } from "../control/controlState";
+import { EndpointHttp } from "../adapters/endpointHttp";
+import { Route, Limits } from "../control/controlState";
 import { Cause } from "../shard/shardState";
-import { Putter } from "../storage/putClient";
+import { PutClient } from "../storage/putClient";
 import { Rpc } from "../rpc/rpc";
-import { Rehearsal } from "./warmUpRequests";
-import { Slab, Ticket } from "./requestTable";
+import { WarmUpRequests } from "./warmUpRequests";
+import { RequestTable, RequestHandle } from "./requestTable";
 
 /* eslint-disable @typescript-eslint/no-explicit-any */
-export type Reply = { status: number; body: string };
-export type Accepted = {
+export type CallerResponse = { status: number; body: string };
+export type AdmittedRequest = {
   name: string;
-  binding: Binding;
+  route: Route;
   caller: string;
   order: number;
   cause: Cause;
@@ -45,7 +45,7 @@
  * const started = yield* IngressNode.start(env, settings);
  */
 export class IngressNode {
-  private fed: Frame = {
+  private fed: ClusterSnapshot = {
     number: 0,
     control: undefined,
     members: [],
@@ -58,26 +58,26 @@
   private notes: Note[] = [];
   private noteBatch = 0;
   private live = new Map<string, number>();
-  private crowdTold = new Map<string, number>();
-  readonly room: Room;
+  private overloadTold = new Map<string, number>();
+  readonly room: AdmissionQueue;
   readonly id: string;
   readonly rpc: Rpc;
   readonly names: HeaderNames;
-  readonly putter: Putter;
-  readonly chooser: Chooser;
-  readonly slab = new Slab<Result<Reply>>(Constants.slabSlots);
+  readonly putClient: PutClient;
+  readonly endpointSelector: EndpointSelector;
+  readonly requestTable = new RequestTable<Result<CallerResponse>>(Constants.requestTableSlots);
   /** Apart from the agent's: an agent that runs on says nothing about what an ingress that has just started holds. */
-  private readonly confirmation: Confirmation;
+  private readonly confirmation: ReadIndexConfirmation;
   stopping = false;
   inFlight = 0;
-  private rehearsed = false;
+  private warmedUp = false;
   private toldLimits: Limits | undefined;
   private limits: HttpLimits | undefined;
   readonly counts = { lookups: 0, streams: 0, lots: 0, busies: 0, failures: 0, resumes: 0, notes_lost: 0, stale: 0 };
   private constructor(
     readonly env: Env,
     readonly settings: Settings,
-    shapes: Shapes,
+    shapes: ProtocolAdapters,
     /** The agent, where it is a branch of this process. */
     private readonly node: Node | undefined,
   ) {
@@ -85,20 +85,20 @@
     this.rpc = node?.rpc ?? new Rpc(env, settings.cluster, this.id);
     this.confirmation =
       node?.confirmation ??
-      new Confirmation(env, this.rpc, {
+      new ReadIndexConfirmation(env, this.rpc, {
         own: () => undefined,
         source: () => settings.agent,
         configuration: () => this.fed.control,
         *fetch() {}, // the feed brings it
       });
     this.names = shapes.names ?? ownHeaderNames;
-    this.putter = new Putter(env, this.rpc, this.id, () => this.current);
-    this.chooser = new Chooser(env, this.id);
-    this.room = new Room(env, this.chooser, (pool) => this.crowd(pool));
+    this.putClient = new PutClient(env, this.rpc, this.id, () => this.current);
+    this.endpointSelector = new EndpointSelector(env, this.id);
+    this.room = new AdmissionQueue(env, this.endpointSelector, (pool) => this.overload(pool));
   }
 
   /** @example yield* IngressNode.start(env, settings) */
-  static *start(env: Env, settings: Settings, shapes: Shapes = {}): Task<Result<IngressNode>> {
+  static *start(env: Env, settings: Settings, shapes: ProtocolAdapters = {}): Task<Result<IngressNode>> {
     const branch = settings.agent ? undefined : yield* Node.start(env, settings, "agent");
     if (branch && !branch.ok) return branch;
     const ingress = new IngressNode(env, settings, shapes, branch?.value);
@@ -109,27 +109,27 @@
     }
     EnvTools.keep(env, env.scope, "ledger notes", () => ingress.noteLoop());
     EnvTools.keep(env, env.scope, "clock watch", () => ingress.watchClock());
-    const host: Host = branch
-      ? Host.of(branch.value)
+    const host: NodeContext = branch
+      ? NodeContext.of(branch.value)
       : {
           env,
           rpc: ingress.rpc,
           id: ingress.id,
-          frame: () => ingress.current,
-          announce: (announcement) => ingress.rpc.ask(settings.agent!, "agent.announce", announcement, 800),
-          goodbye: (id) => ingress.rpc.ask(settings.agent!, "agent.goodbye", { id }, 800),
+          snapshot: () => ingress.current,
+          announce: (announcement) => ingress.rpc.call(settings.agent!, "agent.announce", announcement, 800),
+          goodbye: (id) => ingress.rpc.call(settings.agent!, "agent.goodbye", { id }, 800),
         };
     const routes = [
       ...CallerHttp.routes(ingress),
-      ...Rehearsal.routes(ingress.names),
+      ...WarmUpRequests.routes(ingress.names),
       ...OperatorHttp.routes(host, {
         ready: () => ingress.unready(),
         metrics: () => ingress.metrics(),
-        ledgerSource: ingress.putter,
+        ledgerSource: ingress.putClient,
       }),
     ];
-    const direct = new DirectIntake(ingress);
-    const own: Surface = {
+    const direct = new DirectRequestHandler(ingress);
+    const own: HttpSurface = {
       address: settings.http,
       serve: (incoming) =>
         incoming.path.startsWith("/v1/") || !direct.fits(incoming)
@@ -145,23 +145,23 @@
       if (!served.ok) return served;
     }
     Csp.go(env.scope, "rehearse", function* () {
-      yield* Rehearsal.run(
+      yield* WarmUpRequests.run(
         env,
         ingress.names,
         settings.http,
         () => (ingress.current.control?.manifest.version ?? 0) > 0,
       );
-      ingress.rehearsed = true;
+      ingress.warmedUp = true;
     });
     env.log(1001, { program: "ingress", id: ingress.id, http: settings.http });
     return Fault.ok(ingress);
   }
 
-  private get current(): Frame {
-    return this.node?.frame() ?? this.fed;
+  private get current(): ClusterSnapshot {
+    return this.node?.snapshot() ?? this.fed;
   }
   /** @example ingress.frame().replicas */
-  frame = (): Frame => this.current;
+  snapshot = (): ClusterSnapshot => this.current;
   /** The limits of callers' connections by the configuration in force; the same object until that changes. @example ingress.httpLimits().idleMs */
   httpLimits(): HttpLimits {
     const told = this.current.control?.manifest.doc.limits;
@@ -185,11 +185,11 @@
     let told = -1;
     const changed = (): void => {
       this.room.changed();
-      const index = node.news.frame?.index ?? -1;
-      if (index > told) this.env.log(1601, { index, manifest: node.news.frame?.manifest.version });
+      const index = node.gossip.snapshot?.index ?? -1;
+      if (index > told) this.env.log(1601, { index, manifest: node.gossip.snapshot?.manifest.version });
       told = Math.max(told, index);
     };
-    node.news.watch(changed);
+    node.gossip.watch(changed);
     node.membership.watch(changed);
   }
   /** Why direct work cannot be taken, if so; while stopping, what still comes is served. @example const why = ingress.held(); */
@@ -202,7 +202,7 @@
   unready(): string | undefined {
     if (this.stopping) return "stopping";
     if (!this.current.control) return "no manifest yet";
-    if (!this.rehearsed) return "rehearsing";
+    if (!this.warmedUp) return "rehearsing";
     if (!this.confirmation.confirmed()) return "configuration not confirmed by the control lead";
     if ((!this.node && this.env.mono() - this.fedAt > Constants.frameStaleMs) || !this.current.fresh)
       return "no fresh frame";
@@ -213,20 +213,20 @@
   metrics(): Record<string, number> {
     return {
       ...this.counts,
-      slab_used: this.slab.used,
-      late_replies: this.slab.late,
+      slab_used: this.requestTable.used,
+      late_replies: this.requestTable.late,
       in_flight: this.inFlight,
       frame_index: this.current.control?.index ?? 0,
       manifest_version: this.current.control?.manifest.version ?? 0,
       replicas: this.current.replicas.length,
-      affinity_hits: this.chooser.hits,
-      affinity_misses: this.chooser.misses,
+      affinity_hits: this.endpointSelector.hits,
+      affinity_misses: this.endpointSelector.misses,
     };
   }
   private *feedLoop(): Task<void> {
     for (;;) {
       const askedAt = this.env.mono();
-      const fed = yield* this.rpc.ask<any>(
+      const fed = yield* this.rpc.call<any>(
         this.settings.agent!,
         "agent.feed",
         { seen: this.current.number, controlIndex: this.current.control?.index ?? 0 },
@@ -283,8 +283,8 @@
       if (this.notes.length === 0 || !this.current.control) continue;
       const batch = this.notes.splice(0, 100);
       this.noteBatch += 1;
-      const put = yield* this.putter.put(
-        this.putter.shardOf(this.id),
+      const put = yield* this.putClient.put(
+        this.putClient.shardOf(this.id),
         `notes-${this.id}-${this.noteBatch}`,
         [{ op: "note", entries: batch }],
         {},
@@ -296,21 +296,21 @@
 
   // ---------- accept or refuse ----------
   /** Whether a request may come in now, by manifest, policies and room. @example const accepted = ingress.accept("ask", headers); */
-  accept(name: string, headers: Record<string, string>): Result<Accepted> {
+  accept(name: string, headers: Record<string, string>): Result<AdmittedRequest> {
     const why = this.unready();
     if (why) return this.busy("accept", why, Constants.retryAfterMs);
-    const { manifest, policies } = this.current.control!;
-    const binding = Object.prototype.hasOwnProperty.call(manifest.doc.bindings, name)
-      ? manifest.doc.bindings[name]
+    const { manifest: configuration, policies } = this.current.control!;
+    const route = Object.prototype.hasOwnProperty.call(configuration.doc.bindings, name)
+      ? configuration.doc.bindings[name]
       : undefined;
-    if (!binding) return Fault.fail("notFound", "accept", this.id, `no binding ${name}`);
+    if (!route) return Fault.fail("notFound", "accept", this.id, `no binding ${name}`);
     const caller = headers["x-caller"] ?? "";
-    const wish = { binding: name, kind: binding.kind, caller };
-    const ordered = Chooser.line(wish, policies.doc, (line) => line.order !== undefined);
-    const limited = Chooser.line(wish, policies.doc, (line) => line.limit !== undefined);
-    const limit = Math.min(limited?.limit ?? Infinity, binding.kind === "lookup" ? Infinity : Constants.liveBuffer * 4);
+    const criteria = { route: name, kind: route.kind, caller };
+    const ordered = EndpointSelector.line(criteria, policies.doc, (line) => line.order !== undefined);
+    const limited = EndpointSelector.line(criteria, policies.doc, (line) => line.limit !== undefined);
+    const limit = Math.min(limited?.limit ?? Infinity, route.kind === "lookup" ? Infinity : Constants.liveBuffer * 4);
     const cause: Cause = {
-      manifest: manifest.version,
+      manifest: configuration.version,
       ...(ordered ? { policy: `line ${policies.doc.indexOf(ordered) + 1} of version ${policies.version}` } : {}),
     };
     if ((this.live.get(name) ?? 0) >= limit) {
@@ -321,8 +321,8 @@
       return this.busy("accept", "limit reached", Constants.retryAfterMs);
     }
     const asked = Number(headers["x-deadline-ms"]);
-    const deadlineMs = Number.isFinite(asked) && asked > 0 ? Math.min(asked, binding.deadlineMs) : binding.deadlineMs;
-    return Fault.ok({ name, binding, caller, order: ordered?.order ?? 100, cause, deadlineMs });
+    const deadlineMs = Number.isFinite(asked) && asked > 0 ? Math.min(asked, route.deadlineMs) : route.deadlineMs;
+    return Fault.ok({ name, route, caller, order: ordered?.order ?? 100, cause, deadlineMs });
   }
   private busy(step: string, detail: string, retryAfterMs: number): { ok: false; fault: Fault } {
     this.counts.busies += 1;
@@ -337,26 +337,26 @@
       this.live.set(name, this.live.get(name)! - 1);
     }
   }
-  private crowd(pool: string): void {
+  private overload(pool: string): void {
     const now = this.env.mono();
-    if (now - (this.crowdTold.get(pool) ?? -Infinity) < 200) return;
-    this.crowdTold.set(pool, now);
-    this.tell(`crowd/${this.id}/${pool}`, { pool }, Constants.lotCrowdHoldMs);
+    if (now - (this.overloadTold.get(pool) ?? -Infinity) < 200) return;
+    this.overloadTold.set(pool, now);
+    this.tell(`crowd/${this.id}/${pool}`, { pool }, Constants.jobOverloadHoldMs);
   }
   /** News of ours, by the agent. @example ingress.tell("crowd/i1/model", { pool: "model" }, 600); */
-  tell(key: string, value: unknown, grantMs: number): void {
-    if (this.node) return this.node.news.tell(key, value, grantMs, true);
+  tell(key: string, value: unknown, leaseMs: number): void {
+    if (this.node) return this.node.gossip.tell(key, value, leaseMs, true);
     const ingress = this;
     Csp.go(this.env.scope, "tell news", () =>
-      ingress.rpc.ask(ingress.settings.agent!, "agent.tell", { key, value, grantMs }, 500),
+      ingress.rpc.call(ingress.settings.agent!, "agent.tell", { key, value, grantMs: leaseMs }, 500),
     );
   }
 
   // ---------- lookups: straight to a replica, repeated only where safe ----------
   /** Resumes the ticket with a reply or the fault. @example Csp.go(scope, "lookup", () => ingress.lookup(ticket, id, accepted, body)); */
-  *lookup(ticket: Ticket, id: string, accepted: Accepted, body: string): Task<void> {
+  *lookup(ticket: RequestHandle, id: string, accepted: AdmittedRequest, body: string): Task<void> {
     this.counts.lookups += 1;
-    const outcome = yield* this.lookupRounds(id, accepted, body, ticket);
+    const outcome = yield* this.lookupAttempts(id, accepted, body, ticket);
     if (!outcome.ok && outcome.fault.tag === "busy") this.counts.busies += 1;
     else if (!outcome.ok) this.counts.failures += 1;
     this.note(
@@ -364,58 +364,63 @@
       outcome.ok ? `replied ${outcome.value.status}` : `${outcome.fault.tag}: ${outcome.fault.detail}`,
       accepted.cause,
     );
-    this.slab.resume(ticket, outcome);
+    this.requestTable.resume(ticket, outcome);
   }
-  private *lookupRounds(id: string, accepted: Accepted, body: string, ticket: Ticket): Task<Result<Reply>> {
-    const { binding, name, caller } = accepted;
+  private *lookupAttempts(
+    id: string,
+    accepted: AdmittedRequest,
+    body: string,
+    ticket: RequestHandle,
+  ): Task<Result<CallerResponse>> {
+    const { route: binding, name, caller } = accepted;
     const until = this.env.mono() + accepted.deadlineMs;
     const exclude = new Set<string>();
     let sent = false;
     let last: Fault | undefined;
     const startedAt = this.env.mono();
-    const rounds = binding.rounds ?? Constants.lookupRounds;
-    for (let round = 1; round <= rounds;) {
+    const attempts = binding.rounds ?? Constants.lookupAttempts;
+    for (let attempt = 1; attempt <= attempts;) {
       const left = until - this.env.mono();
       if (left <= 0) break;
-      const make = (): Wish => ({
-        frame: this.current,
+      const make = (): SelectionCriteria => ({
+        snapshot: this.current,
         pool: binding.pool,
-        binding: name,
+        route: name,
         caller,
         kind: binding.kind,
         prefix: "",
         lane: "live",
         exclude,
       });
-      const open = this.chooser.eligible(make()).some((replica) => !exclude.has(replica.key));
+      const open = this.endpointSelector.eligible(make()).some((endpoint) => !exclude.has(endpoint.key));
       const patience = open ? Math.min(left, Constants.liveWaitMs - (this.env.mono() - startedAt)) : 0;
       const chosen = yield* this.room.take(make, accepted.order, startedAt, patience);
       if (!chosen) {
         if (sent) break;
         return Fault.busy("choose", this.id, `no room in pool ${binding.pool}`, this.room.retryAfterMs(binding.pool));
       }
-      if (!this.slab.holds(ticket)) {
+      if (!this.requestTable.holds(ticket)) {
         this.room.leave(chosen, true);
         return Fault.fail("broken", "lookup", "caller", "caller went away");
       }
-      const roundMs =
-        round < rounds ? Math.min(left, Math.max(200, accepted.deadlineMs / Constants.lookupRounds)) : left;
-      const replied = yield* ReplicaHttp.single(this.env, chosen, {
+      const attemptMs =
+        attempt < attempts ? Math.min(left, Math.max(200, accepted.deadlineMs / Constants.lookupAttempts)) : left;
+      const response = yield* EndpointHttp.single(this.env, chosen, {
         path: binding.path,
         id,
-        round,
+        round: attempt,
         body,
         pieces: [],
-        deadlineMs: roundMs,
+        deadlineMs: attemptMs,
         safe: true,
       });
-      this.room.leave(chosen, replied.ok || replied.fault.step === "deliver");
-      if (replied.ok) return replied;
-      last = replied.fault;
+      this.room.leave(chosen, response.ok || response.fault.step === "deliver");
+      if (response.ok) return response;
+      last = response.fault;
       exclude.add(chosen.key);
       if (last.tag !== "refused") {
         sent = true;
-        round += 1;
+        attempt += 1;
       } else if (exclude.size >= 8) break;
     }
     if (!sent)
@@ -432,30 +437,30 @@
   /** Opens a request at its shard; ok says whether it is new or known. @example yield* ingress.open(id, accepted, body, hash) */
   *open(
     id: string,
-    accepted: Accepted,
+    accepted: AdmittedRequest,
     body: string,
     bodyHash: string,
     keyed: boolean,
     stamp: Stamp,
   ): Task<Result<{ tag: "opened" } | { tag: "exists"; same: boolean; state: string }>> {
-    const shard = this.putter.shardOf(id);
+    const shard = this.putClient.shardOf(id);
     const work = {
       id,
       binding: accepted.name,
       bodyHash,
       body,
       keyed,
-      safe: accepted.binding.safe,
-      exact: accepted.binding.continues === "exact",
+      safe: accepted.route.safe,
+      exact: accepted.route.continues === "exact",
       deadlineAt: this.env.wall() + accepted.deadlineMs,
       order: accepted.order,
     };
     let first = true;
-    const opened = yield* this.putter.askLead<any>(
+    const opened = yield* this.putClient.askLeader<any>(
       shard,
       "work.open",
       () => {
-        const arrival = first ? stamp : this.putter.stamp(this.env.wall());
+        const arrival = first ? stamp : this.putClient.stamp(this.env.wall());
         first = false;
         return {
           stamp: arrival,
@@ -471,10 +476,10 @@
     if (opened.ok || opened.fault.tag === "busy") return opened;
     if (opened.fault.tag === "unknown") {
       // it may be running: make sure that it never will, or say plainly that we don't know
-      const refused = yield* this.putter.askLead<any>(
+      const refused = yield* this.putClient.askLeader<any>(
         shard,
         "work.refuse",
-        () => ({ id, stamp: this.putter.stamp(this.env.wall()) }),
+        () => ({ id, stamp: this.putClient.stamp(this.env.wall()) }),
         1500,
       );
       if (refused.ok && refused.value.refused)
@@ -492,8 +497,8 @@
   }
   /** @example yield* ingress.read(id, 3, 800, 12000) */
   *read(id: string, after: number, waitMs: number, withinMs: number): Task<Result<any>> {
-    return yield* this.putter.askLead(
-      this.putter.shardOf(id),
+    return yield* this.putClient.askLeader(
+      this.putClient.shardOf(id),
       "work.read",
       () => ({ id, after, waitMs }),
       withinMs,
@@ -504,15 +509,15 @@
   keyedId = (name: string, key: string): string => `key-${Hash.text(`${name}\n${key}`)}`;
   /** The stamp of an arrival: this is the first node it reaches, so rule 1 is checked here. @example const stamp = ingress.stamp(); */
   stamp(): Result<Stamp> {
-    const stamp = this.putter.stamp(this.env.wall());
+    const stamp = this.putClient.stamp(this.env.wall());
     const bounds = this.current.control?.manifest.doc.clock ?? Stamp.defaults;
     if (!Stamp.admits(stamp.time, this.env.wall(), bounds))
       return this.busy("stamp", "our stamps are ahead of our clock", Constants.retryAfterMs);
     return Fault.ok(stamp);
   }
   /** Temporal reads of a lot's results, from any member of its shard's view. @example yield* ingress.lotResults("L1", 0, 100, 0) */
-  *lotResults(id: string, after: number, limit: number, waitMs: number): Task<Result<any>> {
-    const shard = this.putter.shardOf(id);
+  *jobResults(id: string, after: number, limit: number, waitMs: number): Task<Result<any>> {
+    const shard = this.putClient.shardOf(id);
     const until = this.env.mono() + Math.max(waitMs, 500) + 2500;
     let last: Result<any> = Fault.fail("timeout", "lot results", `shard ${shard}`, "no view is known");
     while (this.env.mono() < until) {
@@ -520,7 +525,7 @@
       for (const member of view ? [view.lead, ...view.members.filter((each) => each !== view.lead)] : []) {
         const address = this.current.members.find((each) => each.id === member)?.address;
         if (!address) continue;
-        last = yield* this.rpc.ask(address, "lot.results", { shard, id, after, limit, waitMs }, waitMs + 700);
+        last = yield* this.rpc.call(address, "lot.results", { shard, id, after, limit, waitMs }, waitMs + 700);
         if (last.ok || last.fault.tag === "notFound" || last.fault.tag === "gone") return last;
       }
       yield* EnvTools.sleep(this.env, 100);
--- a/src/ingress/requestTable.ts
+++ b/src/ingress/requestTable.ts
@@ -1,4 +1,4 @@
-export type Ticket = { index: number; generation: number };
+export type RequestHandle = { index: number; generation: number };
 type Slot<T> = { generation: number; continuation: ((outcome: T) => void) | undefined; next: number };
 
 /**
@@ -10,14 +10,14 @@
  * const ticket = slab.open((outcome) => incoming.send(200, {}, outcome));
  * slab.resume(ticket!, "done"); // true, once
  */
-export class Slab<T> {
+export class RequestTable<T> {
   private readonly slots: Slot<T>[] = [];
   private free = -1;
   used = 0;
   late = 0;
   constructor(private readonly size: number) {}
   /** Undefined when every slot is taken. @example const ticket = slab.open(reply); */
-  open(continuation: (outcome: T) => void): Ticket | undefined {
+  open(continuation: (outcome: T) => void): RequestHandle | undefined {
     let index = this.free;
     if (index >= 0) this.free = this.slots[index].next;
     else if (this.slots.length < this.size)
@@ -29,7 +29,7 @@
     this.used += 1;
     return { index, generation: slot.generation };
   }
-  private take(ticket: Ticket): ((outcome: T) => void) | undefined {
+  private take(ticket: RequestHandle): ((outcome: T) => void) | undefined {
     const slot = this.slots[ticket.index];
     if (!slot || slot.generation !== ticket.generation || !slot.continuation) {
       this.late += 1;
@@ -43,17 +43,17 @@
     return continuation;
   }
   /** False if the ticket is no longer good. @example slab.resume(ticket, outcome) */
-  resume(ticket: Ticket, outcome: T): boolean {
+  resume(ticket: RequestHandle, outcome: T): boolean {
     const continuation = this.take(ticket);
     continuation?.(outcome);
     return continuation !== undefined;
   }
   /** The caller has gone. @example slab.drop(ticket); */
-  drop(ticket: Ticket): void {
+  drop(ticket: RequestHandle): void {
     this.take(ticket);
   }
   /** @example slab.holds(ticket) */
-  holds(ticket: Ticket): boolean {
+  holds(ticket: RequestHandle): boolean {
     const slot = this.slots[ticket.index];
     return slot !== undefined && slot.generation === ticket.generation && slot.continuation !== undefined;
   }
--- a/src/ingress/warmUpRequests.ts
+++ b/src/ingress/warmUpRequests.ts
@@ -1,11 +1,11 @@
 import { Constants } from "../common/constants";
 import { Csp, Task } from "../runtime/csp";
-import { Env, EnvTools, HttpIn } from "../runtime/env";
+import { Env, EnvTools, HttpExchange } from "../runtime/env";
 import { DirectHttp } from "../adapters/directHttp";
-import { EventPieces } from "../adapters/eventStreamReader";
+import { EventStreamReader } from "../adapters/eventStreamReader";
 import { HeaderNames } from "../adapters/headerNames";
-import { Route } from "../adapters/http";
-import { Replica } from "../node/clusterSnapshot";
+import { HttpRoute } from "../adapters/http";
+import { Endpoint } from "../node/clusterSnapshot";
 
 const path = "/v1/rehearsal";
 const event = (n: number): string => `id: ${n}\ndata: ${"rehearsal ".repeat(10)}\n\n`;
@@ -17,13 +17,13 @@
  * @example
  * yield* Rehearsal.run(env, names, "10.0.0.5:7661", () => callersWait);
  */
-export const Rehearsal = {
+export const WarmUpRequests = {
   /** What answers the rehearsed requests: a stream of a few events, under the id asked. @example Rehearsal.routes(names) */
-  routes: (names: HeaderNames): Route[] => [
+  routes: (names: HeaderNames): HttpRoute[] => [
     {
       method: "POST",
       path: new RegExp(`^${path}$`),
-      *run(incoming: HttpIn) {
+      *run(incoming: HttpExchange) {
         const read = yield* incoming.body(Constants.bodyLimitBytes);
         if (!read.ok) return;
         incoming.open(200, {
@@ -37,8 +37,8 @@
   ],
   /** Until it is done, or the ingress is needed. @example yield* Rehearsal.run(env, names, address, () => false) */
   *run(env: Env, names: HeaderNames, address: string, needed: () => boolean): Task<void> {
-    const until = env.mono() + Constants.rehearsalMs;
-    const self: Replica = {
+    const until = env.mono() + Constants.warmUpMs;
+    const self: Endpoint = {
       key: "rehearsal",
       id: "rehearsal",
       instance: "rehearsal",
@@ -64,7 +64,7 @@
       };
       const opened = yield* DirectHttp.open(env, names, self, direct, 500);
       if (!opened.ok) return false;
-      const pieces = new EventPieces(env, self.id, opened.value.reply, 0);
+      const pieces = new EventStreamReader(env, self.id, opened.value.reply, 0);
       for (;;) {
         const got = yield* pieces.next(500);
         if (!got.ok || got.value === undefined) return got.ok;
@@ -74,7 +74,7 @@
     const finished = Csp.chan<true>(lanes);
     for (let lane = 0; lane < lanes; lane += 1)
       Csp.go(env.scope, "rehearsal", function* () {
-        for (let n = lane; n < Constants.rehearsalRequests && env.mono() < until && !needed(); n += lanes)
+        for (let n = lane; n < Constants.warmUpRequests && env.mono() < until && !needed(); n += lanes)
           if (!(yield* one(`rehearsal-${n}`))) break;
         Csp.offer(finished, true);
       });
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -4,22 +4,22 @@
 import { Fault, Result } from "../common/fault";
 import { Hash } from "../common/hash";
 import { Rpc } from "../rpc/rpc";
-import { ControlFrame, ControlState } from "../control/controlState";
-import { ManifestPatch, Manifests } from "../control/configurations";
+import { ControlSnapshot, ControlState } from "../control/controlState";
+import { ConfigurationPatch, Configurations } from "../control/configurations";
 import { Member } from "./member";
 import { Membership, MemberStanding } from "./membership";
 
 /** One fact with an owner and a version; no value means it has ended for good. */
-export type Fact = { key: string; owner: string; version: number; value: unknown; gone: boolean };
+export type GossipFact = { key: string; owner: string; version: number; value: unknown; gone: boolean };
 /** A value that changes a little at a time: a base, and what of it is otherwise by now. */
 type Layers = { base: number; whole: unknown; patch: Record<string, unknown> };
-type Held = Fact & Layers & { heardAt: number; grantMs: number; mark: number };
+type Held = GossipFact & Layers & { heardAt: number; grantMs: number; mark: number };
 type Have = { have: number; group: string; manifest: number };
 /** From one version of the manifest to the next, item by item. */
-type Step = { from: number; to: number; patch: ManifestPatch };
-type FrameTold = Omit<ControlFrame, "manifest"> & { manifest?: ControlFrame["manifest"]; steps?: Step[] };
+type Step = { from: number; to: number; patch: ConfigurationPatch };
+type FrameTold = Omit<ControlSnapshot, "manifest"> & { manifest?: ControlSnapshot["manifest"]; steps?: Step[] };
 /** A fact on its way carries its age, so that passing it on never makes it younger. */
-type Told = Omit<Fact, "value"> & Layers & { grantMs: number; ageMs: number };
+type Told = Omit<GossipFact, "value"> & Layers & { grantMs: number; ageMs: number };
 /** A newer version of a fact whose base the other will have: only what is otherwise goes along. */
 type Renewed = [
   key: string,
@@ -43,10 +43,10 @@
  * news.start();
  * news.tell("replica/r1/x", { address: "127.0.0.1:9000" }, Constants.replicaGrantMs, true);
  */
-export class News {
+export class Gossip {
   private facts = new Map<string, Held>();
   private order: string[] | undefined; // keys in order, until a fact comes or goes
-  private readonly sums: number[] = Array(Constants.newsBuckets).fill(0); // of the marks of the facts in each bucket
+  private readonly sums: number[] = Array(Constants.gossipBuckets).fill(0); // of the marks of the facts in each bucket
   private fresh = new Map<string, "whole" | "renewed">();
   private stirred: Chan<true> = Csp.sliding(1); // there is something to tell
   private wake: Chan<true> = Csp.sliding(1); // and it is urgent
@@ -54,10 +54,10 @@
   private turn: string[] = [];
   private steps: Step[] = [];
   private watchers: (() => void)[] = [];
-  frame: ControlFrame | undefined;
+  snapshot: ControlSnapshot | undefined;
   /** When digests were last compared with anybody, by either side. */
   comparedAt = -Infinity;
-  frameAt = 0;
+  snapshotAt = 0;
 
   constructor(
     private readonly env: Env,
@@ -98,15 +98,15 @@
    * it good; an urgent one goes whole, and digests mend what is lost of it.
    * @example news.tell("load/n1", { live: 3 }, 5000, false);
    */
-  tell(key: string, value: unknown, grantMs: number, urgent: boolean): void {
+  tell(key: string, value: unknown, leaseMs: number, urgent: boolean): void {
     const known = this.facts.get(key);
     const version = this.nextVersion(known);
     const standing =
-      known && !known.gone && !urgent && known.grantMs === grantMs && this.env.mono() - known.heardAt < grantMs;
-    const patch = standing ? News.patchOf(known.whole, value) : undefined;
+      known && !known.gone && !urgent && known.grantMs === leaseMs && this.env.mono() - known.heardAt < leaseMs;
+    const patch = standing ? Gossip.patchOf(known.whole, value) : undefined;
     const layers: Layers =
       known && patch ? { base: known.base, whole: known.whole, patch } : { base: version, whole: value, patch: {} };
-    this.keep({ key, owner: this.membership.self.id, version, gone: false, ...layers }, grantMs);
+    this.keep({ key, owner: this.membership.self.id, version, gone: false, ...layers }, leaseMs);
     if (urgent) Csp.offer(this.wake, true);
   }
   private nextVersion = (known: Held | undefined): number =>
@@ -140,26 +140,26 @@
       .map((key) => this.facts.get(key))
       .filter((held): held is Held => !!held)
       .map(this.bare);
-    const heard = Csp.chan<true>(Constants.newsFanout);
-    const news = this;
-    const told = this.some(Constants.newsFanout);
+    const heard = Csp.chan<true>(Constants.gossipFanout);
+    const gossip = this;
+    const told = this.some(Constants.gossipFanout);
     if (told.length === 0) return;
     for (const address of told)
       Csp.go(this.env.scope, "push a goodbye", function* () {
-        const replied = yield* news.rpc.ask(
+        const response = yield* gossip.rpc.call(
           address,
           "news.push",
           { facts, renewed: [], frameIndex: 0 } satisfies Push,
           Constants.goodbyeToldMs,
         );
-        if (replied.ok) Csp.offer(heard, true);
+        if (response.ok) Csp.offer(heard, true);
       });
     yield* EnvTools.takeWithin(this.env, heard, Constants.goodbyeToldMs);
   }
   /** Facts under a grant, by key prefix. @example news.current("replica/") */
-  current(prefix: string): Fact[] {
+  current(prefix: string): GossipFact[] {
     const now = this.env.mono();
-    const found: Fact[] = [];
+    const found: GossipFact[] = [];
     for (const key of (this.order ??= [...this.facts.keys()].sort())) {
       if (!key.startsWith(prefix)) continue;
       const fact = this.facts.get(key)!;
@@ -168,7 +168,7 @@
     return found;
   }
   /** A fact as it stands, ended or not. @example news.find("replica/r1/x")?.value */
-  find(key: string): Fact | undefined {
+  find(key: string): GossipFact | undefined {
     return this.facts.get(key);
   }
   /** @example news.isGone("replica/r1/x") */
@@ -181,17 +181,17 @@
     return known ? this.env.mono() - known.heardAt : Infinity;
   }
   /** Takes a newer control frame, never an older one. @example news.offerFrame(frame); */
-  offerFrame(frame: ControlFrame, steps?: Step[]): boolean {
-    const known = this.frame;
+  offerSnapshot(snapshot: ControlSnapshot, steps?: Step[]): boolean {
+    const known = this.snapshot;
     if (
       known &&
-      (frame.index <= known.index ||
-        (frame.group !== known.group && !ControlState.supersedes(frame.group, known.group)))
+      (snapshot.index <= known.index ||
+        (snapshot.group !== known.group && !ControlState.supersedes(snapshot.group, known.group)))
     )
       return false;
-    this.keepSteps(known, frame, steps);
-    this.frame = frame;
-    this.frameAt = this.env.mono();
+    this.keepSteps(known, snapshot, steps);
+    this.snapshot = snapshot;
+    this.snapshotAt = this.env.mono();
     this.env.point(21);
     Csp.offer(this.stirred, true);
     Csp.offer(this.wake, true);
@@ -200,22 +200,22 @@
   }
 
   /** The last steps of the manifest, for those who have what they begin with. */
-  private keepSteps(known: ControlFrame | undefined, frame: ControlFrame, steps: Step[] | undefined): void {
-    if (known && known.group === frame.group && known.manifest.version === frame.manifest.version) return;
-    if (!known || known.group !== frame.group) this.steps = [];
+  private keepSteps(known: ControlSnapshot | undefined, snapshot: ControlSnapshot, steps: Step[] | undefined): void {
+    if (known && known.group === snapshot.group && known.manifest.version === snapshot.manifest.version) return;
+    if (!known || known.group !== snapshot.group) this.steps = [];
     else if (steps) this.steps.push(...steps);
     else {
-      const patch = Manifests.between(known.manifest.doc, frame.manifest.doc);
-      if (patch) this.steps.push({ from: known.manifest.version, to: frame.manifest.version, patch });
+      const patch = Configurations.between(known.manifest.doc, snapshot.manifest.doc);
+      if (patch) this.steps.push({ from: known.manifest.version, to: snapshot.manifest.version, patch });
       else this.steps = [];
     }
-    this.steps.splice(0, this.steps.length - Constants.manifestSteps);
+    this.steps.splice(0, this.steps.length - Constants.configurationSteps);
   }
   /** What two members compare: the same where both can take the same renewals. */
   private static markOf = (fact: { key: string; base: number; gone: boolean }): number =>
     Hash.number(`${fact.key}|${fact.gone ? "gone" : fact.base}`);
-  private static bucketOf = (key: string): number => Hash.number(key) % Constants.newsBuckets;
-  private keep(told: Omit<Fact, "value"> & Layers, grantMs: number, ageMs = 0): boolean {
+  private static bucketOf = (key: string): number => Hash.number(key) % Constants.gossipBuckets;
+  private keep(told: Omit<GossipFact, "value"> & Layers, leaseMs: number, ageMs = 0): boolean {
     const known = this.facts.get(told.key);
     if (known) {
       if (known.gone && !told.gone) return false;
@@ -223,8 +223,14 @@
       if (sooner && !(told.gone && !known.gone)) return false;
     } else if (ageMs > Constants.tombstoneMs) return false; // others forget it by now, as we did
     const value = Object.keys(told.patch).length === 0 ? told.whole : { ...(told.whole as object), ...told.patch };
-    const held: Held = { ...told, value, heardAt: this.env.mono() - ageMs, grantMs, mark: News.markOf(told) };
-    this.sums[News.bucketOf(held.key)] ^= (known?.mark ?? 0) ^ held.mark;
+    const held: Held = {
+      ...told,
+      value,
+      heardAt: this.env.mono() - ageMs,
+      grantMs: leaseMs,
+      mark: Gossip.markOf(told),
+    };
+    this.sums[Gossip.bucketOf(held.key)] ^= (known?.mark ?? 0) ^ held.mark;
     if (!known) this.order = undefined;
     this.facts.set(held.key, held);
     const rebased = known?.mark !== held.mark || this.fresh.get(told.key) === "whole";
@@ -234,12 +240,12 @@
     return true;
   }
   private forget(held: Held): void {
-    this.sums[News.bucketOf(held.key)] ^= held.mark;
+    this.sums[Gossip.bucketOf(held.key)] ^= held.mark;
     this.order = undefined;
     this.facts.delete(held.key);
     this.fresh.delete(held.key);
   }
-  private bare = ({ key, owner, version, gone, base, whole, patch, grantMs, heardAt }: Held): Told => ({
+  private bare = ({ key, owner, version, gone, base, whole, patch, grantMs: leaseMs, heardAt }: Held): Told => ({
     key,
     owner,
     version,
@@ -247,7 +253,7 @@
     base,
     whole,
     patch,
-    grantMs,
+    grantMs: leaseMs,
     ageMs: Math.max(0, Math.round(this.env.mono() - heardAt)),
   });
   private renewal = ({ key, owner, version, base, patch, heardAt }: Held): Renewed => [
@@ -272,11 +278,11 @@
   private partners(): string[] {
     const ring = this.membership.alive();
     const steps = ring.length - 1;
-    if (steps <= Constants.newsPartners) return this.others();
+    if (steps <= Constants.gossipPartners) return this.others();
     const own = ring.findIndex((member) => member.id === this.membership.self.id);
     const chosen = new Set<number>();
-    for (let at = 1; at <= Constants.newsPartners; at += 1) {
-      let step = Math.round(steps ** (at / Constants.newsPartners));
+    for (let at = 1; at <= Constants.gossipPartners; at += 1) {
+      let step = Math.round(steps ** (at / Constants.gossipPartners));
       while (chosen.has(step)) step = (step % steps) + 1;
       chosen.add(step);
     }
@@ -302,21 +308,21 @@
   }
 
   private *pushLoop(): Task<void> {
-    let toldFrame = 0;
+    let toldSnapshot = 0;
     for (;;) {
       yield* Csp.take(this.stirred);
-      yield* EnvTools.takeWithin(this.env, this.wake, Constants.newsFlushMs);
-      const frameIndex = this.frame?.index ?? 0;
-      if (this.fresh.size === 0 && frameIndex === toldFrame) continue;
-      const push: Push = { facts: [], renewed: [], frameIndex, group: this.frame?.group };
+      yield* EnvTools.takeWithin(this.env, this.wake, Constants.gossipFlushMs);
+      const snapshotIndex = this.snapshot?.index ?? 0;
+      if (this.fresh.size === 0 && snapshotIndex === toldSnapshot) continue;
+      const push: Push = { facts: [], renewed: [], frameIndex: snapshotIndex, group: this.snapshot?.group };
       for (const [key, how] of this.fresh) {
         const held = this.facts.get(key)!;
         if (how === "whole") push.facts.push(this.bare(held));
         else push.renewed.push(this.renewal(held));
       }
       this.fresh.clear();
-      toldFrame = frameIndex;
-      this.rpc.tell(this.some(Constants.newsFanout), "news.push", push);
+      toldSnapshot = snapshotIndex;
+      this.rpc.notify(this.some(Constants.gossipFanout), "news.push", push);
     }
   }
   private *digestLoop(): Task<void> {
@@ -351,18 +357,18 @@
     if (!address) return false;
     const askedAt = this.env.mono();
     const digest: Digest = {
-      sum: News.sum(this.sums),
-      memberSum: News.sum(this.membership.sums()),
+      sum: Gossip.sum(this.sums),
+      memberSum: Gossip.sum(this.membership.sums()),
       stale: this.stale(),
-      frameIndex: this.frame?.index ?? 0,
-      group: this.frame?.group,
+      frameIndex: this.snapshot?.index ?? 0,
+      group: this.snapshot?.group,
     };
-    const reply = yield* this.rpc.ask<Compared>(address, "news.digest", digest, 600);
-    if (!reply.ok) return false;
-    for (const renewed of reply.value.renewed) this.renew(renewed);
-    if (reply.value.memberSums) yield* this.mendMembers(address, reply.value.memberSums);
-    if (reply.value.sums) yield* this.mend(address, reply.value.sums);
-    yield* this.fetchIfNewer(address, reply.value.frameIndex);
+    const response = yield* this.rpc.call<Compared>(address, "news.digest", digest, 600);
+    if (!response.ok) return false;
+    for (const renewed of response.value.renewed) this.renew(renewed);
+    if (response.value.memberSums) yield* this.mendMembers(address, response.value.memberSums);
+    if (response.value.sums) yield* this.mend(address, response.value.sums);
+    yield* this.fetchIfNewer(address, response.value.frameIndex);
     this.comparedAt = askedAt;
     return true;
   }
@@ -371,9 +377,9 @@
     const now = this.env.mono();
     const stale: Record<string, number> = {};
     let count = 0;
-    for (const { key, version, gone, heardAt, grantMs } of this.facts.values()) {
+    for (const { key, version, gone, heardAt, grantMs: leaseMs } of this.facts.values()) {
       const age = now - heardAt;
-      if (gone || age < grantMs * Constants.staleShare || age > grantMs) continue;
+      if (gone || age < leaseMs * Constants.staleShare || age > leaseMs) continue;
       stale[key] = version;
       if ((count += 1) >= Constants.staleAsked) break;
     }
@@ -385,11 +391,11 @@
   private *mendMembers(address: string, theirs: number[]): Task<void> {
     const buckets = this.membership.sums().flatMap((sum, bucket) => (sum === theirs[bucket] ? [] : [bucket]));
     const body = { buckets, standing: this.membership.standing(buckets) };
-    const reply = yield* this.rpc.ask<{ updates: Member[]; want: string[] }>(address, "members.differ", body, 600);
-    if (!reply.ok) return;
-    this.membership.told(reply.value.updates);
-    const updates = this.membership.infos(reply.value.want);
-    if (updates.length > 0) this.rpc.tell([address], "members.told", { updates });
+    const response = yield* this.rpc.call<{ updates: Member[]; want: string[] }>(address, "members.differ", body, 600);
+    if (!response.ok) return;
+    this.membership.told(response.value.updates);
+    const updates = this.membership.infos(response.value.want);
+    if (updates.length > 0) this.rpc.notify([address], "members.told", { updates });
   }
   private *mend(address: string, theirs: number[]): Task<void> {
     const buckets = this.sums.flatMap((sum, bucket) => (sum === theirs[bucket] ? [] : [bucket]));
@@ -399,46 +405,47 @@
         [held.base, held.version, held.gone ? 1 : 0],
       ]),
     );
-    const reply = yield* this.rpc.ask<{ facts: Told[]; want: string[] }>(
+    const response = yield* this.rpc.call<{ facts: Told[]; want: string[] }>(
       address,
       "news.differ",
       { buckets, standing },
       600,
     );
-    if (!reply.ok) return;
-    for (const fact of reply.value.facts) this.keep(fact, fact.grantMs, fact.ageMs);
-    const facts = reply.value.want
+    if (!response.ok) return;
+    for (const fact of response.value.facts) this.keep(fact, fact.grantMs, fact.ageMs);
+    const facts = response.value.want
       .map((key) => this.facts.get(key))
       .filter((held): held is Held => !!held)
       .map(this.bare);
     if (facts.length > 0)
-      this.rpc.tell([address], "news.push", {
+      this.rpc.notify([address], "news.push", {
         facts,
         renewed: [],
-        frameIndex: this.frame?.index ?? 0,
-        group: this.frame?.group,
+        frameIndex: this.snapshot?.index ?? 0,
+        group: this.snapshot?.group,
       } satisfies Push);
   }
   private inBuckets(buckets: number[]): Held[] {
     const wanted = new Set(buckets);
-    return [...this.facts.values()].filter((held) => wanted.has(News.bucketOf(held.key)));
+    return [...this.facts.values()].filter((held) => wanted.has(Gossip.bucketOf(held.key)));
   }
   /** Fetches the frame of a member that says it has one of this index. @example yield* news.fetchIfNewer(address, 17) */
   *fetchIfNewer(address: string, index: number): Task<void> {
-    if (index <= (this.frame?.index ?? 0) || this.fetching) return;
+    if (index <= (this.snapshot?.index ?? 0) || this.fetching) return;
     this.fetching = true;
     try {
-      const known = this.frame;
+      const known = this.snapshot;
       const have: Have = {
         have: known?.index ?? 0,
         group: known?.group ?? "",
         manifest: known?.manifest.version ?? -1,
       };
-      const fetched = yield* this.rpc.ask<FrameTold | null>(address, "frame.fetch", have, 1500);
+      const fetched = yield* this.rpc.call<FrameTold | null>(address, "frame.fetch", have, 1500);
       if (!fetched.ok || !fetched.value) return;
-      const { steps, ...frame } = fetched.value;
-      const manifest = frame.manifest ?? (steps && known ? News.stepped(known.manifest, steps) : known?.manifest);
-      if (manifest) this.offerFrame({ ...frame, manifest }, steps);
+      const { steps, ...snapshot } = fetched.value;
+      const configuration =
+        snapshot.manifest ?? (steps && known ? Gossip.stepped(known.manifest, steps) : known?.manifest);
+      if (configuration) this.offerSnapshot({ ...snapshot, manifest: configuration }, steps);
     } finally {
       this.fetching = false;
     }
@@ -464,9 +471,9 @@
   private *compared(body: Digest, sender: string): Task<Result<Compared>> {
     this.comparedAt = this.env.mono();
     const address = this.membership.find(sender)?.address;
-    if (address && body.frameIndex > (this.frame?.index ?? 0)) {
-      const news = this;
-      Csp.go(this.env.scope, "fetch", () => news.fetchIfNewer(address, body.frameIndex));
+    if (address && body.frameIndex > (this.snapshot?.index ?? 0)) {
+      const gossip = this;
+      Csp.go(this.env.scope, "fetch", () => gossip.fetchIfNewer(address, body.frameIndex));
     }
     const memberSums = this.membership.sums();
     const newer = Object.entries(body.stale)
@@ -474,9 +481,9 @@
       .filter((held) => !held.gone && held.version > body.stale[held.key]);
     return Fault.ok({
       renewed: newer.map(this.renewal),
-      frameIndex: this.frame?.index ?? 0,
-      ...(body.sum === News.sum(this.sums) ? {} : { sums: this.sums }),
-      ...(body.memberSum === News.sum(memberSums) ? {} : { memberSums }),
+      frameIndex: this.snapshot?.index ?? 0,
+      ...(body.sum === Gossip.sum(this.sums) ? {} : { sums: this.sums }),
+      ...(body.memberSum === Gossip.sum(memberSums) ? {} : { memberSums }),
     });
   }
   private *differed(body: {
@@ -490,12 +497,12 @@
     const facts = [...ours.values()].filter(
       (held) =>
         !body.standing[held.key] ||
-        (News.differ(standingOf(held), body.standing[held.key]) && later(standingOf(held), body.standing[held.key])),
+        (Gossip.differ(standingOf(held), body.standing[held.key]) && later(standingOf(held), body.standing[held.key])),
     );
     const want = Object.keys(body.standing).filter((key) => {
       const held = ours.get(key);
       return (
-        !held || (News.differ(standingOf(held), body.standing[key]) && later(body.standing[key], standingOf(held)))
+        !held || (Gossip.differ(standingOf(held), body.standing[key]) && later(body.standing[key], standingOf(held)))
       );
     });
     return Fault.ok({ facts: facts.map(this.bare), want });
@@ -503,23 +510,25 @@
   /** Versions of one base need no mending: the next renewal does. */
   private static differ = (left: Standing, right: Standing): boolean =>
     left[2] !== right[2] || (left[2] === 0 && left[0] !== right[0]);
-  private static stepped(manifest: ControlFrame["manifest"], steps: Step[]): ControlFrame["manifest"] {
+  private static stepped(configuration: ControlSnapshot["manifest"], steps: Step[]): ControlSnapshot["manifest"] {
     return {
       version: steps[steps.length - 1].to,
-      doc: steps.reduce((doc, step) => Manifests.patched(doc, step.patch), manifest.doc),
+      doc: steps.reduce((doc, step) => Configurations.patched(doc, step.patch), configuration.doc),
     };
   }
   /** The frame, if ours is newer; without its manifest, by far the largest part, where the asker has that. */
   private *fetched(body: Have): Task<Result<FrameTold | null>> {
-    if (!this.frame || this.frame.index <= body.have) return Fault.ok(null);
-    const { manifest, ...rest } = this.frame;
-    if (rest.group !== body.group) return Fault.ok(this.frame);
-    if (manifest.version === body.manifest) return Fault.ok(rest);
+    if (!this.snapshot || this.snapshot.index <= body.have) return Fault.ok(null);
+    const { manifest: configuration, ...rest } = this.snapshot;
+    if (rest.group !== body.group) return Fault.ok(this.snapshot);
+    if (configuration.version === body.manifest) return Fault.ok(rest);
     const first = this.steps.findIndex((step) => step.from === body.manifest);
     const steps = first < 0 ? [] : this.steps.slice(first);
     const items = steps.reduce((sum, step) => sum + Object.keys(step.patch.upsert.bindings ?? {}).length, 0);
     return Fault.ok(
-      steps.length === 0 || items * 2 > Object.keys(manifest.doc.bindings).length ? this.frame : { ...rest, steps },
+      steps.length === 0 || items * 2 > Object.keys(configuration.doc.bindings).length
+        ? this.snapshot
+        : { ...rest, steps },
     );
   }
 }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -2,7 +2,7 @@
 import { Chan, Csp, Task } from "../runtime/csp";
 import { DatagramSocket, Env, EnvTools } from "../runtime/env";
 import { Hash } from "../common/hash";
-import { Wire } from "../rpc/envelopeCodec";
+import { EnvelopeCodec } from "../rpc/envelopeCodec";
 import { Member } from "./member";
 
 type Datagram =
@@ -176,7 +176,7 @@
   }
   private updates(): Member[] {
     const fresh = [...this.members.values()]
-      .filter((known) => known.passes < Constants.piggybackRounds)
+      .filter((known) => known.passes < Constants.piggybackAttempts)
       .sort((left, right) => left.passes - right.passes)
       .slice(0, Constants.piggybackUpdates);
     for (const known of fresh) known.passes += 1;
@@ -185,7 +185,7 @@
   private send(to: string, datagram: Datagram): void {
     this.socket.send(
       to,
-      Wire.encode({
+      EnvelopeCodec.encode({
         kind: "datagram",
         correlation: 0,
         cluster: this.cluster,
@@ -223,7 +223,7 @@
       known.info = told;
     } else {
       if (told.state !== "alive" && told.state !== "suspect") {
-        this.members.set(told.id, { info: told, since: this.env.mono(), passes: Constants.piggybackRounds });
+        this.members.set(told.id, { info: told, since: this.env.mono(), passes: Constants.piggybackAttempts });
         return;
       }
       // an emptied machine comes back as a new member at the old address
@@ -247,7 +247,7 @@
     for (;;) {
       const got = yield* Csp.take(this.socket.incoming);
       if (got === null) return;
-      const envelope = Wire.decode(got.data, this.cluster);
+      const envelope = EnvelopeCodec.decode(got.data, this.cluster);
       const datagram = envelope?.body as Datagram | undefined;
       if (!envelope || envelope.kind !== "datagram" || !datagram?.from || !Array.isArray(datagram.updates)) {
         this.dropped += 1;
@@ -330,9 +330,9 @@
       updates: this.updates(),
       join,
     });
-    const reply = yield* EnvTools.takeWithin(this.env, heard, withinMs);
+    const response = yield* EnvTools.takeWithin(this.env, heard, withinMs);
     this.waiting.delete(n);
-    return reply === true;
+    return response === true;
   }
 
   /** A usual period, or what it is for a member that has just started. @example membership.period(Constants.digestPeriodMs) */
--- a/src/model/groupUnderTest.ts
+++ b/src/model/groupUnderTest.ts
@@ -1,5 +1,5 @@
 import type { Command, Outcome } from "../control/controlState";
-import { Group } from "../consensus/consensusGroup";
+import { ConsensusGroup } from "../consensus/consensusGroup";
 import { Constants } from "../common/constants";
 import { Fault, Result } from "../common/fault";
 import { Csp, Task } from "../runtime/csp";
@@ -16,9 +16,9 @@
 export type Plants = {
   env?: (env: Env) => Env;
   rpc?: (rpc: Rpc, id: string) => void;
-  group?: (group: Group) => void;
+  group?: (group: ConsensusGroup) => void;
 };
-type Life = { id: string; process: SimProcess; group: Group };
+type Life = { id: string; process: SimProcess; group: ConsensusGroup };
 /** One machine: its address and disk stay, the process and the replica's id may be replaced. */
 export type Machine = { name: string; address: string; disk: SimDisk; life: Life; wipes: number; opened: boolean };
 type Change = { changeId: string; register: Register; command: Command };
@@ -80,13 +80,13 @@
     const others = (): string[] => this.machines.map((each) => each.life.id).filter((other) => other !== id);
     const addressOf = (other: string): string | undefined => this.machineOf.get(other)?.address;
     const { invariants } = this;
-    const replica: Replica = { id, group: undefined as unknown as Group };
+    const replica: Replica = { id, group: undefined as unknown as ConsensusGroup };
     const hooks = {
       addressOf,
       others,
       applied: (): void => invariants.applied(replica, replica.group.state, replica.group.applied),
     };
-    const group = new Group(process.env, rpc, id, new TwoSlots(process.env, `data/group`), hooks);
+    const group = new ConsensusGroup(process.env, rpc, id, new TwoSlots(process.env, `data/group`), hooks);
     replica.group = group;
     this.plants.group?.(group);
     machine.life = { id, process, group };
@@ -176,7 +176,7 @@
   }
   private runningMachines = (): Machine[] => this.machines.filter(({ life, opened }) => life.process.alive && opened);
   leaseholder(): Machine | undefined {
-    return this.runningMachines().find(({ life }) => life.group.holdsLead());
+    return this.runningMachines().find(({ life }) => life.group.holdsLeader());
   }
   /** Whoever takes itself for the lead, the one with the oldest term first: it is the one that may be cut off. */
   leads(): Machine[] {
@@ -190,7 +190,7 @@
   private *duties(life: Life): Task<void> {
     for (;;) {
       yield* EnvTools.sleep(life.process.env, Constants.dutyPeriodMs);
-      if (!life.group.holdsLead()) continue;
+      if (!life.group.holdsLeader()) continue;
       const voters = this.nextVoters(life);
       if (voters && this.bearable(this.wipedIds, [voters]))
         yield* life.group.propose({ tag: "voters", voters }, Constants.proposeTimeoutMs);
@@ -241,11 +241,11 @@
     });
   }
   /** As the control node does it: a lead that knows the outcome of a change tells it from its state. */
-  private static *answer(group: Group, { changeId, command }: Change): Task<Result<Outcome>> {
-    const known = group.holdsLead() ? group.state.changes[changeId] : undefined;
+  private static *answer(group: ConsensusGroup, { changeId, command }: Change): Task<Result<Outcome>> {
+    const known = group.holdsLeader() ? group.state.changes[changeId] : undefined;
     return known ? Fault.ok(known) : yield* group.propose(command, Constants.proposeTimeoutMs);
   }
-  private ask(machine: Machine, body: (group: Group) => Task<void>): void {
+  private ask(machine: Machine, body: (group: ConsensusGroup) => Task<void>): void {
     const { process, group } = machine.life;
     if (!machine.opened) return;
     process.deliver(() => Csp.go(process.scope, "caller", () => body(group)));
--- a/src/model/invariants.ts
+++ b/src/model/invariants.ts
@@ -1,10 +1,10 @@
-import type { Group, GroupInspection } from "../consensus/consensusGroup";
+import type { ConsensusGroup, ConsensusGroupInspection } from "../consensus/consensusGroup";
 import type { ControlState, Outcome } from "../control/controlState";
 import { Reference } from "./reference";
 
-type Entry = GroupInspection["entries"][number];
+type Entry = ConsensusGroupInspection["entries"][number];
 /** One running replica, as the invariants see it. */
-export type Replica = { id: string; group: Group };
+export type Replica = { id: string; group: ConsensusGroup };
 /** Every invariant by the name that a failing walk prints. */
 export type InvariantName =
   | "one-lead-a-term"
@@ -51,11 +51,11 @@
   private readonly committed: Committed[] = [];
   private readonly digests: string[] = [this.reference.digest()];
   private readonly committedVoters: string[][] = [[]];
-  private readonly leadOfTerm = new Map<number, string>();
+  private readonly leaderOfTerm = new Map<number, string>();
   /** Each entry ever seen by index and term, with the term before it: equal entries have equal logs before them. */
   private readonly seenEntries = new Map<string, string>();
   private readonly checkedEntries = new WeakMap<Entry, number>();
-  private readonly commitOf = new WeakMap<Group, number>();
+  private readonly commitOf = new WeakMap<ConsensusGroup, number>();
   private readonly acknowledged = new Map<string, Acknowledged>();
   private readonly changeOfVersion = new Map<string, string>();
   private acknowledgedIndex = 0;
@@ -77,10 +77,10 @@
 
   /** A replica won an election. */
   elected(id: string, term: number): void {
-    const known = this.leadOfTerm.get(term);
+    const known = this.leaderOfTerm.get(term);
     if (known !== undefined && known !== id)
       this.broken("one-lead-a-term", `${known} and ${id} both lead term ${term}`);
-    this.leadOfTerm.set(term, id);
+    this.leaderOfTerm.set(term, id);
   }
 
   /** A replica has applied its log up to an index. */
@@ -145,7 +145,7 @@
 
   /** At this very instant: who could answer a read, and with what. Cheap, for every few milliseconds. */
   leases(running: Replica[]): void {
-    const holders = running.filter(({ group }) => group.holdsLead());
+    const holders = running.filter(({ group }) => group.holdsLeader());
     if (holders.length > 1)
       this.broken(
         "one-leaseholder",
@@ -199,8 +199,8 @@
     return running.every(({ group }) => group.applied === this.committedIndex);
   }
   /** What the end of a walk has to show, after everything was healed. */
-  atEnd(running: Replica[], hasLead: boolean): void {
-    if (!hasLead)
+  atEnd(running: Replica[], hasLeader: boolean): void {
+    if (!hasLeader)
       return this.broken(
         "lead-after-heal",
         `nobody holds the lease, or no change goes through: ${Invariants.places(running)}`,
--- a/src/model/reference.ts
+++ b/src/model/reference.ts
@@ -3,7 +3,7 @@
 type Register = { version: number; changeId: string };
 
 const noChange = "";
-const manifestMark = (state: ControlState): string =>
+const configurationMark = (state: ControlState): string =>
   (state.manifest.doc.origin as { changeId: string } | undefined)?.changeId ?? noChange;
 const policiesMark = (state: ControlState): string => state.policies.doc[0]?.match.caller ?? noChange;
 
@@ -59,8 +59,8 @@
   /** The same of a replica's state. */
   static digestOf(state: ControlState): string {
     const policies: Register = { version: state.policies.version, changeId: policiesMark(state) };
-    const manifest: Register = { version: state.manifest.version, changeId: manifestMark(state) };
-    return JSON.stringify([state.voters, policies, manifest, Object.entries(state.changes).sort(byFirst)]);
+    const configuration: Register = { version: state.manifest.version, changeId: configurationMark(state) };
+    return JSON.stringify([state.voters, policies, configuration, Object.entries(state.changes).sort(byFirst)]);
   }
 }
 const byFirst = (left: [string, Outcome], right: [string, Outcome]): number => (left[0] < right[0] ? -1 : 1);
--- a/src/model/troubledNetwork.ts
+++ b/src/model/troubledNetwork.ts
@@ -53,18 +53,18 @@
     return {
       member: link.member,
       incoming: link.incoming,
-      send: (frame) => this.send(link, frame),
+      send: (snapshot) => this.send(link, snapshot),
       close: () => link.close(),
     };
   }
-  private send(link: Link, frame: Buffer): boolean {
+  private send(link: Link, snapshot: Buffer): boolean {
     const { world } = this;
     if (world.random() < this.dropShare) return !link.incoming.isClosed();
-    if (world.random() < this.duplicateShare) world.at(world.random() * this.delayMs, () => void link.send(frame));
+    if (world.random() < this.duplicateShare) world.at(world.random() * this.delayMs, () => void link.send(snapshot));
     if (world.random() < this.delayShare) {
-      world.at(world.random() * this.delayMs, () => void link.send(frame));
+      world.at(world.random() * this.delayMs, () => void link.send(snapshot));
       return !link.incoming.isClosed();
     }
-    return link.send(frame);
+    return link.send(snapshot);
   }
 }
--- a/src/model/walk.ts
+++ b/src/model/walk.ts
@@ -36,9 +36,11 @@
  * standby that is caught up is added: one without a log could neither acknowledge nor vote after a loss of all power.
  */
 function changeVoters(group: GroupUnderTest, machine: Machine, add: boolean, pick: number): void {
-  const lead = machine.life.group;
-  const voters = lead.voters();
-  const standbys = group.machines.map(({ life }) => life.id).filter((id) => !voters.includes(id) && lead.caughtUp(id));
+  const leader = machine.life.group;
+  const voters = leader.voters();
+  const standbys = group.machines
+    .map(({ life }) => life.id)
+    .filter((id) => !voters.includes(id) && leader.caughtUp(id));
   const candidates = add ? standbys : voters;
   if (candidates.length === 0) return;
   const chosen = candidates[pick % candidates.length];
@@ -93,8 +95,8 @@
     case "isolate":
       return world.cutOff([machineAt(action.machine).name], action.way);
     case "isolateLead": {
-      const lead = group.leaseholder();
-      return lead && world.cutOff([lead.name], action.way);
+      const leader = group.leaseholder();
+      return leader && world.cutOff([leader.name], action.way);
     }
     case "split": {
       const names = group.machines.filter((_machine, at) => (action.mask >> at) & 1).map(({ name }) => name);
@@ -115,8 +117,8 @@
     case "freeze":
       return group.freeze(machineAt(action.machine), action.forMs);
     case "freezeLead": {
-      const lead = group.leaseholder();
-      return lead && group.freeze(lead, action.forMs);
+      const leader = group.leaseholder();
+      return leader && group.freeze(leader, action.forMs);
     }
     case "kill":
       return group.kill(machineAt(action.machine), action.powerLost, action.backInMs);
@@ -155,9 +157,9 @@
   const changed = (): boolean => group.invariants.acknowledgedChanges.length > changesBefore;
   const by = group.world.now + settleMs;
   for (let tries = 0; group.world.now < by && !(changed() && settled()); tries += 1) {
-    const lead = group.leaseholder();
-    if (lead && !changed() && tries % finalChangeEvery === 0)
-      group.propose(lead, "policies", group.invariants.reference.version("policies"));
+    const leader = group.leaseholder();
+    if (leader && !changed() && tries % finalChangeEvery === 0)
+      group.propose(leader, "policies", group.invariants.reference.version("policies"));
     await group.pass(lookMs);
   }
   group.check();
--- a/src/node/clusterSnapshot.ts
+++ b/src/node/clusterSnapshot.ts
@@ -1,7 +1,7 @@
-import { ControlFrame } from "../control/controlState";
+import { ControlSnapshot } from "../control/controlState";
 import { Member } from "../membership/member";
 
-export type Replica = {
+export type Endpoint = {
   key: string;
   id: string;
   instance: string;
@@ -18,11 +18,11 @@
   sequence?: number; // of the last announcement taken in
 };
 /** Everything a process acts on, immutable and swapped whole. */
-export type Frame = {
+export type ClusterSnapshot = {
   number: number;
-  control: ControlFrame | undefined;
+  control: ControlSnapshot | undefined;
   members: Member[];
-  replicas: Replica[];
+  replicas: Endpoint[];
   crowded: Record<string, boolean>; // by pool: some node had to make live work wait just now
   fresh: boolean; // heard of others lately, and confirmed by the control lead since the start and the last freeze
   vouched: boolean; // our clock is within δ
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -3,12 +3,12 @@
 import { Env, EnvTools } from "../runtime/env";
 import { Member, Program } from "../membership/member";
 import { Membership } from "../membership/membership";
-import { News } from "../membership/gossip";
+import { Gossip } from "../membership/gossip";
 import { Rpc } from "../rpc/rpc";
-import { Confirmation, ReadIndex } from "./readIndexConfirmation";
+import { ReadIndexConfirmation, ReadIndex } from "./readIndexConfirmation";
 import { Fault, Result } from "../common/fault";
 import { DataFolder } from "../runtime/dataFolder";
-import { Frame, Replica } from "./clusterSnapshot";
+import { ClusterSnapshot, Endpoint } from "./clusterSnapshot";
 import { Settings } from "../common/settings";
 import { Bounds, Stamp } from "../common/stamp";
 
@@ -20,7 +20,7 @@
  * if (started.ok) started.value.frame().members;
  */
 export class Node {
-  private cached: Frame | undefined;
+  private cached: ClusterSnapshot | undefined;
   private cachedAt = -Infinity;
   private number = 0;
   fresh = true;
@@ -29,24 +29,24 @@
   private unfreezers: (() => void)[] = [];
   private lookedAt: number;
   /** Whether the control lead has confirmed our configuration since our start or last thaw. */
-  readonly confirmation: Confirmation;
+  readonly confirmation: ReadIndexConfirmation;
   /** A control member's part in confirmations: its own word as the lead, else where the lead is. */
   readIndex: () => ReadIndex | undefined = () => undefined;
-  leadAddress: () => string | undefined = () => undefined;
+  leaderAddress: () => string | undefined = () => undefined;
   private constructor(
     readonly env: Env,
     readonly settings: Settings,
     readonly self: Member,
     readonly rpc: Rpc,
     readonly membership: Membership,
-    readonly news: News,
+    readonly gossip: Gossip,
   ) {
     this.lookedAt = env.mono();
-    this.confirmation = new Confirmation(env, rpc, {
+    this.confirmation = new ReadIndexConfirmation(env, rpc, {
       own: () => this.readIndex(),
       source: (attempt) => this.readIndexSource(attempt),
-      configuration: () => news.frame,
-      fetch: (address, index) => news.fetchIfNewer(address, index),
+      configuration: () => gossip.snapshot,
+      fetch: (address, index) => gossip.fetchIfNewer(address, index),
     });
   }
 
@@ -76,19 +76,19 @@
       () => settings.seeds ?? [],
       settings.bind ?? settings.address,
     );
-    const news = new News(env, rpc, membership);
-    const node = new Node(env, settings, self, rpc, membership, news);
+    const gossip = new Gossip(env, rpc, membership);
+    const node = new Node(env, settings, self, rpc, membership, gossip);
     const served = yield* rpc.serve(settings.bind ?? settings.address);
     if (!served.ok) return served;
     if (!(yield* membership.start()))
       return Fault.fail("internal", "bind", settings.address, "datagram socket not to be had");
-    news.start();
+    gossip.start();
     membership.watch((changed) => {
       node.cached = undefined;
       // a connection to who does not answer may carry nothing: a new one tells, and is made once it is there again
       if (changed && changed.state !== "alive" && changed.id !== id) rpc.drop(changed.address);
     });
-    news.watch(() => (node.cached = undefined));
+    gossip.watch(() => (node.cached = undefined));
     node.confirmation.serve();
     node.confirmation.start();
     EnvTools.keep(env, env.scope, "clock watch", () => node.watchClock());
@@ -97,13 +97,13 @@
   }
 
   /** A replica that was started again is its newest instance only, and an address belongs to who took it last. */
-  private static newest(replicas: Replica[]): Replica[] {
-    const byId = new Map<string, Replica>();
-    for (const replica of replicas)
-      if ((byId.get(replica.id)?.bornAt ?? -1) < replica.bornAt) byId.set(replica.id, replica);
-    const byAddress = new Map<string, Replica>();
-    for (const replica of byId.values())
-      if ((byAddress.get(replica.address)?.bornAt ?? -1) < replica.bornAt) byAddress.set(replica.address, replica);
+  private static newest(endpoints: Endpoint[]): Endpoint[] {
+    const byId = new Map<string, Endpoint>();
+    for (const endpoint of endpoints)
+      if ((byId.get(endpoint.id)?.bornAt ?? -1) < endpoint.bornAt) byId.set(endpoint.id, endpoint);
+    const byAddress = new Map<string, Endpoint>();
+    for (const endpoint of byId.values())
+      if ((byAddress.get(endpoint.address)?.bornAt ?? -1) < endpoint.bornAt) byAddress.set(endpoint.address, endpoint);
     return [...byAddress.values()];
   }
   /** SIGTERM: unready, what is in flight (else a moment for the news of it), goodbye. @example yield* node.depart(); */
@@ -156,7 +156,7 @@
   /** Two different members are compared with: one alone may have been frozen with us. */
   private *freshen(): Task<void> {
     for (let compared = 0; compared < 2 && this.membership.alive().length > 1;) {
-      if (yield* this.news.compareWithOne()) compared += 1;
+      if (yield* this.gossip.compareWithOne()) compared += 1;
       else yield* EnvTools.sleep(this.env, 50);
     }
     this.fresh = true;
@@ -164,8 +164,8 @@
   }
   /** Whom to ask for the control lead's word: the lead, other control members, now and then any member. */
   private readIndexSource(attempt: number): string | undefined {
-    const lead = this.leadAddress();
-    if (lead !== undefined && attempt % 2 === 0) return lead;
+    const leader = this.leaderAddress();
+    if (leader !== undefined && attempt % 2 === 0) return leader;
     const others = this.membership.alive().filter((member) => member.id !== this.self.id);
     const controls = others.filter((member) => member.program === "control");
     const asked = controls.length === 0 || attempt % 3 === 2 ? others : controls;
@@ -173,7 +173,7 @@
   }
   /** The bounds in force. @example Stamp.delay(node.bounds()) */
   bounds(): Bounds {
-    return this.news.frame?.manifest.doc.clock ?? Stamp.defaults;
+    return this.gossip.snapshot?.manifest.doc.clock ?? Stamp.defaults;
   }
   /** Whether what we hold may be acted on: not frozen since it came, and confirmed by the control lead since our start. */
   private current(): boolean {
@@ -181,7 +181,7 @@
   }
   /** Whether our configuration is current as far as we can know, and we heard from others lately. @example node.inTouch() */
   inTouch(): boolean {
-    return this.current() && this.env.mono() - this.news.comparedAt < Constants.frameStaleMs;
+    return this.current() && this.env.mono() - this.gossip.comparedAt < Constants.frameStaleMs;
   }
   /** Whether we may stamp and hold duties. @example if (!node.vouches()) return busy; */
   vouches(): boolean {
@@ -193,7 +193,7 @@
     return member && member.state !== "left" ? member.address : undefined;
   }
   /** The newest frame; the same object until something changed. @example node.frame().replicas */
-  frame(): Frame {
+  snapshot(): ClusterSnapshot {
     const now = this.env.mono();
     const vouched = this.membership.vouchesForClock(this.bounds().deltaMs);
     if (
@@ -203,24 +203,24 @@
       this.cached.fresh === this.inTouch()
     )
       return this.cached;
-    const crowded: Record<string, boolean> = {};
-    for (const fact of this.news.current("crowd/")) {
-      if (this.news.versionAge(fact.key) < Constants.lotCrowdHoldMs)
-        crowded[(fact.value as { pool: string }).pool] = true;
+    const overloaded: Record<string, boolean> = {};
+    for (const fact of this.gossip.current("crowd/")) {
+      if (this.gossip.versionAge(fact.key) < Constants.jobOverloadHoldMs)
+        overloaded[(fact.value as { pool: string }).pool] = true;
     }
     this.cachedAt = now;
     this.cached = {
       number: (this.number += 1),
-      control: this.news.frame,
+      control: this.gossip.snapshot,
       members: this.membership.alive(),
       replicas: Node.newest(
-        this.news.current("replica/").map((fact) => ({
+        this.gossip.current("replica/").map((fact) => ({
           key: fact.key,
-          ...(fact.value as Omit<Replica, "key">),
-          ...(this.news.versionAge(fact.key) > Constants.replicaQuietMs ? { quiet: true } : {}),
+          ...(fact.value as Omit<Endpoint, "key">),
+          ...(this.gossip.versionAge(fact.key) > Constants.endpointQuietMs ? { quiet: true } : {}),
         })),
       ),
-      crowded,
+      crowded: overloaded,
       fresh: this.inTouch(),
       vouched,
     };
--- a/src/node/nodeContext.ts
+++ b/src/node/nodeContext.ts
@@ -3,39 +3,39 @@
 import { Env, EnvTools } from "../runtime/env";
 import { Rpc } from "../rpc/rpc";
 import { Fault, Result } from "../common/fault";
-import { Frame, Replica } from "./clusterSnapshot";
+import { ClusterSnapshot, Endpoint } from "./clusterSnapshot";
 import { Node } from "./node";
 import { OrderDeadline, OrderDeadlines } from "./orderDeadline";
 
-export type Announcement = Omit<Replica, "key" | "bornAt" | "instance" | "warmAt"> & {
+export type Announcement = Omit<Endpoint, "key" | "bornAt" | "instance" | "warmAt"> & {
   instance?: string;
   leaving?: boolean; // it takes no new work from now on; the same as a goodbye, and it may be said again
   warmLeftMs?: number; // how much longer it stays cold
   sequence?: number; // rises with every call, so that a late one is known
 };
 /** Where the control lead answered last, by host. */
-const leads = new WeakMap<Host, string>();
-const deadlines = new WeakMap<Host, OrderDeadlines>();
-function deadlinesOf(host: Host): OrderDeadlines {
+const leaders = new WeakMap<NodeContext, string>();
+const deadlines = new WeakMap<NodeContext, OrderDeadlines>();
+function deadlinesOf(host: NodeContext): OrderDeadlines {
   const kept = deadlines.get(host) ?? new OrderDeadlines(host.env, host.rpc);
   deadlines.set(host, kept);
   return kept;
 }
 /** One call to one control member; an order goes with its deadline, so that it isn't carried out late. */
-function* askOne(host: Host, address: string, body: Record<string, unknown>, until: number): Task<Result<any>> {
+function* askOne(host: NodeContext, address: string, body: Record<string, unknown>, until: number): Task<Result<any>> {
   const left = (): number => Math.min(Constants.controlAskMs, until - host.env.mono());
-  if (body.op === "read") return yield* host.rpc.ask(address, "control.op", body, left());
+  if (body.op === "read") return yield* host.rpc.call(address, "control.op", body, left());
   const deadline = yield* deadlinesOf(host).at(address, until, left());
   if (!deadline.ok)
     return deadline.fault.tag === "timeout" ? Fault.fail("refused", "control", address, "silent") : deadline;
-  return yield* host.rpc.ask(address, "control.op", { ...body, deadline: deadline.value }, left());
+  return yield* host.rpc.call(address, "control.op", { ...body, deadline: deadline.value }, left());
 }
 /** What the outside adapters need of the process they run in. */
-export interface Host {
+export interface NodeContext {
   readonly env: Env;
   readonly rpc: Rpc;
   readonly id: string;
-  frame(): Frame;
+  snapshot(): ClusterSnapshot;
   announce(announcement: Announcement): Task<Result<unknown>>;
   goodbye(id: string): Task<Result<unknown>>;
 }
@@ -45,7 +45,7 @@
   node: Node,
   announcement: Announcement,
   key: string,
-  known: Replica | undefined,
+  known: Endpoint | undefined,
 ): Task<Result<unknown>> {
   const late = announcement.sequence !== undefined && announcement.sequence <= (known?.sequence ?? Infinity);
   if (announcement.leaving || late) return Fault.ok({ instance: announcement.instance, gone: true });
@@ -53,23 +53,23 @@
 }
 /** A replica's word, taken in here and told to the others; needs no control lead. */
 function* announce(node: Node, announcement: Announcement): Task<Result<unknown>> {
-  const { news, env } = node;
+  const { gossip: news, env } = node;
   const { leaving, warmLeftMs, ...told } = announcement;
   const known = news.current(`replica/${announcement.id}/`)[0];
-  let instance = announcement.instance ?? (known?.value as Replica | undefined)?.instance ?? "0";
+  let instance = announcement.instance ?? (known?.value as Endpoint | undefined)?.instance ?? "0";
   let key = `replica/${announcement.id}/${instance}`;
   if (news.isGone(key)) {
-    const gone = news.find(key)?.value as Replica | undefined;
+    const gone = news.find(key)?.value as Endpoint | undefined;
     if (announcement.instance !== undefined || leaving || news.versionAge(key) < Constants.goodbyeHoldMs)
       return yield* announceGone(node, announcement, key, gone);
     instance = `i${Math.floor(env.wall())}`;
     key = `replica/${announcement.id}/${instance}`;
   }
-  const before = news.current(key)[0]?.value as Replica | undefined;
+  const before = news.current(key)[0]?.value as Endpoint | undefined;
   if (before?.sequence !== undefined && announcement.sequence !== undefined && announcement.sequence < before.sequence)
     return Fault.ok({ instance, late: true });
   const warmAt = warmLeftMs === undefined ? {} : { warmAt: warmLeftMs > 0 ? env.wall() + warmLeftMs : 0 };
-  const value: Omit<Replica, "key"> = { ...told, instance, bornAt: before?.bornAt ?? env.wall(), ...warmAt };
+  const value: Omit<Endpoint, "key"> = { ...told, instance, bornAt: before?.bornAt ?? env.wall(), ...warmAt };
   if (leaving) {
     env.log(1202, { replica: key });
     yield* news.endKept([key], value);
@@ -81,13 +81,18 @@
     before &&
     !colder &&
     JSON.stringify({ ...before, warmAt: 0, sequence: 0 }) === JSON.stringify({ ...value, warmAt: 0, sequence: 0 });
-  if (unchanged && news.versionAge(key) < Constants.replicaRenewMs) return Fault.ok({ instance });
-  news.tell(key, value, Constants.replicaGrantMs, !before || colder);
+  if (unchanged && news.versionAge(key) < Constants.endpointRenewMs) return Fault.ok({ instance });
+  news.tell(key, value, Constants.endpointLeaseMs, !before || colder);
   return Fault.ok({ instance });
 }
 
 /** The same, given up when its caller stops waiting, though a connection may still be under way. */
-function* askInTime(host: Host, address: string, body: Record<string, unknown>, until: number): Task<Result<any>> {
+function* askInTime(
+  host: NodeContext,
+  address: string,
+  body: Record<string, unknown>,
+  until: number,
+): Task<Result<any>> {
   const response = Csp.chan<Result<any>>(1);
   Csp.go(host.env.scope, "ask control", function* () {
     Csp.offer(response, yield* askOne(host, address, body, until));
@@ -103,42 +108,42 @@
  * const host = Host.of(node);
  * const manifest = yield* Host.askControl(host, { op: "read", what: "manifest" }, 4000);
  */
-export const Host = {
-  of(node: Node): Host {
+export const NodeContext = {
+  of(node: Node): NodeContext {
     return {
       env: node.env,
       rpc: node.rpc,
       id: node.self.id,
-      frame: () => node.frame(),
+      snapshot: () => node.snapshot(),
       announce: (announcement) => announce(node, announcement),
       *goodbye(id) {
-        const facts = node.news.current(`replica/${id}/`);
+        const facts = node.gossip.current(`replica/${id}/`);
         const keys = facts.length > 0 ? facts.map((fact) => fact.key) : [`replica/${id}/0`];
         if (facts.length > 0) node.env.log(1202, { replica: id });
-        yield* node.news.endKept(keys);
+        yield* node.gossip.endKept(keys);
         return Fault.ok(true);
       },
     };
   },
 
   /** Asks the control lead, wherever it is; a change is asked again under its change id. @example yield* Host.askControl(host, body, 4000) */
-  *askControl(host: Host, body: Record<string, unknown>, withinMs: number): Task<Result<any>> {
+  *askControl(host: NodeContext, body: Record<string, unknown>, withinMs: number): Task<Result<any>> {
     const { env } = host;
     const until = env.mono() + withinMs;
-    let hint = leads.get(host) ?? "";
+    let hint = leaders.get(host) ?? "";
     let maybeTaken = false;
     let last: Result<any> = Fault.fail("refused", "control", "control", "no control member is known");
-    for (let round = 0; env.mono() < until; round += 1) {
+    for (let attempt = 0; env.mono() < until; attempt += 1) {
       const controls = host
-        .frame()
+        .snapshot()
         .members.filter((member) => member.program === "control")
         .map((member) => member.address);
-      const address = hint || controls[round % Math.max(1, controls.length)];
+      const address = hint || controls[attempt % Math.max(1, controls.length)];
       hint = "";
       if (address) {
         last = yield* askInTime(host, address, body, until);
         if (last.ok) {
-          leads.set(host, address);
+          leaders.set(host, address);
           return last;
         }
         switch (last.fault.tag) {
--- a/src/node/orderDeadline.ts
+++ b/src/node/orderDeadline.ts
@@ -5,7 +5,7 @@
 import { Result } from "../common/fault";
 
 /** A reading of the control lead's monotonic clock, and which process's clock it is. */
-export type LeadClock = { clockId: string; now: number };
+export type LeaderClock = { clockId: string; now: number };
 /** The instant, by the lead's own monotonic clock, after which it may no longer append an order. */
 export type OrderDeadline = { clockId: string; at: number };
 type Reading = { address: string; clockId: string; lead: number; own: number };
@@ -28,9 +28,9 @@
   /** The caller's deadline by the clock of the lead at this address. @example yield* deadlines.at(address, until, 500) */
   *at(address: string, until: number, withinMs: number): Task<Result<OrderDeadline>> {
     const kept = this.reading;
-    if (kept?.address === address && this.env.mono() - kept.own < Constants.leadClockKeptMs)
+    if (kept?.address === address && this.env.mono() - kept.own < Constants.leaderClockKeptMs)
       return { ok: true, value: { clockId: kept.clockId, at: kept.lead + (until - kept.own) } };
-    const read = yield* this.rpc.ask<LeadClock>(address, "control.op", { op: "clock" }, withinMs);
+    const read = yield* this.rpc.call<LeaderClock>(address, "control.op", { op: "clock" }, withinMs);
     if (!read.ok) return read;
     const { clockId, now } = read.value;
     const own = this.env.mono();
--- a/src/node/readIndexConfirmation.ts
+++ b/src/node/readIndexConfirmation.ts
@@ -1,5 +1,5 @@
 import { Constants } from "../common/constants";
-import { ControlFrame, ControlState } from "../control/controlState";
+import { ControlSnapshot, ControlState } from "../control/controlState";
 import { Chan, Csp, Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
 import { Rpc } from "../rpc/rpc";
@@ -12,13 +12,13 @@
 /** Asks for a read index younger than `maxAgeMs`; `hops` is how often the question may still be passed on. */
 type ReadIndexRequest = { maxAgeMs: number; hops: number };
 /** What a confirmation needs of the process it runs in. */
-export type ConfirmationHooks = {
+export type ReadIndexConfirmationHooks = {
   /** Our own read index, if we are the control lead and hold its lease. */
   own(): ReadIndex | undefined;
   /** Whom to ask, one at a time; the number counts the attempts. */
   source(attempt: number): string | undefined;
   /** The configuration that would be served. */
-  configuration(): ControlFrame | undefined;
+  configuration(): ControlSnapshot | undefined;
   /** Fetches a configuration of at least this index. */
   fetch(address: string, index: number): Task<void>;
 };
@@ -39,7 +39,7 @@
  * confirmation.start();
  * if (!confirmation.confirmed()) return "configuration not confirmed";
  */
-export class Confirmation {
+export class ReadIndexConfirmation {
   private requiredAfter: number;
   private isConfirmed = false;
   private latest: ReadIndex | undefined;
@@ -50,7 +50,7 @@
   constructor(
     private readonly env: Env,
     private readonly rpc: Rpc,
-    private readonly hooks: ConfirmationHooks,
+    private readonly hooks: ReadIndexConfirmationHooks,
   ) {
     this.requiredAfter = env.mono();
   }
@@ -115,7 +115,7 @@
   }
   private *request(address: string, request: ReadIndexRequest): Task<ReadIndex | undefined> {
     const askedAt = this.env.mono();
-    const response = yield* this.rpc.ask<AgedReadIndex>(address, verb, request, Constants.confirmAskMs);
+    const response = yield* this.rpc.call<AgedReadIndex>(address, verb, request, Constants.confirmAskMs);
     if (!response.ok) return undefined;
     const { group, index, ageMs } = response.value;
     const readIndex = { group, index, at: askedAt - ageMs };
--- a/src/routing/admissionQueue.ts
+++ b/src/routing/admissionQueue.ts
@@ -1,8 +1,8 @@
 import { Constants } from "../common/constants";
 import { Chan, Csp, Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
-import { Chooser, Wish } from "./endpointSelector";
-import { Replica } from "../node/clusterSnapshot";
+import { EndpointSelector, SelectionCriteria } from "./endpointSelector";
+import { Endpoint } from "../node/clusterSnapshot";
 
 type Waiter = { order: number; time: number; wake: Chan<true> };
 
@@ -15,12 +15,12 @@
  * const replica = yield* room.take(() => wish, 10, stamp.time, 400);
  * room.leave(replica, true);
  */
-export class Room {
+export class AdmissionQueue {
   private buffers = new Map<string, Waiter[]>();
   constructor(
     private readonly env: Env,
-    private readonly chooser: Chooser,
-    private readonly crowded: (pool: string) => void,
+    private readonly endpointSelector: EndpointSelector,
+    private readonly overloaded: (pool: string) => void,
   ) {}
   /** How many wait for a pool. @example room.waiting("model") */
   waiting = (pool: string): number => this.buffers.get(pool)?.length ?? 0;
@@ -30,17 +30,17 @@
 
   /** A replica, its place taken; undefined when there is none in time, or too many wait. @example yield* room.take(make, 10, now, 400) */
   *take(
-    make: () => Wish,
+    make: () => SelectionCriteria,
     order: number,
     time: number,
     withinMs: number,
     pool = make().pool,
-  ): Task<Replica | undefined> {
+  ): Task<Endpoint | undefined> {
     const buffer = this.buffers.get(pool) ?? [];
     this.buffers.set(pool, buffer);
     const chosen = buffer.length === 0 ? this.chosen(make()) : undefined;
     if (chosen) return chosen;
-    this.crowded(pool);
+    this.overloaded(pool);
     if (buffer.length >= Constants.liveBuffer || withinMs <= 0) return undefined;
     const waiter: Waiter = { order, time, wake: Csp.sliding(1) };
     const behind = buffer.findIndex((other) => other.order > order || (other.order === order && other.time > time));
@@ -54,8 +54,8 @@
           waiter.wake,
           buffer[0] === waiter ? Math.min(Constants.roomTurnMs, until - this.env.mono()) : until - this.env.mono(),
         );
-        const replica = buffer[0] === waiter ? this.chosen(make()) : undefined;
-        if (replica) return replica;
+        const endpoint = buffer[0] === waiter ? this.chosen(make()) : undefined;
+        if (endpoint) return endpoint;
       }
       return undefined;
     } finally {
@@ -63,19 +63,19 @@
       this.wake(pool);
     }
   }
-  private chosen(wish: Wish): Replica | undefined {
-    const replica = this.chooser.choose(wish);
-    if (replica) this.chooser.begin(replica);
-    return replica;
+  private chosen(criteria: SelectionCriteria): Endpoint | undefined {
+    const endpoint = this.endpointSelector.choose(criteria);
+    if (endpoint) this.endpointSelector.begin(endpoint);
+    return endpoint;
   }
   private wake(pool: string): void {
     const foremost = this.buffers.get(pool)?.[0];
     if (foremost) Csp.offer(foremost.wake, true);
   }
   /** A round at a replica ended. @example room.leave(replica, true); */
-  leave(replica: Replica, lively: boolean, plainly = false): void {
-    this.chooser.end(replica, lively, plainly);
-    this.wake(replica.pool);
+  leave(endpoint: Endpoint, lively: boolean, plainly = false): void {
+    this.endpointSelector.end(endpoint, lively, plainly);
+    this.wake(endpoint.pool);
   }
   /** Replicas may have come, or told of less load. @example node.news.watch(() => room.changed()); */
   changed(): void {
--- a/src/routing/longPromptIsolation.ts
+++ b/src/routing/longPromptIsolation.ts
@@ -1,6 +1,6 @@
 import { Constants } from "../common/constants";
 import { Env } from "../runtime/env";
-import { Replica } from "../node/clusterSnapshot";
+import { Endpoint } from "../node/clusterSnapshot";
 import { Hash } from "../common/hash";
 
 /** The parts of a prompt in order, as its caller told them. */
@@ -16,7 +16,7 @@
  * lanes.saw("model", prompt, gapMs);
  * const preferred = lanes.preferred("model", room, everyone, PromptLanes.isLong(prompt, gapMs), 8);
  */
-export class PromptLanes {
+export class LongPromptIsolation {
   private readonly flows = new Map<string, Flow>();
   constructor(private readonly env: Env) {}
 
@@ -38,36 +38,36 @@
 
   /** A prompt goes out; the rate of long ones fades over some seconds. @example lanes.saw("model", prompt, 300) */
   saw(pool: string, prompt: Prompt, gapMs: number): void {
-    if (!PromptLanes.isLong(prompt, gapMs)) return;
+    if (!LongPromptIsolation.isLong(prompt, gapMs)) return;
     // its shared part is mostly kept already: what has to be read is the rest
     const unread = prompt.tokens - Math.max(0, ...prompt.parts.slice(0, -1).map((part) => part.tokens)) / 2;
     const now = this.env.mono();
     const flow = this.flows.get(pool) ?? { tokens: 0, at: now };
-    flow.tokens = flow.tokens * Math.exp((flow.at - now) / Constants.laneFadeMs) + unread;
+    flow.tokens = flow.tokens * Math.exp((flow.at - now) / Constants.longPromptFadeMs) + unread;
     flow.at = now;
     this.flows.set(pool, flow);
   }
   /** How many replicas of the pool are the long prompts' own. @example lanes.width("model", 13, 8) // 3 */
-  width(pool: string, replicas: number, ingresses: number): number {
+  width(pool: string, endpoints: number, ingresses: number): number {
     const flow = this.flows.get(pool);
-    if (!flow || replicas < Constants.laneReplicasMin) return 0;
-    const faded = flow.tokens * Math.exp((flow.at - this.env.mono()) / Constants.laneFadeMs);
-    const readingShare = (faded * ingresses) / Constants.laneFadeMs / Constants.promptTokensPerMs;
-    if (readingShare < Constants.laneBusyShare / 20) return 0;
-    const wanted = Math.ceil(readingShare / Constants.laneBusyShare);
-    return wanted > replicas / 2 ? 0 : wanted;
+    if (!flow || endpoints < Constants.longPromptEndpointsMin) return 0;
+    const faded = flow.tokens * Math.exp((flow.at - this.env.mono()) / Constants.longPromptFadeMs);
+    const readingShare = (faded * ingresses) / Constants.longPromptFadeMs / Constants.promptTokensPerMs;
+    if (readingShare < Constants.longPromptBusyShare / 20) return 0;
+    const wanted = Math.ceil(readingShare / Constants.longPromptBusyShare);
+    return wanted > endpoints / 2 ? 0 : wanted;
   }
   /** Of those with room, the ones that a prompt of this length should go to; all, if there are none. @example lanes.preferred(...) */
-  preferred(pool: string, room: Replica[], everyone: Replica[], long: boolean, ingresses: number): Replica[] {
+  preferred(pool: string, room: Endpoint[], everyone: Endpoint[], long: boolean, ingresses: number): Endpoint[] {
     const width = this.width(pool, everyone.length, ingresses);
     if (width === 0) return room;
     const own = new Set(
       Hash.rendezvous(
         `long ${pool}`,
-        everyone.map((replica) => replica.key),
+        everyone.map((endpoint) => endpoint.key),
       ).slice(0, width),
     );
-    const kept = room.filter((replica) => own.has(replica.key) === long);
+    const kept = room.filter((endpoint) => own.has(endpoint.key) === long);
     return kept.length > 0 ? kept : room;
   }
 }
--- a/src/rpc/envelopeCodec.ts
+++ b/src/rpc/envelopeCodec.ts
@@ -1,7 +1,6 @@
 import { constants, deflateRawSync, inflateRawSync } from "zlib";
 import { Constants } from "../common/constants";
 
-/* eslint-disable @typescript-eslint/no-explicit-any */
 const r = require("restructure");
 
 export type Envelope = {
@@ -47,7 +46,7 @@
  * const frame = Wire.encode({ kind: "ask", correlation: 1, cluster: "kiln", verb: "ping", sender: "n1", body: {} });
  * Wire.decode(frame, "kiln")?.verb // "ping"
  */
-export const Wire = {
+export const EnvelopeCodec = {
   encode(envelope: Envelope): Buffer {
     const { version, body } = write(envelope.body);
     return Buffer.from(layout.toBuffer({ ...envelope, magic, version, kind: kinds.indexOf(envelope.kind), body }));
--- a/src/rpc/rpc.ts
+++ b/src/rpc/rpc.ts
@@ -2,7 +2,7 @@
 import { Chan, Csp, Task } from "../runtime/csp";
 import { Env, EnvTools, Link } from "../runtime/env";
 import { Fault, Result } from "../common/fault";
-import { Envelope, Wire } from "./envelopeCodec";
+import { Envelope, EnvelopeCodec } from "./envelopeCodec";
 
 /* eslint-disable @typescript-eslint/no-explicit-any */
 export type Handler = (body: any, sender: string) => Task<Result<unknown>>;
@@ -61,7 +61,7 @@
     for (;;) {
       const frame = yield* Csp.take(link.incoming);
       if (frame === null) return;
-      const envelope = Wire.decode(frame, this.cluster);
+      const envelope = EnvelopeCodec.decode(frame, this.cluster);
       if (!envelope || envelope.kind !== "ask") {
         this.dropped += 1;
         this.env.log(1105, { from: link.member });
@@ -86,7 +86,7 @@
           return;
         }
         link.send(
-          Wire.encode({
+          EnvelopeCodec.encode({
             kind: result.ok ? "reply" : "fault",
             correlation: envelope.correlation,
             cluster: rpc.cluster,
@@ -133,7 +133,7 @@
         const frame = yield* Csp.take(connection.link.incoming);
         if (frame === null) break;
         connection.lastHeard = rpc.env.mono();
-        const envelope = Wire.decode(frame, rpc.cluster);
+        const envelope = EnvelopeCodec.decode(frame, rpc.cluster);
         if (!envelope || (envelope.kind !== "reply" && envelope.kind !== "fault")) {
           rpc.dropped += 1;
           connection.link.close();
@@ -176,9 +176,16 @@
    * Tells members something that wants no reply, and may be lost with its connection.
    * @example rpc.tell([address], "news.push", push);
    */
-  tell(addresses: string[], verb: string, body: unknown): void {
+  notify(addresses: string[], verb: string, body: unknown): void {
     const rpc = this;
-    const frame = Wire.encode({ kind: "ask", correlation: told, cluster: this.cluster, verb, sender: this.self, body });
+    const frame = EnvelopeCodec.encode({
+      kind: "ask",
+      correlation: told,
+      cluster: this.cluster,
+      verb,
+      sender: this.self,
+      body,
+    });
     const send = (address: string, connection: Connection): void => {
       rpc.told += 1;
       connection.usedAt = rpc.env.mono();
@@ -205,7 +212,7 @@
     for (const [address, connection] of this.connections) if (connection.usedAt < before) this.drop(address);
   }
   /** Asks a member; the fault says whether anything may have been sent. No reply is waited for once it is moot. @example yield* rpc.ask(address, "status", {}, 500) */
-  *ask<T = any>(
+  *call<T = any>(
     address: string,
     verb: string,
     body: unknown,
@@ -222,7 +229,7 @@
     const waiting: Waiting = { reply: Csp.chan(1), step: verb };
     connection.waiting.set(correlation, waiting);
     const sent = connection.link.send(
-      Wire.encode({ kind: "ask", correlation, cluster: this.cluster, verb, sender: this.self, body }),
+      EnvelopeCodec.encode({ kind: "ask", correlation, cluster: this.cluster, verb, sender: this.self, body }),
     );
     if (!sent) {
       connection.waiting.delete(correlation);
@@ -230,12 +237,12 @@
       return Fault.fail("broken", verb, address, "connection is down or full");
     }
     const until = startedAt + timeoutMs;
-    const turn = (): number => Math.min(until - this.env.mono(), moot ? Constants.leadChangedMs : Infinity);
-    let reply = yield* EnvTools.takeWithin(this.env, waiting.reply, turn());
-    while (!reply && moot && !moot() && this.env.mono() < until)
-      reply = yield* EnvTools.takeWithin(this.env, waiting.reply, turn());
+    const turn = (): number => Math.min(until - this.env.mono(), moot ? Constants.leaderChangedMs : Infinity);
+    let response = yield* EnvTools.takeWithin(this.env, waiting.reply, turn());
+    while (!response && moot && !moot() && this.env.mono() < until)
+      response = yield* EnvTools.takeWithin(this.env, waiting.reply, turn());
     connection.waiting.delete(correlation);
-    if (reply) return reply as Result<T>;
+    if (response) return response as Result<T>;
     // silent for as long as this ask: the connection may be dead though nobody said so
     if (connection.lastHeard < startedAt) this.forget(address, connection);
     return Fault.fail("timeout", verb, address, `no reply in ${Math.round(timeoutMs)} ms`);
--- a/src/runtime/env.ts
+++ b/src/runtime/env.ts
@@ -14,7 +14,7 @@
 }
 /** What callers may send on one connection, how long a header may take to come, and how long a connection may rest. */
 export type HttpLimits = { readonly headerBytes: number; readonly headerMs: number; readonly idleMs: number };
-export interface HttpIn {
+export interface HttpExchange {
   readonly method: string;
   readonly path: string;
   readonly target: string; // path and query as they came
@@ -32,7 +32,7 @@
   end(): void;
   abort(): void;
 }
-export interface HttpReply {
+export interface HttpResponse {
   readonly status: number;
   readonly headers: Record<string, string>;
   readonly chunks: Chan<Buffer>; // closed at the end
@@ -41,7 +41,7 @@
   /** The rest is of no interest, and the connection may be used again once it has come. */
   finish(): void;
 }
-export type HttpOut = {
+export type HttpRequest = {
   method: string;
   path: string;
   headers?: Record<string, string>;
@@ -72,7 +72,7 @@
   lock(folder: string, owner: string): Task<Result<true>>;
 }
 /** What a fault point is about, for scenarios that lose what belongs to it. */
-export type About = { shard: number; joiners: string[] };
+export type FaultPointContext = { shard: number; joiners: string[] };
 export interface Timer {
   readonly chan: Chan<never>; // closed when due
   cancel(): void;
@@ -90,12 +90,16 @@
   connect(address: string, timeoutMs: number): Task<Result<Link>>;
   datagrams(address: string): Task<Result<DatagramSocket>>;
   /** The limits are asked for again as requests and connections come. */
-  serveHttp(address: string, handler: (incoming: HttpIn) => Task<void>, limits?: () => HttpLimits): Task<Result<true>>;
+  serveHttp(
+    address: string,
+    handler: (incoming: HttpExchange) => Task<void>,
+    limits?: () => HttpLimits,
+  ): Task<Result<true>>;
   /** No new connection from now on, idle ones are closed, and each reply ends its connection; what is in flight goes on. */
   stopServing(): void;
-  http(address: string, out: HttpOut): Task<Result<HttpReply>>;
+  http(address: string, out: HttpRequest): Task<Result<HttpResponse>>;
   /** A numbered fault point: the simulator may end the process here. */
-  point(number: number, about?: About): void;
+  point(number: number, about?: FaultPointContext): void;
   log(event: number, fields?: Record<string, unknown>): void;
 }
 
@@ -109,22 +113,22 @@
   timer.cancel();
   return picked.index === 0 ? picked.value : undefined;
 }
-function* bytesOf(env: Env, reply: HttpReply, limit: number, withinMs: number): Task<Buffer | undefined> {
+function* bytesOf(env: Env, response: HttpResponse, limit: number, withinMs: number): Task<Buffer | undefined> {
   const parts: Buffer[] = [];
   let size = 0;
   const until = env.mono() + withinMs;
   for (;;) {
-    const chunk = yield* takeWithin(env, reply.chunks, until - env.mono());
+    const chunk = yield* takeWithin(env, response.chunks, until - env.mono());
     if (chunk === undefined || (chunk && (size += chunk.length) > limit)) {
-      reply.abort();
+      response.abort();
       return undefined;
     }
-    if (chunk === null) return reply.broken() ? undefined : Buffer.concat(parts);
+    if (chunk === null) return response.broken() ? undefined : Buffer.concat(parts);
     parts.push(chunk);
   }
 }
-function* bodyOf(env: Env, reply: HttpReply, limit: number, withinMs: number): Task<string | undefined> {
-  return (yield* bytesOf(env, reply, limit, withinMs))?.toString("utf8");
+function* bodyOf(env: Env, response: HttpResponse, limit: number, withinMs: number): Task<string | undefined> {
+  return (yield* bytesOf(env, response, limit, withinMs))?.toString("utf8");
 }
 
 /**
--- a/src/runtime/httpClient.ts
+++ b/src/runtime/httpClient.ts
@@ -4,7 +4,7 @@
 import { Csp, Task } from "./csp";
 import { Fault, Result } from "../common/fault";
 import { addressParts, pump, pumpScope, wait } from "./callbacks";
-import { HttpOut, HttpReply } from "./env";
+import { HttpRequest, HttpResponse } from "./env";
 import { NodeLibs } from "./nodeLibs";
 
 let sharedAgent: http.Agent | undefined;
@@ -35,7 +35,7 @@
   return (sharedAgent ??= new PatientAgent({ keepAlive: true, maxSockets: 512, maxFreeSockets: 24 }));
 }
 
-function replyOf(response: http.IncomingMessage): HttpReply {
+function responseOf(response: http.IncomingMessage): HttpResponse {
   const chunks = Csp.chan<Buffer>(64);
   let whole = false;
   const put = pump(response, chunks);
@@ -60,7 +60,7 @@
     },
   };
 }
-function headersOf(out: HttpOut): Record<string, string | number> {
+function headersOf(out: HttpRequest): Record<string, string | number> {
   if (out.body === undefined) return { ...out.headers };
   const type: Record<string, string> = typeof out.body === "string" ? { "content-type": "application/json" } : {};
   return { ...out.headers, ...type, "content-length": Buffer.byteLength(out.body) };
@@ -74,9 +74,9 @@
  * const replied = yield* HttpClient.request("10.0.0.2:80", { method: "GET", path: "/", timeoutMs: 500 });
  */
 export const HttpClient = {
-  *request(address: string, out: HttpOut): Task<Result<HttpReply>> {
+  *request(address: string, out: HttpRequest): Task<Result<HttpResponse>> {
     const { host, port } = addressParts(address);
-    return yield* wait<Result<HttpReply>>((done) => {
+    return yield* wait<Result<HttpResponse>>((done) => {
       let sent = false;
       const request = NodeLibs.http().request({
         host,
@@ -124,7 +124,7 @@
       });
       request.on("response", (response) => {
         clearTimeout(timer);
-        done(Fault.ok(replyOf(response)));
+        done(Fault.ok(responseOf(response)));
       });
       request.end(out.body);
     });
--- a/src/runtime/httpServer.ts
+++ b/src/runtime/httpServer.ts
@@ -4,10 +4,10 @@
 import { Csp, Scope, Task } from "./csp";
 import { Fault, Result } from "../common/fault";
 import { addressParts, wait } from "./callbacks";
-import { HttpIn, HttpLimits } from "./env";
+import { HttpExchange, HttpLimits } from "./env";
 import { NodeLibs } from "./nodeLibs";
 
-type Handler = (incoming: HttpIn) => Task<void>;
+type Handler = (incoming: HttpExchange) => Task<void>;
 /** What is known of one connection: the requests that have no whole response yet, and since when it rests. */
 type Connection = { underWay: number; newest?: http.IncomingMessage; restingSince: number; refused: boolean };
 
@@ -182,8 +182,8 @@
   private incoming(
     request: http.IncomingMessage,
     response: http.ServerResponse,
-    gone: HttpIn["gone"],
-  ): HttpIn & { onGone?: () => void } {
+    gone: HttpExchange["gone"],
+  ): HttpExchange & { onGone?: () => void } {
     const target = originForm(request.url ?? "/");
     const queryAt = target.indexOf("?");
     const begin = (status: number, headers: Record<string, string>): void => {
--- a/src/shard/lotOperations.ts
+++ b/src/shard/lotOperations.ts
@@ -1,9 +1,9 @@
 /** Operations on lots and their items. */
 import { Stamp } from "../common/stamp";
-import { Item, ItemOutcome, Lot, OperationContext, OperationOf, PutOutcome, ShardData } from "./shardTypes";
+import { BatchItem, ItemOutcome, BatchJob, OperationContext, OperationOf, PutOutcome, ShardData } from "./shardTypes";
 
 /** A lot is taken in, once by its id. */
-export function acceptLot({ data, note, put }: OperationContext, op: OperationOf<"lot">): PutOutcome {
+export function acceptJob({ data, note, put }: OperationContext, op: OperationOf<"lot">): PutOutcome {
   const kept = data.sealed.find("lots", op.lot.id);
   if (kept)
     return {
@@ -23,7 +23,7 @@
     return { tag: "no", why: "this arrival of the lot was refused" };
   data.lotsRefused.delete(op.lot.id);
   const tokensWaiting = op.lot.requests?.reduce((sum, request) => sum + request.tokens, 0);
-  const items = op.lot.bodies.map((): Item => ({
+  const items = op.lot.bodies.map((): BatchItem => ({
     state: "waiting",
     round: 0,
     replica: "",
@@ -48,7 +48,7 @@
 }
 
 /** No arrival of the lot up to this put is ever kept. */
-export function refuseLot({ data, note, put }: OperationContext, op: OperationOf<"lotRefuse">): PutOutcome {
+export function refuseJob({ data, note, put }: OperationContext, op: OperationOf<"lotRefuse">): PutOutcome {
   const kept = data.sealed.find("lots", op.lot);
   const known = data.lots.get(op.lot);
   if (kept || known) return { tag: "exists", same: true, state: known?.ended ? "ended" : "open" };
@@ -63,12 +63,12 @@
   { data, note, put, waiting }: OperationContext,
   op: OperationOf<"itemResults">,
 ): PutOutcome {
-  const lot = data.lots.get(op.lot);
-  const fresh = op.results.filter(({ item }) => lot?.requests && lot.items[item]?.state === "waiting");
+  const job = data.lots.get(op.lot);
+  const fresh = op.results.filter(({ item }) => job?.requests && job.items[item]?.state === "waiting");
   for (const { item, state, result } of fresh) {
-    Object.assign(lot!.items[item], { state, stamp: put.stamp, result });
+    Object.assign(job!.items[item], { state, stamp: put.stamp, result });
     waiting.results.push({ lot: op.lot, item });
-    closeItem(data, lot!, put.stamp, item);
+    closeItem(data, job!, put.stamp, item);
   }
   const told = (state: ItemOutcome["state"]): string =>
     fresh
@@ -82,10 +82,10 @@
 
 /** An item is claimed for one attempt at a replica. */
 export function claimItem({ data, note }: OperationContext, op: OperationOf<"itemClaim">): PutOutcome {
-  const lot = data.lots.get(op.lot);
-  const item = lot?.items[op.item];
-  if (!lot || !item) return { tag: "no", why: "no such item" };
-  if (lot.ended) return { tag: "no", why: "lot is ended" };
+  const job = data.lots.get(op.lot);
+  const item = job?.items[op.item];
+  if (!job || !item) return { tag: "no", why: "no such item" };
+  if (job.ended) return { tag: "no", why: "lot is ended" };
   if (item.state !== "waiting" || op.round !== item.round + 1)
     return { tag: "no", why: `item is ${item.state} in round ${item.round}` };
   Object.assign(item, { state: "claimed", round: op.round, replica: op.replica, owner: op.owner });
@@ -95,12 +95,12 @@
 
 /** An attempt at an item that provably did not run gives its claim back. */
 export function releaseItem({ data, note, put }: OperationContext, op: OperationOf<"itemRelease">): PutOutcome {
-  const lot = data.lots.get(op.lot);
-  const item = lot?.items[op.item];
-  if (!lot || !item || item.state !== "claimed" || item.round !== op.round)
+  const job = data.lots.get(op.lot);
+  const item = job?.items[op.item];
+  if (!job || !item || item.state !== "claimed" || item.round !== op.round)
     return { tag: "no", why: "not claimed in this round" };
-  item.state = lot.ended ? "ended" : "waiting";
-  if (lot.ended) closeItem(data, lot, put.stamp, op.item);
+  item.state = job.ended ? "ended" : "waiting";
+  if (job.ended) closeItem(data, job, put.stamp, op.item);
   note(`item ${op.lot}/${op.item}`, `released from replica ${item.replica}: ${op.why}`);
   return { tag: "done" };
 }
@@ -110,47 +110,47 @@
   { data, note, put, waiting }: OperationContext,
   op: OperationOf<"itemResult">,
 ): PutOutcome {
-  const lot = data.lots.get(op.lot);
-  const item = lot?.items[op.item];
-  if (!lot || !item || item.state !== "claimed" || item.round !== op.round)
+  const job = data.lots.get(op.lot);
+  const item = job?.items[op.item];
+  if (!job || !item || item.state !== "claimed" || item.round !== op.round)
     return { tag: "no", why: "not claimed in this round" };
   Object.assign(item, { state: op.state, stamp: put.stamp, result: op.result });
-  lot.bodies[op.item] = "";
+  job.bodies[op.item] = "";
   waiting.results.push({ lot: op.lot, item: op.item });
-  closeItem(data, lot, put.stamp, op.item);
+  closeItem(data, job, put.stamp, op.item);
   note(`item ${op.lot}/${op.item}`, `result marked ${op.state}`);
   return { tag: "done" };
 }
 
 /** A lot ends by its client's word: items that wait will not run. */
-export function endLot({ data, note, put }: OperationContext, op: OperationOf<"lotEnd">): PutOutcome {
-  const lot = data.lots.get(op.lot);
-  if (!lot)
+export function endJob({ data, note, put }: OperationContext, op: OperationOf<"lotEnd">): PutOutcome {
+  const job = data.lots.get(op.lot);
+  if (!job)
     return data.sealed.find("lots", op.lot)
       ? { tag: "exists", same: true, state: "closed" }
       : { tag: "no", why: "no such lot" };
-  if (lot.ended) return { tag: "exists", same: true, state: "ended" };
-  lot.ended = true;
-  lot.endedBy = op.by;
-  lot.items.forEach((item, at) => {
+  if (job.ended) return { tag: "exists", same: true, state: "ended" };
+  job.ended = true;
+  job.endedBy = op.by;
+  job.items.forEach((item, at) => {
     if (item.state !== "waiting") return;
     item.state = "ended";
-    closeItem(data, lot, put.stamp, at);
+    closeItem(data, job, put.stamp, at);
   });
   note(`lot ${op.lot}`, `ended by ${op.by}`);
   return { tag: "done" };
 }
 
 /** One item fewer is open; with the last of them the lot is closed. */
-function closeItem(data: ShardData, lot: Lot, at: Stamp, item: number): void {
-  lot.open -= 1;
-  if (lot.requests) lot.tokensWaiting! -= lot.requests[item].tokens;
-  if (lot.open > 0) return;
+function closeItem(data: ShardData, job: BatchJob, at: Stamp, item: number): void {
+  job.open -= 1;
+  if (job.requests) job.tokensWaiting! -= job.requests[item].tokens;
+  if (job.open > 0) return;
   // the newest of all, so that every result has its position once the frontier has passed it
-  lot.closedAt = lot.items.reduce(
+  job.closedAt = job.items.reduce(
     (newest, item) => (item.stamp && Stamp.compare(item.stamp, newest) > 0 ? item.stamp : newest),
     at,
   );
-  data.lotsClosed.push(lot.id);
-  if (lot.requests) data.bodiesKept.push(lot.id);
+  data.lotsClosed.push(job.id);
+  if (job.requests) data.bodiesKept.push(job.id);
 }
--- a/src/shard/segments.ts
+++ b/src/shard/segments.ts
@@ -6,10 +6,10 @@
 import { Task } from "../runtime/csp";
 import { Env } from "../runtime/env";
 import { IdTable } from "./idTable";
-import type { LedgerEntry, Lot, Work } from "./shardState";
+import type { LedgerEntry, BatchJob, LiveRequest } from "./shardState";
 
 export type SegmentKind = "works" | "lots" | "ledger";
-type ObjectOf = { works: Work; lots: Lot; ledger: LedgerEntry };
+type ObjectOf = { works: LiveRequest; lots: BatchJob; ledger: LedgerEntry };
 /** Objects that will not change any more, by a number that every copy gives them alike. */
 export type Sealing = { kind: SegmentKind; number: number; objects: ObjectOf[SegmentKind][] };
 /** What stays in memory, and on disk after the objects were trimmed: id digest, body digest, outcome. */
@@ -145,7 +145,7 @@
         subjects: filterOf(entries),
       };
     }
-    const held = sealing.objects as (Work | Lot)[];
+    const held = sealing.objects as (LiveRequest | BatchJob)[];
     return {
       ...common,
       to: Math.max(...held.map((object) => object.closedAt?.time ?? 0)),
--- a/src/shard/shardReplica.ts
+++ b/src/shard/shardReplica.ts
@@ -6,20 +6,20 @@
 import { Fault, Result } from "../common/fault";
 import { Bounds, Stamp } from "../common/stamp";
 import { Rpc } from "../rpc/rpc";
-import { Wire } from "../rpc/envelopeCodec";
-import { View } from "../control/controlState";
+import { EnvelopeCodec } from "../rpc/envelopeCodec";
+import { ShardView } from "../control/controlState";
 import { SegmentCounts, SegmentKind, Segments } from "./segments";
-import { FrozenShard, Lot, Put, PutOutcome, ShardData, ShardState, Work } from "./shardState";
+import { SerializedShard, BatchJob, Put, PutOutcome, ShardData, ShardState, LiveRequest } from "./shardState";
 
 /* eslint-disable @typescript-eslint/no-explicit-any */
-export type Entry = { seq: number; epoch: number; frontier: number; puts: Put[] };
-type Noted = { tag: "entry"; entry: Entry } | { tag: "seal"; epoch: number } | { tag: "view"; view: View };
-type Saved = { seq: number; lastEpoch: number; sealed: number; view: View | null; data: FrozenShard };
+export type ShardLogEntry = { seq: number; epoch: number; frontier: number; puts: Put[] };
+type Noted = { tag: "entry"; entry: ShardLogEntry } | { tag: "seal"; epoch: number } | { tag: "view"; view: ShardView };
+type Saved = { seq: number; lastEpoch: number; sealed: number; view: ShardView | null; data: SerializedShard };
 type Pending = { put: Put; reply: Chan<Result<PutOutcome>>; enqueuedAt: number };
-export type CopyStatus = {
+export type ShardReplicaStatus = {
   shard: number;
   epoch: number;
-  view: View | null;
+  view: ShardView | null;
   sealed: number;
   role: "member" | "starting" | "lead" | "out";
   seq: number;
@@ -32,13 +32,13 @@
   lots: number;
   works: number;
 };
-export type CopyHooks = {
+export type ShardReplicaHooks = {
   addressOf(id: string): string | undefined;
   bounds(): Bounds;
   vouches(): boolean;
   putTook(ms: number): void;
-  started(copy: ShardCopy): void;
-  stopped(copy: ShardCopy): void;
+  started(replica: ShardReplica): void;
+  stopped(replica: ShardReplica): void;
   troubled(): void; // control should look at us now
 };
 
@@ -52,8 +52,8 @@
  * yield* copy.open();
  * const outcome = yield* copy.put({ putId, stamp, ops, cause: {} }, 2000);
  */
-export class ShardCopy {
-  view: View | undefined;
+export class ShardReplica {
+  view: ShardView | undefined;
   sealed = 0;
   seq = 0;
   lastEpoch = 0;
@@ -61,12 +61,12 @@
   appliedEpoch = 0;
   data: ShardData;
   readonly segments: Segments;
-  role: CopyStatus["role"] = "out";
+  role: ShardReplicaStatus["role"] = "out";
   exists = false;
   wantsView = "";
-  private tail: Entry[] = []; // the last entries, for catch-up; ends at seq
+  private tail: ShardLogEntry[] = []; // the last entries, for catch-up; ends at seq
   private sealedInThisLife = 0;
-  private grants = new Map<string, number>(); // lead: member → mono time its grant ends for us
+  private leases = new Map<string, number>(); // lead: member → mono time its grant ends for us
   private grantedUntil: number; // member: the end of what we granted
   private failing = new Map<string, number>();
   private pending: Pending[] = [];
@@ -90,15 +90,15 @@
     private readonly self: string,
     readonly shard: number,
     private readonly folder: string,
-    private readonly hooks: CopyHooks,
+    private readonly hooks: ShardReplicaHooks,
   ) {
     this.slots = new TwoSlots(env, folder, 2);
     this.segments = new Segments(env, folder);
     this.data = ShardState.empty(this.segments);
     this.segments.trimmed = this.data.trimmed;
-    const copy = this;
-    EnvTools.keep(env, env.scope, `segments of shard ${shard}`, () => copy.segmentLoop());
-    this.grantedUntil = env.mono() + Constants.shardGrantMs; // a restarted member may have granted just before
+    const replica = this;
+    EnvTools.keep(env, env.scope, `segments of shard ${shard}`, () => replica.segmentLoop());
+    this.grantedUntil = env.mono() + Constants.shardLeaseMs; // a restarted member may have granted just before
     Csp.offer(this.token, true);
   }
 
@@ -152,7 +152,7 @@
     this.exists = true;
     return opened;
   }
-  private remember(entries: Entry[]): void {
+  private remember(entries: ShardLogEntry[]): void {
     for (const entry of entries) {
       this.tail.push(entry);
       this.seq = entry.seq;
@@ -196,7 +196,7 @@
   }
   private breakDown(fault: Fault): void {
     this.env.log(1404, { shard: this.shard, fault });
-    this.stopLead("disk failed");
+    this.stopLeader("disk failed");
   }
   /**
    * A disk that failed is tried again: what stands on it is read as after a start, and counts only once all of it was
@@ -206,13 +206,13 @@
   *retryDisk(): Task<void> {
     if (!this.slots.broken || this.retryingDisk) return;
     this.retryingDisk = true;
-    const copy = this;
+    const replica = this;
     yield* this.locked(function* () {
-      const slots = new TwoSlots(copy.env, copy.folder, 2);
+      const slots = new TwoSlots(replica.env, replica.folder, 2);
       const probed = yield* slots.probe();
       if (!probed.ok) return;
-      copy.slots = slots;
-      Object.assign(copy, {
+      replica.slots = slots;
+      Object.assign(replica, {
         seq: 0,
         applied: 0,
         lastEpoch: 0,
@@ -221,19 +221,19 @@
         sinceFold: 0,
         view: undefined,
         tail: [],
-        data: ShardState.empty(copy.segments),
+        data: ShardState.empty(replica.segments),
         exists: false,
         role: "out",
       });
-      copy.segments.trimmed = copy.data.trimmed;
-      const opened = yield* copy.open();
-      const written = opened.ok && copy.exists ? yield* slots.rotate(copy.saved()) : opened;
+      replica.segments.trimmed = replica.data.trimmed;
+      const opened = yield* replica.open();
+      const written = opened.ok && replica.exists ? yield* slots.rotate(replica.saved()) : opened;
       if (!written.ok) {
         slots.broken = true;
-        copy.role = "out";
+        replica.role = "out";
         return;
       }
-      copy.env.log(1414, { shard: copy.shard, seq: copy.seq });
+      replica.env.log(1414, { shard: replica.shard, seq: replica.seq });
     });
     this.retryingDisk = false;
   }
@@ -258,112 +258,113 @@
   /** @example rpc.handle("shard.replicate", (body) => copy.onReplicate(body)); */
   *onReplicate(body: {
     epoch: number;
-    view: View;
+    view: ShardView;
     prevSeq: number;
     prevEpoch: number;
-    entries: Entry[];
+    entries: ShardLogEntry[];
     frontier: number;
     stable: number;
   }): Task<Result<any>> {
-    const copy = this;
+    const replica = this;
     return yield* this.locked<Result<any>>(function* () {
-      if (copy.slots.broken) return Fault.ok({ tag: "broken" });
-      if (body.epoch < copy.sealed || body.epoch < (copy.view?.epoch ?? 0))
-        return Fault.ok({ tag: "sealed", epoch: copy.sealed });
-      if (copy.role === "lead" && copy.view?.epoch === body.epoch)
-        return Fault.fail("conflict", "replicate", copy.self, "two leads in one epoch");
+      if (replica.slots.broken) return Fault.ok({ tag: "broken" });
+      if (body.epoch < replica.sealed || body.epoch < (replica.view?.epoch ?? 0))
+        return Fault.ok({ tag: "sealed", epoch: replica.sealed });
+      if (replica.role === "lead" && replica.view?.epoch === body.epoch)
+        return Fault.fail("conflict", "replicate", replica.self, "two leads in one epoch");
       const records: Noted[] = [];
-      if (body.epoch > (copy.view?.epoch ?? 0)) {
-        copy.stopLead("newer view");
+      if (body.epoch > (replica.view?.epoch ?? 0)) {
+        replica.stopLeader("newer view");
         records.push({ tag: "view", view: body.view });
       }
-      const matches = body.prevSeq <= copy.seq && copy.epochAt(body.prevSeq) === body.prevEpoch;
-      if (!matches) return Fault.ok({ tag: "behind", seq: copy.seq, lastEpoch: copy.lastEpoch });
-      const fresh = body.entries.filter((entry) => entry.seq > copy.seq);
+      const matches = body.prevSeq <= replica.seq && replica.epochAt(body.prevSeq) === body.prevEpoch;
+      if (!matches) return Fault.ok({ tag: "behind", seq: replica.seq, lastEpoch: replica.lastEpoch });
+      const fresh = body.entries.filter((entry) => entry.seq > replica.seq);
       // what we hold beyond the lead's word in an older epoch was never acknowledged by all
       if (
-        body.entries.some((entry) => entry.seq <= copy.seq && copy.epochAt(entry.seq) !== entry.epoch) ||
-        (body.entries.length === 0 && body.prevSeq < copy.seq && copy.lastEpoch < body.epoch)
+        body.entries.some((entry) => entry.seq <= replica.seq && replica.epochAt(entry.seq) !== entry.epoch) ||
+        (body.entries.length === 0 && body.prevSeq < replica.seq && replica.lastEpoch < body.epoch)
       )
         return Fault.ok({ tag: "behind", seq: -1, lastEpoch: -1 });
       for (const entry of fresh) records.push({ tag: "entry", entry });
-      copy.env.point(41);
+      replica.env.point(41);
       if (records.length > 0) {
-        const done = yield* copy.write(records);
+        const done = yield* replica.write(records);
         if (!done.ok) return Fault.ok({ tag: "broken" });
       }
-      copy.exists = true;
-      if (body.epoch > (copy.view?.epoch ?? 0)) {
-        copy.view = body.view;
-        copy.sealed = Math.max(copy.sealed, body.epoch);
-        copy.wantsView = "";
+      replica.exists = true;
+      if (body.epoch > (replica.view?.epoch ?? 0)) {
+        replica.view = body.view;
+        replica.sealed = Math.max(replica.sealed, body.epoch);
+        replica.wantsView = "";
       }
-      copy.role = "member";
-      copy.remember(fresh);
-      copy.applyAll();
-      if (copy.applied >= body.stable && copy.epochAt(body.stable) !== undefined) copy.moveFrontier(body.frontier);
-      copy.grantedUntil = copy.env.mono() + Constants.shardGrantMs;
-      yield* copy.foldIfLong();
-      copy.env.point(42);
-      return Fault.ok({ tag: "ok", seq: copy.seq, lowDisk: copy.diskLow });
+      replica.role = "member";
+      replica.remember(fresh);
+      replica.applyAll();
+      if (replica.applied >= body.stable && replica.epochAt(body.stable) !== undefined)
+        replica.moveFrontier(body.frontier);
+      replica.grantedUntil = replica.env.mono() + Constants.shardLeaseMs;
+      yield* replica.foldIfLong();
+      replica.env.point(42);
+      return Fault.ok({ tag: "ok", seq: replica.seq, lowDisk: replica.diskLow });
     });
   }
   diskLow = false;
   /** Survivors seal the old epoch: its lead is refused from then on. @example yield* copy.onSeal({ epoch: 4 }) */
   *onSeal(body: { epoch: number }): Task<Result<any>> {
-    const copy = this;
+    const replica = this;
     return yield* this.locked<Result<any>>(function* () {
-      if (!copy.exists) return Fault.fail("notFound", "seal", copy.self, "no copy here");
+      if (!replica.exists) return Fault.fail("notFound", "seal", replica.self, "no copy here");
       // nothing of it counts, but its word that it does not lead spares the wait for its grant's end
-      if (copy.slots.broken) return Fault.ok({ tag: "stopped" });
-      if (copy.sealed > body.epoch || (copy.view?.epoch ?? 0) >= body.epoch)
-        return Fault.fail("conflict", "seal", copy.self, `sealed for ${copy.sealed}`);
-      if (copy.sealed < body.epoch) {
-        const done = yield* copy.write([{ tag: "seal", epoch: body.epoch }]);
+      if (replica.slots.broken) return Fault.ok({ tag: "stopped" });
+      if (replica.sealed > body.epoch || (replica.view?.epoch ?? 0) >= body.epoch)
+        return Fault.fail("conflict", "seal", replica.self, `sealed for ${replica.sealed}`);
+      if (replica.sealed < body.epoch) {
+        const done = yield* replica.write([{ tag: "seal", epoch: body.epoch }]);
         if (!done.ok) return done;
-        copy.sealed = body.epoch;
+        replica.sealed = body.epoch;
       }
-      copy.sealedInThisLife = body.epoch;
-      copy.stopLead("sealed");
-      copy.applyAll();
-      copy.env.point(43);
+      replica.sealedInThisLife = body.epoch;
+      replica.stopLeader("sealed");
+      replica.applyAll();
+      replica.env.point(43);
       return Fault.ok({
         tag: "sealed",
-        seq: copy.seq,
-        lastEpoch: copy.lastEpoch,
-        tailFrom: copy.tail[0]?.seq ?? copy.seq + 1,
-        grantLeftMs: Math.max(0, copy.grantedUntil - copy.env.mono()),
+        seq: replica.seq,
+        lastEpoch: replica.lastEpoch,
+        tailFrom: replica.tail[0]?.seq ?? replica.seq + 1,
+        grantLeftMs: Math.max(0, replica.grantedUntil - replica.env.mono()),
       });
     });
   }
   /** A new view from control; the lead among its members starts. @example yield* copy.onInstall({ view, waitMs: 0 }) */
-  *onInstall(body: { view: View; waitMs: number }): Task<Result<any>> {
-    const copy = this;
+  *onInstall(body: { view: ShardView; waitMs: number }): Task<Result<any>> {
+    const replica = this;
     const installedAt = this.env.mono();
     const installed = yield* this.locked<Result<true>>(function* () {
-      const known = copy.view?.epoch ?? 0;
-      if (body.view.epoch < known || copy.sealed > body.view.epoch)
-        return Fault.fail("conflict", "install", copy.self, "a newer epoch is known");
-      if (body.view.epoch === known && copy.exists) return Fault.ok(true as const);
-      if (copy.slots.broken) return Fault.fail("disk", "install", copy.self, "disk failed");
-      if (!body.view.members.includes(copy.self)) {
-        copy.stopLead("not in the new view");
-        copy.role = "out";
+      const known = replica.view?.epoch ?? 0;
+      if (body.view.epoch < known || replica.sealed > body.view.epoch)
+        return Fault.fail("conflict", "install", replica.self, "a newer epoch is known");
+      if (body.view.epoch === known && replica.exists) return Fault.ok(true as const);
+      if (replica.slots.broken) return Fault.fail("disk", "install", replica.self, "disk failed");
+      if (!body.view.members.includes(replica.self)) {
+        replica.stopLeader("not in the new view");
+        replica.role = "out";
       } else {
-        if (!copy.exists && body.view.epoch > 1)
-          return Fault.fail("notFound", "install", copy.self, "no copy here: never start empty");
-        if (!copy.exists) copy.sealedInThisLife = 1;
+        if (!replica.exists && body.view.epoch > 1)
+          return Fault.fail("notFound", "install", replica.self, "no copy here: never start empty");
+        if (!replica.exists) replica.sealedInThisLife = 1;
       }
-      copy.stopLead("newer view");
-      const done = yield* copy.write([{ tag: "view", view: body.view }]);
+      replica.stopLeader("newer view");
+      const done = yield* replica.write([{ tag: "view", view: body.view }]);
       if (!done.ok) return done;
-      copy.view = body.view;
-      copy.sealed = Math.max(copy.sealed, body.view.epoch);
-      copy.exists = true;
-      copy.wantsView = "";
-      if (body.view.members.includes(copy.self)) copy.role = "member";
-      copy.env.log(1401, {
-        shard: copy.shard,
+      replica.view = body.view;
+      replica.sealed = Math.max(replica.sealed, body.view.epoch);
+      replica.exists = true;
+      replica.wantsView = "";
+      if (body.view.members.includes(replica.self)) replica.role = "member";
+      replica.env.log(1401, {
+        shard: replica.shard,
         epoch: body.view.epoch,
         lead: body.view.lead,
         members: body.view.members,
@@ -381,7 +382,7 @@
       else {
         this.role = "starting";
         this.mayLeadAt = installedAt + body.waitMs;
-        Csp.go(this.env.scope, `lead of shard ${this.shard}`, () => this.lead(body.view));
+        Csp.go(this.env.scope, `lead of shard ${this.shard}`, () => this.leader(body.view));
       }
     } else if (this.view?.epoch === body.view.epoch && this.role === "starting") {
       // the frame told of the view first, without how long the former grant lasts
@@ -400,11 +401,11 @@
     });
     const ids = [this.self];
     const done = Csp.chan<true>(16);
-    const copy = this;
+    const replica = this;
     const until = this.env.mono() + Constants.levelTimeoutMs;
     for (const { id, address } of body.targets)
       Csp.go(this.env.scope, `level ${id}`, function* () {
-        if (yield* copy.levelOne(address, body.epoch, until)) ids.push(id);
+        if (yield* replica.levelOne(address, body.epoch, until)) ids.push(id);
         Csp.offer(done, true);
       });
     for (let heard = 0; heard < body.targets.length; heard += 1) yield* Csp.take(done);
@@ -419,17 +420,17 @@
     let from = this.seq;
     while (this.env.mono() < until && !this.levelFault(epoch)) {
       const entries = this.tail.filter((entry) => entry.seq > from).slice(0, Constants.fillEntries);
-      const replied = yield* this.rpc.ask(
+      const response = yield* this.rpc.call(
         address,
         "shard.catchUp",
         { shard: this.shard, epoch, prevSeq: from, prevEpoch: this.epochAt(from), entries },
         Math.min(Constants.sealTimeoutMs, until - this.env.mono()),
       );
-      if (!replied.ok) {
-        if (replied.fault.tag !== "timeout" && replied.fault.tag !== "broken") return false;
+      if (!response.ok) {
+        if (response.fault.tag !== "timeout" && response.fault.tag !== "broken") return false;
         continue;
       }
-      const where: { tag: string; seq: number; lastEpoch: number } = replied.value;
+      const where: { tag: string; seq: number; lastEpoch: number } = response.value;
       if (where.tag === "ok" && where.seq === this.seq && where.lastEpoch === this.lastEpoch) return true;
       if (where.tag !== "ok" && where.tag !== "behind") return false;
       if (!this.goesOn(where)) return false; // it has to be filled first
@@ -438,30 +439,33 @@
     return false;
   }
   /** A member of the next view takes the sealed end's last entries, and its seal. @example yield* copy.onCatchUp(body) */
-  *onCatchUp(body: { epoch: number; prevSeq: number; prevEpoch: number; entries: Entry[] }): Task<Result<any>> {
-    const copy = this;
+  *onCatchUp(body: { epoch: number; prevSeq: number; prevEpoch: number; entries: ShardLogEntry[] }): Task<Result<any>> {
+    const replica = this;
     return yield* this.locked<Result<any>>(function* () {
-      if (copy.slots.broken) return Fault.ok({ tag: "broken" });
-      if (body.epoch < copy.sealed || body.epoch <= (copy.view?.epoch ?? 0))
-        return Fault.ok({ tag: "sealed", epoch: copy.sealed });
-      const matches = copy.seq === body.prevSeq && copy.lastEpoch === body.prevEpoch;
-      if (!matches) return Fault.ok({ tag: "behind", seq: copy.seq, lastEpoch: copy.lastEpoch });
+      if (replica.slots.broken) return Fault.ok({ tag: "broken" });
+      if (body.epoch < replica.sealed || body.epoch <= (replica.view?.epoch ?? 0))
+        return Fault.ok({ tag: "sealed", epoch: replica.sealed });
+      const matches = replica.seq === body.prevSeq && replica.lastEpoch === body.prevEpoch;
+      if (!matches) return Fault.ok({ tag: "behind", seq: replica.seq, lastEpoch: replica.lastEpoch });
       const records: Noted[] = body.entries.map((entry) => ({ tag: "entry", entry }));
-      if (copy.sealed < body.epoch) records.unshift({ tag: "seal", epoch: body.epoch });
-      const done: Result<true> = records.length > 0 ? yield* copy.write(records) : Fault.ok(true as const);
+      if (replica.sealed < body.epoch) records.unshift({ tag: "seal", epoch: body.epoch });
+      const done: Result<true> = records.length > 0 ? yield* replica.write(records) : Fault.ok(true as const);
       if (!done.ok) return Fault.ok({ tag: "broken" });
-      copy.exists = true;
-      copy.sealed = copy.sealedInThisLife = body.epoch;
-      copy.stopLead("sealed");
-      copy.remember(body.entries);
-      copy.applyAll();
-      copy.env.point(49, { shard: copy.shard, joiners: copy.view?.members.includes(copy.self) ? [] : [copy.self] });
-      return Fault.ok({ tag: "ok", seq: copy.seq, lastEpoch: copy.lastEpoch });
+      replica.exists = true;
+      replica.sealed = replica.sealedInThisLife = body.epoch;
+      replica.stopLeader("sealed");
+      replica.remember(body.entries);
+      replica.applyAll();
+      replica.env.point(49, {
+        shard: replica.shard,
+        joiners: replica.view?.members.includes(replica.self) ? [] : [replica.self],
+      });
+      return Fault.ok({ tag: "ok", seq: replica.seq, lastEpoch: replica.lastEpoch });
     });
   }
   /** What is open, all at once, for a copy being filled; what is closed for good comes as segments. @example yield* copy.onOpenState({ member: "store-9" }) */
   *onOpenState(body: { member: string }): Task<Result<{ epoch: number; saved: Saved }>> {
-    if (!this.holdsGrant() || !this.view) return Fault.fail("notLead", "fill", this.self, "");
+    if (!this.holdsLease() || !this.view) return Fault.fail("notLead", "fill", this.self, "");
     this.env.point(48, { shard: this.shard, joiners: [body.member] });
     return Fault.ok({ epoch: this.view.epoch, saved: this.saved() });
   }
@@ -475,7 +479,7 @@
     if (this.filling !== "") return Fault.ok({ tag: "underWay" });
     this.filling = body.from;
     try {
-      const where = yield* this.rpc.ask(
+      const where = yield* this.rpc.call(
         body.from,
         "shard.goesOn",
         { shard: this.shard, seq: this.seq, lastEpoch: this.lastEpoch },
@@ -483,10 +487,10 @@
       );
       if (!where.ok) return where;
       if (this.exists && where.value.goesOn) return Fault.ok({ tag: "ok" });
-      for (let round = 0; round < 20; round += 1) {
+      for (let attempt = 0; attempt < 20; attempt += 1) {
         const missing = yield* this.fetchSegments(body.from);
         if (!missing.ok) return missing;
-        const state = yield* this.rpc.ask<{ epoch: number; saved: Saved }>(
+        const state = yield* this.rpc.call<{ epoch: number; saved: Saved }>(
           body.from,
           "shard.openState",
           { shard: this.shard, member: this.self },
@@ -507,7 +511,7 @@
   }
   /** Takes what is missing here of another copy's segments; how many of each kind stand here then. */
   private *fetchSegments(from: string): Task<Result<SegmentCounts>> {
-    const listed = yield* this.rpc.ask<{
+    const listed = yield* this.rpc.call<{
       counts: SegmentCounts;
       trimmed: SegmentCounts;
       segments: ReturnType<Segments["list"]>;
@@ -526,7 +530,7 @@
   private *fetchFile(from: string, kind: SegmentKind, number: number, part: "seg" | "idx"): Task<Result<true>> {
     const pieces: Buffer[] = [];
     for (let at = 0, size = 1; at < size;) {
-      const piece = yield* this.rpc.ask<{ data: string; size: number }>(
+      const piece = yield* this.rpc.call<{ data: string; size: number }>(
         from,
         "shard.segmentPart",
         { shard: this.shard, kind, number, part, from: at },
@@ -545,29 +549,33 @@
     return yield* this.segments.put(kind, number, part, Buffer.concat(pieces));
   }
   private *takeOpenState(epoch: number, given: Saved): Task<Result<{ tag: "ok" }>> {
-    const copy = this;
+    const replica = this;
     return yield* this.locked<Result<{ tag: "ok" }>>(function* () {
-      if (copy.slots.broken) return Fault.fail("disk", "fill", copy.self, "disk failed");
-      if (epoch < copy.sealed || epoch < (copy.view?.epoch ?? 0))
-        return Fault.fail("conflict", "fill", copy.self, `sealed for ${copy.sealed}`);
+      if (replica.slots.broken) return Fault.fail("disk", "fill", replica.self, "disk failed");
+      if (epoch < replica.sealed || epoch < (replica.view?.epoch ?? 0))
+        return Fault.fail("conflict", "fill", replica.self, `sealed for ${replica.sealed}`);
       // a member of the view that it was taken from is never set back
-      if (copy.view?.members.includes(copy.self) && copy.view.epoch === given.view?.epoch && given.seq < copy.seq)
-        return Fault.fail("conflict", "fill", copy.self, `holds ${copy.seq} already`);
-      copy.stopLead("filled from another");
-      const saved: Saved = { ...given, sealed: Math.max(copy.sealed, epoch) };
-      const done = yield* copy.slots.rotate(saved);
+      if (
+        replica.view?.members.includes(replica.self) &&
+        replica.view.epoch === given.view?.epoch &&
+        given.seq < replica.seq
+      )
+        return Fault.fail("conflict", "fill", replica.self, `holds ${replica.seq} already`);
+      replica.stopLeader("filled from another");
+      const saved: Saved = { ...given, sealed: Math.max(replica.sealed, epoch) };
+      const done = yield* replica.slots.rotate(saved);
       if (!done.ok) {
-        copy.breakDown(done.fault);
+        replica.breakDown(done.fault);
         return done;
       }
-      const taken = yield* copy.take(saved);
+      const taken = yield* replica.take(saved);
       if (!taken.ok) {
-        copy.breakDown(taken.fault);
+        replica.breakDown(taken.fault);
         return taken;
       }
-      Csp.offer(copy.segmentWake, true);
-      copy.role = saved.view?.members.includes(copy.self) ? "member" : "out";
-      copy.env.log(1407, { shard: copy.shard, seq: copy.seq });
+      Csp.offer(replica.segmentWake, true);
+      replica.role = saved.view?.members.includes(replica.self) ? "member" : "out";
+      replica.env.log(1407, { shard: replica.shard, seq: replica.seq });
       return Fault.ok({ tag: "ok" });
     });
   }
@@ -584,28 +592,29 @@
     );
   }
   /** Objects of the given ranges, to mend by. @example yield* copy.onMend({ works, lots }) */
-  *onMend(body: { epoch: number; seq: number; works: Work[]; lots: Lot[] }): Task<Result<any>> {
-    const copy = this;
+  *onMend(body: { epoch: number; seq: number; works: LiveRequest[]; lots: BatchJob[] }): Task<Result<any>> {
+    const replica = this;
     return yield* this.locked<Result<any>>(function* () {
-      if (body.epoch < copy.sealed || copy.slots.broken || copy.applied < body.seq) return Fault.ok({ mended: 0 });
-      const mended = ShardState.mend(copy.data, body.works, body.lots);
+      if (body.epoch < replica.sealed || replica.slots.broken || replica.applied < body.seq)
+        return Fault.ok({ mended: 0 });
+      const mended = ShardState.mend(replica.data, body.works, body.lots);
       if (mended > 0) {
-        copy.counts.mended += mended;
-        copy.env.log(1408, { shard: copy.shard, objects: mended });
-        const done = yield* copy.slots.rotate(copy.saved());
-        if (!done.ok) copy.breakDown(done.fault);
+        replica.counts.mended += mended;
+        replica.env.log(1408, { shard: replica.shard, objects: mended });
+        const done = yield* replica.slots.rotate(replica.saved());
+        if (!done.ok) replica.breakDown(done.fault);
       }
       return Fault.ok({ mended });
     });
   }
   // ---------- reads ----------
   /** An open lot or a closed one, from its segment. @example const lot = yield* copy.lot("lot-17"); */
-  *lot(id: string): Task<Result<Lot | undefined>> {
-    const lot = this.data.lots.get(id);
-    return lot ? Fault.ok(lot) : yield* this.segments.object("lots", id);
+  *job(id: string): Task<Result<BatchJob | undefined>> {
+    const job = this.data.lots.get(id);
+    return job ? Fault.ok(job) : yield* this.segments.object("lots", id);
   }
   /** @example const request = yield* copy.work("req-1"); */
-  *work(id: string): Task<Result<Work | undefined>> {
+  *work(id: string): Task<Result<LiveRequest | undefined>> {
     const work = this.data.works.get(id);
     return work ? Fault.ok(work) : yield* this.segments.object("works", id);
   }
@@ -633,17 +642,17 @@
   private silent = (): string[] =>
     [...this.failing].filter(([, since]) => this.env.mono() - since > Constants.memberSilentMs).map(([id]) => id);
   /** How long the lead has not been heard by this member. @example copy.leadSilentFor() */
-  leadSilentFor = (): number => this.env.mono() - (this.grantedUntil - Constants.shardGrantMs);
+  leaderSilentFor = (): number => this.env.mono() - (this.grantedUntil - Constants.shardLeaseMs);
   /** Whether a change of view seems to be called for. @example if (copy.isTroubled()) call(); */
   isTroubled(): boolean {
     if (this.role === "lead") return this.silent().length > 0;
     const follows = this.role === "member" && !!this.view?.members.includes(this.self);
-    return follows && (this.wantsView !== "" || this.leadSilentFor() > Constants.leadSilentMs);
+    return follows && (this.wantsView !== "" || this.leaderSilentFor() > Constants.leaderSilentMs);
   }
   /** Synced writes so far. @example copy.syncs() */
   syncs = (): number => this.slots.syncs;
   /** @example copy.status().role */
-  status(): CopyStatus {
+  status(): ShardReplicaStatus {
     return {
       shard: this.shard,
       epoch: this.view?.epoch ?? 0,
@@ -653,7 +662,7 @@
       seq: this.seq,
       lastEpoch: this.lastEpoch,
       failing: this.silent(),
-      leadSilentMs: Math.round(this.leadSilentFor()),
+      leadSilentMs: Math.round(this.leaderSilentFor()),
       wantsView: this.wantsView,
       broken: this.slots.broken || this.retryingDisk,
       frontier: this.data.frontier,
@@ -665,16 +674,16 @@
   // ---------- the lead ----------
   private others = (): string[] => (this.view?.members ?? []).filter((id) => id !== this.self);
   /** Whether the duty is held right now. @example if (!copy.holdsGrant()) return notLead; */
-  holdsGrant(): boolean {
+  holdsLease(): boolean {
     const now = this.env.mono();
-    return this.role === "lead" && this.others().every((id) => (this.grants.get(id) ?? 0) > now);
+    return this.role === "lead" && this.others().every((id) => (this.leases.get(id) ?? 0) > now);
   }
   /** Ends our time as lead. @example copy.stopLead("frozen"); */
-  stopLead(why: string): void {
+  stopLeader(why: string): void {
     if (this.role !== "lead" && this.role !== "starting") return;
     this.env.log(1412, { shard: this.shard, epoch: this.view?.epoch, why });
     this.role = this.slots.broken ? "out" : "member";
-    this.grants.clear();
+    this.leases.clear();
     for (const pending of this.pending) Csp.offer(pending.reply, Fault.fail("notLead", "put", this.self, why));
     for (const pending of this.inFlight) Csp.offer(pending.reply, Fault.fail("unknown", "put", this.self, why));
     this.pending = [];
@@ -691,12 +700,12 @@
     id: string,
     epoch: number,
     prevSeq: number,
-    entries: Entry[],
+    entries: ShardLogEntry[],
   ): Task<"ok" | "behind" | "over" | "failed"> {
     const address = this.hooks.addressOf(id);
     if (!address || !this.view) return "failed";
     const askedAt = this.env.mono();
-    const replied = yield* this.rpc.ask(
+    const response = yield* this.rpc.call(
       address,
       "shard.replicate",
       {
@@ -712,18 +721,18 @@
       Constants.replicateTimeoutMs,
     );
     if (!this.isLeadOf(epoch)) return "over";
-    if (!replied.ok) {
-      this.failSince(id, askedAt, replied.fault);
+    if (!response.ok) {
+      this.failSince(id, askedAt, response.fault);
       return "failed";
     }
-    switch (replied.value.tag) {
+    switch (response.value.tag) {
       case "ok":
-        this.grants.set(id, askedAt + Constants.shardGrantMs - Constants.shardGrantMarginMs);
-        this.lowDisk.set(id, replied.value.lowDisk);
+        this.leases.set(id, askedAt + Constants.shardLeaseMs - Constants.shardLeaseMarginMs);
+        this.lowDisk.set(id, response.value.lowDisk);
         this.failing.delete(id);
         return "ok";
       case "sealed":
-        this.stopLead(`refused by ${id}: sealed for ${replied.value.epoch}`);
+        this.stopLeader(`refused by ${id}: sealed for ${response.value.epoch}`);
         return "over";
       case "behind":
         return "behind";
@@ -737,17 +746,17 @@
     const since = fault?.tag === "refused" ? askedAt - Constants.memberSilentMs / 2 : askedAt;
     if (!this.failing.has(id)) this.failing.set(id, since);
   }
-  private *lead(view: View): Task<void> {
+  private *leader(view: ShardView): Task<void> {
     const epoch = view.epoch;
-    const copy = this;
+    const replica = this;
     this.failing.clear();
-    this.grants.clear();
+    this.leases.clear();
     const ready = Csp.chan<true>(16);
     for (const id of this.others())
       Csp.go(this.env.scope, `grant of ${id}`, function* () {
         // every member stands where we stand: the view was committed only then
-        while (copy.isLeadOf(epoch) && (yield* copy.send(id, epoch, copy.seq, [])) !== "ok")
-          yield* EnvTools.sleep(copy.env, 40);
+        while (replica.isLeadOf(epoch) && (yield* replica.send(id, epoch, replica.seq, [])) !== "ok")
+          yield* EnvTools.sleep(replica.env, 40);
         Csp.offer(ready, true);
       });
     for (let heard = 0; heard < this.others().length; heard += 1) yield* Csp.take(ready);
@@ -764,21 +773,22 @@
     if (!this.isLeadOf(epoch)) return;
     this.env.log(1411, { shard: this.shard, epoch, seq: this.seq });
     this.hooks.started(this);
-    Csp.go(this.env.scope, `renewals of shard ${this.shard} epoch ${epoch}`, () => copy.renewLoop(epoch));
+    Csp.go(this.env.scope, `renewals of shard ${this.shard} epoch ${epoch}`, () => replica.renewLoop(epoch));
     yield* this.orderLoop(epoch);
   }
   private *renewLoop(epoch: number): Task<void> {
     while (this.isLeadOf(epoch)) {
-      const copy = this;
+      const replica = this;
       this.advance();
       if (this.isTroubled()) this.hooks.troubled();
       // where puts go, they have renewed
-      const due = this.env.mono() + Constants.shardGrantMs - Constants.shardGrantMarginMs - Constants.grantRenewMs / 2;
-      for (const id of this.others().filter((other) => (this.grants.get(other) ?? 0) < due))
+      const due = this.env.mono() + Constants.shardLeaseMs - Constants.shardLeaseMarginMs - Constants.leaseRenewMs / 2;
+      for (const id of this.others().filter((other) => (this.leases.get(other) ?? 0) < due))
         Csp.go(this.env.scope, "renew", function* () {
-          if ((yield* copy.send(id, epoch, copy.applied, [])) === "behind") copy.failSince(id, copy.env.mono());
+          if ((yield* replica.send(id, epoch, replica.applied, [])) === "behind")
+            replica.failSince(id, replica.env.mono());
         });
-      yield* EnvTools.sleep(this.env, Constants.grantRenewMs);
+      yield* EnvTools.sleep(this.env, Constants.leaseRenewMs);
     }
   }
   /** The temporal stability frontier: Δ + 2δ + ε into the past, held back by what is known to be under way. */
@@ -803,7 +813,7 @@
 
   /** Puts through the lead. "late" and "notLead" mean it was never logged; "unknown" means ask again by the same id. @example yield* copy.put(put, 1000) */
   *put(put: Put, withinMs: number): Task<Result<PutOutcome>> {
-    if (!this.holdsGrant()) return Fault.fail("notLead", "put", this.self, this.view?.lead ?? "");
+    if (!this.holdsLease()) return Fault.fail("notLead", "put", this.self, this.view?.lead ?? "");
     const repeated = this.data.puts.get(put.putId);
     if (repeated) return Fault.ok(repeated.outcome);
     if (this.pending.length >= Constants.shardBufferPuts)
@@ -821,20 +831,20 @@
         `stamp ${Stamp.text(put.stamp)} is behind the frontier ${this.published}`,
       );
     }
-    const reply = Csp.chan<Result<PutOutcome>>(1);
-    this.pending.push({ put, reply, enqueuedAt: this.env.mono() });
+    const response = Csp.chan<Result<PutOutcome>>(1);
+    this.pending.push({ put, reply: response, enqueuedAt: this.env.mono() });
     Csp.offer(this.wake, true);
-    const replied = yield* EnvTools.takeWithin(this.env, reply, withinMs);
+    const replied = yield* EnvTools.takeWithin(this.env, response, withinMs);
     return replied ?? Fault.fail("unknown", "put", this.self, "not on every copy in time");
   }
   private *orderLoop(epoch: number): Task<void> {
-    const copy = this;
+    const replica = this;
     while (this.isLeadOf(epoch)) {
       if (this.pending.length === 0) yield* EnvTools.takeWithin(this.env, this.wake, 1000);
       if (!this.isLeadOf(epoch)) return;
       if (this.pending.length === 0) continue;
       const batch = (this.inFlight = this.pending.splice(0, Constants.putBatch));
-      const entry: Entry = {
+      const entry: ShardLogEntry = {
         seq: this.seq + 1,
         epoch,
         frontier: this.published,
@@ -844,7 +854,7 @@
       const prevEpoch = this.lastEpoch;
       const acks = Csp.chan<boolean>(16);
       const members = this.others();
-      const body = Wire.shared({
+      const body = EnvelopeCodec.shared({
         shard: this.shard,
         epoch,
         view: this.view,
@@ -856,17 +866,17 @@
       });
       for (const id of members)
         Csp.go(this.env.scope, `replicate to ${id}`, function* () {
-          Csp.offer(acks, yield* copy.deliverEntry(id, epoch, body));
+          Csp.offer(acks, yield* replica.deliverEntry(id, epoch, body));
         });
       this.env.point(45);
       const written = yield* this.locked<Result<true>>(function* () {
-        if (!copy.isLeadOf(epoch)) return Fault.fail("notLead", "put", copy.self, "sealed");
-        const done = yield* copy.write([{ tag: "entry", entry }]);
-        if (done.ok) copy.remember([entry]);
+        if (!replica.isLeadOf(epoch)) return Fault.fail("notLead", "put", replica.self, "sealed");
+        const done = yield* replica.write([{ tag: "entry", entry }]);
+        if (done.ok) replica.remember([entry]);
         return done;
       });
       if (!written.ok) {
-        this.stopLead("entry not written");
+        this.stopLeader("entry not written");
         return;
       }
       this.env.point(46);
@@ -889,7 +899,7 @@
       this.counts.puts += batch.length;
       this.counts.batches += 1;
       this.env.point(47);
-      yield* this.locked(() => copy.foldIfLong());
+      yield* this.locked(() => replica.foldIfLong());
     }
   }
   private *deliverEntry(id: string, epoch: number, body: object): Task<boolean> {
@@ -897,21 +907,21 @@
       if (!this.isLeadOf(epoch)) return false;
       const address = this.hooks.addressOf(id);
       const askedAt = this.env.mono();
-      const replied = address
-        ? yield* this.rpc.ask(address, "shard.replicate", body, Constants.replicateTimeoutMs)
+      const response = address
+        ? yield* this.rpc.call(address, "shard.replicate", body, Constants.replicateTimeoutMs)
         : undefined;
       if (!this.isLeadOf(epoch)) return false;
-      if (replied?.ok && replied.value.tag === "ok") {
-        this.grants.set(id, askedAt + Constants.shardGrantMs - Constants.shardGrantMarginMs);
+      if (response?.ok && response.value.tag === "ok") {
+        this.leases.set(id, askedAt + Constants.shardLeaseMs - Constants.shardLeaseMarginMs);
         this.failing.delete(id);
         return true;
       }
-      if (replied?.ok && replied.value.tag === "sealed") {
-        this.stopLead(`refused by ${id}: sealed for ${replied.value.epoch}`);
+      if (response?.ok && response.value.tag === "sealed") {
+        this.stopLeader(`refused by ${id}: sealed for ${response.value.epoch}`);
         return false;
       }
-      if (replied?.ok && replied.value.tag === "broken") this.failing.set(id, -Infinity);
-      else this.failSince(id, askedAt, replied && !replied.ok ? replied.fault : undefined);
+      if (response?.ok && response.value.tag === "broken") this.failing.set(id, -Infinity);
+      else this.failSince(id, askedAt, response && !response.ok ? response.fault : undefined);
       yield* EnvTools.sleep(this.env, 40);
     }
   }
@@ -942,9 +952,9 @@
     const before = this.segments.digest();
     const fetched = yield* this.fetchSegments(body.from);
     if (!fetched.ok) return fetched;
-    const copy = this;
+    const replica = this;
     const opened = yield* this.locked(() =>
-      copy.segments.open(copy.data.segments, copy.data.trimmed, copy.data.sealing),
+      replica.segments.open(replica.data.segments, replica.data.trimmed, replica.data.sealing),
     );
     if (!opened.ok) return opened;
     const mended = this.segments.digest() === before ? 0 : 1;
@@ -956,7 +966,7 @@
     let mended = 0;
     for (const id of this.others())
       // under load both must be caught at the same entry: a few tries
-      for (let round = 0; round < 6; round += 1) {
+      for (let attempt = 0; attempt < 6; attempt += 1) {
         const found = yield* this.compare(id);
         if (found === undefined) continue;
         mended += found;
@@ -966,14 +976,14 @@
   }
   private *compare(id: string): Task<number | undefined> {
     const address = this.hooks.addressOf(id);
-    if (!address || !this.holdsGrant() || !this.view) return 0;
+    if (!address || !this.holdsLease() || !this.view) return 0;
     const seq = this.applied;
     const ours = ShardState.digests(this.data);
-    const theirs = yield* this.rpc.ask(address, "shard.digest", { shard: this.shard, seq }, 1000);
+    const theirs = yield* this.rpc.call(address, "shard.digest", { shard: this.shard, seq }, 1000);
     if (!theirs.ok) return 0;
     if (!theirs.value.digests || this.applied !== seq) return undefined;
     if (theirs.value.segments !== this.segments.digest()) {
-      const mended = yield* this.rpc.ask(
+      const mended = yield* this.rpc.call(
         address,
         "shard.mendSegments",
         { shard: this.shard, from: this.hooks.addressOf(this.self) },
@@ -984,7 +994,7 @@
     const differing = new Set(ours.flatMap((digest, range) => (digest === theirs.value.digests[range] ? [] : [range])));
     if (differing.size === 0) return 0;
     const inRange = (object: { id: string }): boolean => differing.has(ShardState.bucketOf(object.id));
-    const replied = yield* this.rpc.ask(
+    const response = yield* this.rpc.call(
       address,
       "shard.mend",
       {
@@ -996,6 +1006,6 @@
       },
       2000,
     );
-    return replied.ok ? replied.value.mended : 0;
+    return response.ok ? response.value.mended : 0;
   }
 }
--- a/src/shard/shardState.ts
+++ b/src/shard/shardState.ts
@@ -3,23 +3,23 @@
 import { Hash } from "../common/hash";
 import { Stamp } from "../common/stamp";
 import type { Sealing, SegmentCounts } from "./segments";
-import { acceptLot, refuseLot, addItemResults, claimItem, releaseItem, addItemResult, endLot } from "./lotOperations";
+import { acceptJob, refuseJob, addItemResults, claimItem, releaseItem, addItemResult, endJob } from "./lotOperations";
 import { openRequest, claimRequest, releaseRequest, addPieces, closeRequest } from "./requestOperations";
 import { addNotes, trimSegments } from "./upkeepOperations";
 import {
   Cause,
-  FrozenShard,
+  SerializedShard,
   isClosed,
   LedgerEntry,
-  Lot,
-  Op,
+  BatchJob,
+  ShardOperation,
   OperationContext,
   Put,
   PutOutcome,
   SealedIndex,
   ShardData,
   Waiting,
-  Work,
+  LiveRequest,
 } from "./shardTypes";
 
 export * from "./shardTypes";
@@ -28,7 +28,7 @@
 const none = (): SegmentCounts => ({ works: 0, lots: 0, ledger: 0 });
 
 /** Each operation to its function. */
-function applyOperation(context: OperationContext, op: Op): PutOutcome {
+function applyOperation(context: OperationContext, op: ShardOperation): PutOutcome {
   switch (op.op) {
     case "open":
       return openRequest(context, op);
@@ -41,9 +41,9 @@
     case "close":
       return closeRequest(context, op);
     case "lot":
-      return acceptLot(context, op);
+      return acceptJob(context, op);
     case "lotRefuse":
-      return refuseLot(context, op);
+      return refuseJob(context, op);
     case "itemResults":
       return addItemResults(context, op);
     case "itemClaim":
@@ -53,7 +53,7 @@
     case "itemResult":
       return addItemResult(context, op);
     case "lotEnd":
-      return endLot(context, op);
+      return endJob(context, op);
     case "note":
       return addNotes(context, op);
     case "trim":
@@ -95,7 +95,7 @@
     sealed,
   }),
   /** As plain JSON. @example JSON.stringify(ShardState.freeze(data)) */
-  freeze({ sealed: _sealed, ...data }: ShardData): FrozenShard {
+  freeze({ sealed: _sealed, ...data }: ShardData): SerializedShard {
     return {
       ...data,
       works: [...data.works.values()],
@@ -105,7 +105,7 @@
     };
   },
   /** @example ShardState.thaw(JSON.parse(text), segments) */
-  thaw(frozen: FrozenShard, sealed: SealedIndex): ShardData {
+  thaw(frozen: SerializedShard, sealed: SealedIndex): ShardData {
     const byId = <T extends { id: string }>(objects: T[]): Map<string, T> =>
       new Map(objects.map((object) => [object.id, object]));
     return {
@@ -169,10 +169,10 @@
     }
     while (
       data.bodiesKept.length > 0 &&
-      (data.lots.get(data.bodiesKept[0])?.closedAt?.time ?? 0) + Constants.lotBodiesKeepMs < clock
+      (data.lots.get(data.bodiesKept[0])?.closedAt?.time ?? 0) + Constants.jobBodiesKeepMs < clock
     ) {
-      const lot = data.lots.get(data.bodiesKept.shift()!);
-      if (lot) lot.bodies = [];
+      const job = data.lots.get(data.bodiesKept.shift()!);
+      if (job) job.bodies = [];
     }
     while (
       data.refused.length > 0 &&
@@ -194,7 +194,7 @@
       data.sealing.push(sealing);
       data.sealed.take(sealing);
     };
-    const { works, lots, ledger } = Constants.segmentObjects;
+    const { works, lots: jobs, ledger } = Constants.segmentObjects;
     while (data.worksClosed.length >= works * 2) {
       const ids = data.worksClosed.splice(0, works);
       take(
@@ -205,10 +205,10 @@
     }
     // a lot's results have their positions for good once the log's own clock has passed its last one
     while (
-      data.lotsClosed.length >= lots * 2 &&
-      data.lotsClosed.slice(0, lots).every((id) => data.lots.get(id)!.closedAt!.time <= data.clock)
+      data.lotsClosed.length >= jobs * 2 &&
+      data.lotsClosed.slice(0, jobs).every((id) => data.lots.get(id)!.closedAt!.time <= data.clock)
     ) {
-      const ids = data.lotsClosed.splice(0, lots);
+      const ids = data.lotsClosed.splice(0, jobs);
       for (const id of ids) data.lots.get(id)!.bodies = []; // nobody asks for the bodies of what was listed so long ago
       data.bodiesKept = data.bodiesKept.filter((id) => !ids.includes(id));
       take(
@@ -235,7 +235,7 @@
     ready.sort((left, right) => Stamp.compare(left.stamp, right.stamp));
     for (const waiting of ready) {
       data.ledger.push(...waiting.ledger);
-      for (const { lot, item } of waiting.results) data.lots.get(lot)?.positions.push(item);
+      for (const { lot: job, item } of waiting.results) data.lots.get(job)?.positions.push(item);
     }
   },
 
@@ -286,7 +286,7 @@
     return ranges.map((range) => Hash.text(range.sort().join("\n")));
   },
   /** Takes the newer of each object; how many were mended. @example ShardState.mend(data, works, lots) */
-  mend(data: ShardData, works: Work[], lots: Lot[]): number {
+  mend(data: ShardData, works: LiveRequest[], jobs: BatchJob[]): number {
     let mended = 0;
     for (const work of works)
       if (
@@ -296,13 +296,13 @@
         data.works.set(work.id, work);
         mended += 1;
       }
-    for (const lot of lots) {
-      const ours = data.lots.get(lot.id);
+    for (const job of jobs) {
+      const ours = data.lots.get(job.id);
       if (
-        (ours?.version ?? -1) <= lot.version &&
-        JSON.stringify({ ...ours, positions: 0 }) !== JSON.stringify({ ...lot, positions: 0 })
+        (ours?.version ?? -1) <= job.version &&
+        JSON.stringify({ ...ours, positions: 0 }) !== JSON.stringify({ ...job, positions: 0 })
       ) {
-        data.lots.set(lot.id, { ...lot, positions: ours?.positions ?? lot.positions });
+        data.lots.set(job.id, { ...job, positions: ours?.positions ?? job.positions });
         mended += 1;
       }
     }
--- a/src/shard/shardTypes.ts
+++ b/src/shard/shardTypes.ts
@@ -1,13 +1,13 @@
 /** What a shard holds, and the operations that change it. */
-import type { Binding } from "../control/controlState";
+import type { Route } from "../control/controlState";
 import type { Stamp } from "../common/stamp";
 import type { Found, Sealing, SegmentCounts } from "./segments";
 
-export type Piece = { n: number; stamp: Stamp; data: string };
+export type StreamChunk = { n: number; stamp: Stamp; data: string };
 export type Cause = { policy?: string; manifest?: number; view?: number; note?: string };
-export type WorkState = "accepted" | "claimed" | "done" | "failed" | "unknown" | "refused";
+export type LiveRequestState = "accepted" | "claimed" | "done" | "failed" | "unknown" | "refused";
 /** One request held by a shard: a stream, or a single request that may not be repeated. */
-export type Work = {
+export type LiveRequest = {
   id: string;
   binding: string;
   bodyHash: string;
@@ -17,20 +17,20 @@
   exact: boolean;
   stamp: Stamp;
   deadlineAt: number;
-  state: WorkState;
+  state: LiveRequestState;
   round: number;
   replica: string;
   owner: string;
-  pieces: Piece[];
+  pieces: StreamChunk[];
   outcome: string;
   order: number;
   version: number; // ops that touched it; the greater is the newer, for repair
   life: string; // the arrival it belongs to; a key may come again after it was refused
   closedAt: Stamp | null;
 };
-export type ItemState = "waiting" | "claimed" | "done" | "failed" | "unknown" | "ended" | "abandoned";
-export type Item = {
-  state: ItemState;
+export type BatchItemState = "waiting" | "claimed" | "done" | "failed" | "unknown" | "ended" | "abandoned";
+export type BatchItem = {
+  state: BatchItemState;
   round: number;
   replica: string;
   owner: string;
@@ -40,7 +40,7 @@
 /** An item that is a whole request, passed to a replica as it is; its body stands among the lot's bodies, in base64. */
 export type ItemRequest = { id: string; target: string; headers: Record<string, string>; tokens: number };
 export type ItemOutcome = { item: number; state: "done" | "abandoned"; result: string };
-export type Lot = {
+export type BatchJob = {
   id: string;
   binding: string;
   bodyHash: string;
@@ -48,9 +48,9 @@
   safe: boolean;
   stamp: Stamp;
   order: number;
-  kept: Binding; // as it was when the lot was accepted
+  kept: Route; // as it was when the lot was accepted
   closedAt: Stamp | null;
-  items: Item[];
+  items: BatchItem[];
   open: number;
   ended: boolean;
   endedBy: string;
@@ -61,16 +61,16 @@
   tokensWaiting?: number; // of its items that have no result yet
 };
 /** A lot as it is handed in. */
-export type LotOrder = Omit<
-  Lot,
+export type BatchJobSpec = Omit<
+  BatchJob,
   "items" | "open" | "ended" | "endedBy" | "positions" | "stamp" | "version" | "closedAt" | "tokensWaiting"
 >;
 export type LedgerEntry = { stamp: Stamp; n: number; subject: string; decision: string; cause: Cause };
-export type Op =
+export type ShardOperation =
   | {
       op: "open";
       work: Omit<
-        Work,
+        LiveRequest,
         "state" | "round" | "replica" | "owner" | "pieces" | "outcome" | "stamp" | "version" | "closedAt"
       >;
     }
@@ -78,7 +78,7 @@
   | { op: "release"; id: string; round: number; why: string }
   | { op: "pieces"; id: string; round: number; first: number; data: string[] }
   | { op: "close"; id: string; round: number; state: "done" | "failed" | "unknown" | "refused"; outcome: string }
-  | { op: "lot"; lot: LotOrder; life?: string } // life: the arrival it belongs to; an id may come again after it was refused
+  | { op: "lot"; lot: BatchJobSpec; life?: string } // life: the arrival it belongs to; an id may come again after it was refused
   | { op: "lotRefuse"; lot: string } // no arrival up to this put is ever kept
   | { op: "itemResults"; lot: string; results: ItemOutcome[] } // of items run without a claim; the first result of each counts
   | { op: "itemClaim"; lot: string; item: number; round: number; replica: string; owner: string }
@@ -91,7 +91,7 @@
       once?: { source: string; index: number };
     } // once: a source's entries come in the order of their index
   | { op: "trim"; kind: keyof SegmentCounts; below: number; detail: string };
-export type Put = { putId: string; stamp: Stamp; ops: Op[]; cause: Cause };
+export type Put = { putId: string; stamp: Stamp; ops: ShardOperation[]; cause: Cause };
 /** What became of a put's last op that could be refused. */
 export type PutOutcome = { tag: "done" } | { tag: "exists"; same: boolean; state: string } | { tag: "no"; why: string };
 /** What a put decided and found, until the frontier has passed it. */
@@ -104,10 +104,10 @@
 };
 /** What is open, and what was closed lately; all else is in segments. */
 export type ShardData = {
-  works: Map<string, Work>;
+  works: Map<string, LiveRequest>;
   worksClosed: string[]; // closed and not yet sealed, oldest first
   refused: string[]; // kept only as long as a late open of theirs may still come
-  lots: Map<string, Lot>;
+  lots: Map<string, BatchJob>;
   lotsClosed: string[];
   lotsRefused: Map<string, Stamp>; // by id, when; kept as long as a late put of theirs may still come
   bodiesKept: string[]; // closed lots whose items' bodies are still asked for, oldest first
@@ -123,9 +123,9 @@
   sealed: SealedIndex;
 };
 /** The same as plain JSON, without the index of what was sealed. */
-export type FrozenShard = Omit<ShardData, "works" | "lots" | "lotsRefused" | "puts" | "sealed"> & {
-  works: Work[];
-  lots: Lot[];
+export type SerializedShard = Omit<ShardData, "works" | "lots" | "lotsRefused" | "puts" | "sealed"> & {
+  works: LiveRequest[];
+  lots: BatchJob[];
   lotsRefused: [string, Stamp][];
   puts: [string, { until: number; outcome: PutOutcome }][];
 };
@@ -137,8 +137,8 @@
   note: (subject: string, decision: string, cause?: Cause) => void;
   waiting: Waiting;
 };
-export type OperationOf<Tag extends Op["op"]> = Extract<Op, { op: Tag }>;
+export type OperationOf<Tag extends ShardOperation["op"]> = Extract<ShardOperation, { op: Tag }>;
 
-const closedStates: WorkState[] = ["done", "failed", "unknown", "refused"];
+const closedStates: LiveRequestState[] = ["done", "failed", "unknown", "refused"];
 /** Whether a request has ended. @example isClosed(work) */
-export const isClosed = (work: Work): boolean => closedStates.includes(work.state);
+export const isClosed = (work: LiveRequest): boolean => closedStates.includes(work.state);
--- a/src/simulation/scenarios/dayScenarios.ts
+++ b/src/simulation/scenarios/dayScenarios.ts
@@ -27,7 +27,7 @@
           program === "store"
             ? fleet.busiestStore()
             : program === "control"
-              ? fleet.controlLead()
+              ? fleet.controlLeader()
               : fleet.names(program)[0];
         // the platform sends clients to ready intake nodes
         const ingressHttp = fleet.plan.processes.find(
@@ -47,11 +47,11 @@
     about: "a pool is released to a new version, and the release is taken back",
     run: async (fleet) => {
       const pool = fleet.plan.replicas[0].pool;
-      for (const replica of fleet.plan.replicas.filter((each) => each.pool === pool).slice(0, 3)) {
-        fleet.startReplica({
-          ...replica,
-          id: `${replica.id}-new`,
-          address: replica.address.replace(/:\d+$/, (port) => `:${+port.slice(1) + 20_000}`),
+      for (const endpoint of fleet.plan.replicas.filter((each) => each.pool === pool).slice(0, 3)) {
+        fleet.startEndpoint({
+          ...endpoint,
+          id: `${endpoint.id}-new`,
+          address: endpoint.address.replace(/:\d+$/, (port) => `:${+port.slice(1) + 20_000}`),
           version: "v2",
         });
       }
@@ -60,7 +60,7 @@
       if (!fate.startsWith("finished")) throw new Error(`release: ${fate}`);
       await fleet.run(4000);
       const taken = (version: string, from: number): number =>
-        fleet.pastReplicas
+        fleet.pastEndpoints
           .filter((each) => each.settings.pool === pool && (each.settings.version === "v2") === (version === "v2"))
           .reduce((sum, each) => sum + each.runs.filter((run) => run.at > from).length, 0);
       const releasedAt = fleet.wall() - 2000;
@@ -89,7 +89,7 @@
           fleet.restart(name);
         },
         async () => {
-          const name = fleet.controlLead();
+          const name = fleet.controlLeader();
           fleet.kill(name);
           await fleet.run(2500);
           fleet.restart(name);
@@ -124,17 +124,17 @@
         },
         async () => {
           const { id } = pick(fleet, fleet.plan.replicas);
-          fleet.killReplica(id);
+          fleet.killEndpoint(id);
           await fleet.run(2000);
-          fleet.startReplica(fleet.plan.replicas.find((each) => each.id === id)!);
+          fleet.startEndpoint(fleet.plan.replicas.find((each) => each.id === id)!);
         },
         async () => {
           await fleet.change();
         },
         async () => {
-          const district = pick(fleet, fleet.deployment.districts);
-          await fleet.move({ kind: "drain", district }, 2000);
-          await fleet.move({ kind: "undrain", district }, 2000);
+          const zone = pick(fleet, fleet.deployment.districts);
+          await fleet.move({ kind: "drain", district: zone }, 2000);
+          await fleet.move({ kind: "undrain", district: zone }, 2000);
         },
       ];
       fleet.fault("troubles begin", false);
--- a/src/simulation/scenarios/diskScenarios.ts
+++ b/src/simulation/scenarios/diskScenarios.ts
@@ -35,7 +35,7 @@
     about: "syncs fail on a store and on a control voter",
     run: async (fleet) => {
       const store = fleet.busiestStore();
-      const control = fleet.controlLead();
+      const control = fleet.controlLeader();
       fleet.fault(`sync errors at ${store} and ${control}`, true);
       fleet.disks.get(store)!.failing = true;
       fleet.disks.get(control)!.failing = true;
--- a/src/simulation/scenarios/networkScenarios.ts
+++ b/src/simulation/scenarios/networkScenarios.ts
@@ -30,9 +30,9 @@
     about:
       "two of three control voters lose their disks (odd seeds) or are cut off for long and come back (even); an operator goes on from the one left",
     run: async (fleet) => {
-      const lead = fleet.controlLead();
+      const leader = fleet.controlLeader();
       const { group, voters } = fleet.controlGroup();
-      const left = voters.find((each) => each.name !== lead)!;
+      const left = voters.find((each) => each.name !== leader)!;
       const lost = voters.filter((each) => each !== left).map((each) => each.name);
       const standby = fleet.names("control").filter((name) => !voters.some((each) => each.name === name));
       const recover = (body: Record<string, unknown>): Promise<{ status: number; body: any } | undefined> =>
--- a/src/simulation/scenarios/operatorScenarios.ts
+++ b/src/simulation/scenarios/operatorScenarios.ts
@@ -28,7 +28,7 @@
     about: "changes race a change of control lead",
     run: async (fleet) => {
       for (let round = 0; round < 3; round += 1) {
-        const name = fleet.controlLead();
+        const name = fleet.controlLeader();
         fleet.world.arm(name, 33, 1 + Math.floor(fleet.world.random() * 3), () => {
           fleet.fault(`kill ${name}`, true);
           fleet.kill(name);
@@ -135,10 +135,10 @@
     about: "a district is drained during a crowd, and comes back",
     run: async (fleet) => {
       fleet.callers.load = 3;
-      const district = pick(fleet, fleet.deployment.districts);
-      fleet.notes.push(`drain: ${await fleet.move({ kind: "drain", district }, 9000)}`);
+      const zone = pick(fleet, fleet.deployment.districts);
+      fleet.notes.push(`drain: ${await fleet.move({ kind: "drain", district: zone }, 9000)}`);
       await fleet.run(4000);
-      await fleet.move({ kind: "undrain", district }, 4000);
+      await fleet.move({ kind: "undrain", district: zone }, 4000);
       fleet.callers.load = 1;
       await fleet.run(4000);
     },
@@ -152,11 +152,11 @@
         fleet.callers.load = 2;
         fleet.notes.push(`drain: ${await fleet.move({ kind: "drain", district: other }, 1000)}`);
       }
-      fleet.loseDistrict(first);
+      fleet.loseZone(first);
       await fleet.run(15_000);
       fleet.expectSpread(first);
       if (draining) await fleet.move({ kind: "undrain", district: other }, 4000);
-      fleet.restoreDistrict(first, fleet.seed % 2 === 1);
+      fleet.restoreZone(first, fleet.seed % 2 === 1);
       await fleet.run(12_000);
       fleet.callers.load = 1;
       await fleet.run(6000);
--- a/src/simulation/scenarios/processScenarios.ts
+++ b/src/simulation/scenarios/processScenarios.ts
@@ -28,10 +28,10 @@
             ? "views"
             : "";
       if (nudge === "election") {
-        const lead = fleet.controlLead();
-        fleet.kill(lead);
+        const leader = fleet.controlLeader();
+        fleet.kill(leader);
         await fleet.run(6000);
-        fleet.restart(lead);
+        fleet.restart(leader);
       }
       if (nudge === "views") {
         const store = fleet.names("store")[0];
@@ -64,7 +64,7 @@
     name: "freeze-control",
     about: "the control lead freezes past its grant during changes, and wakes",
     run: async (fleet) => {
-      const name = fleet.controlLead();
+      const name = fleet.controlLeader();
       fleet.fault(`freeze ${name}`, true);
       fleet.freeze(name);
       await fleet.change();
@@ -105,7 +105,7 @@
     name: "swap-control",
     about: "the control lead's machine is swapped for an empty one at a new address",
     run: async (fleet) => {
-      const name = fleet.controlLead();
+      const name = fleet.controlLeader();
       await fleet.change();
       fleet.fault(`swap ${name}`, true);
       fleet.kill(name);
@@ -113,7 +113,7 @@
       fleet.restart(name, { empty: true, moved: true });
       await fleet.run(14_000);
       await fleet.change();
-      const second = fleet.controlLead();
+      const second = fleet.controlLeader();
       fleet.fault(`swap ${second}`, true);
       fleet.kill(second);
       await fleet.run(1500);
--- a/src/simulation/scenarios/replicaScenarios.ts
+++ b/src/simulation/scenarios/replicaScenarios.ts
@@ -1,7 +1,7 @@
 import { UnnumberedScenario } from "./scenario";
 
 /** Load, and replicas that crash, go dark or are replaced. */
-export const replicaScenarios: UnnumberedScenario[] = [
+export const endpointScenarios: UnnumberedScenario[] = [
   {
     name: "calm",
     about: "nothing goes wrong",
@@ -42,8 +42,8 @@
       if (busies.length < 50) throw new Error(`only ${busies.length} refusals: nothing was overloaded`);
       const slow = busies[Math.floor(busies.length * 0.95)];
       if (slow > 1000) throw new Error(`one refusal in twenty was told after more than ${slow.toFixed(0)} ms`);
-      const runs = fleet.pastReplicas
-        .flatMap((replica) => replica.runs)
+      const runs = fleet.pastEndpoints
+        .flatMap((endpoint) => endpoint.runs)
         .filter((run) => run.at > from + 1500 && run.at < to);
       const items = runs.filter((run) => run.id.includes("/")).length;
       fleet.notes.push(
@@ -59,11 +59,11 @@
     run: async (fleet) => {
       const lost = fleet.plan.replicas.filter((_replica, at) => at % 3 === 0);
       fleet.fault("replicas crash", true);
-      for (const replica of lost) fleet.killReplica(replica.id);
+      for (const endpoint of lost) fleet.killEndpoint(endpoint.id);
       await fleet.run(7000);
       fleet.callers.load = 7; // those that come back must not be flooded
       await fleet.run(2000);
-      for (const replica of lost) fleet.startReplica(replica);
+      for (const endpoint of lost) fleet.startEndpoint(endpoint);
       await fleet.run(3000);
       fleet.callers.load = 1;
       await fleet.run(5000);
@@ -75,11 +75,11 @@
     run: async (fleet) => {
       fleet.fault("replicas dark", true);
       const moods = ["dark", "nonsense", "endless", "full"] as const;
-      [...fleet.replicas.values()].forEach(({ replica }, at) => {
-        if (at % 3 === 0) replica.mood = moods[(at / 3) % moods.length];
+      [...fleet.endpoints.values()].forEach(({ replica: endpoint }, at) => {
+        if (at % 3 === 0) endpoint.mood = moods[(at / 3) % moods.length];
       });
       await fleet.run(12_000);
-      for (const { replica } of fleet.replicas.values()) replica.mood = "well";
+      for (const { replica: endpoint } of fleet.endpoints.values()) endpoint.mood = "well";
       await fleet.run(8000);
     },
   },
@@ -88,7 +88,7 @@
     about: "replicas are replaced one by one with goodbyes, under a crowd",
     run: async (fleet) => {
       fleet.callers.load = 2;
-      for (const replica of fleet.plan.replicas.slice(0, 5)) await fleet.replaceReplica(replica.id, "v2");
+      for (const endpoint of fleet.plan.replicas.slice(0, 5)) await fleet.replaceEndpoint(endpoint.id, "v2");
       await fleet.run(3000);
     },
   },
@@ -100,7 +100,7 @@
         program === "store"
           ? fleet.busiestStore()
           : program === "control"
-            ? fleet.controlLead()
+            ? fleet.controlLeader()
             : fleet.names(program)[0];
       fleet.fault(`kill ${name}`, true);
       fleet.kill(name);
--- a/src/simulation/scenarios/scenario.ts
+++ b/src/simulation/scenarios/scenario.ts
@@ -61,9 +61,9 @@
 /** Operators' moves that make points 13, 14, 31 to 62 be reached. @example await stir(fleet); */
 export async function stir(fleet: SimFleet): Promise<void> {
   await fleet.change();
-  const district = pick(fleet, fleet.deployment.districts);
-  await fleet.move({ kind: "drain", district }, 6000);
-  await fleet.move({ kind: "undrain", district }, 4000);
+  const zone = pick(fleet, fleet.deployment.districts);
+  await fleet.move({ kind: "drain", district: zone }, 6000);
+  await fleet.move({ kind: "undrain", district: zone }, 4000);
 }
 
 /** A scenario before it has its number, which is its place among all. */
--- a/src/simulation/scenarios/scenarios.ts
+++ b/src/simulation/scenarios/scenarios.ts
@@ -4,14 +4,14 @@
 import { networkScenarios } from "./networkScenarios";
 import { operatorScenarios } from "./operatorScenarios";
 import { processScenarios } from "./processScenarios";
-import { replicaScenarios } from "./replicaScenarios";
+import { endpointScenarios } from "./replicaScenarios";
 import { points, Scenario } from "./scenario";
 
 export type { Scenario } from "./scenario";
 
 /** In the order of their numbers: a new scenario comes last. */
 const inOrder = [
-  ...replicaScenarios,
+  ...endpointScenarios,
   ...processScenarios,
   ...networkScenarios,
   ...diskScenarios,
