--- a/src/simulation/simFleet.ts
+++ b/src/simulation/simFleet.ts
@@ -1,10 +1,10 @@
 import { Constants } from "../common/constants";
-import { Daemon, Running } from "../daemon/daemon";
+import { Daemon, RunningDaemon } from "../daemon/daemon";
 import { Csp, Task } from "../runtime/csp";
 import { EnvTools } from "../runtime/env";
 import { TwoSlots } from "../runtime/twoSlots";
-import { View } from "../control/controlState";
-import { ShardCopy } from "../shard/shardReplica";
+import { ShardView } from "../control/controlState";
+import { ShardReplica } from "../shard/shardReplica";
 import { Callers } from "../tools/callers";
 import { CheckOptions, Checker, Violation } from "../tools/checker";
 import { Deployment, Plan, ProcessPlan } from "../tools/deployment";
@@ -31,9 +31,9 @@
   readonly plan: Plan;
   readonly history = new History();
   readonly disks = new Map<string, SimDisk>();
-  readonly running = new Map<string, Running>();
-  readonly replicas = new Map<string, { process: SimProcess; replica: StandInReplica }>();
-  readonly pastReplicas: StandInReplica[] = [];
+  readonly running = new Map<string, RunningDaemon>();
+  readonly endpoints = new Map<string, { process: SimProcess; replica: StandInReplica }>();
+  readonly pastEndpoints: StandInReplica[] = [];
   readonly errors: string[] = [];
   callers!: Callers;
   private operator!: SimProcess;
@@ -73,7 +73,7 @@
   async boot(load = 1): Promise<void> {
     this.operator = this.world.start("operator", new SimDisk(this.world));
     for (const each of this.plan.processes) this.start(each.name);
-    for (const settings of this.plan.replicas) this.startReplica(settings);
+    for (const settings of this.plan.replicas) this.startEndpoint(settings);
     await this.run(1500);
     for (const [what, doc] of [
       ["manifest", this.deployment.manifest],
@@ -155,23 +155,24 @@
   }
 
   // ---------- what is on the disks ----------
-  private copiesOf(name: string): ShardCopy[] {
-    const copies = (this.running.get(name) as unknown as { copies?: Map<number, ShardCopy> } | undefined)?.copies;
-    return copies ? [...copies.values()] : [];
+  private replicasOf(name: string): ShardReplica[] {
+    const replicas = (this.running.get(name) as unknown as { replicas?: Map<number, ShardReplica> } | undefined)
+      ?.replicas;
+    return replicas ? [...replicas.values()] : [];
   }
   /** What a lead has answered stands on every copy: its last applied entry. */
   private noteAcknowledged(name: string): void {
-    for (const copy of this.copiesOf(name)) {
-      if (copy.role !== "lead") continue;
-      const known = this.acknowledged.get(copy.shard);
-      const place = { epoch: copy.appliedEpoch, seq: copy.applied };
+    for (const replica of this.replicasOf(name)) {
+      if (replica.role !== "lead") continue;
+      const known = this.acknowledged.get(replica.shard);
+      const place = { epoch: replica.appliedEpoch, seq: replica.applied };
       if (!known || place.epoch > known.epoch || (place.epoch === known.epoch && place.seq > known.seq))
-        this.acknowledged.set(copy.shard, place);
+        this.acknowledged.set(replica.shard, place);
     }
   }
   /** The views that the control log holds, by the member that has applied most of it. @example fleet.views()["3"].members */
-  views(): Record<string, View> {
-    type Control = { group?: { applied: number; state: { views: Record<string, View> } } };
+  views(): Record<string, ShardView> {
+    type Control = { group?: { applied: number; state: { views: Record<string, ShardView> } } };
     const groups = this.names("control").flatMap(
       (name) => (this.running.get(name) as unknown as Control | undefined)?.group ?? [],
     );
@@ -185,10 +186,10 @@
   }
   /** Every shard has its copies, each in a district of its own. @example fleet.expectSpread("north"); */
   expectSpread(lost?: string): void {
-    const districts = this.deployment.districts.filter((district) => district !== lost).length;
+    const zones = this.deployment.districts.filter((zone) => zone !== lost).length;
     const wanted = Math.min(
-      Constants.copies,
-      districts,
+      Constants.replicas,
+      zones,
       this.names("store").filter((name) => this.planOf(name).settings.district !== lost).length,
     );
     for (const view of Object.values(this.views())) {
@@ -197,22 +198,22 @@
         throw new Error(`shard ${view.shard} has ${view.members.length} copies in ${[...held].join(", ")}`);
     }
   }
-  private inDistrict = (district: string): { processes: string[]; replicas: ReplicaSettings[] } => ({
-    processes: this.plan.processes.filter((each) => each.settings.district === district).map((each) => each.name),
-    replicas: this.plan.replicas.filter((each) => each.district === district),
+  private inZone = (zone: string): { processes: string[]; replicas: ReplicaSettings[] } => ({
+    processes: this.plan.processes.filter((each) => each.settings.district === zone).map((each) => each.name),
+    replicas: this.plan.replicas.filter((each) => each.district === zone),
   });
   /** Power is lost in a whole district. @example fleet.loseDistrict("north"); */
-  loseDistrict(district: string): void {
-    this.fault(`district ${district} lost`, true);
-    const { processes, replicas } = this.inDistrict(district);
+  loseZone(zone: string): void {
+    this.fault(`district ${zone} lost`, true);
+    const { processes, replicas: endpoints } = this.inZone(zone);
     for (const name of processes) this.kill(name, true);
-    for (const { id } of replicas) this.killReplica(id);
+    for (const { id } of endpoints) this.killEndpoint(id);
   }
   /** It comes back, its disks as they were or empty. @example fleet.restoreDistrict("north", true); */
-  restoreDistrict(district: string, empty: boolean): void {
-    const { processes, replicas } = this.inDistrict(district);
+  restoreZone(zone: string, empty: boolean): void {
+    const { processes, replicas: endpoints } = this.inZone(zone);
     for (const name of processes) this.restart(name, { empty: empty && /^(store|control)/.test(name) });
-    for (const replica of replicas) this.startReplica(replica);
+    for (const endpoint of endpoints) this.startEndpoint(endpoint);
   }
   /** The newest control group's name and its voters. @example fleet.controlGroup().voters[0].name */
   controlGroup(): { group: string; voters: { name: string; id: string }[] } {
@@ -330,12 +331,12 @@
   /** A machine that was not there before. @example fleet.add("store", "store-5"); */
   add(program: "store" | "control", name: string): void {
     const like = this.plan.processes.find((each) => each.settings.program === program)!;
-    const district = this.deployment.districts[this.plan.processes.length % this.deployment.districts.length];
+    const zone = this.deployment.districts[this.plan.processes.length % this.deployment.districts.length];
     this.plan.processes.push({
       name,
       settings: {
         ...like.settings,
-        district,
+        district: zone,
         address: `127.0.0.1:${(this.nextPort += 1)}`,
         http: `127.0.0.1:${(this.nextPort += 1)}`,
         data: `data/${name}`,
@@ -405,28 +406,28 @@
   }
 
   // ---------- replicas ----------
-  startReplica(settings: ReplicaSettings): void {
+  startEndpoint(settings: ReplicaSettings): void {
     const process = this.world.start(`replica-${settings.id}`, new SimDisk(this.world));
-    const replica = new StandInReplica(process.env, settings);
-    this.replicas.set(settings.id, { process, replica });
-    this.pastReplicas.push(replica);
+    const endpoint = new StandInReplica(process.env, settings);
+    this.endpoints.set(settings.id, { process, replica: endpoint });
+    this.pastEndpoints.push(endpoint);
     this.history.add({ tag: "replicaStarted", at: this.wall(), replica: settings.id, capacity: settings.capacity });
-    Csp.go(process.scope, "main", () => replica.start());
+    Csp.go(process.scope, "main", () => endpoint.start());
   }
-  killReplica(id: string): void {
+  killEndpoint(id: string): void {
     this.acts.push(`kill replica ${id}`);
     this.world.kill(`replica-${id}`);
   }
   /** Goodbye, work in flight ends, then the process ends and a new one comes. @example await fleet.replaceReplica("model-1", "v2"); */
-  async replaceReplica(id: string, version: string): Promise<void> {
+  async replaceEndpoint(id: string, version: string): Promise<void> {
     this.acts.push(`replace replica ${id}`);
-    const { process, replica } = this.replicas.get(id)!;
-    if (await this.world.finish(process, () => replica.goodbye(), 3000))
+    const { process, replica: endpoint } = this.endpoints.get(id)!;
+    if (await this.world.finish(process, () => endpoint.goodbye(), 3000))
       this.history.add({ tag: "goodbye", at: this.wall(), replica: id });
     await this.run(4000);
     this.world.kill(`replica-${id}`);
     await this.run(300);
-    this.startReplica({ ...replica.settings, version });
+    this.startEndpoint({ ...endpoint.settings, version });
   }
 
   // ---------- operators ----------
@@ -439,20 +440,20 @@
     address: string,
     timeoutMs: number,
   ): Task<Said> {
-    const replied = yield* process.env.http(address, {
+    const response = yield* process.env.http(address, {
       method,
       path,
       body: body === undefined ? undefined : JSON.stringify(body),
       headers,
       timeoutMs,
     });
-    if (!replied.ok) return undefined;
-    const text = yield* EnvTools.bodyOf(process.env, replied.value, 32_000_000, timeoutMs);
+    if (!response.ok) return undefined;
+    const text = yield* EnvTools.bodyOf(process.env, response.value, 32_000_000, timeoutMs);
     if (text === undefined) return undefined;
     try {
-      return { status: replied.value.status, headers: replied.value.headers, body: JSON.parse(text) };
+      return { status: response.value.status, headers: response.value.headers, body: JSON.parse(text) };
     } catch {
-      return { status: replied.value.status, headers: replied.value.headers, body: text };
+      return { status: response.value.status, headers: response.value.headers, body: text };
     }
   }
   private anyNode(): string {
@@ -476,22 +477,22 @@
     );
   }
   /** A manifest with one more marked binding, made against the version that is read first. @example await fleet.change(1); */
-  async change(bindings = 1): Promise<{ outcome: string; version: number }> {
+  async change(routes = 1): Promise<{ outcome: string; version: number }> {
     const read = await this.operate("GET", "/v1/manifest");
     if (read?.status !== 200) return { outcome: "unread", version: 0 };
-    return this.changeFrom(read.body, bindings);
+    return this.changeFrom(read.body, routes);
   }
   async changeFrom(
     base: { version: number; doc: { bindings: Record<string, unknown> } },
-    bindings = 1,
+    routes = 1,
     address?: string,
   ): Promise<{ outcome: string; version: number }> {
     const n = (this.marks += 1);
     const doc = { ...base.doc, bindings: { ...base.doc.bindings } };
     const marks: string[] = [];
-    for (let at = 0; at < bindings; at += 1) {
-      const mark = bindings === 1 ? `mark-${n}` : `grown-${n}-${at}`;
-      if (bindings === 1 || at === 0) marks.push(mark);
+    for (let at = 0; at < routes; at += 1) {
+      const mark = routes === 1 ? `mark-${n}` : `grown-${n}-${at}`;
+      if (routes === 1 || at === 0) marks.push(mark);
       doc.bindings[mark] = { kind: "lookup", pool: "desk", path: "/mark", safe: true };
     }
     doc.bindings[`mark-${n}`] = { kind: "lookup", pool: "desk", path: "/mark", safe: true };
@@ -544,14 +545,16 @@
   }
   /** The store that leads most shards now. @example fleet.busiestStore() */
   busiestStore(): string {
-    const leads = (name: string): number => {
-      const running = this.running.get(name) as unknown as { copies?: Map<number, { role: string }> } | undefined;
-      return running?.copies ? [...running.copies.values()].filter((copy) => copy.role === "lead").length : -1;
+    const leaders = (name: string): number => {
+      const running = this.running.get(name) as unknown as { replicas?: Map<number, { role: string }> } | undefined;
+      return running?.replicas
+        ? [...running.replicas.values()].filter((replica) => replica.role === "lead").length
+        : -1;
     };
-    return [...this.names("store")].sort((left, right) => leads(right) - leads(left))[0];
+    return [...this.names("store")].sort((left, right) => leaders(right) - leaders(left))[0];
   }
   /** The control member that leads. @example fleet.controlLead() */
-  controlLead(): string {
+  controlLeader(): string {
     return (
       this.names("control").find((name) =>
         (this.running.get(name) as unknown as { group?: { holdsLead(): boolean } } | undefined)?.group?.holdsLead(),
@@ -569,13 +572,13 @@
     const fleet = this;
     for (const address of this.plan.ingressHttp.slice(0, 3))
       await this.world.finish(operator, () => fleet.callers.reread(address), 200_000);
-    const manifest = await this.operate("GET", "/v1/manifest");
-    if (manifest?.status === 200)
+    const configuration = await this.operate("GET", "/v1/manifest");
+    if (configuration?.status === 200)
       this.history.add({
         tag: "dayEnd",
         at: this.wall(),
-        version: manifest.body.version,
-        mark: Object.keys(manifest.body.doc.bindings)
+        version: configuration.body.version,
+        mark: Object.keys(configuration.body.doc.bindings)
           .filter((name) => name.startsWith("mark-"))
           .join(","),
       });
@@ -606,7 +609,7 @@
       unreachable: (node, from, to) =>
         this.windows.some((window) => window.node === node && window.from <= to && window.to >= from),
     };
-    const violations = Checker.check(this.history, this.pastReplicas, options);
+    const violations = Checker.check(this.history, this.pastEndpoints, options);
     for (const error of this.errors) violations.push({ invariant: "no-task-error", detail: error.slice(0, 600) });
     if (
       this.history.of("lookup").length === 0 ||
--- a/src/simulation/simWorld.ts
+++ b/src/simulation/simWorld.ts
@@ -1,5 +1,5 @@
 import { Chan, Csp, Scope } from "../runtime/csp";
-import { About, DatagramSocket, Env, HttpIn, HttpReply, Link, Timer } from "../runtime/env";
+import { FaultPointContext, DatagramSocket, Env, HttpExchange, HttpResponse, Link, Timer } from "../runtime/env";
 import { Fault, Result } from "../common/fault";
 import { Task } from "../runtime/csp";
 import { SimDisk } from "./simDisk";
@@ -84,7 +84,12 @@
     for (const run of this.deferred.splice(0)) run();
   }
 }
-type Armed = { process: string; point: number; hits: number; act: (process: SimProcess, about?: About) => void };
+type Armed = {
+  process: string;
+  point: number;
+  hits: number;
+  act: (process: SimProcess, about?: FaultPointContext) => void;
+};
 type Exchange = { client: SimProcess; server: SimProcess; breakClient: () => void; breakServer: () => void };
 type Pair = { ends: [SimProcess, SimProcess]; close: () => void; reset: () => void };
 
@@ -105,7 +110,7 @@
   readonly processes = new Map<string, SimProcess>();
   private listeners = new Map<string, { process: SimProcess; accept: Chan<Link> }>();
   private sockets = new Map<string, { process: SimProcess; incoming: Chan<{ from: string; data: Buffer }> }>();
-  private servers = new Map<string, { process: SimProcess; handler: (incoming: HttpIn) => Task<void> }>();
+  private servers = new Map<string, { process: SimProcess; handler: (incoming: HttpExchange) => Task<void> }>();
   private exchanges = new Set<Exchange>();
   private pairs = new Set<Pair>();
   private cuts = new Set<string>(); // "from>to", by process name
@@ -194,7 +199,12 @@
   /** Told of every point as it is reached. */
   watch: (process: SimProcess, point: number) => void = () => undefined;
   /** Does something the next time processes with the prefix reach a point. @example world.arm("store-", 41, 1, (p) => world.kill(p.name)); */
-  arm(process: string, point: number, hits: number, act: (process: SimProcess, about?: About) => void): void {
+  arm(
+    process: string,
+    point: number,
+    hits: number,
+    act: (process: SimProcess, about?: FaultPointContext) => void,
+  ): void {
     this.armed.push({ process, point, hits, act });
   }
   disarm(): number {
@@ -202,7 +212,7 @@
     this.armed = [];
     return left;
   }
-  private reached(process: SimProcess, point: number, about?: About): void {
+  private reached(process: SimProcess, point: number, about?: FaultPointContext): void {
     this.watch(process, point);
     process.pointHits.set(point, (process.pointHits.get(point) ?? 0) + 1);
     for (const armed of this.armed)
@@ -303,9 +313,9 @@
     ): Link => ({
       member,
       incoming,
-      send: (frame) => {
+      send: (snapshot) => {
         if (incoming.isClosed()) return false;
-        send(() => void Csp.offer(other, frame), frame.length);
+        send(() => void Csp.offer(other, snapshot), snapshot.length);
         return true;
       },
       close: () => {
@@ -396,9 +406,9 @@
         for (const [address, server] of world.servers) if (server.process === process) world.servers.delete(address);
       },
       *http(address, out) {
-        const done = oneShot<Result<HttpReply>>();
+        const done = oneShot<Result<HttpResponse>>();
         let state: "connecting" | "sent" | "replied" | "over" = "connecting";
-        const settle = (result: Result<HttpReply>): void => {
+        const settle = (result: Result<HttpResponse>): void => {
           if (state === "replied" || state === "over") return;
           state = result.ok ? "replied" : "over";
           Csp.offer(done, { value: result });
@@ -458,7 +468,7 @@
             };
             world.exchanges.add(exchange);
             const current = exchange;
-            const reply = (status: number, headers: Record<string, string>): void =>
+            const response = (status: number, headers: Record<string, string>): void =>
               toClient(() =>
                 settle(
                   Fault.ok({
@@ -484,7 +494,7 @@
               });
             };
             const url = new URL(out.path, "http://host");
-            const incoming: HttpIn = {
+            const incoming: HttpExchange = {
               method: out.method,
               path: url.pathname,
               target: out.path,
@@ -502,14 +512,14 @@
               send(status, headers, body) {
                 if (headed) return;
                 headed = true;
-                reply(status, headers);
+                response(status, headers);
                 toClient(() => void Csp.offer(chunks, Buffer.from(body as string)));
                 end();
               },
               open(status, headers) {
                 if (headed) return;
                 headed = true;
-                reply(status, headers);
+                response(status, headers);
               },
               write: (chunk) => toClient(() => void Csp.offer(chunks, Buffer.from(chunk as string))),
               end,
--- a/src/storage/batchJobs.ts
+++ b/src/storage/batchJobs.ts
@@ -4,15 +4,15 @@
 import { Fault, Result } from "../common/fault";
 import { Node } from "../node/node";
 import { Stamp } from "../common/stamp";
-import { ShardCopy } from "../shard/shardReplica";
-import { Cause, Lot, LotOrder } from "../shard/shardState";
-import { ItemRuns } from "./itemExecution";
+import { ShardReplica } from "../shard/shardReplica";
+import { Cause, BatchJob, BatchJobSpec } from "../shard/shardState";
+import { ItemExecution } from "./itemExecution";
 import { Quota } from "./quota";
 
-export type HandIn = { stamp: Stamp; life: string; lot: LotOrder; cause: Cause };
-export type HandedIn = { tag: "accepted" } | { tag: "exists"; same: boolean; state: string };
-export type Listed = { id: string; state: "complete" | "abandoned"; text: string };
-export type Listing = { total: number; results: Listed[]; ended: boolean };
+export type JobSubmission = { stamp: Stamp; life: string; lot: BatchJobSpec; cause: Cause };
+export type JobSubmissionResult = { tag: "accepted" } | { tag: "exists"; same: boolean; state: string };
+export type ListedResult = { id: string; state: "complete" | "abandoned"; text: string };
+export type JobListing = { total: number; results: ListedResult[]; ended: boolean };
 
 /**
  * Lots whose items are whole requests: taken in when they stand on every copy, listed behind the frontier, ended.
@@ -22,48 +22,52 @@
  * const lots = new Lots(env, node, quota, runs, copies);
  * const accepted = yield* lots.handIn(copy, { stamp, life, lot, cause });
  */
-export class Lots {
+export class BatchJobs {
   private takingIn = new Map<string, Chan<true>>();
   readonly counts = { accepted: 0, again: 0, refused: 0, listed: 0 };
   constructor(
     private readonly env: Env,
     private readonly node: Node,
     private readonly quota: Quota,
-    private readonly runs: ItemRuns,
+    private readonly runs: ItemExecution,
   ) {}
-  private notLead = (copy: ShardCopy, step: string): Result<never> =>
-    Fault.fail("notLead", step, this.node.self.id, copy.view?.lead ?? "");
-  private known(copy: ShardCopy, id: string, bodyHash: string): HandedIn | undefined {
-    const sealed = copy.segments.find("lots", id);
+  private notLeader = (replica: ShardReplica, step: string): Result<never> =>
+    Fault.fail("notLead", step, this.node.self.id, replica.view?.lead ?? "");
+  private known(replica: ShardReplica, id: string, bodyHash: string): JobSubmissionResult | undefined {
+    const sealed = replica.segments.find("lots", id);
     if (sealed)
-      return { tag: "exists", same: copy.segments.sameBody(sealed, bodyHash), state: sealed.trimmed ? "trimmed" : "" };
-    const lot = copy.data.lots.get(id);
-    return lot && { tag: "exists", same: lot.bodyHash === bodyHash, state: "" };
+      return {
+        tag: "exists",
+        same: replica.segments.sameBody(sealed, bodyHash),
+        state: sealed.trimmed ? "trimmed" : "",
+      };
+    const job = replica.data.lots.get(id);
+    return job && { tag: "exists", same: job.bodyHash === bodyHash, state: "" };
   }
 
   /** Only "accepted" and "exists" mean that the lot is kept; after "busy" it will not be by this arrival. @example yield* lots.handIn(copy, body) */
-  *handIn(copy: ShardCopy, body: HandIn): Task<Result<HandedIn>> {
+  *handIn(replica: ShardReplica, body: JobSubmission): Task<Result<JobSubmissionResult>> {
     const { id } = body.lot;
     for (let busy = this.takingIn.get(id); busy; busy = this.takingIn.get(id)) yield* Csp.take(busy);
-    if (!copy.holdsGrant() || this.node.stopping || !this.node.vouches()) return this.notLead(copy, "hand in");
-    const known = this.known(copy, id, body.lot.bodyHash);
+    if (!replica.holdsLease() || this.node.stopping || !this.node.vouches()) return this.notLeader(replica, "hand in");
+    const known = this.known(replica, id, body.lot.bodyHash);
     if (known) {
       this.counts.again += 1;
-      this.runs.opened(copy, id);
+      this.runs.opened(replica, id);
       return Fault.ok(known);
     }
     if (!Stamp.admits(body.stamp.time, this.env.wall(), this.node.bounds()))
       return Fault.fail("late", "hand in", this.node.self.id, "stamp outside the bounds");
-    if (copy.view!.members.length < Constants.minCopiesForLots) return this.busy("too few copies");
+    if (replica.view!.members.length < Constants.minReplicasForJobs) return this.busy("too few copies");
     const done = Csp.chan<true>(1);
     this.takingIn.set(id, done);
     try {
       const tokens = body.lot.requests!.reduce((sum, request) => sum + request.tokens, 0);
-      const granted = yield* this.quota.take(copy, body.lot.binding, id, tokens);
+      const granted = yield* this.quota.take(replica, body.lot.binding, id, tokens);
       if (!granted.ok) return this.notKept(granted.fault);
-      return yield* this.keep(copy, body);
+      return yield* this.keep(replica, body);
     } finally {
-      this.quota.leave(copy.shard, id);
+      this.quota.leave(replica.shard, id);
       this.takingIn.delete(id);
       done.close();
     }
@@ -78,14 +82,14 @@
     this.counts.refused += 1;
     return Fault.busy("hand in", this.node.self.id, why, Constants.retryAfterMs);
   }
-  private *keep(copy: ShardCopy, body: HandIn): Task<Result<HandedIn>> {
-    const { lot, life } = body;
-    const put = yield* copy.put(
+  private *keep(replica: ShardReplica, body: JobSubmission): Task<Result<JobSubmissionResult>> {
+    const { lot: job, life } = body;
+    const put = yield* replica.put(
       {
-        putId: `lot-${lot.id}-${life}`,
+        putId: `lot-${job.id}-${life}`,
         stamp: body.stamp,
-        ops: [{ op: "lot", lot, life }],
-        cause: { ...body.cause, view: copy.view?.epoch },
+        ops: [{ op: "lot", lot: job, life }],
+        cause: { ...body.cause, view: replica.view?.epoch },
       },
       1100,
     );
@@ -93,7 +97,7 @@
     switch (put.value.tag) {
       case "done":
         this.counts.accepted += 1;
-        this.runs.opened(copy, lot.id);
+        this.runs.opened(replica, job.id);
         return Fault.ok({ tag: "accepted" });
       case "exists":
         return Fault.ok(put.value);
@@ -106,15 +110,15 @@
     }
   }
   /** Makes sure that no arrival of a lot up to now is ever kept; false if one is. @example yield* lots.refuse(copy, { id, stamp }) */
-  *refuse(copy: ShardCopy, body: { id: string; stamp: Stamp }): Task<Result<{ refused: boolean }>> {
-    if (!copy.holdsGrant()) return this.notLead(copy, "refuse lot");
+  *refuse(replica: ShardReplica, body: { id: string; stamp: Stamp }): Task<Result<{ refused: boolean }>> {
+    if (!replica.holdsLease()) return this.notLeader(replica, "refuse lot");
     const putId = `refuse-lot-${body.id}-${Stamp.text(body.stamp)}`;
-    const put = yield* copy.put(
+    const put = yield* replica.put(
       { putId, stamp: body.stamp, ops: [{ op: "lotRefuse", lot: body.id }], cause: {} },
       1100,
     );
     if (!put.ok) return put;
-    this.runs.opened(copy, body.id); // kept after all, if it is there
+    this.runs.opened(replica, body.id); // kept after all, if it is there
     return Fault.ok({ refused: put.value.tag === "done" });
   }
 
@@ -123,70 +127,73 @@
    * a lead that holds its grant and takes no such lot in just now.
    * @example yield* lots.list(copy, { id: "lot-17", from: 12, waitMs: 1000 })
    */
-  *list(copy: ShardCopy, body: { id: string; from: number; waitMs: number; anyAge?: boolean }): Task<Result<Listing>> {
+  *list(
+    replica: ShardReplica,
+    body: { id: string; from: number; waitMs: number; anyAge?: boolean },
+  ): Task<Result<JobListing>> {
     const until = this.env.mono() + Math.min(body.waitMs, Constants.readWaitMs);
     for (;;) {
-      if (!this.isMember(copy)) return Fault.fail("notLead", "list", this.node.self.id, "no member of the view");
-      const oldest = this.env.wall() - Stamp.delay(this.node.bounds()) - Constants.lotListLagMs;
-      if (copy.frontier() < oldest && !copy.holdsGrant() && !body.anyAge)
+      if (!this.isMember(replica)) return Fault.fail("notLead", "list", this.node.self.id, "no member of the view");
+      const oldest = this.env.wall() - Stamp.delay(this.node.bounds()) - Constants.jobListLagMs;
+      if (replica.frontier() < oldest && !replica.holdsLease() && !body.anyAge)
         return Fault.fail("notLead", "list", this.node.self.id, "our frontier lags");
-      const held = yield* copy.lot(body.id);
+      const held = yield* replica.job(body.id);
       if (!held.ok) return held;
-      const lot = held.value;
+      const job = held.value;
       const over = this.env.mono() >= until;
-      if (lot) {
-        const settled = lot.open === 0 && lot.positions.length === lot.items.filter((item) => item.stamp).length;
-        if (lot.positions.length > body.from || settled || over) return Fault.ok(this.page(lot, body.from));
-      } else if (copy.holdsGrant() && !this.takingIn.has(body.id))
+      if (job) {
+        const settled = job.open === 0 && job.positions.length === job.items.filter((item) => item.stamp).length;
+        if (job.positions.length > body.from || settled || over) return Fault.ok(this.page(job, body.from));
+      } else if (replica.holdsLease() && !this.takingIn.has(body.id))
         return Fault.fail("notFound", "list", this.node.self.id, `no lot ${body.id}`);
-      else if (over || !copy.holdsGrant()) return Fault.fail("notLead", "list", this.node.self.id, "not known here");
-      yield* copy.changedWithin(until - this.env.mono());
+      else if (over || !replica.holdsLease()) return Fault.fail("notLead", "list", this.node.self.id, "not known here");
+      yield* replica.changedWithin(until - this.env.mono());
     }
   }
-  private isMember(copy: ShardCopy): boolean {
-    const view = this.node.news.frame?.views[copy.shard] ?? copy.view;
-    return copy.exists && !!view?.members.includes(this.node.self.id);
+  private isMember(replica: ShardReplica): boolean {
+    const view = this.node.gossip.snapshot?.views[replica.shard] ?? replica.view;
+    return replica.exists && !!view?.members.includes(this.node.self.id);
   }
-  private page(lot: Lot, from: number): Listing {
-    const results: Listed[] = [];
+  private page(job: BatchJob, from: number): JobListing {
+    const results: ListedResult[] = [];
     let bytes = 0;
-    for (const at of lot.positions.slice(from)) {
-      const item = lot.items[at];
+    for (const at of job.positions.slice(from)) {
+      const item = job.items[at];
       bytes += item.result.length;
-      if (results.length > 0 && bytes > Constants.lotListBytes) break;
+      if (results.length > 0 && bytes > Constants.jobListBytes) break;
       results.push({
-        id: lot.requests?.[at].id ?? String(at),
+        id: job.requests?.[at].id ?? String(at),
         state: item.state === "done" ? "complete" : "abandoned",
         text: item.result,
       });
     }
     this.counts.listed += results.length;
-    return { total: lot.items.length, results, ended: lot.ended };
+    return { total: job.items.length, results, ended: job.ended };
   }
   /** The body, in base64, of an item that is not listed yet, of a lot not ended. @example yield* lots.itemBody(copy, { id: "lot-17", item: "i1" }) */
-  *itemBody(copy: ShardCopy, body: { id: string; item: string }): Task<Result<{ body: string }>> {
-    if (!this.isMember(copy)) return Fault.fail("notLead", "item body", this.node.self.id, "no member of the view");
-    const held = yield* copy.lot(body.id);
+  *itemBody(replica: ShardReplica, body: { id: string; item: string }): Task<Result<{ body: string }>> {
+    if (!this.isMember(replica)) return Fault.fail("notLead", "item body", this.node.self.id, "no member of the view");
+    const held = yield* replica.job(body.id);
     if (!held.ok) return held;
-    const lot = held.value;
-    const unsure = !copy.holdsGrant() || this.takingIn.has(body.id);
-    if (!lot) return Fault.fail(unsure ? "notLead" : "notFound", "item body", this.node.self.id, `no lot ${body.id}`);
-    const at = lot.requests?.findIndex(({ id }) => id === body.item) ?? -1;
-    const found = lot.ended ? undefined : lot.bodies[at];
+    const job = held.value;
+    const unsure = !replica.holdsLease() || this.takingIn.has(body.id);
+    if (!job) return Fault.fail(unsure ? "notLead" : "notFound", "item body", this.node.self.id, `no lot ${body.id}`);
+    const at = job.requests?.findIndex(({ id }) => id === body.item) ?? -1;
+    const found = job.ended ? undefined : job.bodies[at];
     return found === undefined
       ? Fault.fail("notFound", "item body", this.node.self.id, `no body of ${body.item} in lot ${body.id}`)
       : Fault.ok({ body: found });
   }
   /** Nothing of the lot starts from now on, and what runs is broken off. @example yield* lots.end(copy, { id: "lot-17", stamp, by: "caller" }) */
-  *end(copy: ShardCopy, body: { id: string; stamp: Stamp; by: string }): Task<Result<{ ended: true }>> {
-    if (!copy.holdsGrant()) return this.notLead(copy, "end lot");
-    const lot = copy.data.lots.get(body.id);
-    const sealed = copy.segments.find("lots", body.id);
-    if (!lot && !sealed && this.takingIn.has(body.id))
+  *end(replica: ShardReplica, body: { id: string; stamp: Stamp; by: string }): Task<Result<{ ended: true }>> {
+    if (!replica.holdsLease()) return this.notLeader(replica, "end lot");
+    const job = replica.data.lots.get(body.id);
+    const sealed = replica.segments.find("lots", body.id);
+    if (!job && !sealed && this.takingIn.has(body.id))
       return Fault.fail("notLead", "end lot", this.node.self.id, "it is being taken in");
-    if (!lot && !sealed) return Fault.fail("notFound", "end lot", this.node.self.id, `no lot ${body.id}`);
-    if (sealed || lot?.ended) return Fault.ok({ ended: true });
-    const put = yield* copy.put(
+    if (!job && !sealed) return Fault.fail("notFound", "end lot", this.node.self.id, `no lot ${body.id}`);
+    if (sealed || job?.ended) return Fault.ok({ ended: true });
+    const put = yield* replica.put(
       {
         putId: `end-${body.id}-${Stamp.text(body.stamp)}`,
         stamp: body.stamp,
--- a/src/storage/quota.ts
+++ b/src/storage/quota.ts
@@ -3,8 +3,8 @@
 import { Env } from "../runtime/env";
 import { Fault, Result } from "../common/fault";
 import { Node } from "../node/node";
-import { ShardCopy } from "../shard/shardReplica";
-import { Putter } from "./putClient";
+import { ShardReplica } from "../shard/shardReplica";
+import { PutClient } from "./putClient";
 
 /** What waits on a binding in one shard, as its lead counts it; the lots it has asked for are in it, by id. */
 export type Tally = { shard: number; epoch: number; turn: number; tokens: number; asking: Record<string, number> };
@@ -35,69 +35,69 @@
   constructor(
     private readonly env: Env,
     private readonly node: Node,
-    private readonly putter: Putter,
-    private readonly copies: Map<number, ShardCopy>,
+    private readonly putClient: PutClient,
+    private readonly replicas: Map<number, ShardReplica>,
   ) {}
 
   /** @example quota.metrics().quota_refused */
   metrics = (): Record<string, number> =>
     Object.fromEntries(Object.entries(this.counts).map(([name, count]) => [`quota_${name}`, count]));
-  private limitOf = (binding: string): number =>
-    this.node.frame().control?.manifest.doc.bindings[binding]?.maxWaitingTokens ?? 0;
-  private homeShard = (binding: string): number => this.putter.shardOf(`quota ${binding}`);
+  private limitOf = (route: string): number =>
+    this.node.snapshot().control?.manifest.doc.bindings[route]?.maxWaitingTokens ?? 0;
+  private homeShard = (route: string): number => this.putClient.shardOf(`quota ${route}`);
 
   // ---------- a lead that takes a lot in ----------
   /** A place for a lot, or "busy" with the step "quota" when it doesn't fit. @example yield* quota.take(copy, "audit", "lot-17", 940) */
-  *take(copy: ShardCopy, binding: string, lot: string, tokens: number): Task<Result<true>> {
-    if (this.limitOf(binding) <= 0) return Fault.ok(true as const);
-    const asked = this.asked.get(copy.shard) ?? new Map<string, { binding: string; tokens: number }>();
-    this.asked.set(copy.shard, asked);
-    asked.set(lot, { binding, tokens });
-    const body = (): Reservation => ({ binding, lot, tokens, tally: this.tallyOf(copy, binding) });
-    const home = this.copies.get(this.homeShard(binding));
-    const replied: Result<true> = home?.holdsGrant()
+  *take(replica: ShardReplica, route: string, job: string, tokens: number): Task<Result<true>> {
+    if (this.limitOf(route) <= 0) return Fault.ok(true as const);
+    const asked = this.asked.get(replica.shard) ?? new Map<string, { binding: string; tokens: number }>();
+    this.asked.set(replica.shard, asked);
+    asked.set(job, { binding: route, tokens });
+    const body = (): Reservation => ({ binding: route, lot: job, tokens, tally: this.tallyOf(replica, route) });
+    const home = this.replicas.get(this.homeShard(route));
+    const response: Result<true> = home?.holdsLease()
       ? yield* this.reserve(home, body())
-      : yield* this.putter.askLead<true>(
-          this.homeShard(binding),
+      : yield* this.putClient.askLeader<true>(
+          this.homeShard(route),
           "quota.reserve",
           body,
-          Constants.lotHoldMs,
+          Constants.jobHoldMs,
           Constants.quotaAskMs * 3,
         );
-    if (!replied.ok) asked.delete(lot);
-    return replied;
+    if (!response.ok) asked.delete(job);
+    return response;
   }
   /** A lot is in its shard's count from now on, or will never be. @example quota.leave(3, "lot-17"); */
-  leave(shard: number, lot: string): void {
-    this.asked.get(shard)?.delete(lot);
+  leave(shard: number, job: string): void {
+    this.asked.get(shard)?.delete(job);
   }
   /** What waits in a shard that we hold: its lots, and those on their way. @example quota.tallyOf(copy, "audit").tokens */
-  tallyOf(copy: ShardCopy, binding: string): Tally {
+  tallyOf(replica: ShardReplica, route: string): Tally {
     let tokens = 0;
-    for (const lot of copy.data.lots.values())
-      if (lot.binding === binding && lot.open > 0) tokens += lot.tokensWaiting ?? 0;
+    for (const job of replica.data.lots.values())
+      if (job.binding === route && job.open > 0) tokens += job.tokensWaiting ?? 0;
     const asking: Record<string, number> = {};
-    for (const [lot, wish] of this.asked.get(copy.shard) ?? [])
-      if (wish.binding === binding && !copy.data.lots.has(lot)) {
-        asking[lot] = wish.tokens;
-        tokens += wish.tokens;
+    for (const [job, criteria] of this.asked.get(replica.shard) ?? [])
+      if (criteria.binding === route && !replica.data.lots.has(job)) {
+        asking[job] = criteria.tokens;
+        tokens += criteria.tokens;
       }
-    return { shard: copy.shard, epoch: copy.view?.epoch ?? 0, turn: (this.turn += 1), tokens, asking };
+    return { shard: replica.shard, epoch: replica.view?.epoch ?? 0, turn: (this.turn += 1), tokens, asking };
   }
   /** Asked by the home: what waits in the shards that we lead, or hold a copy of. @example quota.tallies({ binding: "audit", shards: [1, 4] }) */
   tallies(body: { binding: string; shards: number[]; anyCopy: boolean }): Tally[] {
     return body.shards.flatMap((shard) => {
-      const copy = this.copies.get(shard);
-      if (copy?.holdsGrant()) return [this.tallyOf(copy, body.binding)];
-      return body.anyCopy && copy?.exists ? [{ ...this.tallyOf(copy, body.binding), turn: -1 }] : [];
+      const replica = this.replicas.get(shard);
+      if (replica?.holdsLease()) return [this.tallyOf(replica, body.binding)];
+      return body.anyCopy && replica?.exists ? [{ ...this.tallyOf(replica, body.binding), turn: -1 }] : [];
     });
   }
 
   // ---------- the home ----------
   /** @example yield* quota.reserve(copy, { binding: "audit", lot: "lot-17", tokens: 940, tally }) */
-  *reserve(copy: ShardCopy, body: Reservation): Task<Result<true>> {
-    if (!copy.holdsGrant()) return Fault.fail("notLead", "quota", this.node.self.id, copy.view?.lead ?? "");
-    const home = this.homeOf(body.binding, copy.view!.epoch);
+  *reserve(replica: ShardReplica, body: Reservation): Task<Result<true>> {
+    if (!replica.holdsLease()) return Fault.fail("notLead", "quota", this.node.self.id, replica.view?.lead ?? "");
+    const home = this.homeOf(body.binding, replica.view!.epoch);
     const askedAt = this.env.mono();
     this.place(home, body.tally);
     const fits = (): boolean =>
@@ -105,7 +105,7 @@
     const known = (): boolean => home.tallies.size >= Constants.shardCount;
     if (!known() || !fits()) {
       while (home.refreshedAt < askedAt - Constants.quotaFreshMs) yield* this.refresh(home, body.binding);
-      if (!copy.holdsGrant()) return Fault.fail("notLead", "quota", this.node.self.id, copy.view?.lead ?? "");
+      if (!replica.holdsLease()) return Fault.fail("notLead", "quota", this.node.self.id, replica.view?.lead ?? "");
       if (!known())
         return Fault.busy(
           "count what waits",
@@ -127,14 +127,14 @@
     const tally = home.tallies.get(body.tally.shard)!;
     home.tallies.set(tally.shard, { ...tally, tokens: tally.tokens + body.tokens });
     home.granted.add(`${tally.shard}/${body.lot}`);
-    if (home.granted.size > Constants.quotaGrantsKept) home.granted.delete(home.granted.values().next().value!);
+    if (home.granted.size > Constants.quotaLeasesKept) home.granted.delete(home.granted.values().next().value!);
     return Fault.ok(true as const);
   }
-  private homeOf(binding: string, epoch: number): Home {
-    let home = this.homes.get(binding);
+  private homeOf(route: string, epoch: number): Home {
+    let home = this.homes.get(route);
     if (!home || home.epoch !== epoch) {
       home = { epoch, tallies: new Map(), granted: new Set(), refreshedAt: -Infinity, refreshing: undefined };
-      this.homes.set(binding, home);
+      this.homes.set(route, home);
     }
     return home;
   }
@@ -144,8 +144,8 @@
     if (known && (known.epoch > told.epoch || (known.epoch === told.epoch && known.turn > told.turn && told.turn >= 0)))
       return;
     let tokens = told.tokens;
-    for (const [lot, asked] of Object.entries(told.asking))
-      if (!home.granted.has(`${told.shard}/${lot}`)) tokens -= asked;
+    for (const [job, asked] of Object.entries(told.asking))
+      if (!home.granted.has(`${told.shard}/${job}`)) tokens -= asked;
     home.tallies.set(told.shard, { ...told, tokens, asking: {} });
   }
   private total(home: Home): number {
@@ -154,7 +154,7 @@
     return sum;
   }
   /** Every shard's lead is asked what waits now; where it keeps silent, another copy. Who comes meanwhile shares it. */
-  private *refresh(home: Home, binding: string): Task<void> {
+  private *refresh(home: Home, route: string): Task<void> {
     if (home.refreshing) {
       yield* Csp.take(home.refreshing);
       return;
@@ -163,10 +163,10 @@
     const startedAt = this.env.mono();
     this.counts.refreshed += 1;
     try {
-      const views = this.node.frame().control?.views ?? {};
+      const views = this.node.snapshot().control?.views ?? {};
       const silent = yield* this.collect(
         home,
-        binding,
+        route,
         new Map(Object.values(views).map((view) => [view.shard, view.lead])),
         false,
       );
@@ -177,7 +177,7 @@
         return view.members.find((id) => id === this.node.self.id) ?? view.members.find((id) => id !== view.lead) ?? "";
       };
       if (unknown.length > 0)
-        yield* this.collect(home, binding, new Map(unknown.map((shard) => [shard, otherOf(shard)])), true);
+        yield* this.collect(home, route, new Map(unknown.map((shard) => [shard, otherOf(shard)])), true);
     } finally {
       home.refreshedAt = startedAt;
       home.refreshing = undefined;
@@ -185,7 +185,7 @@
     }
   }
   /** Asks each store once; the shards of which nothing was heard. */
-  private *collect(home: Home, binding: string, from: Map<number, string>, anyCopy: boolean): Task<number[]> {
+  private *collect(home: Home, route: string, from: Map<number, string>, anyReplica: boolean): Task<number[]> {
     const left = new Set(from.keys());
     const stores = [...new Set(from.values())].filter((id) => id !== "");
     const done = Csp.chan<true>(64);
@@ -197,17 +197,21 @@
       });
     for (const id of stores)
       Csp.go(this.env.scope, `tallies of ${id}`, function* () {
-        const body = { binding, shards: [...from].flatMap(([shard, store]) => (store === id ? [shard] : [])), anyCopy };
+        const body = {
+          binding: route,
+          shards: [...from].flatMap(([shard, store]) => (store === id ? [shard] : [])),
+          anyCopy: anyReplica,
+        };
         const address = quota.node.addressOf(id);
         if (id === quota.node.self.id) take(quota.tallies(body));
         else if (address) {
-          const replied = yield* quota.node.rpc.ask<{ tallies: Tally[] }>(
+          const response = yield* quota.node.rpc.call<{ tallies: Tally[] }>(
             address,
             "quota.tallies",
             body,
             Constants.quotaAskMs,
           );
-          if (replied.ok) take(replied.value.tallies);
+          if (response.ok) take(response.value.tallies);
         }
         Csp.offer(done, true);
       });
--- a/src/storage/workExecutor.ts
+++ b/src/storage/workExecutor.ts
@@ -1,17 +1,25 @@
 import { Constants } from "../common/constants";
 import { Chan, Csp, Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
-import { Delivery, ReplicaHttp, ReplicaStream } from "../adapters/endpointHttp";
-import { Chooser, Wish } from "../routing/endpointSelector";
+import { ForwardedRequest, EndpointHttp, EndpointStream } from "../adapters/endpointHttp";
+import { EndpointSelector, SelectionCriteria } from "../routing/endpointSelector";
 import { Fault, Result } from "../common/fault";
-import { Replica } from "../node/clusterSnapshot";
-import { Room } from "../routing/admissionQueue";
+import { Endpoint } from "../node/clusterSnapshot";
+import { AdmissionQueue } from "../routing/admissionQueue";
 import { Node } from "../node/node";
 import { Stamp } from "../common/stamp";
-import { Binding } from "../control/controlState";
-import { ShardCopy } from "../shard/shardReplica";
-import { Cause, Lot, LotOrder, Op, PutOutcome, ShardState, Work as Held } from "../shard/shardState";
-import { Putter } from "./putClient";
+import { Route } from "../control/controlState";
+import { ShardReplica } from "../shard/shardReplica";
+import {
+  Cause,
+  BatchJob,
+  BatchJobSpec,
+  ShardOperation,
+  PutOutcome,
+  ShardState,
+  LiveRequest as Held,
+} from "../shard/shardState";
+import { PutClient } from "./putClient";
 
 /* eslint-disable @typescript-eslint/no-explicit-any */
 type OpenBody = {
@@ -30,29 +38,29 @@
  * const work = new Work(env, node, putter, chooser, copies);
  * work.start();
  */
-export class Work {
-  private readonly room: Room;
+export class WorkExecutor {
+  private readonly room: AdmissionQueue;
   private takingUp = new Set<string>();
   private running = new Map<string, true>(); // request ids and lot/item
   private opening = new Map<string, Chan<true>>();
   private changed = new Map<string, Chan<true>[]>(); // readers of a request
-  private openLots = new Map<string, number>(); // lot id → shard, for the shards we lead
-  private lotOpened: Chan<true> = Csp.sliding(1);
-  private lotsInFlight = new Map<string, number>(); // by pool
+  private openJobs = new Map<string, number>(); // lot id → shard, for the shards we lead
+  private jobOpened: Chan<true> = Csp.sliding(1);
+  private jobsInFlight = new Map<string, number>(); // by pool
   private liveInFlight = new Map<string, number>();
-  private crowdedAt = new Map<string, number>();
+  private overloadedAt = new Map<string, number>();
   private window = new Map<string, number>();
   readonly counts = { streams: 0, singles: 0, items: 0, busies: 0, unknowns: 0, resumed: 0, released: 0, failed: 0 };
 
   constructor(
     private readonly env: Env,
     private readonly node: Node,
-    private readonly putter: Putter,
-    private readonly chooser: Chooser,
-    private readonly copies: Map<number, ShardCopy>,
+    private readonly putClient: PutClient,
+    private readonly endpointSelector: EndpointSelector,
+    private readonly replicas: Map<number, ShardReplica>,
   ) {
-    this.room = new Room(env, chooser, (pool) => this.crowd(pool));
-    node.news.watch(() => this.room.changed());
+    this.room = new AdmissionQueue(env, endpointSelector, (pool) => this.overload(pool));
+    node.gossip.watch(() => this.room.changed());
   }
   /** @example work.start(); */
   start(): void {
@@ -65,47 +73,47 @@
   inFlight = (): number => this.running.size;
   /** @example work.metrics().streams */
   metrics(): Record<string, number> {
-    return { ...this.counts, running: this.running.size, open_lots: this.openLots.size };
+    return { ...this.counts, running: this.running.size, open_lots: this.openJobs.size };
   }
 
   // ---------- live work ----------
-  private binding = (name: string): Binding | undefined => this.node.frame().control?.manifest.doc.bindings[name];
+  private route = (name: string): Route | undefined => this.node.snapshot().control?.manifest.doc.bindings[name];
   /** A lot is kept though its binding was taken out of the manifest since. */
-  private bindingOf = (lot: Lot): Binding => this.binding(lot.binding) ?? lot.kept;
-  private wish(
-    binding: Binding,
+  private routeOf = (job: BatchJob): Route => this.route(job.binding) ?? job.kept;
+  private criteria(
+    route: Route,
     name: string,
     kind: string,
     caller: string,
     body: string,
-    lane: Wish["lane"],
+    lane: SelectionCriteria["lane"],
     exclude: Set<string>,
-  ): Wish {
+  ): SelectionCriteria {
     return {
-      frame: this.node.frame(),
-      pool: binding.pool,
-      binding: name,
+      snapshot: this.node.snapshot(),
+      pool: route.pool,
+      route: name,
       caller,
       kind,
-      prefix: binding.kind === "stream" ? body.slice(0, binding.prefixBytes) : "",
+      prefix: route.kind === "stream" ? body.slice(0, route.prefixBytes) : "",
       lane,
       exclude,
     };
   }
   /** What is left of the time that a request may wait for room, all its rounds together: past it, it is refused at once. */
   private patience = (life: string): number => Constants.liveWaitMs - (this.env.wall() - Stamp.parse(life)!.time);
-  private crowd(pool: string): void {
+  private overload(pool: string): void {
     const now = this.env.mono();
-    if (now - (this.crowdedAt.get(pool) ?? -Infinity) > 200)
-      this.node.news.tell(`crowd/${this.node.self.id}/${pool}`, { pool }, Constants.lotCrowdHoldMs, true);
-    this.crowdedAt.set(pool, now);
+    if (now - (this.overloadedAt.get(pool) ?? -Infinity) > 200)
+      this.node.gossip.tell(`crowd/${this.node.self.id}/${pool}`, { pool }, Constants.jobOverloadHoldMs, true);
+    this.overloadedAt.set(pool, now);
     this.window.set(pool, 0);
   }
   /** A request comes in from an ingress. The reply "busy" means that nothing was put. @example yield* work.open(copy, body) */
-  *open(copy: ShardCopy, body: OpenBody): Task<Result<any>> {
+  *open(copy: ShardReplica, body: OpenBody): Task<Result<any>> {
     const id = body.work.id;
     for (let busy = this.opening.get(id); busy; busy = this.opening.get(id)) yield* Csp.take(busy);
-    if (!copy.holdsGrant() || this.node.stopping || !this.node.vouches())
+    if (!copy.holdsLease() || this.node.stopping || !this.node.vouches())
       return Fault.fail("notLead", "open", this.node.self.id, copy.view?.lead ?? "");
     const kept = copy.segments.find("works", id);
     if (kept)
@@ -121,45 +129,45 @@
       return Fault.ok({ tag: "exists", same: known.bodyHash === body.work.bodyHash, state: known.state });
     if (!Stamp.admits(body.stamp.time, this.env.wall(), this.node.bounds()))
       return Fault.fail("late", "open", this.node.self.id, `stamp ${Stamp.text(body.stamp)} outside the bounds`);
-    const binding = this.binding(body.work.binding);
-    if (!binding) return Fault.fail("notFound", "open", this.node.self.id, `no binding ${body.work.binding}`);
+    const route = this.route(body.work.binding);
+    if (!route) return Fault.fail("notFound", "open", this.node.self.id, `no binding ${body.work.binding}`);
     const done = Csp.chan<true>(1);
     this.opening.set(id, done);
     try {
       const exclude = new Set<string>();
-      const make = (): Wish =>
-        this.wish(binding, body.work.binding, binding.kind, body.caller, body.work.body, "live", exclude);
-      const replica = yield* this.room.take(
+      const make = (): SelectionCriteria =>
+        this.criteria(route, body.work.binding, route.kind, body.caller, body.work.body, "live", exclude);
+      const endpoint = yield* this.room.take(
         make,
         body.work.order,
         body.stamp.time,
         Math.min(this.patience(body.work.life), body.work.deadlineAt - this.env.wall()),
       );
-      if (!replica) {
+      if (!endpoint) {
         this.counts.busies += 1;
         return Fault.busy(
           "open",
           this.node.self.id,
-          `no room in pool ${binding.pool}`,
-          this.room.retryAfterMs(binding.pool),
+          `no room in pool ${route.pool}`,
+          this.room.retryAfterMs(route.pool),
         );
       }
       const claimedAt = this.env.mono();
-      const ops: Op[] = [
+      const ops: ShardOperation[] = [
         { op: "open", work: body.work },
-        { op: "claim", id, round: 1, replica: replica.key, owner: this.node.self.id },
+        { op: "claim", id, round: 1, replica: endpoint.key, owner: this.node.self.id },
       ];
       // the caller's arrival stamp, unless it has waited behind the frontier meanwhile
       let stamp = body.stamp;
       let put: Result<PutOutcome>;
       this.running.set(id, true);
-      for (let round = 0; ; round += 1) {
+      for (let attempt = 0; ; attempt += 1) {
         put = yield* copy.put(
           { putId: `open-${id}-${body.work.life}`, stamp, ops, cause: { ...body.cause, view: copy.view?.epoch } },
           1100,
         );
-        if (put.ok || put.fault.tag !== "late" || round >= Constants.lateRounds) break;
-        stamp = this.putter.stamp(this.env.wall());
+        if (put.ok || put.fault.tag !== "late" || attempt >= Constants.lateAttempts) break;
+        stamp = this.putClient.stamp(this.env.wall());
         yield* EnvTools.sleep(this.env, 10);
       }
       // its fate is not known (the view is just changing): nothing was delivered, so it is found out and gone on with
@@ -174,12 +182,12 @@
       this.env.point(51);
       if (!put.ok || put.value.tag !== "done") {
         this.running.delete(id);
-        this.room.leave(replica, true);
+        this.room.leave(endpoint, true);
         if (!put.ok) return put;
         return Fault.ok(put.value.tag === "exists" ? put.value : { tag: "exists", same: false, state: "refused" });
       }
       Csp.go(this.env.scope, `run ${id}`, () =>
-        this.run(id, copy.shard, { ...body.work }, binding, body.caller, replica, 1, [], claimedAt),
+        this.run(id, copy.shard, { ...body.work }, route, body.caller, endpoint, 1, [], claimedAt),
       );
       return Fault.ok({ tag: "opened" });
     } finally {
@@ -188,9 +196,9 @@
     }
   }
   /** Makes sure that a request that was given up on can never run. @example yield* work.refuse(copy, { id, stamp }) */
-  *refuse(copy: ShardCopy, body: { id: string; stamp: Stamp }): Task<Result<any>> {
+  *refuse(replica: ShardReplica, body: { id: string; stamp: Stamp }): Task<Result<any>> {
     for (let busy = this.opening.get(body.id); busy; busy = this.opening.get(body.id)) yield* Csp.take(busy);
-    const put = yield* copy.put(
+    const put = yield* replica.put(
       {
         putId: `refuse-${body.id}-${Stamp.text(body.stamp)}`,
         stamp: body.stamp,
@@ -208,14 +216,14 @@
     for (const reader of this.changed.get(id) ?? []) Csp.offer(reader, true);
   }
   /** Logical mode: pieces as soon as they are on every copy. @example yield* work.read(copy, { id, after: 3, waitMs: 800 }) */
-  *read(copy: ShardCopy, body: { id: string; after: number; waitMs: number }): Task<Result<any>> {
+  *read(replica: ShardReplica, body: { id: string; after: number; waitMs: number }): Task<Result<any>> {
     const until = this.env.mono() + body.waitMs;
     const wake = Csp.sliding<true>(1);
     this.changed.set(body.id, [...(this.changed.get(body.id) ?? []), wake]);
     try {
       for (;;) {
-        if (!copy.holdsGrant()) return Fault.fail("notLead", "read", this.node.self.id, copy.view?.lead ?? "");
-        const held = yield* copy.work(body.id);
+        if (!replica.holdsLease()) return Fault.fail("notLead", "read", this.node.self.id, replica.view?.lead ?? "");
+        const held = yield* replica.work(body.id);
         if (!held.ok) return held;
         const work = held.value;
         if (!work) return Fault.fail("notFound", "read", this.node.self.id, `no request ${body.id}`);
@@ -238,12 +246,18 @@
     }
   }
 
-  private *put(shard: number, putId: string, ops: Op[], cause: Cause, withinMs: number): Task<Result<PutOutcome>> {
-    const copy = this.copies.get(shard);
-    if (copy?.holdsGrant()) {
-      for (let round = 0; round < Constants.lateRounds; round += 1) {
-        const put = yield* copy.put(
-          { putId, stamp: this.putter.stamp(this.env.wall()), ops, cause },
+  private *put(
+    shard: number,
+    putId: string,
+    ops: ShardOperation[],
+    cause: Cause,
+    withinMs: number,
+  ): Task<Result<PutOutcome>> {
+    const replica = this.replicas.get(shard);
+    if (replica?.holdsLease()) {
+      for (let attempt = 0; attempt < Constants.lateAttempts; attempt += 1) {
+        const put = yield* replica.put(
+          { putId, stamp: this.putClient.stamp(this.env.wall()), ops, cause },
           Math.min(withinMs, 2500),
         );
         if (put.ok) {
@@ -255,11 +269,11 @@
       }
     }
     // the lead has moved on: it may be another store by now
-    return yield* this.putter.put(shard, putId, ops, cause, withinMs);
+    return yield* this.putClient.put(shard, putId, ops, cause, withinMs);
   }
-  private stillEligible(replica: Replica, binding: string, kind: string, caller: string, pool: string): boolean {
-    return Chooser.inPool({ frame: this.node.frame(), pool, binding, caller, kind }).some(
-      (eligible) => eligible.key === replica.key,
+  private stillEligible(endpoint: Endpoint, route: string, kind: string, caller: string, pool: string): boolean {
+    return EndpointSelector.inPool({ snapshot: this.node.snapshot(), pool, route, caller, kind }).some(
+      (eligible) => eligible.key === endpoint.key,
     );
   }
 
@@ -268,45 +282,45 @@
     id: string,
     shard: number,
     work: OpenBody["work"],
-    binding: Binding,
+    route: Route,
     caller: string,
-    first: Replica | undefined,
-    firstRound: number,
+    first: Endpoint | undefined,
+    firstAttempt: number,
     had: string[],
     claimedAt: number,
   ): Task<void> {
-    const pool = binding.pool;
+    const pool = route.pool;
     const exclude = new Set<string>();
     const pieces = [...had];
-    let replica = first;
-    let round = firstRound;
+    let endpoint = first;
+    let attempt = firstAttempt;
     let claimAt = claimedAt;
     const live = (): number => work.deadlineAt - this.env.wall();
     const close = (
       state: "done" | "failed" | "unknown" | "refused",
       outcome: string,
-      before: Op[] = [],
+      before: ShardOperation[] = [],
     ): Task<Result<PutOutcome>> =>
       this.put(
         shard,
-        `close-${id}-${work.life}-${round}`,
-        [...before, { op: "close", id, round, state, outcome }],
+        `close-${id}-${work.life}-${attempt}`,
+        [...before, { op: "close", id, round: attempt, state, outcome }],
         { note: state },
         20_000,
       );
     this.liveInFlight.set(pool, (this.liveInFlight.get(pool) ?? 0) + 1);
     try {
       for (;;) {
-        let before: Op[] = [];
-        if (replica) {
+        let before: ShardOperation[] = [];
+        if (endpoint) {
           const outcome: Result<{ final: boolean; why: string; unsent: boolean }> = yield* this.deliver(
             id,
             shard,
             work,
-            binding,
+            route,
             caller,
-            replica,
-            round,
+            endpoint,
+            attempt,
             pieces,
             claimAt,
             live(),
@@ -316,28 +330,29 @@
           const unsent = outcome.ok ? outcome.value.unsent : false;
           const why = outcome.ok ? outcome.value.why : outcome.fault.detail;
           if (!outcome.ok && outcome.fault.tag === "conflict") return; // another store has taken the request over
-          exclude.add(replica.key);
+          exclude.add(endpoint.key);
           if (!unsent) {
             const mayGoOn = work.safe && (pieces.length === 0 || work.exact);
             if (!work.safe) {
               this.counts.unknowns += 1;
-              yield* close("unknown", JSON.stringify({ detail: `replica ${replica.id}: ${why}; it may have run` }));
+              yield* close("unknown", JSON.stringify({ detail: `replica ${endpoint.id}: ${why}; it may have run` }));
               return;
             }
             if (!mayGoOn) {
               this.counts.failed += 1;
               yield* close(
                 "failed",
-                JSON.stringify({ detail: `replica ${replica.id} was lost after piece ${pieces.length}: ${why}` }),
+                JSON.stringify({ detail: `replica ${endpoint.id} was lost after piece ${pieces.length}: ${why}` }),
               );
               return;
             }
             this.counts.resumed += 1;
           } else this.counts.released += 1;
-          before = [{ op: "release", id, round, why }];
+          before = [{ op: "release", id, round: attempt, why }];
         }
-        const make = (): Wish => this.wish(binding, work.binding, binding.kind, caller, work.body, "live", exclude);
-        const next: Replica | undefined =
+        const make = (): SelectionCriteria =>
+          this.criteria(route, work.binding, route.kind, caller, work.body, "live", exclude);
+        const next: Endpoint | undefined =
           live() > 0
             ? yield* this.room.take(
                 make,
@@ -351,14 +366,14 @@
             const released = before.length > 0 ? before : [];
             yield* this.put(
               shard,
-              `close-${id}-${work.life}-${round}`,
+              `close-${id}-${work.life}-${attempt}`,
               [
                 ...released,
-                { op: "claim", id, round: round + 1, replica: "", owner: this.node.self.id },
+                { op: "claim", id, round: attempt + 1, replica: "", owner: this.node.self.id },
                 {
                   op: "close",
                   id,
-                  round: round + 1,
+                  round: attempt + 1,
                   state: "failed",
                   outcome: JSON.stringify({ detail: "no replica to go on with" }),
                 },
@@ -374,13 +389,13 @@
             );
           return;
         }
-        replica = next;
+        endpoint = next;
         claimAt = this.env.mono();
-        round += 1;
+        attempt += 1;
         const claimed = yield* this.put(
           shard,
-          `claim-${id}-${work.life}-${round}-${this.node.self.id}`,
-          [...before, { op: "claim", id, round, replica: next.key, owner: this.node.self.id }],
+          `claim-${id}-${work.life}-${attempt}-${this.node.self.id}`,
+          [...before, { op: "claim", id, round: attempt, replica: next.key, owner: this.node.self.id }],
           {},
           10_000,
         );
@@ -400,58 +415,66 @@
     id: string,
     shard: number,
     work: OpenBody["work"],
-    binding: Binding,
+    route: Route,
     caller: string,
-    replica: Replica,
-    round: number,
+    endpoint: Endpoint,
+    attempt: number,
     pieces: string[],
     claimedAt: number,
     leftMs: number,
   ): Task<Result<{ final: boolean; why: string; unsent: boolean }>> {
-    const end = (lively: boolean): void => this.room.leave(replica, lively);
+    const end = (lively: boolean): void => this.room.leave(endpoint, lively);
     const sorry = (why: string, unsent: boolean): Result<{ final: boolean; why: string; unsent: boolean }> =>
       Fault.ok({ final: false, why, unsent });
     // a claim that grew old (a freeze) is given back: by now the duty may be another's
     if (
       this.env.mono() - claimedAt > Constants.claimOldMs ||
       leftMs <= 0 ||
-      !this.stillEligible(replica, work.binding, binding.kind, caller, binding.pool)
+      !this.stillEligible(endpoint, work.binding, route.kind, caller, route.pool)
     ) {
       end(true);
       return sorry("claim was too old, or the replica has left", true);
     }
-    const delivery: Delivery = {
-      path: binding.path,
+    const delivery: ForwardedRequest = {
+      path: route.path,
       id,
-      round,
+      round: attempt,
       body: work.body,
       pieces,
       deadlineMs: leftMs,
       safe: work.safe,
     };
     this.env.point(52);
-    if (binding.kind !== "stream") {
+    if (route.kind !== "stream") {
       this.counts.singles += 1;
-      const replied = yield* ReplicaHttp.single(this.env, replica, delivery);
-      end(replied.ok || replied.fault.step === "deliver");
-      if (!replied.ok) return sorry(replied.fault.detail, replied.fault.tag === "refused");
+      const response = yield* EndpointHttp.single(this.env, endpoint, delivery);
+      end(response.ok || response.fault.step === "deliver");
+      if (!response.ok) return sorry(response.fault.detail, response.fault.tag === "refused");
       this.env.point(53);
-      const state = replied.value.status < 400 ? "done" : "failed";
+      const state = response.value.status < 400 ? "done" : "failed";
       const put = yield* this.put(
         shard,
-        `close-${id}-${work.life}-${round}`,
+        `close-${id}-${work.life}-${attempt}`,
         [
           ...(state === "done"
-            ? [{ op: "pieces", id, round, first: pieces.length + 1, data: [replied.value.body] } as Op]
+            ? [
+                {
+                  op: "pieces",
+                  id,
+                  round: attempt,
+                  first: pieces.length + 1,
+                  data: [response.value.body],
+                } as ShardOperation,
+              ]
             : []),
           {
             op: "close",
             id,
-            round,
+            round: attempt,
             state,
             outcome: JSON.stringify({
-              status: replied.value.status,
-              ...(state === "failed" ? { detail: replied.value.body.slice(0, 500) } : {}),
+              status: response.value.status,
+              ...(state === "failed" ? { detail: response.value.body.slice(0, 500) } : {}),
             }),
           },
         ],
@@ -463,12 +486,12 @@
       return Fault.ok({ final: true, why: "", unsent: false });
     }
     this.counts.streams += 1;
-    const opened = yield* ReplicaHttp.stream(this.env, replica, delivery);
+    const opened = yield* EndpointHttp.stream(this.env, endpoint, delivery);
     if (!opened.ok) {
       end(opened.fault.tag === "refused" && opened.fault.step === "deliver");
       return sorry(opened.fault.detail, opened.fault.tag === "refused");
     }
-    const stream: ReplicaStream = opened.value;
+    const stream: EndpointStream = opened.value;
     const deadline = this.env.mono() + leftMs;
     for (let firstPiece = true; ; firstPiece = false) {
       const got = yield* stream.next(
@@ -482,8 +505,8 @@
       this.env.point(53);
       const put = yield* this.put(
         shard,
-        `pieces-${id}-${work.life}-${round}-${pieces.length + 1}`,
-        [{ op: "pieces", id, round, first: pieces.length + 1, data: got.value }],
+        `pieces-${id}-${work.life}-${attempt}-${pieces.length + 1}`,
+        [{ op: "pieces", id, round: attempt, first: pieces.length + 1, data: got.value }],
         {},
         12_000,
       );
@@ -497,8 +520,8 @@
     end(true);
     yield* this.put(
       shard,
-      `close-${id}-${work.life}-${round}`,
-      [{ op: "close", id, round, state: "done", outcome: JSON.stringify({ pieces: pieces.length }) }],
+      `close-${id}-${work.life}-${attempt}`,
+      [{ op: "close", id, round: attempt, state: "done", outcome: JSON.stringify({ pieces: pieces.length }) }],
       {},
       20_000,
     );
@@ -507,95 +530,95 @@
 
   // ---------- lots ----------
   /** @example yield* work.acceptLot(copy, { stamp, lot, cause }) */
-  *acceptLot(copy: ShardCopy, body: { stamp: Stamp; lot: LotOrder; cause: Cause }): Task<Result<any>> {
-    if (!copy.holdsGrant() || !this.node.vouches())
-      return Fault.fail("notLead", "accept lot", this.node.self.id, copy.view?.lead ?? "");
-    const kept = copy.segments.find("lots", body.lot.id);
+  *acceptJob(replica: ShardReplica, body: { stamp: Stamp; lot: BatchJobSpec; cause: Cause }): Task<Result<any>> {
+    if (!replica.holdsLease() || !this.node.vouches())
+      return Fault.fail("notLead", "accept lot", this.node.self.id, replica.view?.lead ?? "");
+    const kept = replica.segments.find("lots", body.lot.id);
     if (kept)
       return Fault.ok({
         tag: "exists",
-        same: copy.segments.sameBody(kept, body.lot.bodyHash),
+        same: replica.segments.sameBody(kept, body.lot.bodyHash),
         state: kept.trimmed ? "trimmed" : "",
       });
-    const known = copy.data.lots.get(body.lot.id);
+    const known = replica.data.lots.get(body.lot.id);
     if (known) return Fault.ok({ tag: "exists", same: known.bodyHash === body.lot.bodyHash, state: "" });
     if (!Stamp.admits(body.stamp.time, this.env.wall(), this.node.bounds()))
       return Fault.fail("late", "accept lot", this.node.self.id, "stamp outside the bounds");
-    if (copy.view!.members.length < Constants.minCopiesForLots)
+    if (replica.view!.members.length < Constants.minReplicasForJobs)
       return Fault.busy("accept lot", this.node.self.id, "too few copies", 3 * Constants.retryAfterMs);
-    const put = yield* copy.put(
+    const put = yield* replica.put(
       {
         putId: `lot-${body.lot.id}-${body.lot.bodyHash}`,
         stamp: body.stamp,
         ops: [{ op: "lot", lot: body.lot }],
-        cause: { ...body.cause, view: copy.view?.epoch },
+        cause: { ...body.cause, view: replica.view?.epoch },
       },
       1100,
     );
-    if (put.ok && put.value.tag === "done") this.openLot(body.lot.id, copy.shard);
+    if (put.ok && put.value.tag === "done") this.openJob(body.lot.id, replica.shard);
     return put;
   }
   /** @example yield* work.lotStatus(copy, { id: "L1" }) */
-  *lotStatus(copy: ShardCopy, body: { id: string }): Task<Result<any>> {
-    if (!copy.holdsGrant()) return Fault.fail("notLead", "lot status", this.node.self.id, copy.view?.lead ?? "");
-    const held = yield* copy.lot(body.id);
+  *jobStatus(replica: ShardReplica, body: { id: string }): Task<Result<any>> {
+    if (!replica.holdsLease()) return Fault.fail("notLead", "lot status", this.node.self.id, replica.view?.lead ?? "");
+    const held = yield* replica.job(body.id);
     if (!held.ok) return held;
-    const lot = held.value;
-    if (!lot) return Fault.fail("notFound", "lot status", this.node.self.id, `no lot ${body.id}`);
+    const job = held.value;
+    if (!job) return Fault.fail("notFound", "lot status", this.node.self.id, `no lot ${body.id}`);
     const states: Record<string, number> = {};
-    for (const item of lot.items) states[item.state] = (states[item.state] ?? 0) + 1;
+    for (const item of job.items) states[item.state] = (states[item.state] ?? 0) + 1;
     return Fault.ok({
-      id: lot.id,
-      binding: lot.binding,
-      items: lot.items.length,
+      id: job.id,
+      binding: job.binding,
+      items: job.items.length,
       states,
-      ended: lot.ended,
-      open: lot.open,
-      accepted: Stamp.text(lot.stamp),
-      bodyHash: lot.bodyHash,
+      ended: job.ended,
+      open: job.open,
+      accepted: Stamp.text(job.stamp),
+      bodyHash: job.bodyHash,
     });
   }
   /** A lot whose put outran the handler's patience was accepted all the same. */
-  private noteOpenLots(copy: ShardCopy): void {
-    for (const lot of copy.data.lots.values())
-      if (lot.open > 0 && !lot.ended && !lot.requests) this.openLot(lot.id, copy.shard);
+  private noteOpenJobs(replica: ShardReplica): void {
+    for (const job of replica.data.lots.values())
+      if (job.open > 0 && !job.ended && !job.requests) this.openJob(job.id, replica.shard);
   }
   /** A shard's lead begins: what its log calls for is taken up. @example work.leadStarted(copy); */
-  leadStarted(copy: ShardCopy): void {
-    this.noteOpenLots(copy);
-    Csp.go(this.env.scope, `take up shard ${copy.shard}`, () => this.takeUp(copy, copy.view!.epoch));
+  leaderStarted(replica: ShardReplica): void {
+    this.noteOpenJobs(replica);
+    Csp.go(this.env.scope, `take up shard ${replica.shard}`, () => this.takeUp(replica, replica.view!.epoch));
   }
   /** Claims and lots whose put outran its caller's patience are found here. */
   private *orphanLoop(): Task<void> {
     for (;;) {
       yield* EnvTools.sleep(this.env, Constants.orphanPeriodMs);
-      for (const copy of this.copies.values()) {
-        if (!copy.holdsGrant()) continue;
-        this.noteOpenLots(copy);
-        yield* this.takeUp(copy, copy.view!.epoch);
+      for (const replica of this.replicas.values()) {
+        if (!replica.holdsLease()) continue;
+        this.noteOpenJobs(replica);
+        yield* this.takeUp(replica, replica.view!.epoch);
       }
     }
   }
   /** @example work.leadStopped(copy); */
-  leadStopped(copy: ShardCopy): void {
-    for (const [lot, shard] of this.openLots) if (shard === copy.shard) this.openLots.delete(lot);
+  leaderStopped(replica: ShardReplica): void {
+    for (const [job, shard] of this.openJobs) if (shard === replica.shard) this.openJobs.delete(job);
   }
-  private *takeUp(copy: ShardCopy, epoch: number): Task<void> {
+  private *takeUp(replica: ShardReplica, epoch: number): Task<void> {
     const orphanOf = new Map<string, string[]>(); // owner → ids
     const add = (owner: string, id: string): void => void orphanOf.set(owner, [...(orphanOf.get(owner) ?? []), id]);
-    for (const work of copy.data.works.values()) if (!ShardState.isClosed(work)) add(work.owner, `work ${work.id}`);
-    for (const lot of copy.data.lots.values())
-      if (lot.open > 0)
-        lot.items.forEach((item, at) => item.state === "claimed" && add(item.owner, `item ${lot.id}/${at}`));
+    for (const work of replica.data.works.values()) if (!ShardState.isClosed(work)) add(work.owner, `work ${work.id}`);
+    for (const job of replica.data.lots.values())
+      if (job.open > 0)
+        job.items.forEach((item, at) => item.state === "claimed" && add(item.owner, `item ${job.id}/${at}`));
     for (const [owner, all] of orphanOf) {
-      const key = `${copy.shard}/${epoch}/${owner}`;
+      const key = `${replica.shard}/${epoch}/${owner}`;
       const ids = all.filter((id) => !this.running.has(id.slice(5)));
       if (ids.length === 0 || this.takingUp.has(key)) continue;
       this.takingUp.add(key);
       const work = this;
       Csp.go(this.env.scope, `orphans of ${owner}`, function* () {
         try {
-          yield* work.takeUpOf(copy, epoch, owner, ids);
+          yield* work.takeUpOf(replica, epoch, owner, ids);
         } finally {
           work.takingUp.delete(key);
         }
@@ -603,10 +626,10 @@
     }
   }
   /** What another store claimed is left to it as long as it says that it still runs it. */
-  private *takeUpOf(copy: ShardCopy, epoch: number, owner: string, ids: string[]): Task<void> {
+  private *takeUpOf(replica: ShardReplica, epoch: number, owner: string, ids: string[]): Task<void> {
     let left = ids;
     let silentSince = this.env.mono();
-    while (left.length > 0 && copy.holdsGrant() && copy.view?.epoch === epoch) {
+    while (left.length > 0 && replica.holdsLease() && replica.view?.epoch === epoch) {
       const names = left.map((id) => id.slice(5));
       let still: string[] = [];
       if (owner === this.node.self.id) still = names.filter((name) => this.isRunning(name));
@@ -615,7 +638,7 @@
           this.node.membership.find(owner)?.state === "alive" || this.node.membership.find(owner)?.state === "suspect"
             ? this.node.addressOf(owner)
             : undefined;
-        const asked = address ? yield* this.node.rpc.ask(address, "work.running", { ids: names }, 500) : undefined;
+        const asked = address ? yield* this.node.rpc.call(address, "work.running", { ids: names }, 500) : undefined;
         if (asked?.ok) {
           still = asked.value.running;
           silentSince = this.env.mono();
@@ -624,17 +647,17 @@
       for (const id of left.filter((each) => !still.includes(each.slice(5)))) {
         const name = id.slice(5);
         if (this.isRunning(name)) continue;
-        if (id.startsWith("work ")) yield* this.recoverWork(copy, name);
-        else yield* this.recoverItem(copy, name);
+        if (id.startsWith("work ")) yield* this.recoverWork(replica, name);
+        else yield* this.recoverItem(replica, name);
       }
       left = left.filter((id) => still.includes(id.slice(5)));
       if (left.length > 0) yield* EnvTools.sleep(this.env, 400);
     }
   }
-  private *recoverWork(copy: ShardCopy, id: string): Task<void> {
-    const work = copy.data.works.get(id);
+  private *recoverWork(replica: ShardReplica, id: string): Task<void> {
+    const work = replica.data.works.get(id);
     if (!work || ShardState.isClosed(work)) return;
-    const shard = copy.shard;
+    const shard = replica.shard;
     const close = (state: "failed" | "unknown" | "refused", outcome: string): Task<Result<PutOutcome>> =>
       this.put(
         shard,
@@ -651,13 +674,13 @@
         { note: "lead changed" },
         10_000,
       );
-    const binding = this.binding(work.binding);
+    const route = this.route(work.binding);
     if (work.state === "claimed" && !work.safe) {
       this.counts.unknowns += 1;
       yield* close("unknown", "the store that ran it was lost; it may have run");
       return;
     }
-    if (!binding || work.deadlineAt < this.env.wall() || (work.pieces.length > 0 && !work.exact)) {
+    if (!route || work.deadlineAt < this.env.wall() || (work.pieces.length > 0 && !work.exact)) {
       yield* close(
         work.state === "accepted" && work.pieces.length === 0 ? "refused" : "failed",
         "the store that ran it was lost",
@@ -681,7 +704,7 @@
     }
     const {
       state: _s,
-      round,
+      round: attempt,
       replica: _r,
       owner: _o,
       pieces,
@@ -696,98 +719,101 @@
         id,
         shard,
         held,
-        binding,
+        route,
         "",
         undefined,
-        round,
+        attempt,
         pieces.map((piece) => piece.data),
         this.env.mono(),
       ),
     );
   }
-  private *recoverItem(copy: ShardCopy, name: string): Task<void> {
+  private *recoverItem(replica: ShardReplica, name: string): Task<void> {
     const cut = name.lastIndexOf("/");
-    const lotId = name.slice(0, cut);
+    const jobId = name.slice(0, cut);
     const at = +name.slice(cut + 1);
-    const item = copy.data.lots.get(lotId)?.items[at];
+    const item = replica.data.lots.get(jobId)?.items[at];
     if (!item || item.state !== "claimed") return;
     const putId = `recover-${name}-${item.round}`;
-    const op: Op = copy.data.lots.get(lotId)!.safe
-      ? { op: "itemRelease", lot: lotId, item: at, round: item.round, why: "its store was lost" }
+    const op: ShardOperation = replica.data.lots.get(jobId)!.safe
+      ? { op: "itemRelease", lot: jobId, item: at, round: item.round, why: "its store was lost" }
       : {
           op: "itemResult",
-          lot: lotId,
+          lot: jobId,
           item: at,
           round: item.round,
           state: "unknown",
           result: JSON.stringify({ detail: "the store that ran it was lost; it may have run" }),
         };
-    yield* this.put(copy.shard, putId, [op], { note: "lead changed" }, 5000);
+    yield* this.put(replica.shard, putId, [op], { note: "lead changed" }, 5000);
   }
 
-  private openLot(id: string, shard: number): void {
-    this.openLots.set(id, shard);
-    Csp.offer(this.lotOpened, true);
+  private openJob(id: string, shard: number): void {
+    this.openJobs.set(id, shard);
+    Csp.offer(this.jobOpened, true);
   }
   private *dispatchLoop(): Task<void> {
     const backOff = new Map<string, number>();
     for (;;) {
-      if (this.openLots.size === 0) yield* Csp.take(this.lotOpened);
-      yield* EnvTools.sleep(this.env, Constants.lotTickMs);
+      if (this.openJobs.size === 0) yield* Csp.take(this.jobOpened);
+      yield* EnvTools.sleep(this.env, Constants.jobTickMs);
       if (this.node.stopping || !this.node.vouches()) continue;
-      const frame = this.node.frame();
+      const snapshot = this.node.snapshot();
       const now = this.env.mono();
-      const lots: { lot: Lot; copy: ShardCopy }[] = [];
-      for (const [id, shard] of this.openLots) {
-        const copy = this.copies.get(shard);
-        const lot = copy?.data.lots.get(id);
-        if (!copy || !lot || lot.open === 0 || lot.ended) {
-          this.openLots.delete(id);
+      const jobs: { lot: BatchJob; copy: ShardReplica }[] = [];
+      for (const [id, shard] of this.openJobs) {
+        const copy = this.replicas.get(shard);
+        const job = copy?.data.lots.get(id);
+        if (!copy || !job || job.open === 0 || job.ended) {
+          this.openJobs.delete(id);
           continue;
         }
-        if (copy.holdsGrant()) lots.push({ lot, copy });
+        if (copy.holdsLease()) jobs.push({ lot: job, copy });
       }
-      lots.sort((left, right) => left.lot.order - right.lot.order || Stamp.compare(left.lot.stamp, right.lot.stamp));
-      for (const pool of new Set(lots.map(({ lot }) => this.bindingOf(lot).pool))) {
+      jobs.sort((left, right) => left.lot.order - right.lot.order || Stamp.compare(left.lot.stamp, right.lot.stamp));
+      for (const pool of new Set(jobs.map(({ lot: job }) => this.routeOf(job).pool))) {
         // opens by one a tick while live work leaves room, shuts at once when it does not
-        const crowded = frame.crowded[pool] || now - (this.crowdedAt.get(pool) ?? -Infinity) < Constants.lotCrowdHoldMs;
-        const window = crowded
-          ? Constants.lotWindowMin
-          : Math.min(Constants.lotWindowMax, (this.window.get(pool) ?? 0) + 1);
+        const overloaded =
+          snapshot.crowded[pool] || now - (this.overloadedAt.get(pool) ?? -Infinity) < Constants.jobOverloadHoldMs;
+        const window = overloaded
+          ? Constants.jobWindowMin
+          : Math.min(Constants.jobWindowMax, (this.window.get(pool) ?? 0) + 1);
         this.window.set(pool, window);
       }
-      for (const { lot, copy } of lots) {
-        const binding = this.bindingOf(lot);
-        for (let at = 0; at < lot.items.length; at += 1) {
-          const inFlight = this.lotsInFlight.get(binding.pool) ?? 0;
-          if (inFlight >= (this.window.get(binding.pool) ?? 0)) break;
-          const name = `${lot.id}/${at}`;
-          if (lot.items[at].state !== "waiting" || this.running.has(name) || (backOff.get(name) ?? 0) > now) continue;
-          const replica = this.chooser.choose(this.wish(binding, lot.binding, "item", "", "", "lot", new Set()));
-          if (!replica) break;
-          this.chooser.begin(replica);
+      for (const { lot: job, copy } of jobs) {
+        const route = this.routeOf(job);
+        for (let at = 0; at < job.items.length; at += 1) {
+          const inFlight = this.jobsInFlight.get(route.pool) ?? 0;
+          if (inFlight >= (this.window.get(route.pool) ?? 0)) break;
+          const name = `${job.id}/${at}`;
+          if (job.items[at].state !== "waiting" || this.running.has(name) || (backOff.get(name) ?? 0) > now) continue;
+          const endpoint = this.endpointSelector.choose(
+            this.criteria(route, job.binding, "item", "", "", "lot", new Set()),
+          );
+          if (!endpoint) break;
+          this.endpointSelector.begin(endpoint);
           this.running.set(name, true);
-          this.lotsInFlight.set(binding.pool, inFlight + 1);
+          this.jobsInFlight.set(route.pool, inFlight + 1);
           const work = this;
           Csp.go(this.env.scope, `item ${name}`, function* () {
             try {
               if (
                 !(yield* work.runItem(
                   copy.shard,
-                  lot.id,
+                  job.id,
                   at,
-                  lot.items[at].round + 1,
-                  lot.bodies[at],
-                  lot.binding,
-                  binding,
-                  replica,
+                  job.items[at].round + 1,
+                  job.bodies[at],
+                  job.binding,
+                  route,
+                  endpoint,
                 ))
               )
                 backOff.set(name, work.env.mono() + 300);
               else backOff.delete(name);
             } finally {
               work.running.delete(name);
-              work.lotsInFlight.set(binding.pool, (work.lotsInFlight.get(binding.pool) ?? 1) - 1);
+              work.jobsInFlight.set(route.pool, (work.jobsInFlight.get(route.pool) ?? 1) - 1);
             }
           });
         }
@@ -797,92 +823,100 @@
   }
   private *runItem(
     shard: number,
-    lotId: string,
+    jobId: string,
     at: number,
-    round: number,
+    attempt: number,
     body: string,
-    bindingName: string,
-    binding: Binding,
-    replica: Replica,
+    routeName: string,
+    route: Route,
+    endpoint: Endpoint,
   ): Task<boolean> {
-    const name = `${lotId}/${at}`;
+    const name = `${jobId}/${at}`;
     const claimedAt = this.env.mono();
     const claimed = yield* this.put(
       shard,
-      `claim-${name}-${round}-${this.node.self.id}`,
-      [{ op: "itemClaim", lot: lotId, item: at, round, replica: replica.key, owner: this.node.self.id }],
-      { manifest: this.node.frame().control?.manifest.version, view: this.copies.get(shard)?.view?.epoch },
+      `claim-${name}-${attempt}-${this.node.self.id}`,
+      [{ op: "itemClaim", lot: jobId, item: at, round: attempt, replica: endpoint.key, owner: this.node.self.id }],
+      { manifest: this.node.snapshot().control?.manifest.version, view: this.replicas.get(shard)?.view?.epoch },
       2500,
     );
     if (!claimed.ok || claimed.value.tag !== "done") {
-      this.room.leave(replica, true);
+      this.room.leave(endpoint, true);
       // its fate may be unknown; nothing was delivered, so giving it back is right either way
       if (!claimed.ok)
         yield* this.put(
           shard,
-          `release-${name}-${round}`,
-          [{ op: "itemRelease", lot: lotId, item: at, round, why: "claim not confirmed in time" }],
+          `release-${name}-${attempt}`,
+          [{ op: "itemRelease", lot: jobId, item: at, round: attempt, why: "claim not confirmed in time" }],
           {},
           10_000,
         );
       return false;
     }
     this.env.point(55);
-    const copy = this.copies.get(shard);
-    const lot = copy?.data.lots.get(lotId);
+    const copy = this.replicas.get(shard);
+    const job = copy?.data.lots.get(jobId);
     const stale =
       this.env.mono() - claimedAt > Constants.claimOldMs ||
-      !copy?.holdsGrant() ||
-      !lot ||
-      lot.ended ||
-      !this.stillEligible(replica, bindingName, "item", "", binding.pool);
+      !copy?.holdsLease() ||
+      !job ||
+      job.ended ||
+      !this.stillEligible(endpoint, routeName, "item", "", route.pool);
     if (stale) {
-      this.room.leave(replica, true);
+      this.room.leave(endpoint, true);
       yield* this.put(
         shard,
-        `release-${name}-${round}`,
-        [{ op: "itemRelease", lot: lotId, item: at, round, why: "lot ended, replica left, or the claim was too old" }],
+        `release-${name}-${attempt}`,
+        [
+          {
+            op: "itemRelease",
+            lot: jobId,
+            item: at,
+            round: attempt,
+            why: "lot ended, replica left, or the claim was too old",
+          },
+        ],
         {},
         10_000,
       );
       return false;
     }
     this.counts.items += 1;
-    const replied = yield* ReplicaHttp.single(this.env, replica, {
-      path: binding.path,
+    const response = yield* EndpointHttp.single(this.env, endpoint, {
+      path: route.path,
       id: name,
-      round,
+      round: attempt,
       body,
       pieces: [],
-      deadlineMs: binding.deadlineMs,
-      safe: binding.safe,
+      deadlineMs: route.deadlineMs,
+      safe: route.safe,
     });
     this.env.point(56);
-    this.room.leave(replica, replied.ok || replied.fault.step === "deliver");
-    let op: Op;
-    if (replied.ok)
+    this.room.leave(endpoint, response.ok || response.fault.step === "deliver");
+    let op: ShardOperation;
+    if (response.ok)
       op = {
         op: "itemResult",
-        lot: lotId,
+        lot: jobId,
         item: at,
-        round,
-        state: replied.value.status < 400 ? "done" : "failed",
-        result: replied.value.body,
+        round: attempt,
+        state: response.value.status < 400 ? "done" : "failed",
+        result: response.value.body,
       };
-    else if (replied.fault.tag === "refused" || binding.safe)
-      op = { op: "itemRelease", lot: lotId, item: at, round, why: replied.fault.detail };
+    else if (response.fault.tag === "refused" || route.safe)
+      op = { op: "itemRelease", lot: jobId, item: at, round: attempt, why: response.fault.detail };
     else {
       this.counts.unknowns += 1;
       op = {
         op: "itemResult",
-        lot: lotId,
+        lot: jobId,
         item: at,
-        round,
+        round: attempt,
         state: "unknown",
-        result: JSON.stringify({ detail: `replica ${replica.id}: ${replied.fault.detail}; it may have run` }),
+        result: JSON.stringify({ detail: `replica ${endpoint.id}: ${response.fault.detail}; it may have run` }),
       };
     }
-    yield* this.put(shard, `result-${name}-${round}`, [op], {}, 20_000);
+    yield* this.put(shard, `result-${name}-${attempt}`, [op], {}, 20_000);
     return op.op === "itemResult";
   }
 }
--- a/src/tools/callers.ts
+++ b/src/tools/callers.ts
@@ -1,5 +1,5 @@
 import { Csp, Task } from "../runtime/csp";
-import { Env, EnvTools, HttpReply } from "../runtime/env";
+import { Env, EnvTools, HttpResponse } from "../runtime/env";
 import { Result } from "../common/fault";
 import { Mix } from "./deployment";
 import { History } from "./history";
@@ -9,16 +9,16 @@
 /** Server-sent events out of a reply. */
 function* eventsOf(
   env: Env,
-  reply: HttpReply,
+  response: HttpResponse,
   withinMs: number,
   take: (line: Line) => boolean,
 ): Task<"ended" | "broken" | "slow"> {
   let held = "";
   const until = env.mono() + withinMs;
   for (;;) {
-    const chunk = yield* EnvTools.takeWithin(env, reply.chunks, until - env.mono());
+    const chunk = yield* EnvTools.takeWithin(env, response.chunks, until - env.mono());
     if (chunk === undefined) {
-      reply.abort();
+      response.abort();
       return "slow";
     }
     if (chunk === null) return "broken";
@@ -34,7 +34,7 @@
       }
       held = held.slice(at + 2);
       if (!take(line)) {
-        reply.abort();
+        response.abort();
         return "ended";
       }
     }
@@ -56,7 +56,7 @@
   running = 0;
   load = 1;
   private readonly salt: string;
-  readonly acceptedLots = new Map<string, { items: number; binding: string }>();
+  readonly acceptedJobs = new Map<string, { items: number; binding: string }>();
   constructor(
     readonly env: Env,
     private readonly mix: Mix,
@@ -87,7 +87,7 @@
         for (;;) yield* EnvTools.sleep(callers.env, 3_600_000);
       });
     };
-    const { lookups, streams, singles, lots } = this.mix;
+    const { lookups, streams, singles, lots: jobs } = this.mix;
     pace(
       "lookup",
       () => 1000 / (lookups.perSecond * this.load),
@@ -106,8 +106,8 @@
     );
     pace(
       "lot",
-      () => lots.everyMs / this.load,
-      (n) => this.lot(n),
+      () => jobs.everyMs / this.load,
+      (n) => this.job(n),
     );
   }
   /** No new calls; what is under way goes on. @example callers.stopNew(); */
@@ -127,14 +127,14 @@
     timeoutMs: number,
     headers: Record<string, string> = {},
   ): Task<{ status: number; headers: Record<string, string>; body: any } | undefined> {
-    const replied = yield* this.env.http(address, {
+    const response = yield* this.env.http(address, {
       method: "POST",
       path,
       body: JSON.stringify(body),
       headers,
       timeoutMs,
     });
-    return yield* this.whole(replied, timeoutMs);
+    return yield* this.whole(response, timeoutMs);
   }
   private *get(
     address: string,
@@ -144,34 +144,34 @@
     return yield* this.whole(yield* this.env.http(address, { method: "GET", path, timeoutMs }), timeoutMs);
   }
   private *whole(
-    replied: Result<HttpReply>,
+    response: Result<HttpResponse>,
     timeoutMs: number,
   ): Task<{ status: number; headers: Record<string, string>; body: any } | undefined> {
-    if (!replied.ok) return undefined;
-    const text = yield* EnvTools.bodyOf(this.env, replied.value, 8_000_000, timeoutMs);
+    if (!response.ok) return undefined;
+    const text = yield* EnvTools.bodyOf(this.env, response.value, 8_000_000, timeoutMs);
     if (text === undefined) return undefined;
     try {
-      return { status: replied.value.status, headers: replied.value.headers, body: JSON.parse(text) };
+      return { status: response.value.status, headers: response.value.headers, body: JSON.parse(text) };
     } catch {
-      return { status: replied.value.status, headers: replied.value.headers, body: undefined };
+      return { status: response.value.status, headers: response.value.headers, body: undefined };
     }
   }
   /** Writes down a reply that is no success. */
   private sorry(
     kind: string,
     startedAt: number,
-    reply: { status: number; headers: Record<string, string>; body: any } | undefined,
+    response: { status: number; headers: Record<string, string>; body: any } | undefined,
   ): void {
     const at = this.env.wall();
-    const requestId = String(reply?.body?.requestId ?? "");
-    if (reply?.status === 503)
+    const requestId = String(response?.body?.requestId ?? "");
+    if (response?.status === 503)
       this.history.add({
         tag: "busy",
         at,
         tookMs: this.env.mono() - startedAt,
         kind,
         requestId,
-        retryAfter: reply.headers["retry-after"] !== undefined,
+        retryAfter: response.headers["retry-after"] !== undefined,
       });
     else
       this.history.add({
@@ -180,8 +180,8 @@
         tookMs: this.env.mono() - startedAt,
         kind,
         requestId,
-        code: String(reply?.body?.code ?? "connection"),
-        detail: String(reply?.body?.detail ?? ""),
+        code: String(response?.body?.code ?? "connection"),
+        detail: String(response?.body?.detail ?? ""),
       });
   }
 
@@ -189,15 +189,15 @@
     const token = `${this.salt}-${n}`;
     const startedAt = this.env.mono();
     const ingress = this.ingress();
-    const reply = yield* this.post(ingress, `/v1/requests/${this.mix.lookups.binding}`, { q: token }, 5000);
-    if (reply?.status !== 200) return this.sorry("lookup", startedAt, reply);
+    const response = yield* this.post(ingress, `/v1/requests/${this.mix.lookups.binding}`, { q: token }, 5000);
+    if (response?.status !== 200) return this.sorry("lookup", startedAt, response);
     const at = this.env.wall();
     this.history.add({
       tag: "lookup",
       at,
       tookMs: this.env.mono() - startedAt,
       status: 200,
-      mine: reply.body?.echo?.q === token,
+      mine: response.body?.echo?.q === token,
       ingress,
     });
     this.history.add({ tag: "served", at, kind: "lookup" });
@@ -218,7 +218,7 @@
     let failed: any;
     const until = this.env.mono() + 45_000;
     while (!ended && !failed && this.env.mono() < until) {
-      const replied: Result<HttpReply> =
+      const response: Result<HttpResponse> =
         id === ""
           ? yield* this.env.http(this.ingress(), {
               method: "POST",
@@ -232,19 +232,19 @@
               headers: { "last-event-id": String(after) },
               timeoutMs: 20_000,
             });
-      if (!replied.ok || replied.value.status !== 200) {
+      if (!response.ok || response.value.status !== 200) {
         if (id === "") {
-          const reply = yield* this.whole(replied, 2000);
+          const reply = yield* this.whole(response, 2000);
           return this.sorry(`stream ${kind.binding}`, startedAt, reply);
         }
-        const reply = yield* this.whole(replied, 2000);
+        const reply = yield* this.whole(response, 2000);
         if (reply && reply.status !== 503 && reply.status !== 504) failed = reply.body;
         yield* EnvTools.sleep(this.env, 300);
         resumes += 1;
         continue;
       }
-      id = replied.value.headers["x-request-id"];
-      const how = yield* eventsOf(this.env, replied.value, 30_000, (line) => {
+      id = response.value.headers["x-request-id"];
+      const how = yield* eventsOf(this.env, response.value, 30_000, (line) => {
         switch (line.event) {
           case "piece":
             if (firstMs === 0) firstMs = this.env.mono() - startedAt;
@@ -304,25 +304,31 @@
     const startedAt = this.env.mono();
     const token = `${this.salt}-${n}`;
     for (let round = 0; round < 8; round += 1) {
-      const reply = yield* this.post(this.ingress(), `/v1/requests/${this.mix.singles.binding}`, { q: token }, 20_000, {
-        "idempotency-key": key,
-      });
-      if (reply?.status === 200) {
+      const response = yield* this.post(
+        this.ingress(),
+        `/v1/requests/${this.mix.singles.binding}`,
+        { q: token },
+        20_000,
+        {
+          "idempotency-key": key,
+        },
+      );
+      if (response?.status === 200) {
         const at = this.env.wall();
         this.history.add({
           tag: "single",
           at,
           key,
-          requestId: reply.headers["x-request-id"],
+          requestId: response.headers["x-request-id"],
           status: 200,
-          mine: reply.body?.echo?.q === token,
+          mine: response.body?.echo?.q === token,
           tookMs: this.env.mono() - startedAt,
-          ran: String(reply.body?.id ?? ""),
+          ran: String(response.body?.id ?? ""),
         });
         return;
       }
-      if (reply && reply.status !== 503 && reply.body?.code === "unknown" && reply.body?.step === "run")
-        return this.sorry("single", startedAt, reply);
+      if (response && response.status !== 503 && response.body?.code === "unknown" && response.body?.step === "run")
+        return this.sorry("single", startedAt, response);
       // busy or no answer: the same key may be asked again
       yield* EnvTools.sleep(this.env, 1000);
     }
@@ -337,64 +343,75 @@
     });
   }
 
-  private *lot(n: number): Task<void> {
-    const { binding, items, endOneIn } = this.mix.lots;
-    const lot = `${this.salt}-lot-${n}`;
+  private *job(n: number): Task<void> {
+    const { binding: route, items, endOneIn } = this.mix.lots;
+    const job = `${this.salt}-lot-${n}`;
     const startedAt = this.env.mono();
-    const body = { id: lot, binding, items: Array.from({ length: items }, (_each, at) => ({ q: `${lot}/${at}` })) };
+    const body = {
+      id: job,
+      binding: route,
+      items: Array.from({ length: items }, (_each, at) => ({ q: `${job}/${at}` })),
+    };
     let accepted = false;
     for (let round = 0; round < 30 && !accepted; round += 1) {
-      const reply = yield* this.post(this.ingress(), "/v1/lots", body, 12_000);
-      if (reply && (reply.status === 202 || reply.status === 200)) accepted = true;
+      const response = yield* this.post(this.ingress(), "/v1/lots", body, 12_000);
+      if (response && (response.status === 202 || response.status === 200)) accepted = true;
       else {
-        if (round === 0) this.sorry("lot", startedAt, reply);
-        if (reply && reply.status < 500) return;
+        if (round === 0) this.sorry("lot", startedAt, response);
+        if (response && response.status < 500) return;
         yield* EnvTools.sleep(this.env, 1000);
       }
     }
     if (!accepted) return;
     const acceptedAt = this.env.wall();
-    this.history.add({ tag: "lotAccepted", at: acceptedAt, tookMs: this.env.mono() - startedAt, lot, items, binding });
+    this.history.add({
+      tag: "lotAccepted",
+      at: acceptedAt,
+      tookMs: this.env.mono() - startedAt,
+      lot: job,
+      items,
+      binding: route,
+    });
     this.history.add({ tag: "served", at: acceptedAt, kind: "lot" });
-    this.acceptedLots.set(lot, { items, binding });
+    this.acceptedJobs.set(job, { items, binding: route });
     if (n % endOneIn === 0) {
       yield* EnvTools.sleep(this.env, 120);
       for (let round = 0; round < 20; round += 1) {
-        const reply = yield* this.post(this.ingress(), `/v1/lots/${lot}/end`, {}, 5000);
-        if (reply?.status === 200) {
-          this.history.add({ tag: "lotEnded", lot, at: this.env.wall() });
+        const response = yield* this.post(this.ingress(), `/v1/lots/${job}/end`, {}, 5000);
+        if (response?.status === 200) {
+          this.history.add({ tag: "lotEnded", lot: job, at: this.env.wall() });
           break;
         }
         yield* EnvTools.sleep(this.env, 300);
       }
     }
-    yield* this.follow(lot, items, acceptedAt);
+    yield* this.follow(job, items, acceptedAt);
   }
   /** Reads results at changing nodes until all are there, then once more at every node. */
-  private *follow(lot: string, items: number, acceptedAt: number): Task<void> {
+  private *follow(job: string, items: number, acceptedAt: number): Task<void> {
     const order: number[] = [];
     const until = this.env.mono() + 90_000;
     let finished = false;
     let ended = false;
     while (!finished && this.env.mono() < until) {
       const ingress = this.ingress();
-      const reply = yield* this.get(ingress, `/v1/lots/${lot}/results?after=${order.length}&waitMs=800`, 6000);
-      if (reply?.status === 404) {
-        this.history.add({ tag: "lotLost", lot, at: this.env.wall(), detail: String(reply.body?.detail) });
+      const response = yield* this.get(ingress, `/v1/lots/${job}/results?after=${order.length}&waitMs=800`, 6000);
+      if (response?.status === 404) {
+        this.history.add({ tag: "lotLost", lot: job, at: this.env.wall(), detail: String(response.body?.detail) });
         return;
       }
-      if (reply?.status !== 200) {
+      if (response?.status !== 200) {
         yield* EnvTools.sleep(this.env, 300);
         continue;
       }
-      if (order.length === 0 && reply.body.results.length > 0 && this.env.random() < 0.25)
-        this.everywhere(lot, ingress);
-      for (const result of reply.body.results) {
+      if (order.length === 0 && response.body.results.length > 0 && this.env.random() < 0.25)
+        this.everywhere(job, ingress);
+      for (const result of response.body.results) {
         let mine = true;
-        if (result.state === "done") mine = JSON.parse(result.result)?.echo?.q === `${lot}/${result.item}`;
+        if (result.state === "done") mine = JSON.parse(result.result)?.echo?.q === `${job}/${result.item}`;
         this.history.add({
           tag: "lotResult",
-          lot,
+          lot: job,
           position: result.position,
           item: result.item,
           state: result.state,
@@ -404,14 +421,14 @@
         });
         order.push(result.item);
       }
-      finished = reply.body.finished;
-      ended = reply.body.ended;
-      if (!finished && reply.body.results.length === 0) yield* EnvTools.sleep(this.env, 150);
+      finished = response.body.finished;
+      ended = response.body.ended;
+      if (!finished && response.body.results.length === 0) yield* EnvTools.sleep(this.env, 150);
     }
     if (!finished) {
       this.history.add({
         tag: "lotLost",
-        lot,
+        lot: job,
         at: this.env.wall(),
         detail: `${order.length} of ${items} results after 90 s`,
       });
@@ -419,7 +436,7 @@
     }
     this.history.add({
       tag: "lotFinished",
-      lot,
+      lot: job,
       at: this.env.wall(),
       tookMs: this.env.wall() - acceptedAt,
       ended,
@@ -427,17 +444,17 @@
     });
   }
   /** How long after the first sight of a result at one node the others show it too. */
-  private everywhere(lot: string, seenAt: string): void {
+  private everywhere(job: string, seenAt: string): void {
     const firstAt = this.env.wall();
     for (const ingress of this.ingresses.filter((each) => each !== seenAt)) {
       const callers = this;
-      Csp.go(this.env.scope, `read ${lot} at ${ingress}`, function* () {
+      Csp.go(this.env.scope, `read ${job} at ${ingress}`, function* () {
         for (let round = 0; round < 40; round += 1) {
-          const reply = yield* callers.get(ingress, `/v1/lots/${lot}/results?after=0&limit=1`, 4000);
-          if (reply?.status === 200 && reply.body.results.length > 0) {
+          const response = yield* callers.get(ingress, `/v1/lots/${job}/results?after=0&limit=1`, 4000);
+          if (response?.status === 200 && response.body.results.length > 0) {
             callers.history.add({
               tag: "lotReadable",
-              lot,
+              lot: job,
               ingress,
               at: callers.env.wall(),
               afterMs: callers.env.wall() - firstAt,
@@ -448,7 +465,7 @@
         }
         callers.history.add({
           tag: "lotReadable",
-          lot,
+          lot: job,
           ingress,
           at: callers.env.wall(),
           afterMs: callers.env.wall() - firstAt,
@@ -458,21 +475,21 @@
   }
   /** At day's end: every accepted lot, whole and in the same order, at a node. @example yield* callers.reread("127.0.0.1:7100"); */
   *reread(ingress: string): Task<void> {
-    for (const lot of this.acceptedLots.keys()) {
-      let reply: { status: number; body: any } | undefined;
-      for (let round = 0; round < 15 && reply?.status !== 200; round += 1) {
-        reply = yield* this.get(ingress, `/v1/lots/${lot}/results?limit=2000`, 6000);
-        if (reply?.status === 200 && !reply.body.finished) reply = undefined;
-        if (reply?.status === 404) break;
-        if (reply?.status !== 200) yield* EnvTools.sleep(this.env, 400);
+    for (const job of this.acceptedJobs.keys()) {
+      let response: { status: number; body: any } | undefined;
+      for (let round = 0; round < 15 && response?.status !== 200; round += 1) {
+        response = yield* this.get(ingress, `/v1/lots/${job}/results?limit=2000`, 6000);
+        if (response?.status === 200 && !response.body.finished) response = undefined;
+        if (response?.status === 404) break;
+        if (response?.status !== 200) yield* EnvTools.sleep(this.env, 400);
       }
       this.history.add({
         tag: "lotReread",
-        lot,
+        lot: job,
         at: this.env.wall(),
         ingress,
-        order: (reply?.body?.results ?? []).map((result: any) => result.item).join(","),
-        complete: reply?.status === 200,
+        order: (response?.body?.results ?? []).map((result: any) => result.item).join(","),
+        complete: response?.status === 200,
       });
     }
   }
--- a/src/tools/checker.ts
+++ b/src/tools/checker.ts
@@ -30,12 +30,12 @@
 type Rule = {
   name: string;
   sentence: string;
-  check: (history: History, replicas: ReplicaSeen[], options: CheckOptions) => string[];
+  check: (history: History, endpoints: ReplicaSeen[], options: CheckOptions) => string[];
 };
 const unsafe = (id: string): boolean => id.includes("/") || id.startsWith("key-");
-const allRuns = (replicas: ReplicaSeen[]): (RunSeen & { replica: string; district: string })[] =>
-  replicas.flatMap((replica) =>
-    replica.runs.map((run) => ({ ...run, replica: replica.settings.id, district: replica.settings.district })),
+const allRuns = (endpoints: ReplicaSeen[]): (RunSeen & { replica: string; district: string })[] =>
+  endpoints.flatMap((endpoint) =>
+    endpoint.runs.map((run) => ({ ...run, replica: endpoint.settings.id, district: endpoint.settings.district })),
   );
 
 const rules: Rule[] = [
@@ -60,9 +60,9 @@
   {
     name: "no-false-success",
     sentence: "No success is shown for work that was not run",
-    check: (history, replicas) => {
-      if (replicas.length === 0) return [];
-      const ran = new Set(allRuns(replicas).map((run) => run.id));
+    check: (history, endpoints) => {
+      if (endpoints.length === 0) return [];
+      const ran = new Set(allRuns(endpoints).map((run) => run.id));
       return [
         ...history
           .of("lotResult")
@@ -78,9 +78,9 @@
   {
     name: "never-twice",
     sentence: "A request that is not safe to repeat never runs twice",
-    check: (_history, replicas) => {
+    check: (_history, endpoints) => {
       const counts = new Map<string, string[]>();
-      for (const run of allRuns(replicas))
+      for (const run of allRuns(endpoints))
         if (unsafe(run.id))
           counts.set(run.id, [
             ...(counts.get(run.id) ?? []),
@@ -94,8 +94,8 @@
   {
     name: "busy-never-ran",
     sentence: '"Busy, try later" always means the work never ran and never will',
-    check: (history, replicas) => {
-      const ran = new Set(allRuns(replicas).map((run) => run.id));
+    check: (history, endpoints) => {
+      const ran = new Set(allRuns(endpoints).map((run) => run.id));
       return [
         ...history
           .of("busy")
@@ -175,15 +175,15 @@
       const found: string[] = [];
       const at = new Map<string, number>();
       const of = new Map<string, number>();
-      const put = (lot: string, position: number, item: number): void => {
-        const known = at.get(`${lot}#${position}`);
+      const put = (job: string, position: number, item: number): void => {
+        const known = at.get(`${job}#${position}`);
         if (known !== undefined && known !== item)
-          found.push(`lot ${lot} position ${position} held item ${known} and then ${item}`);
-        const place = of.get(`${lot}/${item}`);
+          found.push(`lot ${job} position ${position} held item ${known} and then ${item}`);
+        const place = of.get(`${job}/${item}`);
         if (place !== undefined && place !== position)
-          found.push(`item ${lot}/${item} stood at ${place} and then at ${position}`);
-        at.set(`${lot}#${position}`, item);
-        of.set(`${lot}/${item}`, position);
+          found.push(`item ${job}/${item} stood at ${place} and then at ${position}`);
+        at.set(`${job}#${position}`, item);
+        of.set(`${job}/${item}`, position);
       };
       for (const seen of history.seen) {
         if (seen.tag === "lotResult") put(seen.lot, seen.position, seen.item);
@@ -196,9 +196,9 @@
   {
     name: "ended-stops",
     sentence: "Once a lot is ended, none of its items starts after about three seconds",
-    check: (history, replicas) => {
+    check: (history, endpoints) => {
       const ended = new Map(history.of("lotEnded").map((seen) => [seen.lot, seen.at]));
-      return allRuns(replicas)
+      return allRuns(endpoints)
         .filter(
           (run) =>
             run.id.includes("/") &&
@@ -214,10 +214,10 @@
   {
     name: "goodbye-respected",
     sentence: "A replica that has said goodbye gets no new work after about two seconds",
-    check: (history, replicas) => {
+    check: (history, endpoints) => {
       const gone = new Map(history.of("goodbye").map((seen) => [seen.replica, seen.at]));
       const back = new Map(history.of("replicaStarted").map((seen) => [seen.replica, seen.at]));
-      return allRuns(replicas)
+      return allRuns(endpoints)
         .filter(
           (run) =>
             run.at > (gone.get(run.replica) ?? Infinity) + bounds.goodbyeMs + bounds.slackMs &&
@@ -232,13 +232,13 @@
   {
     name: "drain-respected",
     sentence: "A drained zone gets none after about five",
-    check: (history, replicas) => {
+    check: (history, endpoints) => {
       const found: string[] = [];
       for (const drained of history.of("drained")) {
         const until =
           history.of("undrained").find((seen) => seen.district === drained.district && seen.at > drained.at)?.at ??
           Infinity;
-        for (const run of allRuns(replicas))
+        for (const run of allRuns(endpoints))
           if (
             run.district === drained.district &&
             run.at > drained.at + bounds.drainMs + bounds.slackMs &&
@@ -326,10 +326,10 @@
   {
     name: "not-flooded",
     sentence: "A replica that has just started is not flooded",
-    check: (history, replicas, options) => {
+    check: (history, endpoints, options) => {
       const found: string[] = [];
       for (const started of history.of("replicaStarted").filter((seen) => seen.at > (options.settledAt ?? 0))) {
-        const first = allRuns(replicas).filter(
+        const first = allRuns(endpoints).filter(
           (run) => run.replica === started.replica && run.at >= started.at && run.at < started.at + 1000,
         );
         if (first.length > started.capacity * bounds.firstSecondShare)
@@ -434,16 +434,16 @@
 export const Checker = {
   names: rules.map((rule) => rule.name),
   sentences: rules.map(({ name, sentence }) => ({ name, sentence })),
-  check(history: History, replicas: ReplicaSeen[], options: CheckOptions = {}): Violation[] {
+  check(history: History, endpoints: ReplicaSeen[], options: CheckOptions = {}): Violation[] {
     return rules.flatMap((rule) =>
-      rule.check(history, replicas, options).map((detail) => ({ invariant: rule.name, detail })),
+      rule.check(history, endpoints, options).map((detail) => ({ invariant: rule.name, detail })),
     );
   },
   /** How often each invariant had something to judge. @example Checker.judged(history, replicas) */
-  judged(history: History, replicas: ReplicaSeen[]): Record<string, number> {
+  judged(history: History, endpoints: ReplicaSeen[]): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const seen of history.seen) counts[seen.tag] = (counts[seen.tag] ?? 0) + 1;
-    counts.runs = replicas.reduce((sum, replica) => sum + replica.runs.length, 0);
+    counts.runs = endpoints.reduce((sum, endpoint) => sum + endpoint.runs.length, 0);
     return counts;
   },
 };
--- a/src/tools/deployment.ts
+++ b/src/tools/deployment.ts
@@ -1,6 +1,6 @@
 import Ajv from "ajv";
 import { OperatorSchemas } from "../adapters/operatorSchemas";
-import { Manifest, PolicyLine } from "../control/controlState";
+import { Configuration, PolicyLine } from "../control/controlState";
 import { Fault, Result } from "../common/fault";
 import { Settings } from "../common/settings";
 import { Proxied } from "./linkProxies";
@@ -20,7 +20,7 @@
   stores: number;
   controls: number;
   pools: Pool[];
-  manifest: Manifest;
+  manifest: Configuration;
   policies: PolicyLine[];
   mix: Mix;
 };
@@ -103,8 +103,8 @@
         ),
       );
     const deployment = candidate as Deployment;
-    const manifest = OperatorSchemas.manifest(deployment.manifest);
-    if (!manifest.ok) return manifest;
+    const configuration = OperatorSchemas.manifest(deployment.manifest);
+    if (!configuration.ok) return configuration;
     const policies = OperatorSchemas.policies(deployment.policies);
     if (!policies.ok) return policies;
     return Fault.ok(deployment);
@@ -113,7 +113,7 @@
   plan(deployment: Deployment, basePort: number, folder: string, proxies = false): Plan {
     let port = basePort;
     const next = (): string => `127.0.0.1:${(port += 1)}`;
-    const district = (at: number): string => deployment.districts[at % deployment.districts.length];
+    const zone = (at: number): string => deployment.districts[at % deployment.districts.length];
     const make = (count: number): { address: string; http: string }[] =>
       Array.from({ length: count }, () => ({ address: next(), http: next() }));
     const controls = make(deployment.controls);
@@ -129,7 +129,7 @@
         name: `control-${at + 1}`,
         settings: {
           program: "control",
-          district: district(at),
+          district: zone(at),
           ...common,
           ...place,
           data: `${folder}/control-${at + 1}`,
@@ -138,18 +138,18 @@
       })),
       ...stores.map((place, at): ProcessPlan => ({
         name: `store-${at + 1}`,
-        settings: { program: "store", district: district(at), ...common, ...place, data: `${folder}/store-${at + 1}` },
+        settings: { program: "store", district: zone(at), ...common, ...place, data: `${folder}/store-${at + 1}` },
       })),
       ...agents.map((place, at): ProcessPlan => ({
         name: `agent-${at + 1}`,
-        settings: { program: "agent", district: district(at), ...common, ...place },
+        settings: { program: "agent", district: zone(at), ...common, ...place },
       })),
       ...ingresses.map((place, at): ProcessPlan => ({
         name: `ingress-${at + 1}`,
         settings: {
           program: "ingress",
           cluster: deployment.cluster,
-          district: district(at),
+          district: zone(at),
           ...place,
           agent: agents[at].address,
         },
@@ -169,19 +169,19 @@
         });
       }
     const ingressHttp = ingresses.map((place) => place.http);
-    const replicas = deployment.pools.flatMap((pool) =>
+    const endpoints = deployment.pools.flatMap((pool) =>
       Array.from({ length: pool.replicas }, (_each, at): ReplicaSettings => {
         const { replicas: _count, ...rest } = pool;
         return {
           ...rest,
           id: `${pool.pool}-${at + 1}`,
           address: next(),
-          district: district(at),
+          district: zone(at),
           version: "v1",
           announceTo: ingressHttp,
         };
       }),
     );
-    return { proxied, processes, replicas, ingressHttp, controlHttp: controls.map((place) => place.http) };
+    return { proxied, processes, replicas: endpoints, ingressHttp, controlHttp: controls.map((place) => place.http) };
   },
 };
--- a/src/tools/eventStandIn.ts
+++ b/src/tools/eventStandIn.ts
@@ -1,5 +1,5 @@
 import { Csp, Task } from "../runtime/csp";
-import { Env, EnvTools, HttpIn } from "../runtime/env";
+import { Env, EnvTools, HttpExchange } from "../runtime/env";
 import { HeaderNames, ownHeaderNames } from "../adapters/headerNames";
 
 export type EventRun = {
@@ -52,7 +52,7 @@
   *start(): Task<boolean> {
     return (yield* this.env.serveHttp(this.address, (incoming) => this.serve(incoming))).ok;
   }
-  private *serve(incoming: HttpIn): Task<void> {
+  private *serve(incoming: HttpExchange): Task<void> {
     const { names } = this;
     const id = incoming.headers[names.requestId] ?? "";
     const read = yield* incoming.body(4_000_000);
--- a/src/tools/linkProxies.ts
+++ b/src/tools/linkProxies.ts
@@ -1,6 +1,6 @@
 import * as dgram from "dgram";
 import * as net from "net";
-import { Wire } from "../rpc/envelopeCodec";
+import { EnvelopeCodec } from "../rpc/envelopeCodec";
 
 export type Proxied = { name: string; cluster: string; address: string; bind: string };
 type Flow = { from: string; to: string; source: net.Socket; target: net.Socket };
@@ -36,7 +36,7 @@
       const socket = dgram.createSocket("udp4");
       const target = parts(each.bind);
       socket.on("message", (data) => {
-        const envelope = Wire.decode(data, each.cluster);
+        const envelope = EnvelopeCodec.decode(data, each.cluster);
         const from = (envelope?.body as { from?: { id: string; address: string } } | undefined)?.from;
         const name = from && byAddress.get(from.address);
         if (from && name) this.nameOf.set(from.id, name);
@@ -69,7 +69,7 @@
     const first = (chunk: Buffer): void => {
       held = Buffer.concat([held, chunk]);
       if (held.length < 4 || held.length < 4 + held.readUInt32BE(0)) return;
-      const sender = Wire.decode(held.subarray(4, 4 + held.readUInt32BE(0)), to.cluster)?.sender ?? "";
+      const sender = EnvelopeCodec.decode(held.subarray(4, 4 + held.readUInt32BE(0)), to.cluster)?.sender ?? "";
       incoming.off("data", first);
       const name = this.nameOf.get(sender) ?? LinkProxies.stranger;
       const up: Flow = { from: name, to: to.name, source: incoming, target: outgoing };
--- a/src/tools/lotChecker.ts
+++ b/src/tools/lotChecker.ts
@@ -43,21 +43,21 @@
 
 const of = <K extends LotSeen["tag"]>(day: Day, tag: K): Extract<LotSeen, { tag: K }>[] =>
   day.seen.filter((seen): seen is Extract<LotSeen, { tag: K }> => seen.tag === tag);
-const lotOf = (day: Day, lot: string): LotSent | undefined => day.sent.find((sent) => sent.lot === lot);
-const runsOf = (day: Day, lot: LotSent): LotRun[] =>
-  day.runs.filter((run) => lot.items.some(({ id }) => id === run.id));
-const acceptedAt = (day: Day, lot: string): number =>
+const jobOf = (day: Day, job: string): LotSent | undefined => day.sent.find((sent) => sent.lot === job);
+const runsOf = (day: Day, job: LotSent): LotRun[] =>
+  day.runs.filter((run) => job.items.some(({ id }) => id === run.id));
+const acceptedAt = (day: Day, job: string): number =>
   Math.min(
     Infinity,
     ...of(day, "said")
-      .filter((seen) => seen.lot === lot && seen.said === "accepted")
+      .filter((seen) => seen.lot === job && seen.said === "accepted")
       .map(({ at }) => at),
   );
-const endedAt = (day: Day, lot: string): number =>
+const endedAt = (day: Day, job: string): number =>
   Math.min(
     Infinity,
     ...of(day, "ended")
-      .filter((seen) => seen.lot === lot)
+      .filter((seen) => seen.lot === job)
       .map(({ at }) => at),
   );
 
@@ -84,19 +84,19 @@
     name: "item-one-position",
     sentence: "One item stands at one position, and a position holds what it held",
     check: (day) =>
-      day.sent.flatMap(({ lot }) => {
+      day.sent.flatMap(({ lot: job }) => {
         const at = new Map<number, string>();
         const places = new Map<string, number>();
         return of(day, "listed")
-          .filter((seen) => seen.lot === lot)
+          .filter((seen) => seen.lot === job)
           .flatMap((seen) =>
             seen.results.flatMap((result, offset) => {
               const position = seen.from + offset;
               const held = JSON.stringify(result);
               const wrong =
-                at.has(position) && at.get(position) !== held ? [`position ${position} of lot ${lot} changed`] : [];
+                at.has(position) && at.get(position) !== held ? [`position ${position} of lot ${job} changed`] : [];
               if (places.has(result.id) && places.get(result.id) !== position)
-                wrong.push(`item ${result.id} stands at ${places.get(result.id)} and ${position} of lot ${lot}`);
+                wrong.push(`item ${result.id} stands at ${places.get(result.id)} and ${position} of lot ${job}`);
               at.set(position, held);
               places.set(result.id, position);
               return wrong;
@@ -109,7 +109,7 @@
     sentence: "A complete result is the whole output of that item; what is abandoned could not be done, or not in time",
     check: (day) =>
       of(day, "listed").flatMap((seen) => {
-        const sent = lotOf(day, seen.lot);
+        const sent = jobOf(day, seen.lot);
         const wrong =
           sent && seen.total !== sent.items.length
             ? [`lot ${seen.lot} says ${seen.total} items of ${sent.items.length}`]
@@ -147,7 +147,7 @@
     sentence: "Nothing of a lot runs that was refused at every try",
     check: (day) =>
       day.sent.flatMap((sent) => {
-        const said = of(day, "said").filter(({ lot }) => lot === sent.lot);
+        const said = of(day, "said").filter(({ lot: job }) => job === sent.lot);
         const refused = said.length > 0 && said.every((seen) => seen.said === "refused" || seen.said === "notFitting");
         return refused && runsOf(day, sent).length > 0 ? [`lot ${sent.lot} was refused at every try and ran`] : [];
       }),
@@ -175,7 +175,7 @@
     sentence: "The body of an item that is not listed comes back as it was sent, until its lot is ended",
     check: (day) =>
       of(day, "body").flatMap((seen) => {
-        const item = lotOf(day, seen.lot)?.items.find(({ id }) => id === seen.item);
+        const item = jobOf(day, seen.lot)?.items.find(({ id }) => id === seen.item);
         if (seen.body !== undefined)
           return seen.body === item?.body ? [] : [`body of ${seen.item} came back with other bytes`];
         const listed = of(day, "listed").some(
--- a/src/tools/report.ts
+++ b/src/tools/report.ts
@@ -22,20 +22,20 @@
     const lines: string[] = [];
     const lookups = history.of("lookup");
     lines.push(`lookups   ${(lookups.length / seconds).toFixed(1)}/s  ${spread(lookups.map((seen) => seen.tookMs))}`);
-    for (const binding of new Set(history.of("streamEnd").map((seen) => seen.binding))) {
-      const ends = history.of("streamEnd").filter((seen) => seen.binding === binding);
+    for (const route of new Set(history.of("streamEnd").map((seen) => seen.binding))) {
+      const ends = history.of("streamEnd").filter((seen) => seen.binding === route);
       lines.push(
-        `stream ${binding}  ${(ends.length / seconds).toFixed(1)}/s  whole ${spread(ends.map((seen) => seen.tookMs))}`,
+        `stream ${route}  ${(ends.length / seconds).toFixed(1)}/s  whole ${spread(ends.map((seen) => seen.tookMs))}`,
       );
       lines.push(
-        `stream ${binding}  first piece ${spread(ends.map((seen) => seen.firstMs))}  resumed ${ends.filter((seen) => seen.resumes > 0).length}`,
+        `stream ${route}  first piece ${spread(ends.map((seen) => seen.firstMs))}  resumed ${ends.filter((seen) => seen.resumes > 0).length}`,
       );
     }
     const singles = history.of("single");
     lines.push(`singles   ${(singles.length / seconds).toFixed(1)}/s  ${spread(singles.map((seen) => seen.tookMs))}`);
-    const lots = history.of("lotFinished");
+    const jobs = history.of("lotFinished");
     lines.push(
-      `lots      ${history.of("lotAccepted").length} accepted, ${lots.length} finished, ${history.of("lotLost").length} lost  ${spread(lots.map((seen) => seen.tookMs))}`,
+      `lots      ${history.of("lotAccepted").length} accepted, ${jobs.length} finished, ${history.of("lotLost").length} lost  ${spread(jobs.map((seen) => seen.tookMs))}`,
     );
     lines.push(
       `items     ${history.of("lotResult").length} results, ${history.of("lotResult").filter((seen) => seen.state === "unknown").length} unknown`,
--- a/src/tools/scale/choiceScale.ts
+++ b/src/tools/scale/choiceScale.ts
@@ -1,5 +1,5 @@
-import { Chooser, Wish } from "../../routing/endpointSelector";
-import { Replica } from "../../node/clusterSnapshot";
+import { EndpointSelector, SelectionCriteria } from "../../routing/endpointSelector";
+import { Endpoint } from "../../node/clusterSnapshot";
 import { Scope } from "../../runtime/csp";
 import { NodeEnv } from "../../runtime/nodeEnv";
 import { Experiment } from "./experiment";
@@ -8,9 +8,9 @@
 const rounds = 7;
 const roundMs = 60;
 
-function candidates(count: number): Replica[] {
+function candidates(count: number): Endpoint[] {
   const bornAt = Date.now() - 3_600_000;
-  return Array.from({ length: count }, (_none, at): Replica => ({
+  return Array.from({ length: count }, (_none, at): Endpoint => ({
     key: `replica/r${at}/1`,
     id: `r${at}`,
     instance: "1",
@@ -25,25 +25,25 @@
   }));
 }
 /** Median time of one choice, µs. */
-function perChoice(prefix: boolean, frame: Wish["frame"]): number {
+function perChoice(prefix: boolean, snapshot: SelectionCriteria["snapshot"]): number {
   const scope = new Scope("choice", () => undefined);
-  const chooser = new Chooser(NodeEnv.make("choice", scope, () => undefined));
+  const endpointSelector = new EndpointSelector(NodeEnv.make("choice", scope, () => undefined));
   const times: number[] = [];
   for (let round = 0; round < rounds; round += 1) {
     let chosen = 0;
     const from = performance.now();
     while (chosen === 0 || performance.now() - from < roundMs) {
-      const wish: Wish = {
-        frame,
+      const criteria: SelectionCriteria = {
+        snapshot,
         pool: "model",
-        binding: "ask",
+        route: "ask",
         caller: "",
         kind: "stream",
         prefix: prefix ? `prompt-${round}-${chosen}` : "",
         lane: "live",
         exclude: new Set(),
       };
-      if (!chooser.choose(wish)) throw new Error("no replica was chosen");
+      if (!endpointSelector.choose(criteria)) throw new Error("no replica was chosen");
       chosen += 1;
     }
     times.push(((performance.now() - from) / chosen) * 1000);
@@ -70,16 +70,16 @@
       plainUs: { what: "µs a choice without a prefix, median of seven", counted: false },
     },
     measure(count) {
-      const frame = {
+      const snapshot = {
         number: 1,
-        control: HollowWorld.frame(1, 1),
+        control: HollowWorld.snapshot(1, 1),
         members: [],
         replicas: candidates(count),
         crowded: {},
         fresh: true,
         vouched: true,
       };
-      return Promise.resolve({ prefixUs: perChoice(true, frame), plainUs: perChoice(false, frame) });
+      return Promise.resolve({ prefixUs: perChoice(true, snapshot), plainUs: perChoice(false, snapshot) });
     },
   } as Experiment,
 };
--- a/src/tools/scale/controlScale.ts
+++ b/src/tools/scale/controlScale.ts
@@ -6,28 +6,28 @@
 
 const changes = 10;
 /** A change of the whole manifest, made against the version before. */
-const change = (bindings: number, version: number): Command => ({
+const change = (routes: number, version: number): Command => ({
   tag: "manifest",
   changeId: `change-${version}`,
   ifVersion: version,
   by: "operator",
-  doc: HollowWorld.frame(bindings, version).manifest.doc,
+  doc: HollowWorld.snapshot(routes, version).manifest.doc,
 });
 
-async function changesOf(bindings: number, seed: number): Promise<Record<string, number>> {
+async function changesOf(routes: number, seed: number): Promise<Record<string, number>> {
   const control = new GroupWorld(3, seed);
   await control.boot();
-  const lead = control.lead()!;
+  const leader = control.leader()!;
   const before = control.voters.map((voter) => voter.meter.copy());
   const processor = Processor.now();
   const from = control.world.now;
   const times: number[] = [];
   for (let version = 0; version < changes; version += 1)
-    times.push(...(await control.propose([change(bindings, version)], 5000)).tookMs);
+    times.push(...(await control.propose([change(routes, version)], 5000)).tookMs);
   const spent = control.voters.map((voter, at) => voter.meter.since(before[at]));
   const tookMs = control.world.now - from;
   const processorMs = Processor.since(processor) / changes / control.voters.length;
-  const sent = spent[control.voters.indexOf(lead)];
+  const sent = spent[control.voters.indexOf(leader)];
   control.end();
   return {
     leadBytes: sent.bytes / changes,
@@ -42,7 +42,7 @@
   const before = control.voters.map((voter) => voter.meter.copy());
   await control.world.run(10_000);
   const spent = control.voters.map((voter, at) => voter.meter.since(before[at]));
-  const sent = spent[control.voters.indexOf(control.lead()!)];
+  const sent = spent[control.voters.indexOf(control.leader()!)];
   const all = Meter.sum(spent);
   control.end();
   return {
@@ -95,14 +95,14 @@
   /** So many changes at once, each made against what the one before left. @example await ControlScale.burst(50, 1000, 1) */
   async burst(
     count: number,
-    bindings: number,
+    routes: number,
     seed: number,
   ): Promise<{ taken: number; lastMs: number; processorMs: number }> {
     const control = new GroupWorld(3, seed);
     await control.boot();
     const processor = Processor.now();
     const { taken, tookMs } = await control.propose(
-      Array.from({ length: count }, (_none, version) => change(bindings, version)),
+      Array.from({ length: count }, (_none, version) => change(routes, version)),
       10_000,
     );
     control.end();
--- a/src/tools/scale/groupWorld.ts
+++ b/src/tools/scale/groupWorld.ts
@@ -1,5 +1,5 @@
 import { Command } from "../../control/controlState";
-import { Group } from "../../consensus/consensusGroup";
+import { ConsensusGroup } from "../../consensus/consensusGroup";
 import { Csp } from "../../runtime/csp";
 import { TwoSlots } from "../../runtime/twoSlots";
 import { SimDisk } from "../../simulation/simDisk";
@@ -7,7 +7,7 @@
 import { Rpc } from "../../rpc/rpc";
 import { Meter } from "./meter";
 
-export type Voter = { id: string; process: SimProcess; group: Group; rpc: Rpc; meter: Meter };
+export type Voter = { id: string; process: SimProcess; group: ConsensusGroup; rpc: Rpc; meter: Meter };
 
 /**
  * A control group alone, in virtual time: three voters, the others standbys, their messages and disks counted.
@@ -37,7 +37,7 @@
       others: () => this.ids().filter((other) => other !== id),
       applied: () => undefined,
     };
-    const group = new Group(process.env, rpc, id, new TwoSlots(process.env, `data/${id}`), hooks);
+    const group = new ConsensusGroup(process.env, rpc, id, new TwoSlots(process.env, `data/${id}`), hooks);
     const addressOf = this.addressOf;
     Csp.go(process.scope, "main", function* () {
       yield* rpc.serve(addressOf(id));
@@ -51,7 +51,7 @@
   async boot(): Promise<void> {
     const ids = this.ids();
     for (const id of ids) this.voters.push(this.start(id, new SimDisk(this.world), ids.slice(0, 3)));
-    for (let waited = 0; !this.lead(); waited += 1) {
+    for (let waited = 0; !this.leader(); waited += 1) {
       if (waited > 200) throw new Error("no control lead in 20 s");
       await this.world.run(100);
     }
@@ -70,19 +70,19 @@
     return this.voters[at];
   }
   /** @example control.lead()?.group.applied */
-  lead(): Voter | undefined {
-    return this.voters.find((voter) => voter.process.alive && voter.group.holdsLead());
+  leader(): Voter | undefined {
+    return this.voters.find((voter) => voter.process.alive && voter.group.holdsLeader());
   }
   /** Proposes commands side by side; how long each took, and how many were taken. @example await control.propose([{ tag: "noop" }], 5000) */
   async propose(commands: Command[], withinMs: number): Promise<{ taken: number; tookMs: number[] }> {
-    const lead = this.lead()!;
+    const leader = this.leader()!;
     const found = { taken: 0, tookMs: [] as number[] };
     const { world } = this;
     let left = commands.length;
     for (const command of commands)
-      Csp.go(lead.process.scope, "propose", function* () {
+      Csp.go(leader.process.scope, "propose", function* () {
         const from = world.now;
-        const done = yield* lead.group.propose(command, withinMs);
+        const done = yield* leader.group.propose(command, withinMs);
         if (done.ok && done.value.tag === "done") {
           found.taken += 1;
           found.tookMs.push(world.now - from);
--- a/src/tools/scale/hollowMember.ts
+++ b/src/tools/scale/hollowMember.ts
@@ -1,5 +1,5 @@
 import { Fault, Result } from "../../common/fault";
-import { Host } from "../../node/nodeContext";
+import { NodeContext } from "../../node/nodeContext";
 import { Node } from "../../node/node";
 import { Task } from "../../runtime/csp";
 import { Env, EnvTools } from "../../runtime/env";
@@ -32,13 +32,13 @@
   private *lookLoop(): Task<void> {
     for (;;) {
       yield* EnvTools.sleep(this.node.env, lookEveryMs);
-      this.node.frame();
+      this.node.snapshot();
     }
   }
   /** Announces replicas, each with a load that changes from one time to the next. @example member.announce(["r1", "r2"], "r1-z1"); */
-  announce(ids: string[], district: string): void {
+  announce(ids: string[], zone: string): void {
     const { node } = this;
-    const host = Host.of(node);
+    const host = NodeContext.of(node);
     EnvTools.keep(node.env, node.env.scope, "announce", function* () {
       yield* EnvTools.sleep(node.env, announceEveryMs * node.env.random()); // no two in step
       for (let turn = 0; ; turn += 1) {
@@ -48,7 +48,7 @@
             id,
             address: `10.${number >> 8}.${number & 255}.1:9000`,
             pool: `pool-${number % 9}`,
-            district,
+            district: zone,
             version: "v1",
             capacity: 16,
             active: turn % 16,
@@ -66,8 +66,8 @@
     return this.node.membership.alive().length - 1;
   }
   /** How many replicas it may choose from. @example member.replicas() */
-  replicas(): number {
-    return this.node.news.current("replica/").length;
+  endpoints(): number {
+    return this.node.gossip.current("replica/").length;
   }
   /** Starts members in a scope of each one's own, one after the other. @example yield* HollowMember.all(envs, settings) */
   static *all(envs: Env[], settings: HollowSettings[]): Task<HollowMember[]> {
--- a/src/tools/scale/hollowWorld.ts
+++ b/src/tools/scale/hollowWorld.ts
@@ -1,5 +1,5 @@
-import { ControlFrame, ControlState } from "../../control/controlState";
-import { Manifests } from "../../control/configurations";
+import { ControlSnapshot, ControlState } from "../../control/controlState";
+import { Configurations } from "../../control/configurations";
 import { Csp } from "../../runtime/csp";
 import { SimDisk } from "../../simulation/simDisk";
 import { SimWorld } from "../../simulation/simWorld";
@@ -35,7 +35,7 @@
   private address = (at: number): string => `10.${at >> 8}.${at & 255}.1:7000`;
   /** Starts all; how long until each knows each, or undefined if not in time. @example await hollow.boot(60_000) */
   async boot(withinMs: number): Promise<number | undefined> {
-    const { members, replicas, zones, regions } = this.plan;
+    const { members, replicas: endpoints, zones, regions } = this.plan;
     const seeds = [0, 1, 2].filter((at) => at < members).map(this.address);
     for (let at = 0; at < members; at += 1) {
       const zone = at % zones;
@@ -59,9 +59,9 @@
       () => this.alive().length === members && this.alive().every((each) => each.others() === members - 1),
     );
     for (const [at, each] of this.placed.filter(kept).entries()) {
-      const ids = Array.from({ length: replicas }, (_none, replica) => replica)
-        .filter((replica) => replica % members === at)
-        .map((replica) => `replica-${replica}`);
+      const ids = Array.from({ length: endpoints }, (_none, endpoint) => endpoint)
+        .filter((endpoint) => endpoint % members === at)
+        .map((endpoint) => `replica-${endpoint}`);
       if (ids.length > 0) each.member.announce(ids, `r${each.region}-z${each.zone}`);
     }
     return took;
@@ -114,36 +114,41 @@
       }
   }
   /** Offers a frame with so many bindings at one member; how long until all have it. @example await hollow.spread(1000, 2, 10_000) */
-  async spread(bindings: number, index: number, withinMs: number): Promise<number | undefined> {
-    this.alive()[0].node.news.offerFrame(HollowWorld.frame(bindings, index));
+  async spread(routes: number, index: number, withinMs: number): Promise<number | undefined> {
+    this.alive()[0].node.gossip.offerSnapshot(HollowWorld.snapshot(routes, index));
     return this.inForce(index, withinMs);
   }
   /** The same for a change of one binding of the frame before. @example await hollow.spreadChange(3, 10_000) */
   async spreadChange(index: number, withinMs: number): Promise<number | undefined> {
-    const { news } = this.alive()[0].node;
-    const frame = news.frame!;
-    const changed = { ...HollowWorld.binding(0), deadlineMs: 10_000 + index };
-    const doc = Manifests.patched(frame.manifest.doc, { upsert: { bindings: { "tenant-0": changed } }, remove: {} });
-    news.offerFrame({ ...frame, index, manifest: { version: index, doc } });
+    const { gossip: news } = this.alive()[0].node;
+    const snapshot = news.snapshot!;
+    const changed = { ...HollowWorld.route(0), deadlineMs: 10_000 + index };
+    const doc = Configurations.patched(snapshot.manifest.doc, {
+      upsert: { bindings: { "tenant-0": changed } },
+      remove: {},
+    });
+    news.offerSnapshot({ ...snapshot, index, manifest: { version: index, doc } });
     return this.inForce(index, withinMs);
   }
   private inForce(index: number, withinMs: number): Promise<number | undefined> {
-    return this.until(withinMs, () => this.alive().every((member) => (member.node.news.frame?.index ?? 0) >= index));
+    return this.until(withinMs, () =>
+      this.alive().every((member) => (member.node.gossip.snapshot?.index ?? 0) >= index),
+    );
   }
   /** A control frame with so many bindings. @example HollowWorld.frame(12_000, 7) */
-  static frame(bindings: number, index: number): ControlFrame {
+  static snapshot(routes: number, index: number): ControlSnapshot {
     const state = ControlState.empty();
     state.group = "group-scale";
     const doc = {
       bindings: Object.fromEntries(
-        Array.from({ length: bindings }, (_none, at) => [`tenant-${at}`, HollowWorld.binding(at)]),
+        Array.from({ length: routes }, (_none, at) => [`tenant-${at}`, HollowWorld.route(at)]),
       ),
     };
     state.manifest = { version: index, doc };
     return ControlState.frame(state, index);
   }
   /** @example HollowWorld.binding(7).pool */
-  static binding(at: number): ControlFrame["manifest"]["doc"]["bindings"][string] {
+  static route(at: number): ControlSnapshot["manifest"]["doc"]["bindings"][string] {
     return {
       kind: "stream",
       pool: `pool-${at % 9}`,
--- a/src/tools/scale/idleRun.ts
+++ b/src/tools/scale/idleRun.ts
@@ -63,13 +63,13 @@
     });
     this.started.push({ program: settings.program, http: settings.http, child });
   }
-  private announce(replica: number): void {
+  private announce(endpoint: number): void {
     const ingresses = this.started.filter((each) => each.program === "ingress");
-    let turn = replica;
+    let turn = endpoint;
     const once = async (): Promise<void> => {
       const { http } = ingresses[(turn += 1) % ingresses.length];
       const body = JSON.stringify({
-        address: `10.0.0.1:${9000 + replica}`,
+        address: `10.0.0.1:${9000 + endpoint}`,
         pool: "desk",
         district: "z0",
         version: "v1",
@@ -79,17 +79,17 @@
         instance: "1",
       });
       // a node that is still starting refuses: the next time will do
-      await fetch(`http://${http}/v1/replicas/replica-${replica}`, { method: "PUT", body }).catch(() => undefined);
+      await fetch(`http://${http}/v1/replicas/replica-${endpoint}`, { method: "PUT", body }).catch(() => undefined);
     };
     this.announcing.push(setInterval(() => void once(), announceEveryMs));
   }
   /** @example await run.run() */
   async run(): Promise<void> {
-    const { seconds, replicas } = this.plan;
+    const { seconds, replicas: endpoints } = this.plan;
     const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
     try {
       for (const settings of this.settings()) this.start(settings);
-      for (let replica = 0; replica < replicas; replica += 1) this.announce(replica);
+      for (let endpoint = 0; endpoint < endpoints; endpoint += 1) this.announce(endpoint);
       await sleep(settleMs);
       const before = this.started.map((each) => ProcessUse.read(each.child.pid!));
       await sleep(seconds * 1000);
@@ -100,9 +100,9 @@
     }
   }
   private report(before: (Use | undefined)[], after: (Use | undefined)[]): void {
-    const { seconds, replicas } = this.plan;
+    const { seconds, replicas: endpoints } = this.plan;
     this.say(
-      `${this.started.length} processes, ${replicas} replicas that announce themselves, nobody calls, ${seconds} s`,
+      `${this.started.length} processes, ${endpoints} replicas that announce themselves, nobody calls, ${seconds} s`,
     );
     for (const program of ["control", "store", "ingress"] as const) {
       const uses = this.started.flatMap((each, at) =>
--- a/src/tools/scale/lossScale.ts
+++ b/src/tools/scale/lossScale.ts
@@ -25,8 +25,8 @@
  */
 export const LossScale = {
   /** @example await LossScale.measure("regions", 100, 17, 120_000, 1) */
-  async measure(loss: Loss, members: number, replicas: number, forMs: number, seed: number): Promise<LossFound> {
-    const hollow = new HollowWorld({ members, replicas, zones, regions, seed });
+  async measure(loss: Loss, members: number, endpoints: number, forMs: number, seed: number): Promise<LossFound> {
+    const hollow = new HollowWorld({ members, replicas: endpoints, zones, regions, seed });
     await hollow.boot(120_000);
     await hollow.world.run(5000);
     const calm = await hollow.over(calmMs);
--- a/src/tools/scale/manifestScale.ts
+++ b/src/tools/scale/manifestScale.ts
@@ -29,12 +29,12 @@
     inForceMs: Math.max(...times),
   };
 }
-async function measure(bindings: number, seed: number): Promise<Record<string, number>> {
+async function measure(routes: number, seed: number): Promise<Record<string, number>> {
   const hollow = new HollowWorld({ members, replicas: 0, zones: 25, regions: 7, seed });
   await hollow.boot(60_000);
   await hollow.world.run(12_000);
   const quiet = await hollow.over(10_000);
-  const whole = await spread(hollow, quiet.bytes, (round) => hollow.spread(bindings, round, waitMs));
+  const whole = await spread(hollow, quiet.bytes, (round) => hollow.spread(routes, round, waitMs));
   const one = await spread(hollow, quiet.bytes, (round) => hollow.spreadChange(rounds + round, waitMs));
   hollow.end();
   return {
--- a/src/tools/scale/memberScale.ts
+++ b/src/tools/scale/memberScale.ts
@@ -6,9 +6,9 @@
 const settleMs = (members: number): number => 6000 + 180 * members; // who joined is passed on in datagrams for so long
 const overMs = 10_000;
 
-async function measure(members: number, replicas: number, seed: number): Promise<Record<string, number>> {
+async function measure(members: number, endpoints: number, seed: number): Promise<Record<string, number>> {
   const before = Heap.used();
-  const hollow = new HollowWorld({ members, replicas, zones: 25, regions: 7, seed });
+  const hollow = new HollowWorld({ members, replicas: endpoints, zones: 25, regions: 7, seed });
   const allKnown = await hollow.boot(120_000);
   await hollow.world.run(settleMs(members));
   const processor = Processor.now();
@@ -17,7 +17,7 @@
   const processorMs = Processor.since(processor) / members / (overMs / 1000);
   const falseSuspicions = hollow.suspicions - suspicions;
   const heap = (Heap.used() - before) / members / 1000;
-  const known = hollow.alive().map((member) => member.replicas());
+  const known = hollow.alive().map((member) => member.endpoints());
   const dead = await hollow.lose((each) => each.name === "hollow-9", 30_000);
   hollow.end();
   return {
@@ -31,7 +31,7 @@
     allKnownMs: allKnown ?? NaN,
     deadKnownMs: dead.tookMs ?? NaN,
     falseSuspicions,
-    replicasUnknown: replicas - Math.min(...known),
+    replicasUnknown: endpoints - Math.min(...known),
   };
 }
 const metrics = {
--- a/src/tools/scale/meter.ts
+++ b/src/tools/scale/meter.ts
@@ -31,10 +31,10 @@
     return {
       member: inner.member,
       incoming: inner.incoming,
-      send(frame) {
+      send(snapshot) {
         counts.frames += 1;
-        counts.bytes += frame.length + tcpHeader;
-        return inner.send(frame);
+        counts.bytes += snapshot.length + tcpHeader;
+        return inner.send(snapshot);
       },
       close: () => inner.close(),
     };
--- a/src/tools/scale/quietFleet.ts
+++ b/src/tools/scale/quietFleet.ts
@@ -2,7 +2,7 @@
 import { Deployment } from "../deployment";
 import { Counts, Meter } from "./meter";
 
-const manifest = {
+const configuration = {
   bindings: {
     ask: {
       kind: "stream",
@@ -57,7 +57,7 @@
       districts: ["north", "east", "south", "west"],
       ...sizes,
       pools,
-      manifest,
+      manifest: configuration,
       policies: [],
       mix,
     });
--- a/src/tools/scale/sizes.ts
+++ b/src/tools/scale/sizes.ts
@@ -28,13 +28,13 @@
   /** Half of the machine's memory, which all hollow members together may take. @example Sizes.memoryLimit() */
   memoryLimit: (): number => os.totalmem() / 2,
   /** What hollow members will need, bytes. @example Sizes.needed(780, 10_000) */
-  needed: (members: number, replicas: number): number => members * (hollowMember + replicas * heldFact),
+  needed: (members: number, endpoints: number): number => members * (hollowMember + endpoints * heldFact),
   /** Refused when the members with so many replicas can't be held. @example Sizes.fits(780, 10_000).ok */
-  fits(members: number, replicas: number, limit: number = os.totalmem() / 2): Result<true> {
-    const needed = Sizes.needed(members, replicas);
+  fits(members: number, endpoints: number, limit: number = os.totalmem() / 2): Result<true> {
+    const needed = Sizes.needed(members, endpoints);
     if (needed <= limit) return Fault.ok(true as const);
     const gib = (bytes: number): string => (bytes / 2 ** 30).toFixed(1);
-    const detail = `${members} members with ${replicas} replicas need about ${gib(needed)} GiB, over the limit of ${gib(limit)} GiB, half of this machine's memory`;
+    const detail = `${members} members with ${endpoints} replicas need about ${gib(needed)} GiB, over the limit of ${gib(limit)} GiB, half of this machine's memory`;
     return Fault.fail("invalid", "read sizes", "members", detail);
   },
 };
--- a/src/tools/scale/storeScale.ts
+++ b/src/tools/scale/storeScale.ts
@@ -19,7 +19,7 @@
   };
 }
 /** One lot, from its acceptance until all its results are read; what the stores spent on it, idle time taken off. */
-async function lot(items: number, seed: number): Promise<Record<string, number>> {
+async function job(items: number, seed: number): Promise<Record<string, number>> {
   const quiet = await QuietFleet.boot({ ingresses: 2, stores: 4, controls: 4 }, seed);
   const idleRate = (await quiet.over(5000)).store;
   const before = quiet.spent("store");
@@ -100,6 +100,6 @@
       writes: { what: "synced writes of all stores together", counted: true },
       tookMs: { what: "ms from handing in to the last result read, one lot alone", counted: true },
     },
-    measure: lot,
+    measure: job,
   } as Experiment,
 };
--- a/src/tools/scale/wholeRun.ts
+++ b/src/tools/scale/wholeRun.ts
@@ -25,7 +25,7 @@
     private readonly say: (text: string) => void,
   ) {}
   private start(): void {
-    const { members, replicas, processes, memoryLimit } = this.plan;
+    const { members, replicas: endpoints, processes, memoryLimit } = this.plan;
     const heapMB = Math.floor((memoryLimit / processes / 2 ** 20) * heapShare);
     for (let part = 0; part < processes; part += 1) {
       const child = fork(path.join(__dirname, "wholeWorker.js"), [], { execArgv: [`--max-old-space-size=${heapMB}`] });
@@ -37,7 +37,7 @@
         from: share(part),
         to: share(part + 1),
         members,
-        replicas,
+        replicas: endpoints,
         zones,
         regions,
         startEveryMs,
@@ -52,10 +52,10 @@
   }
   /** @example await run.run() */
   async run(): Promise<void> {
-    const { members, replicas, seconds, memoryLimit } = this.plan;
+    const { members, replicas: endpoints, seconds, memoryLimit } = this.plan;
     const from = performance.now();
     const passed = (): number => (performance.now() - from) / 1000;
-    let [allKnown, allReplicas, offeredAt, inForce, before] = [
+    let [allKnown, allEndpoints, offeredAt, inForce, before] = [
       NaN,
       NaN,
       NaN,
@@ -78,8 +78,8 @@
       if (said.length < this.children.length) continue;
       if (Number.isNaN(allKnown) && up === members && least((each) => each.othersLeast) >= members - 1)
         allKnown = passed();
-      if (Number.isNaN(allReplicas) && up === members && least((each) => each.replicasLeast) >= replicas)
-        allReplicas = passed();
+      if (Number.isNaN(allEndpoints) && up === members && least((each) => each.replicasLeast) >= endpoints)
+        allEndpoints = passed();
       if (Number.isNaN(offeredAt) && passed() > seconds / 2) {
         offeredAt = passed();
         [before, beforeAt] = [said.map((each) => ({ ...each, counts: { ...each.counts } })), passed()];
@@ -96,7 +96,7 @@
       before,
       secondsBetween: passed() - beforeAt,
       allKnown,
-      allReplicas,
+      allReplicas: allEndpoints,
       inForce,
       rss,
       passed: passed(),
@@ -113,13 +113,13 @@
     rss: number;
     passed: number;
   }): void {
-    const { members, replicas, processes } = this.plan;
+    const { members, replicas: endpoints, processes } = this.plan;
     const time = (seconds: number): string => (Number.isNaN(seconds) ? "not in this run" : `${seconds.toFixed(0)} s`);
     const sum = (all: WorkerSaid[], pick: (each: WorkerSaid) => number): number =>
       all.reduce((total, each) => total + pick(each), 0);
     if (this.ended) this.say(`ended early: ${this.ended}`);
     if (this.cut) this.say(`cut short after ${found.passed.toFixed(0)} s of ${this.plan.seconds}`);
-    this.say(`${members} members and ${replicas} replicas in ${processes} processes, ${found.passed.toFixed(0)} s`);
+    this.say(`${members} members and ${endpoints} replicas in ${processes} processes, ${found.passed.toFixed(0)} s`);
     this.say(
       `every member known to every one after ${time(found.allKnown)}; every replica after ${time(found.allReplicas)}; a configuration in force everywhere ${time(found.inForce)} after it was offered`,
     );
--- a/src/tools/scale/wholeWorker.ts
+++ b/src/tools/scale/wholeWorker.ts
@@ -64,23 +64,23 @@
     }
   }
   private *startAll(): Task<void> {
-    const { from, to, members, replicas, zones, regions, startEveryMs } = this.order;
+    const { from, to, members, replicas: endpoints, zones, regions, startEveryMs } = this.order;
     const seeds = [0, 1, 2].map(addressOf);
     for (let at = from; at < to; at += 1) {
       const scope = this.scope.branch(`hollow-${at}`);
       const env = this.meter.around(NodeEnv.make(`hollow-${at}`, scope, (event) => this.count(event)));
-      const district = `r${(at % zones) % regions}-z${at % zones}`;
+      const zone = `r${(at % zones) % regions}-z${at % zones}`;
       const program: Program = at < 3 ? "control" : "agent";
-      const started = yield* HollowMember.start(env, { program, district, address: addressOf(at), seeds });
+      const started = yield* HollowMember.start(env, { program, district: zone, address: addressOf(at), seeds });
       if (!started.ok) {
         process.stderr.write(`hollow ${at}: ${started.fault.detail}\n`);
         continue;
       }
       this.members.push(started.value);
-      const ids = Array.from({ length: replicas }, (_none, replica) => replica)
-        .filter((replica) => replica % members === at)
-        .map((replica) => `replica-${replica}`);
-      if (ids.length > 0) started.value.announce(ids, district);
+      const ids = Array.from({ length: endpoints }, (_none, endpoint) => endpoint)
+        .filter((endpoint) => endpoint % members === at)
+        .map((endpoint) => `replica-${endpoint}`);
+      if (ids.length > 0) started.value.announce(ids, zone);
       yield* EnvTools.sleep(env, startEveryMs);
     }
   }
@@ -89,8 +89,8 @@
     if (event === 1103) this.deaths += 1;
   }
   /** Makes a configuration known at the first member. @example worker.offer(100, 1); */
-  offer(bindings: number, index: number): void {
-    this.members[0]?.node.news.offerFrame(HollowWorld.frame(bindings, index));
+  offer(routes: number, index: number): void {
+    this.members[0]?.node.gossip.offerSnapshot(HollowWorld.snapshot(routes, index));
   }
   /** @example worker.say().rss */
   say(): WorkerSaid {
@@ -103,10 +103,10 @@
       counts: this.meter.copy(),
       members: this.members.length,
       othersLeast: least((member) => member.others()),
-      replicasLeast: least((member) => member.replicas()),
+      replicasLeast: least((member) => member.endpoints()),
       suspicions: this.suspicions,
       deaths: this.deaths,
-      inForce: this.members.filter((member) => (member.node.news.frame?.index ?? 0) > 0).length,
+      inForce: this.members.filter((member) => (member.node.gossip.snapshot?.index ?? 0) > 0).length,
       cpuMs: (used.user + used.system) / 1000,
       rss: process.memoryUsage().rss,
       stallMs,
--- a/src/tools/standIns.ts
+++ b/src/tools/standIns.ts
@@ -1,5 +1,5 @@
 import { Csp, Task } from "../runtime/csp";
-import { Env, EnvTools, HttpIn } from "../runtime/env";
+import { Env, EnvTools, HttpExchange } from "../runtime/env";
 import { Result } from "../common/fault";
 
 export type ReplicaSettings = {
@@ -54,25 +54,25 @@
   }
   private *announceLoop(): Task<void> {
     for (let turn = Math.floor(this.env.random() * 100); !this.saidGoodbye; turn += 1) {
-      const { id, address, pool, district, version, capacity, announceTo } = this.settings;
+      const { id, address, pool, district: zone, version, capacity, announceTo } = this.settings;
       const body = JSON.stringify({
         address,
         pool,
-        district,
+        district: zone,
         version,
         capacity,
         active: this.active,
         waiting: 0,
         instance: this.instance,
       });
-      const replied = yield* this.env.http(announceTo[turn % announceTo.length], {
+      const response = yield* this.env.http(announceTo[turn % announceTo.length], {
         method: "PUT",
         path: `/v1/replicas/${id}`,
         body,
         timeoutMs: 500,
       });
-      if (replied.ok) yield* EnvTools.bodyOf(this.env, replied.value, 10_000, 500);
-      yield* EnvTools.sleep(this.env, replied.ok ? 900 : 100);
+      if (response.ok) yield* EnvTools.bodyOf(this.env, response.value, 10_000, 500);
+      yield* EnvTools.sleep(this.env, response.ok ? 900 : 100);
     }
     for (;;) yield* EnvTools.sleep(this.env, 3_600_000);
   }
@@ -80,19 +80,19 @@
   *goodbye(): Task<boolean> {
     this.saidGoodbye = true;
     for (const address of this.settings.announceTo) {
-      const replied = yield* this.env.http(address, {
+      const response = yield* this.env.http(address, {
         method: "DELETE",
         path: `/v1/replicas/${this.settings.id}`,
         timeoutMs: 500,
       });
-      if (replied.ok && replied.value.status === 200) {
-        yield* EnvTools.bodyOf(this.env, replied.value, 10_000, 500);
+      if (response.ok && response.value.status === 200) {
+        yield* EnvTools.bodyOf(this.env, response.value, 10_000, 500);
         return true;
       }
     }
     return false;
   }
-  private *serve(incoming: HttpIn): Task<void> {
+  private *serve(incoming: HttpExchange): Task<void> {
     const read = yield* incoming.body(4_000_000);
     if (!read.ok) return;
     if (this.mood === "full" || this.active >= this.settings.capacity) {
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -1,8 +1,8 @@
 import { Checker, CheckOptions, ReplicaSeen } from "../src/tools/checker";
 import { History, Place, Seen } from "../src/tools/history";
 
-const replica = (id: string, runs: [string, number][], district = "north"): ReplicaSeen => ({
-  settings: { id, district },
+const endpoint = (id: string, runs: [string, number][], zone = "north"): ReplicaSeen => ({
+  settings: { id, district: zone },
   runs: runs.map(([run, at]) => ({ id: run, round: 1, at, kind: "single" as const, continued: 0 })),
 });
 type Plant = { seen: Seen[]; replicas?: ReplicaSeen[]; options?: CheckOptions };
@@ -48,15 +48,15 @@
 const plants: Record<string, { bad: Plant; good: Plant }> = {
   "right-caller": { bad: { seen: [lookup(false)] }, good: { seen: [lookup(true)] } },
   "no-false-success": {
-    bad: { seen: [result(1, 0)], replicas: [replica("r", [])] },
-    good: { seen: [result(1, 0)], replicas: [replica("r", [["L/0", 1]])] },
+    bad: { seen: [result(1, 0)], replicas: [endpoint("r", [])] },
+    good: { seen: [result(1, 0)], replicas: [endpoint("r", [["L/0", 1]])] },
   },
   "never-twice": {
-    bad: { seen: [], replicas: [replica("r", [["L/0", 1]]), replica("s", [["L/0", 9]])] },
+    bad: { seen: [], replicas: [endpoint("r", [["L/0", 1]]), endpoint("s", [["L/0", 9]])] },
     good: {
       seen: [],
       replicas: [
-        replica("r", [
+        endpoint("r", [
           ["L/0", 1],
           ["L/1", 1],
           ["req-a", 1],
@@ -68,11 +68,11 @@
   "busy-never-ran": {
     bad: {
       seen: [{ tag: "busy", at: 1, tookMs: 1, kind: "lookup", requestId: "req-a", retryAfter: true }],
-      replicas: [replica("r", [["req-a", 5]])],
+      replicas: [endpoint("r", [["req-a", 5]])],
     },
     good: {
       seen: [{ tag: "busy", at: 1, tookMs: 1, kind: "lookup", requestId: "req-b", retryAfter: true }],
-      replicas: [replica("r", [["req-a", 5]])],
+      replicas: [endpoint("r", [["req-a", 5]])],
     },
   },
   "stream-exact": {
@@ -100,24 +100,24 @@
   "one-position": {
     bad: {
       seen: [result(1, 0), { tag: "lotReread", lot: "L", at: 2, ingress: "j", order: "1,0", complete: true }],
-      replicas: [replica("r", [["L/0", 1]])],
+      replicas: [endpoint("r", [["L/0", 1]])],
     },
     good: {
       seen: [result(1, 0), { tag: "lotReread", lot: "L", at: 2, ingress: "j", order: "0,1", complete: true }],
-      replicas: [replica("r", [["L/0", 1]])],
+      replicas: [endpoint("r", [["L/0", 1]])],
     },
   },
   "ended-stops": {
-    bad: { seen: [{ tag: "lotEnded", lot: "L", at: 1000 }], replicas: [replica("r", [["L/0", 4300]])] },
-    good: { seen: [{ tag: "lotEnded", lot: "L", at: 1000 }], replicas: [replica("r", [["L/0", 3900]])] },
+    bad: { seen: [{ tag: "lotEnded", lot: "L", at: 1000 }], replicas: [endpoint("r", [["L/0", 4300]])] },
+    good: { seen: [{ tag: "lotEnded", lot: "L", at: 1000 }], replicas: [endpoint("r", [["L/0", 3900]])] },
   },
   "goodbye-respected": {
-    bad: { seen: [{ tag: "goodbye", at: 1000, replica: "r" }], replicas: [replica("r", [["req-a", 3300]])] },
-    good: { seen: [{ tag: "goodbye", at: 1000, replica: "r" }], replicas: [replica("r", [["req-a", 2900]])] },
+    bad: { seen: [{ tag: "goodbye", at: 1000, replica: "r" }], replicas: [endpoint("r", [["req-a", 3300]])] },
+    good: { seen: [{ tag: "goodbye", at: 1000, replica: "r" }], replicas: [endpoint("r", [["req-a", 2900]])] },
   },
   "drain-respected": {
-    bad: { seen: [{ tag: "drained", at: 1000, district: "north" }], replicas: [replica("r", [["req-a", 6300]])] },
-    good: { seen: [{ tag: "drained", at: 1000, district: "south" }], replicas: [replica("r", [["req-a", 6300]])] },
+    bad: { seen: [{ tag: "drained", at: 1000, district: "north" }], replicas: [endpoint("r", [["req-a", 6300]])] },
+    good: { seen: [{ tag: "drained", at: 1000, district: "south" }], replicas: [endpoint("r", [["req-a", 6300]])] },
   },
   "config-in-force": {
     bad: { seen: [change("acknowledged", 2, "m"), inForce(2300, 1)] },
@@ -139,7 +139,7 @@
     bad: {
       seen: [{ tag: "replicaStarted", at: 1000, replica: "r", capacity: 2 }],
       replicas: [
-        replica("r", [
+        endpoint("r", [
           ["req-a", 1100],
           ["req-b", 1200],
           ["req-c", 1300],
@@ -149,7 +149,7 @@
     good: {
       seen: [{ tag: "replicaStarted", at: 1000, replica: "r", capacity: 2 }],
       replicas: [
-        replica("r", [
+        endpoint("r", [
           ["req-a", 1100],
           ["req-b", 1200],
           ["req-c", 2300],
@@ -175,10 +175,10 @@
     good: { seen: [ledger("i", ["1~a~0", "2~a~0", "3~a~0", "4~a~0"]), ledger("j", ["1~a~0", "2~a~0", "3~a~0"])] },
   },
 };
-const broken = ({ seen, replicas = [], options = {} }: Plant): string[] => {
+const broken = ({ seen, replicas: endpoints = [], options = {} }: Plant): string[] => {
   const history = new History();
   for (const each of seen) history.add(each);
-  return [...new Set(Checker.check(history, replicas, options).map((violation) => violation.invariant))];
+  return [...new Set(Checker.check(history, endpoints, options).map((violation) => violation.invariant))];
 };
 
 test("there is a planted violation for every invariant", () => {
--- a/test/clock.test.ts
+++ b/test/clock.test.ts
@@ -66,7 +66,7 @@
 });
 test("a repeated put id changes nothing and gets the first outcome", () => {
   const data = ShardState.empty();
-  const lot: Put = {
+  const job: Put = {
     putId: "p",
     stamp: { time: 1, node: "n", seq: 0 },
     ops: [
@@ -74,14 +74,14 @@
     ],
     cause: {},
   };
-  expect(ShardState.apply(data, lot)).toEqual({ tag: "done" });
-  expect(ShardState.apply(data, lot)).toEqual({ tag: "done" });
+  expect(ShardState.apply(data, job)).toEqual({ tag: "done" });
+  expect(ShardState.apply(data, job)).toEqual({ tag: "done" });
   expect(data.waiting).toHaveLength(1);
   expect(
     ShardState.apply(data, {
-      ...lot,
+      ...job,
       putId: "q",
-      ops: [{ ...lot.ops[0], lot: { ...(lot.ops[0] as { lot: object }).lot, bodyHash: "other" } } as Put["ops"][0]],
+      ops: [{ ...job.ops[0], lot: { ...(job.ops[0] as { lot: object }).lot, bodyHash: "other" } } as Put["ops"][0]],
     }),
   ).toEqual({ tag: "exists", same: false, state: "open" });
 });
--- a/test/confirmation.test.ts
+++ b/test/confirmation.test.ts
@@ -1,4 +1,4 @@
-import { Confirmation, ReadIndex } from "../src/node/readIndexConfirmation";
+import { ReadIndexConfirmation, ReadIndex } from "../src/node/readIndexConfirmation";
 import { ControlState } from "../src/control/controlState";
 import { SimDisk } from "../src/simulation/simDisk";
 import { SimWorld } from "../src/simulation/simWorld";
@@ -10,7 +10,7 @@
   private readonly env = this.world.start("node", new SimDisk(this.world)).env;
   readIndex: ReadIndex | undefined;
   private configuration = ControlState.frame({ ...ControlState.empty(), group: "g" }, 5);
-  readonly confirmation = new Confirmation(this.env, new Rpc(this.env, "test", "node"), {
+  readonly confirmation = new ReadIndexConfirmation(this.env, new Rpc(this.env, "test", "node"), {
     own: () => this.readIndex,
     source: () => undefined,
     configuration: () => this.configuration,
--- a/test/control.test.ts
+++ b/test/control.test.ts
@@ -1,22 +1,22 @@
 import { Constants } from "../src/common/constants";
 import { ControlState } from "../src/control/controlState";
-import { Group } from "../src/consensus/consensusGroup";
-import { Manifests } from "../src/control/configurations";
+import { ConsensusGroup } from "../src/consensus/consensusGroup";
+import { Configurations } from "../src/control/configurations";
 import { Rpc } from "../src/rpc/rpc";
 import { ControlFleet } from "./controlFleet";
 import { ControlHunt } from "./controlHunt";
 
-const manifest = (version: number, path = "/x"): Record<string, unknown> => ({
+const configuration = (version: number, path = "/x"): Record<string, unknown> => ({
   version,
   bindings: { a: { kind: "lookup", pool: "p", path } },
 });
 const put = async (fleet: ControlFleet, version: number, ifVersion: number): Promise<number> =>
-  (await fleet.ask("PUT", "/v1/manifest", manifest(version), { "if-match": String(ifVersion) })).status;
+  (await fleet.ask("PUT", "/v1/manifest", configuration(version), { "if-match": String(ifVersion) })).status;
 const inForce = async (fleet: ControlFleet): Promise<number> => (await fleet.ask("GET", "/v1/manifest")).body.version;
 /** Voters by the lead's log, as ids, and the names of those that live. */
 const voters = (fleet: ControlFleet): { ids: string[]; living: string[] } => {
-  const lead = fleet.lead();
-  const ids = lead ? fleet.control(lead)!.group.voters() : [];
+  const leader = fleet.leader();
+  const ids = leader ? fleet.control(leader)!.group.voters() : [];
   return {
     ids,
     living: fleet
@@ -42,7 +42,7 @@
   });
   test("a group founded by three that needs five grows before it takes its first change", async () => {
     const fleet = new ControlFleet(4, { controls: 7, founders: 3, losses: 2 });
-    await fleet.until(() => fleet.lead() !== undefined, 4000);
+    await fleet.until(() => fleet.leader() !== undefined, 4000);
     expect(await fleet.until(async () => (await put(fleet, 3, 0)) === 200, 8000, 20)).toBeDefined();
     expect(whole(fleet, 5)).toBe(true);
     expect(fleet.close()).toEqual([]);
@@ -50,7 +50,7 @@
   test("a group that can't grow goes on with what there is, and says so", async () => {
     const lines: string[] = [];
     const fleet = new ControlFleet(4, { controls: 3, founders: 3, losses: 2, log: (line) => lines.push(line) });
-    await fleet.until(() => fleet.lead() !== undefined, 4000);
+    await fleet.until(() => fleet.leader() !== undefined, 4000);
     const took = await fleet.until(async () => (await put(fleet, 3, 0)) === 200, 8000, 50);
     expect(took).toBeGreaterThan(Constants.groupGrowMs / 2);
     expect(took).toBeLessThan(Constants.groupGrowMs + 1000);
@@ -61,9 +61,9 @@
     const fleet = new ControlFleet(6, { controls: 3 });
     await fleet.run(3000);
     expect(await put(fleet, 1, 0)).toBe(200);
-    const [lead, gone, down] = [fleet.lead()!, ...fleet.names("control").filter((name) => name !== fleet.lead())];
+    const [leader, gone, down] = [fleet.leader()!, ...fleet.names("control").filter((name) => name !== fleet.leader())];
     const [former, address] = [fleet.control(gone)!.node.self.id, fleet.settings.get(gone)!.address];
-    const group = fleet.control(lead)!.group;
+    const group = fleet.control(leader)!.group;
     fleet.kill(down);
     fleet.kill(gone, true);
     fleet.restart(gone, { empty: true });
@@ -73,7 +73,7 @@
     const asker = new Rpc(fleet.operator.env, "test", "asker");
     const vote = { to: former, group: group.groupId(), term: 99, candidate: "asker", lastIndex: 10_000, lastTerm: 98 };
     for (const verb of ["group.vote", "group.preVote"])
-      expect(await fleet.world.finish(fleet.operator, () => asker.ask(address, verb, vote, 500), 1000)).toMatchObject({
+      expect(await fleet.world.finish(fleet.operator, () => asker.call(address, verb, vote, 500), 1000)).toMatchObject({
         ok: false,
         fault: { tag: "refused" },
       });
@@ -88,15 +88,16 @@
     expect(await put(fleet, 1, 0)).toBe(200);
     const { living } = voters(fleet);
     const standby = fleet.names("control").find((name) => !living.includes(name))!;
-    const [lead, gone] = [fleet.lead()!, living.find((name) => name !== fleet.lead())!];
+    const [leader, gone] = [fleet.leader()!, living.find((name) => name !== fleet.leader())!];
     fleet.kill(standby);
     fleet.kill(gone, true);
     fleet.restart(gone, { empty: true });
-    fleet.world.cut(lead, gone); // the others tell of it; the lead can't bring it the log
+    fleet.world.cut(leader, gone); // the others tell of it; the lead can't bring it the log
     await fleet.run(6000);
     expect(voters(fleet).ids).not.toContain(fleet.control(gone)!.node.self.id);
     expect(
-      (await fleet.ask("PUT", "/v1/manifest", manifest(2), { "if-match": "1" }, fleet.settings.get(lead)!.http)).status,
+      (await fleet.ask("PUT", "/v1/manifest", configuration(2), { "if-match": "1" }, fleet.settings.get(leader)!.http))
+        .status,
     ).toBe(200);
     fleet.world.heal();
     expect(await fleet.until(() => whole(fleet, 3), 5000)).toBeDefined();
@@ -110,7 +111,7 @@
       expect(await put(fleet, version + 2, version)).toBe(200);
       version += 2;
       const { living } = voters(fleet);
-      const name = round % 2 === 0 ? fleet.lead()! : living.find((each) => each !== fleet.lead())!;
+      const name = round % 2 === 0 ? fleet.leader()! : living.find((each) => each !== fleet.leader())!;
       fleet.kill(name, true);
       fleet.settings.delete(name);
       fleet.reseed(round);
@@ -133,7 +134,7 @@
         fleet.restart(name, { moved: true, seeds });
         if (seeds.length < 3) seeds.push(fleet.settings.get(name)!.address);
       }
-      expect(await fleet.until(() => fleet.lead() !== undefined, 5000)).toBeLessThan(2000);
+      expect(await fleet.until(() => fleet.leader() !== undefined, 5000)).toBeLessThan(2000);
       expect(await inForce(fleet)).toBe(5);
       expect(fleet.close()).toEqual([]);
     }
@@ -146,15 +147,15 @@
       for (const name of fleet.names("control")) fleet.kill(name, true);
       await fleet.run(300);
       for (const name of fleet.names("control")) fleet.restart(name);
-      expect(await fleet.until(() => fleet.lead() !== undefined, 5000)).toBeLessThan(Constants.electionMinMs);
+      expect(await fleet.until(() => fleet.leader() !== undefined, 5000)).toBeLessThan(Constants.electionMinMs);
       expect(await inForce(fleet)).toBe(5);
       // the lead freezes with its grant, the two others start again: they cannot know that it leads nothing
-      const lead = fleet.lead()!;
-      const others = fleet.names("control").filter((name) => name !== lead);
-      fleet.world.processes.get(lead)!.freeze();
+      const leader = fleet.leader()!;
+      const others = fleet.names("control").filter((name) => name !== leader);
+      fleet.world.processes.get(leader)!.freeze();
       for (const name of others) fleet.kill(name);
       for (const name of others) fleet.restart(name);
-      const next = (): boolean => others.some((name) => fleet.control(name)?.group.holdsLead() ?? false);
+      const next = (): boolean => others.some((name) => fleet.control(name)?.group.holdsLeader() ?? false);
       expect(await fleet.until(next, 6000)).toBeGreaterThanOrEqual(Constants.electionMinMs);
       expect(fleet.close()).toEqual([]);
     }
@@ -171,10 +172,10 @@
         () => {
           for (const name of fleet.names("control")) {
             const group = fleet.control(name)?.group;
-            if (group?.holdsLead() && group.state.manifest.version !== 5)
+            if (group?.holdsLeader() && group.state.manifest.version !== 5)
               early.push([seed, name, group.state.manifest.version]);
           }
-          return fleet.lead() !== undefined && fleet.control(fleet.lead()!)!.group.state.manifest.version === 5;
+          return fleet.leader() !== undefined && fleet.control(fleet.leader()!)!.group.state.manifest.version === 5;
         },
         6000,
         0.2,
@@ -186,7 +187,7 @@
 });
 
 describe("changes", () => {
-  const binding = (more: Record<string, unknown> = {}): any => ({
+  const route = (more: Record<string, unknown> = {}): any => ({
     kind: "lookup",
     pool: "p",
     path: "/",
@@ -198,26 +199,26 @@
   });
   test("patches keep an item's place, and say what is wrong with the whole that results", () => {
     const doc = {
-      bindings: { a: binding({ origin: { its: "form" } }), b: binding({ host: "h", prefix: "/b/" }) },
+      bindings: { a: route({ origin: { its: "form" } }), b: route({ host: "h", prefix: "/b/" }) },
       pools: { p: { origin: 1 }, q: {} },
       origin: { rest: 1 },
     };
-    const next = Manifests.patched(doc, {
-      upsert: { bindings: { c: binding(), a: binding({ pool: "q" }) } },
+    const next = Configurations.patched(doc, {
+      upsert: { bindings: { c: route(), a: route({ pool: "q" }) } },
       remove: { pools: ["nobody"] },
     });
     expect(Object.keys(next.bindings)).toEqual(["a", "b", "c"]);
-    expect([next.bindings.a.pool, next.origin, Manifests.faults(next)]).toEqual(["q", { rest: 1 }, []]);
+    expect([next.bindings.a.pool, next.origin, Configurations.faults(next)]).toEqual(["q", { rest: 1 }, []]);
     const faults = (upsert: Record<string, unknown>, remove = {}): string[] =>
-      Manifests.faults(Manifests.patched(doc, { upsert: { bindings: upsert as any }, remove }));
+      Configurations.faults(Configurations.patched(doc, { upsert: { bindings: upsert as any }, remove }));
     expect(faults({}, { pools: ["p"] })).toHaveLength(2);
-    expect(faults({ z: binding({ host: "H", prefix: "/b/" }) })).toEqual([
+    expect(faults({ z: route({ host: "H", prefix: "/b/" }) })).toEqual([
       expect.stringContaining("host and prefix are those of b"),
     ]);
-    expect(faults({ z: binding({ split: [{ pool: "p", weight: 0 }] }) })).toEqual([expect.stringContaining("weights")]);
+    expect(faults({ z: route({ split: [{ pool: "p", weight: 0 }] }) })).toEqual([expect.stringContaining("weights")]);
     expect(
       faults({
-        z: binding({
+        z: route({
           split: [
             { pool: "p", weight: 1 },
             { pool: "nobody", weight: 0 },
@@ -225,14 +226,16 @@
         }),
       }),
     ).toEqual([expect.stringContaining("nobody")]);
-    expect(faults({ z: binding({ deadlineMs: 0 }) })).toEqual([expect.stringContaining("deadline")]);
-    expect(faults({ z: binding({ host: "h" }) })).toEqual([expect.stringContaining("go together")]);
+    expect(faults({ z: route({ deadlineMs: 0 }) })).toEqual([expect.stringContaining("deadline")]);
+    expect(faults({ z: route({ host: "h" }) })).toEqual([expect.stringContaining("go together")]);
     // a manifest that names no pools at all is as well as it always was
-    expect(Manifests.faults({ bindings: { a: binding({ pool: "anything" }) } })).toEqual([]);
-    const bare = Manifests.bare(doc);
-    expect([JSON.stringify(bare).includes("origin"), Object.keys(bare.bindings), Manifests.bare(doc) === bare]).toEqual(
-      [false, ["a", "b"], true],
-    );
+    expect(Configurations.faults({ bindings: { a: route({ pool: "anything" }) } })).toEqual([]);
+    const bare = Configurations.bare(doc);
+    expect([
+      JSON.stringify(bare).includes("origin"),
+      Object.keys(bare.bindings),
+      Configurations.bare(doc) === bare,
+    ]).toEqual([false, ["a", "b"], true]);
   });
   test("what a node is told has a new index only where it changed", () => {
     const state = ControlState.empty();
@@ -274,9 +277,9 @@
       fleet.ask("PATCH", "/v1/manifest", body, { "if-match": String(ifVersion) });
     expect(await put(fleet, 7, 0)).toBe(200);
     expect((await fleet.ask("PUT", "/v1/manifest", { bindings: {} }, { "if-match": "7" })).body.version).toBe(8);
-    expect((await patch({ version: 8, upsert: { bindings: { b: binding() } } }, 8)).status).toBe(400);
+    expect((await patch({ version: 8, upsert: { bindings: { b: route() } } }, 8)).status).toBe(400);
     expect(
-      (await patch({ version: 20, upsert: { bindings: { b: binding() }, pools: { p: { connections: 5 } } } }, 8)).body
+      (await patch({ version: 20, upsert: { bindings: { b: route() }, pools: { p: { connections: 5 } } } }, 8)).body
         .version,
     ).toBe(20);
     expect((await patch({ remove: { pools: ["p"] } }, 20)).status).toBe(400);
@@ -292,10 +295,10 @@
     expect((await fleet.ask("POST", "/v1/districts/north/drain")).status).toBe(200);
     expect((await fleet.ask("POST", "/v1/districts/north/drain")).status).toBe(200);
     await fleet.run(600);
-    expect(fleet.control("control-2")!.node.frame().control!.drained).toEqual(["north"]);
+    expect(fleet.control("control-2")!.node.snapshot().control!.drained).toEqual(["north"]);
     expect((await fleet.ask("DELETE", "/v1/districts/north/drain")).status).toBe(200);
     await fleet.run(2500);
-    expect(fleet.control("control-2")!.node.frame().control!.drained).toEqual([]);
+    expect(fleet.control("control-2")!.node.snapshot().control!.drained).toEqual([]);
     const moves = (await fleet.ask("GET", "/v1/calendar")).body.entries.map(
       (entry: any) => `${entry.move.kind} ${entry.fate}`,
     );
@@ -312,7 +315,7 @@
       ),
     ).toBeDefined();
     const retired = fleet.running.get("store-1") as unknown as { node: { self: { id: string } } };
-    for (const view of Object.values(fleet.control(fleet.lead()!)!.group.state.views)) {
+    for (const view of Object.values(fleet.control(fleet.leader()!)!.group.state.views)) {
       expect(view.members).toHaveLength(3);
       expect(view.members).not.toContain(retired.node.self.id);
     }
@@ -324,8 +327,8 @@
   /** What the hunts of a few seeds find while a part of the group is spoilt, until what is looked for is among it. */
   const hunted = async (spoil: (group: any) => void, wanted: RegExp): Promise<string[]> => {
     const found: string[] = [];
-    const start = Group.prototype.start;
-    Group.prototype.start = function (this: Group) {
+    const start = ConsensusGroup.prototype.start;
+    ConsensusGroup.prototype.start = function (this: ConsensusGroup) {
       spoil(this);
       start.call(this);
     };
@@ -333,7 +336,7 @@
       for (let seed = 1; seed <= 12 && !wanted.test(found.join("; ")); seed += 1)
         found.push(...(await ControlHunt.run(seed, { controls: 4, losses: 1 })).violations);
     } finally {
-      Group.prototype.start = start;
+      ConsensusGroup.prototype.start = start;
     }
     return found;
   };
--- a/test/controlFleet.ts
+++ b/test/controlFleet.ts
@@ -1,6 +1,6 @@
-import { Daemon, Running } from "../src/daemon/daemon";
+import { Daemon, RunningDaemon } from "../src/daemon/daemon";
 import { Settings } from "../src/common/settings";
-import { Shapes } from "../src/daemon/protocolAdapters";
+import { ProtocolAdapters } from "../src/daemon/protocolAdapters";
 import { ControlNode } from "../src/control/controlNode";
 import { Csp } from "../src/runtime/csp";
 import { EnvTools } from "../src/runtime/env";
@@ -16,10 +16,10 @@
   ingresses?: number;
   founders?: number;
   losses?: number;
-  shapes?: (settings: Settings) => Shapes;
+  shapes?: (settings: Settings) => ProtocolAdapters;
   log?: (line: string) => void;
 };
-const districts = ["north", "east", "south", "west"];
+const zones = ["north", "east", "south", "west"];
 
 /**
  * Control members and stores alone, in virtual time, for what needs neither callers nor replicas.
@@ -32,7 +32,7 @@
 export class ControlFleet {
   readonly world: SimWorld;
   readonly settings = new Map<string, Settings>();
-  readonly running = new Map<string, Running>();
+  readonly running = new Map<string, RunningDaemon>();
   readonly disks = new Map<string, SimDisk>();
   readonly errors: string[] = [];
   readonly operator: SimProcess;
@@ -54,7 +54,7 @@
         ...common,
         ...place,
         name,
-        district: districts[at % 4],
+        district: zones[at % 4],
         data: `data/${name}`,
         founders: founders.includes(place.address) ? founders : [],
       });
@@ -66,17 +66,17 @@
         ...common,
         ...this.place(),
         name,
-        district: districts[at % 4],
+        district: zones[at % 4],
         data: `data/${name}`,
       });
     }
     for (let at = 0; at < (options.agents ?? 0); at += 1) {
       const name = `agent-${at + 1}`;
-      this.settings.set(name, { program: "agent", ...common, ...this.place(), name, district: districts[at % 4] });
+      this.settings.set(name, { program: "agent", ...common, ...this.place(), name, district: zones[at % 4] });
     }
     for (let at = 0; at < (options.ingresses ?? 0); at += 1) {
       const name = `ingress-${at + 1}`;
-      this.settings.set(name, { program: "ingress", ...common, ...this.place(), name, district: districts[at % 4] });
+      this.settings.set(name, { program: "ingress", ...common, ...this.place(), name, district: zones[at % 4] });
     }
     this.operator = this.world.start("operator", new SimDisk(this.world));
     for (const name of this.settings.keys()) this.start(name);
@@ -135,7 +135,7 @@
     this.start(name);
   }
   /** A machine like another, empty, at a new address. @example fleet.add("control-1", "control-5", "north"); */
-  add(like: string, name: string, district?: string): void {
+  add(like: string, name: string, zone?: string): void {
     const settings = this.settings.get(like)!;
     const founders = settings.program === "control" ? { founders: [] } : {};
     this.settings.set(name, {
@@ -144,7 +144,7 @@
       ...this.place(),
       name,
       data: `data/${name}`,
-      ...(district ? { district } : {}),
+      ...(zone ? { district: zone } : {}),
     });
     this.start(name);
   }
@@ -168,7 +168,7 @@
   /** @example fleet.control("control-1")?.group.holdsLead() */
   control = (name: string): ControlNode | undefined => this.running.get(name) as unknown as ControlNode | undefined;
   /** @example fleet.lead() // "control-2", or undefined */
-  lead = (): string | undefined => this.names("control").find((name) => this.control(name)?.group.holdsLead());
+  leader = (): string | undefined => this.names("control").find((name) => this.control(name)?.group.holdsLeader());
   /** Virtual time until something holds, or undefined. @example await fleet.until(() => fleet.lead() !== undefined, 3000) */
   async until(holds: () => boolean | Promise<boolean>, withinMs: number, stepMs = 20): Promise<number | undefined> {
     for (const from = this.world.now; this.world.now - from <= withinMs; await this.run(stepMs))
@@ -190,12 +190,12 @@
     const answered = await this.world.finish(
       this.operator,
       function* () {
-        const replied = yield* env.http(to, { method, path, body: text, headers, timeoutMs: 8000 });
-        if (!replied.ok) return { status: 0, body: replied.fault, headers: {} };
-        const got = (yield* EnvTools.bodyOf(env, replied.value, 32_000_000, 8000)) ?? "";
+        const response = yield* env.http(to, { method, path, body: text, headers, timeoutMs: 8000 });
+        if (!response.ok) return { status: 0, body: response.fault, headers: {} };
+        const got = (yield* EnvTools.bodyOf(env, response.value, 32_000_000, 8000)) ?? "";
         return {
-          status: replied.value.status,
-          headers: replied.value.headers,
+          status: response.value.status,
+          headers: response.value.headers,
           body: got.startsWith("{") ? JSON.parse(got) : got,
         };
       },
--- a/test/controlHistory.ts
+++ b/test/controlHistory.ts
@@ -12,14 +12,14 @@
 
 const isDone = (done: bigint, at: number): boolean => ((done >> BigInt(at)) & 1n) === 1n;
 /** Operations that may be the next one: none that must come has ended before they began. */
-function candidates<State>(operations: Operation<State>[], frame: Frame<State>): number[] {
+function candidates<State>(operations: Operation<State>[], snapshot: Frame<State>): number[] {
   let earliestEnd = Infinity;
   operations.forEach((operation, at) => {
-    if (!operation.optional && !isDone(frame.done, at)) earliestEnd = Math.min(earliestEnd, operation.end);
+    if (!operation.optional && !isDone(snapshot.done, at)) earliestEnd = Math.min(earliestEnd, operation.end);
   });
   return operations.flatMap((operation, at) => {
-    const inTime = operation.begin <= earliestEnd && operation.end >= frame.newestBegin;
-    return !isDone(frame.done, at) && inTime ? [at] : [];
+    const inTime = operation.begin <= earliestEnd && operation.end >= snapshot.newestBegin;
+    return !isDone(snapshot.done, at) && inTime ? [at] : [];
   });
 }
 const isComplete = <State>(operations: Operation<State>[], done: bigint): boolean =>
@@ -33,19 +33,19 @@
   const visited = new Set<string>();
   const stack: Frame<State>[] = [{ state: initial, done: 0n, newestBegin: -Infinity, path: [] }];
   let deepest = stack[0];
-  for (let frame = stack.pop(); frame; frame = stack.pop()) {
-    if (isComplete(operations, frame.done)) return { tag: "linearizable" };
-    if (frame.path.length > deepest.path.length) deepest = frame;
-    for (const at of candidates(operations, frame).reverse()) {
+  for (let snapshot = stack.pop(); snapshot; snapshot = stack.pop()) {
+    if (isComplete(operations, snapshot.done)) return { tag: "linearizable" };
+    if (snapshot.path.length > deepest.path.length) deepest = snapshot;
+    for (const at of candidates(operations, snapshot).reverse()) {
       const operation = operations[at];
-      const state = operation.apply(frame.state);
+      const state = operation.apply(snapshot.state);
       if (state === undefined) continue;
-      const done = frame.done | (1n << BigInt(at));
+      const done = snapshot.done | (1n << BigInt(at));
       const key = `${done.toString(36)} ${JSON.stringify(state)}`;
       if (visited.has(key)) continue;
       visited.add(key);
-      const newestBegin = Math.max(frame.newestBegin, operation.begin);
-      stack.push({ state, done, newestBegin, path: [...frame.path, operation.name] });
+      const newestBegin = Math.max(snapshot.newestBegin, operation.begin);
+      stack.push({ state, done, newestBegin, path: [...snapshot.path, operation.name] });
     }
   }
   const stuck = candidates(operations, deepest).map((at) => operations[at].name);
--- a/test/controlHunt.ts
+++ b/test/controlHunt.ts
@@ -83,7 +83,7 @@
     const node = this.pick(this.fleet.names("control"));
     const { env } = this.fleet.operator;
     const text = body === undefined ? undefined : JSON.stringify(body);
-    const replied = yield* env.http(this.fleet.settings.get(node)!.http, {
+    const response = yield* env.http(this.fleet.settings.get(node)!.http, {
       method,
       path,
       body: text,
@@ -91,9 +91,9 @@
       timeoutMs: 1000,
       fresh: true,
     });
-    if (!replied.ok) return undefined;
-    const got = yield* EnvTools.bodyOf(env, replied.value, 8_000_000, 1000);
-    return got === undefined ? undefined : { status: replied.value.status, body: JSON.parse(got), node };
+    if (!response.ok) return undefined;
+    const got = yield* EnvTools.bodyOf(env, response.value, 8_000_000, 1000);
+    return got === undefined ? undefined : { status: response.value.status, body: JSON.parse(got), node };
   }
   /** Answers that get lost on their way, where orders are hunted: the caller sees none. */
   private answerLost = (): boolean => this.withOrders && this.random() < lostAnswerShare;
@@ -125,9 +125,9 @@
   }
   /** What the lead holds of the zones, while its lease stands. */
   private sampleZones(): void {
-    const lead = this.fleet.lead();
-    if (!lead || this.fleet.world.processes.get(lead)?.frozen) return;
-    const { drained } = this.fleet.control(lead)!.group.state;
+    const leader = this.fleet.leader();
+    if (!leader || this.fleet.world.processes.get(leader)?.frozen) return;
+    const { drained } = this.fleet.control(leader)!.group.state;
     for (const [zone, history] of this.zones) {
       const seen = ControlHistory.drained(drained.includes(zone), this.fleet.world.now);
       history.push(seen);
@@ -153,11 +153,9 @@
         read.body.version + 1 + Math.floor(this.random() * 3),
         `${name}-${turn}`,
       ];
-      const binding = { kind: "lookup", pool: "p", path: `/${mark}` };
+      const route = { kind: "lookup", pool: "p", path: `/${mark}` };
       const patch = this.random() < 0.5;
-      const body = patch
-        ? { version, upsert: { bindings: { mark: binding } } }
-        : { version, bindings: { mark: binding } };
+      const body = patch ? { version, upsert: { bindings: { mark: route } } } : { version, bindings: { mark: route } };
       const sent: Sent = { mark, ifVersion, version, outcome: "unknown", at: world.now, endedAt: Infinity };
       this.sent.push(sent);
       for (
@@ -187,12 +185,12 @@
       for (const [name, running] of this.fleet.running) {
         const { node } = running as unknown as {
           node: {
-            frame(): {
+            snapshot(): {
               control?: { manifest: { version: number; doc: { bindings: Record<string, { path: string }> } } };
             };
           };
         };
-        const control = node.frame().control;
+        const control = node.snapshot().control;
         const version = control?.manifest.version ?? 0;
         if (version < (seen.get(running) ?? 0)) this.violations.push(`${name} went back to ${version}`);
         seen.set(running, version);
@@ -257,7 +255,7 @@
   private async trouble(kind: Kind): Promise<void> {
     const { fleet } = this;
     const { world } = fleet;
-    let name = this.victim(fleet.lead());
+    let name = this.victim(fleet.leader());
     const forMs = 300 + this.random() * 4000;
     const window = { from: world.now, to: Infinity };
     if (kind.endsWith("after ack")) {
--- a/test/copyRecovery.ts
+++ b/test/copyRecovery.ts
@@ -1,5 +1,5 @@
-import { View } from "../src/control/controlState";
-import { StoreNode } from "../src/storage/storageNode";
+import { ShardView } from "../src/control/controlState";
+import { StorageNode } from "../src/storage/storageNode";
 import { ControlFleet } from "./controlFleet";
 
 export type CopyTrial = {
@@ -29,29 +29,30 @@
  */
 export const CopyRecovery = {
   /** @example CopyRecovery.store(fleet, "store-1")?.copies */
-  store: (fleet: ControlFleet, name: string): StoreNode | undefined =>
-    fleet.running.get(name) as unknown as StoreNode | undefined,
+  store: (fleet: ControlFleet, name: string): StorageNode | undefined =>
+    fleet.running.get(name) as unknown as StorageNode | undefined,
   /** Views in force. @example CopyRecovery.views(fleet).length */
-  views: (fleet: ControlFleet): View[] => Object.values(fleet.control(fleet.lead() ?? "")?.group.state.views ?? {}),
+  views: (fleet: ControlFleet): ShardView[] =>
+    Object.values(fleet.control(fleet.leader() ?? "")?.group.state.views ?? {}),
   /** Copies of a view's members whose processes run, whose disks work, and which hold the view. @example CopyRecovery.living(fleet, view) */
-  living(fleet: ControlFleet, view: View): number {
+  living(fleet: ControlFleet, view: ShardView): number {
     return fleet.names("store").filter((name) => {
       const store = CopyRecovery.store(fleet, name);
-      const copy = store?.copies.get(view.shard);
+      const replica = store?.replicas.get(view.shard);
       return (
         view.members.includes(store?.node.self.id ?? "") &&
-        copy?.view?.epoch === view.epoch &&
-        (copy.role === "lead" || copy.role === "member") &&
+        replica?.view?.epoch === view.epoch &&
+        (replica.role === "lead" || replica.role === "member") &&
         !fleet.disks.get(name)!.failing
       );
     }).length;
   },
   /** Whether every shard has all its copies. @example CopyRecovery.isWhole(fleet) */
-  isWhole(fleet: ControlFleet, copies = 3): boolean {
+  isWhole(fleet: ControlFleet, replicas = 3): boolean {
     const views = CopyRecovery.views(fleet);
     return (
       views.length === 8 &&
-      views.every((view) => view.members.length === copies && CopyRecovery.living(fleet, view) === copies)
+      views.every((view) => view.members.length === replicas && CopyRecovery.living(fleet, view) === replicas)
     );
   },
   /** A fixed mix of all losses. @example CopyRecovery.trials(100) */
