--- a/test/cutOff.test.ts
+++ b/test/cutOff.test.ts
@@ -1,18 +1,18 @@
-import { StoreNode } from "../src/storage/storageNode";
+import { StorageNode } from "../src/storage/storageNode";
 import { ControlFleet } from "./controlFleet";
 
 type Way = "in" | "out" | "both";
 /** The newest version that was acknowledged counts after this long, ms: `config_apply_ms`. */
 const applyMs = 2000;
-const binding = { kind: "lookup", pool: "p", path: "/x" };
+const route = { kind: "lookup", pool: "p", path: "/x" };
 const http = (fleet: ControlFleet, name: string): string => fleet.settings.get(name)!.http;
 const put = async (fleet: ControlFleet, version: number, at: string): Promise<number> => {
-  const bindings = { [`only-in-${version}`]: binding };
+  const routes = { [`only-in-${version}`]: route };
   const headers = { "if-match": String(version - 1) };
-  return (await fleet.ask("PUT", "/v1/manifest", { version, bindings }, headers, http(fleet, at))).status;
+  return (await fleet.ask("PUT", "/v1/manifest", { version, bindings: routes }, headers, http(fleet, at))).status;
 };
 const versionAt = (fleet: ControlFleet, name: string): number =>
-  fleet.ingress(name)?.frame().control?.manifest.version ?? 0;
+  fleet.ingress(name)?.snapshot().control?.manifest.version ?? 0;
 const serves = (fleet: ControlFleet, name: string): boolean => fleet.ingress(name)?.unready() === undefined;
 const servesVersion = (fleet: ControlFleet, name: string, version: number): boolean =>
   fleet.ingress(name) !== undefined && serves(fleet, name) && versionAt(fleet, name) === version;
@@ -21,21 +21,21 @@
 
 async function started(seed: number, ingresses = 4): Promise<ControlFleet> {
   const fleet = new ControlFleet(seed, { controls: 4, ingresses });
-  expect(await fleet.until(() => fleet.lead() !== undefined, 5000)).toBeDefined();
-  expect(await fleet.until(async () => (await put(fleet, 1, fleet.lead()!)) === 200, 8000)).toBeDefined();
+  expect(await fleet.until(() => fleet.leader() !== undefined, 5000)).toBeDefined();
+  expect(await fleet.until(async () => (await put(fleet, 1, fleet.leader()!)) === 200, 8000)).toBeDefined();
   expect(await fleet.until(() => allServe(fleet, 1), 5000)).toBeDefined();
   return fleet;
 }
 const isVoter = (fleet: ControlFleet, name: string): boolean =>
-  fleet.control(fleet.lead()!)!.group.voters().includes(fleet.control(name)!.node.self.id);
+  fleet.control(fleet.leader()!)!.group.voters().includes(fleet.control(name)!.node.self.id);
 /** The lead, or a voter that does not lead. */
 const victim = (fleet: ControlFleet, leading: boolean): string =>
-  leading ? fleet.lead()! : fleet.names("control").find((name) => name !== fleet.lead() && isVoter(fleet, name))!;
+  leading ? fleet.leader()! : fleet.names("control").find((name) => name !== fleet.leader() && isVoter(fleet, name))!;
 /** A change by the side that holds the majority, once it has a lead. */
 async function changeOutside(fleet: ControlFleet, island: string[], version: number): Promise<void> {
   const outside = fleet.names("control").find((name) => !island.includes(name))!;
-  const leads = (): boolean => fleet.lead() !== undefined && !island.includes(fleet.lead()!);
-  expect(await fleet.until(leads, 8000)).toBeDefined();
+  const leaders = (): boolean => fleet.leader() !== undefined && !island.includes(fleet.leader()!);
+  expect(await fleet.until(leaders, 8000)).toBeDefined();
   expect(await fleet.until(async () => (await put(fleet, version, outside)) === 200, 5000)).toBeDefined();
 }
 /** Which of these served anything but the newest while time passed. */
@@ -109,7 +109,7 @@
       if (fleet.ingress("ingress-1")) expect(serves(fleet, "ingress-1")).toBe(false);
     }
     fleet.restart(lost[0]);
-    expect(await fleet.until(() => fleet.lead() !== undefined, 8000)).toBeDefined();
+    expect(await fleet.until(() => fleet.leader() !== undefined, 8000)).toBeDefined();
     expect(await fleet.until(() => allServe(fleet, 1), 2000)).toBeLessThan(500);
     expect(fleet.close()).toEqual([]);
   });
@@ -120,7 +120,7 @@
       for (const name of names) fleet.kill(name, true);
       await fleet.run(1000);
       for (const name of names) fleet.restart(name);
-      expect(await fleet.until(() => fleet.lead() !== undefined, 8000)).toBeDefined();
+      expect(await fleet.until(() => fleet.leader() !== undefined, 8000)).toBeDefined();
       expect([seed, await fleet.until(() => allServe(fleet, 1), 3000)]).toEqual([seed, expect.any(Number)]);
       fleet.close();
     }
@@ -163,10 +163,10 @@
 test("a store that starts on the cut-off side takes up no duty there", async () => {
   const fleet = new ControlFleet(51, { controls: 4, stores: 3, ingresses: 1 });
   const vouches = (name: string): boolean => {
-    const store = fleet.running.get(name) as unknown as StoreNode | undefined;
+    const store = fleet.running.get(name) as unknown as StorageNode | undefined;
     return store?.node.vouches() ?? false;
   };
-  expect(await fleet.until(() => fleet.lead() !== undefined, 5000)).toBeDefined();
+  expect(await fleet.until(() => fleet.leader() !== undefined, 5000)).toBeDefined();
   expect(await fleet.until(() => fleet.names("store").every(vouches), 5000)).toBeDefined();
   const control = victim(fleet, false);
   fleet.cutOff([control, "store-1", "store-2"]);
--- a/test/direct.test.ts
+++ b/test/direct.test.ts
@@ -1,22 +1,22 @@
-import { ReplicaHttp } from "../src/adapters/endpointHttp";
+import { EndpointHttp } from "../src/adapters/endpointHttp";
 import { HeaderNames, ownHeaderNames } from "../src/adapters/headerNames";
-import { Binding, ControlState } from "../src/control/controlState";
-import { Chooser } from "../src/routing/endpointSelector";
-import { Frame, Replica } from "../src/node/clusterSnapshot";
-import { Room } from "../src/routing/admissionQueue";
+import { Route, ControlState } from "../src/control/controlState";
+import { EndpointSelector } from "../src/routing/endpointSelector";
+import { ClusterSnapshot, Endpoint } from "../src/node/clusterSnapshot";
+import { AdmissionQueue } from "../src/routing/admissionQueue";
 import { Csp, Task } from "../src/runtime/csp";
-import { Env, EnvTools, HttpIn, HttpReply } from "../src/runtime/env";
-import { BindingTable } from "../src/routing/routeTable";
-import { DirectIntake } from "../src/ingress/directRequestHandler";
-import { IngressNode, Reply } from "../src/ingress/ingressNode";
-import { Slab } from "../src/ingress/requestTable";
+import { Env, EnvTools, HttpExchange, HttpResponse } from "../src/runtime/env";
+import { RouteTable } from "../src/routing/routeTable";
+import { DirectRequestHandler } from "../src/ingress/directRequestHandler";
+import { IngressNode, CallerResponse } from "../src/ingress/ingressNode";
+import { RequestTable } from "../src/ingress/requestTable";
 import { Result } from "../src/common/fault";
 import { SimDisk } from "../src/simulation/simDisk";
 import { SimWorld } from "../src/simulation/simWorld";
 
 type Seen = { method: string; target: string; headers: Record<string, string>; body: string };
-type Behaviour = (incoming: HttpIn, seen: Seen, env: Env) => Task<void>;
-const binding = (more: Partial<Binding>): Binding => ({
+type Behaviour = (incoming: HttpExchange, seen: Seen, env: Env) => Task<void>;
+const route = (more: Partial<Route>): Route => ({
   kind: "lookup",
   pool: "desk",
   path: "/",
@@ -30,7 +30,7 @@
   targetMs: 200,
   ...more,
 });
-const replica = (at: number): Replica => ({
+const endpoint = (at: number): Endpoint => ({
   key: `replica/r${at}/i${at}`,
   id: `r${at}`,
   instance: `i${at}`,
@@ -46,7 +46,7 @@
 });
 const event = (n: number, data = `piece ${n}`): string => `id: ${n}\ndata: ${data}\n\n`;
 const sse = { "content-type": "text/event-stream" };
-const echo = (incoming: HttpIn): Record<string, string> => ({ "x-request-id": incoming.headers["x-request-id"] });
+const echo = (incoming: HttpExchange): Record<string, string> => ({ "x-request-id": incoming.headers["x-request-id"] });
 const whole: Behaviour = function* (incoming) {
   incoming.send(200, echo(incoming), "reply");
 };
@@ -57,43 +57,43 @@
   readonly seen: Seen[] = [];
   endedAt = 0;
   private readonly caller = this.world.start("caller", new SimDisk(this.world));
-  constructor(bindings: Record<string, Binding>, behaviours: Behaviour[], names: HeaderNames = ownHeaderNames) {
+  constructor(routes: Record<string, Route>, behaviours: Behaviour[], names: HeaderNames = ownHeaderNames) {
     const process = this.world.start("ingress", new SimDisk(this.world));
     const { env } = process;
     const state = ControlState.empty();
-    const frame: Frame = {
+    const snapshot: ClusterSnapshot = {
       number: 1,
-      control: ControlState.frame({ ...state, manifest: { version: 1, doc: { bindings } } }, 1),
+      control: ControlState.frame({ ...state, manifest: { version: 1, doc: { bindings: routes } } }, 1),
       members: [],
-      replicas: behaviours.map((_, at) => replica(at)),
+      replicas: behaviours.map((_, at) => endpoint(at)),
       crowded: {},
       fresh: true,
       vouched: true,
     };
-    const chooser = new Chooser(env, "i");
+    const endpointSelector = new EndpointSelector(env, "i");
     const ingress = {
       env,
       id: "i",
       names,
       stopping: false,
-      frame: () => frame,
+      snapshot: () => snapshot,
       held: () => undefined,
       bodyLimit: () => 100_000,
       note: () => undefined,
       counts: { lookups: 0, busies: 0, failures: 0 },
-      chooser,
-      room: new Room(env, chooser, () => undefined),
+      endpointSelector,
+      room: new AdmissionQueue(env, endpointSelector, () => undefined),
       counted: (_name: string, body: () => Task<void>) => body(),
     } as unknown as IngressNode;
-    const direct = new DirectIntake(ingress);
+    const direct = new DirectRequestHandler(ingress);
     Csp.go(env.scope, "serve", () => env.serveHttp("10.0.0.1:80", (incoming) => direct.serve(incoming)));
     behaviours.forEach((behave, at) => {
-      const { env: replicaEnv } = this.world.start(`replica-${at}`, new SimDisk(this.world));
-      const serve = (incoming: HttpIn): Task<void> => this.serve(incoming, behave, replicaEnv);
-      Csp.go(replicaEnv.scope, "serve", () => replicaEnv.serveHttp(`10.0.1.${at}:80`, serve));
+      const { env: endpointEnv } = this.world.start(`replica-${at}`, new SimDisk(this.world));
+      const serve = (incoming: HttpExchange): Task<void> => this.serve(incoming, behave, endpointEnv);
+      Csp.go(endpointEnv.scope, "serve", () => endpointEnv.serveHttp(`10.0.1.${at}:80`, serve));
     });
   }
-  private *serve(incoming: HttpIn, behave: Behaviour, env: Env): Task<void> {
+  private *serve(incoming: HttpExchange, behave: Behaviour, env: Env): Task<void> {
     const body = yield* incoming.body(100_000);
     if (!body.ok) return;
     const seen = {
@@ -114,15 +114,15 @@
     const bench = this;
     await this.world.run(50);
     Csp.go(env.scope, "ask", function* () {
-      const replied = yield* env.http("10.0.0.1:80", {
+      const response = yield* env.http("10.0.0.1:80", {
         method: "POST",
         path,
         headers: { host: "kiln.example", "x-request-id": "q1", ...headers },
         body: Buffer.from("body"),
         timeoutMs: 9000,
       });
-      if (!replied.ok) throw new Error(replied.fault.detail);
-      const reply: HttpReply = replied.value;
+      if (!response.ok) throw new Error(response.fault.detail);
+      const reply: HttpResponse = response.value;
       got = { status: reply.status, headers: reply.headers, body: yield* EnvTools.bodyOf(env, reply, 100_000, 9000) };
       bench.endedAt = bench.world.now;
     });
@@ -132,12 +132,12 @@
 }
 
 test("the longest prefix of the host is found, whole segments only", () => {
-  const table = BindingTable.of({
+  const table = RouteTable.of({
     bindings: {
-      a: binding({ prefix: "/" }),
-      b: binding({ prefix: "/x/" }),
-      c: binding({ prefix: "/x/y/" }),
-      d: binding({ host: "other.example", prefix: "/x/y/z/" }),
+      a: route({ prefix: "/" }),
+      b: route({ prefix: "/x/" }),
+      c: route({ prefix: "/x/y/" }),
+      d: route({ host: "other.example", prefix: "/x/y/z/" }),
     },
   });
   const name = (host: string, path: string): string | undefined => table.find(host, path)?.name;
@@ -149,7 +149,7 @@
   ]).toEqual(["c", "b", "a", undefined]);
 });
 test("method, path, query, body and end-to-end headers pass unchanged; the reply comes back as it was", async () => {
-  const bench = new Bench({ desk: binding({}) }, [
+  const bench = new Bench({ desk: route({}) }, [
     function* (incoming) {
       incoming.send(201, { ...echo(incoming), "x-own": "7", connection: "close" }, "done");
     },
@@ -164,26 +164,26 @@
   const cut: Behaviour = function* (incoming) {
     incoming.abort();
   };
-  const lost = new Bench({ desk: binding({ safe: false }) }, [cut, cut, cut]);
+  const lost = new Bench({ desk: route({ safe: false }) }, [cut, cut, cut]);
   expect((await lost.ask("/desk/1")).status).toBe(502);
   expect(lost.seen).toHaveLength(1);
   const notRun: Behaviour = function* (incoming) {
     incoming.send(503, { ...echo(incoming), "x-not-run": "1" }, "");
   };
-  const refused = new Bench({ desk: binding({ safe: false, rounds: 2 }) }, [notRun, notRun, notRun]);
+  const refused = new Bench({ desk: route({ safe: false, rounds: 2 }) }, [notRun, notRun, notRun]);
   const got = await refused.ask("/desk/1");
   expect(refused.seen).toHaveLength(2);
   expect([got.status, Number(got.headers["retry-after"]) < 1]).toEqual([503, true]);
-  const second = new Bench({ desk: binding({ safe: false }) }, [notRun, whole]);
+  const second = new Bench({ desk: route({ safe: false }) }, [notRun, whole]);
   expect(await second.ask("/desk/1")).toMatchObject({ status: 200, body: "reply" });
 });
 test("a reply of another request reaches nobody; what is safe is tried elsewhere", async () => {
   const stranger: Behaviour = function* (incoming) {
     incoming.send(200, { "x-request-id": "another" }, "not yours");
   };
-  const unsafe = new Bench({ desk: binding({ safe: false }) }, [stranger]);
+  const unsafe = new Bench({ desk: route({ safe: false }) }, [stranger]);
   expect((await unsafe.ask("/desk/1")).status).toBe(502);
-  const safe = new Bench({ desk: binding({}) }, [stranger, whole]);
+  const safe = new Bench({ desk: route({}) }, [stranger, whole]);
   expect(await safe.ask("/desk/1")).toMatchObject({ status: 200, body: "reply" });
 });
 test("an exact stream goes on at another replica from the last piece, each piece once", async () => {
@@ -197,12 +197,12 @@
     else incoming.end();
   };
   const stream = { kind: "stream" as const, continues: "exact" as const };
-  const bench = new Bench({ desk: binding(stream) }, [half, half, half]);
+  const bench = new Bench({ desk: route(stream) }, [half, half, half]);
   expect(await bench.ask("/desk/1")).toMatchObject({
     status: 200,
     body: [1, 2, 3, 4, 5, 6].map((n) => event(n)).join(""),
   });
-  const ended = new Bench({ desk: binding({ ...stream, safe: false, continues: "no" }) }, [half, half]);
+  const ended = new Bench({ desk: route({ ...stream, safe: false, continues: "no" }) }, [half, half]);
   expect((await ended.ask("/desk/1")).body).toBeUndefined(); // cut, never ended as if whole
   expect(ended.seen).toHaveLength(1);
 });
@@ -212,14 +212,14 @@
     incoming.write(event(1) + event(3));
     incoming.end();
   };
-  const bench = new Bench({ desk: binding({ kind: "stream", safe: false }) }, [skips]);
+  const bench = new Bench({ desk: route({ kind: "stream", safe: false }) }, [skips]);
   expect((await bench.ask("/desk/1")).body).toBeUndefined();
 });
 test("a silent replica is left for another, where that is safe, and is not asked again at once", async () => {
   const dark: Behaviour = function* (incoming) {
     yield* Csp.take(incoming.gone);
   };
-  const bench = new Bench({ desk: binding({}) }, [dark, whole]);
+  const bench = new Bench({ desk: route({}) }, [dark, whole]);
   for (let n = 0; n < 3; n += 1) expect((await bench.ask(`/desk/${n}`)).status).toBe(200);
   expect(bench.seen.filter((seen) => seen.headers["x-target-instance"] === "i0").length).toBeLessThanOrEqual(2);
 });
@@ -232,7 +232,7 @@
 test("a promise that a replica did not give is not passed on: 502 without its signature; other failures keep status and signature", async () => {
   for (const kind of ["lookup", "stream"] as const)
     for (const status of [503, 429, 408]) {
-      const bench = new Bench({ desk: binding({ kind, safe: false }) }, [failing(status), failing(status)], signed);
+      const bench = new Bench({ desk: route({ kind, safe: false }) }, [failing(status), failing(status)], signed);
       const got = await bench.ask("/desk/1");
       expect([status, got.status, got.headers["x-signature"], got.headers["retry-after"]]).toEqual([
         status,
@@ -243,16 +243,16 @@
       expect(bench.seen).toHaveLength(1);
     }
   for (const status of [500, 504, 422, 404]) {
-    const bench = new Bench({ desk: binding({ safe: false }) }, [failing(status)], signed);
+    const bench = new Bench({ desk: route({ safe: false }) }, [failing(status)], signed);
     expect(await bench.ask("/desk/1")).toMatchObject({ status, headers: { "x-signature": "s1" }, body: "no" });
   }
 });
 test("what may be repeated is tried elsewhere after such a failure, and ends without a promise once no attempt is left", async () => {
   for (const status of [503, 429, 408]) {
-    const saved = new Bench({ desk: binding({}) }, [failing(status), failing(200)], signed);
+    const saved = new Bench({ desk: route({}) }, [failing(status), failing(200)], signed);
     expect((await saved.ask("/desk/1")).status).toBe(200);
     const bench = new Bench(
-      { desk: binding({ rounds: 2 }) },
+      { desk: route({ rounds: 2 }) },
       [1, 2, 3].map(() => failing(status)),
       signed,
     );
@@ -264,10 +264,10 @@
   const others: Behaviour = function* (incoming) {
     incoming.send(503, { "x-request-id": "another", "x-not-run": "1" }, "");
   };
-  const bench = new Bench({ desk: binding({ safe: false }) }, [others, others]);
+  const bench = new Bench({ desk: route({ safe: false }) }, [others, others]);
   expect((await bench.ask("/desk/1")).status).toBe(502);
   expect(bench.seen).toHaveLength(1);
-  const moved = new Bench({ desk: binding({ safe: false }) }, [failing(421), whole]);
+  const moved = new Bench({ desk: route({ safe: false }) }, [failing(421), whole]);
   expect((await moved.ask("/desk/1")).status).toBe(200);
 });
 test("a single reply with a status that promises, and not the replica's refusal, is a failure and no reply", async () => {
@@ -282,8 +282,8 @@
   const caller = world.start("caller", new SimDisk(world));
   for (status of [408, 421, 429, 503]) {
     const delivery = { path: "/", id: "q", round: 1, body: "{}", pieces: [], deadlineMs: 1000, safe: false };
-    const replied = await world.finish(caller, () => ReplicaHttp.single(caller.env, replica(0), delivery), 2000);
-    expect(replied).toMatchObject({ ok: false, fault: { tag: "broken" } });
+    const response = await world.finish(caller, () => EndpointHttp.single(caller.env, endpoint(0), delivery), 2000);
+    expect(response).toMatchObject({ ok: false, fault: { tag: "broken" } });
   }
 });
 test("no more replicas run one request than its route's attempts, counting resumed streams and attempts that may have run", async () => {
@@ -302,11 +302,11 @@
   const stream = { kind: "stream" as const, continues: "exact" as const };
   const five = (behaviour: Behaviour): Behaviour[] => Array.from({ length: 5 }, () => behaviour);
   for (const rounds of [1, 2, 4]) {
-    const streams = new Bench({ desk: binding({ ...stream, rounds }) }, five(oneEvent));
+    const streams = new Bench({ desk: route({ ...stream, rounds }) }, five(oneEvent));
     expect((await streams.ask("/desk/1")).body).toBeUndefined();
     expect(streams.seen).toHaveLength(rounds);
     for (const behaviour of [cut, dark]) {
-      const lookups = new Bench({ desk: binding({ rounds }) }, five(behaviour));
+      const lookups = new Bench({ desk: route({ rounds }) }, five(behaviour));
       expect([502, 504]).toContain((await lookups.ask("/desk/1")).status);
       expect(lookups.seen).toHaveLength(rounds);
     }
@@ -325,26 +325,26 @@
       }),
     );
   }
-  const pool = [0, 1, 2].map(replica);
+  const pool = [0, 1, 2].map(endpoint);
   const state = ControlState.empty();
   const fed = { number: 1, control: ControlState.frame(state, 1), members: [], replicas: pool, crowded: {} };
-  const chooser = new Chooser(env, "i");
-  const room = new Room(env, chooser, () => undefined);
-  const slab = new Slab<Result<Reply>>(4);
+  const endpointSelector = new EndpointSelector(env, "i");
+  const room = new AdmissionQueue(env, endpointSelector, () => undefined);
+  const requestTable = new RequestTable<Result<CallerResponse>>(4);
   const counts = { lookups: 0, busies: 0, failures: 0 };
   const ingress = Object.assign(Object.create(IngressNode.prototype) as IngressNode, { note: () => undefined }, {
     env,
     id: "i",
     fed: { ...fed, fresh: true, vouched: true },
-    chooser,
+    endpointSelector,
     room,
-    slab,
+    requestTable,
     counts,
   } as object);
-  const accepted = { name: "desk", binding: binding({ rounds: 1 }), caller: "", order: 1, cause: {}, deadlineMs: 3000 };
+  const accepted = { name: "desk", route: route({ rounds: 1 }), caller: "", order: 1, cause: {}, deadlineMs: 3000 };
   await world.run(50);
-  const outcomes: Result<Reply>[] = [];
-  const ticket = slab.open((outcome) => outcomes.push(outcome))!;
+  const outcomes: Result<CallerResponse>[] = [];
+  const ticket = requestTable.open((outcome) => outcomes.push(outcome))!;
   Csp.go(env.scope, "lookup", () => ingress.lookup(ticket, "q1", accepted, "{}"));
   await world.run(5000);
   expect([outcomes.length, outcomes[0].ok, runs]).toEqual([1, false, 1]);
@@ -375,10 +375,10 @@
   for (const safe of [true, false])
     for (const behaviour of [dark, drips, dripsEvents]) {
       const kind = behaviour === dripsEvents ? "stream" : "lookup";
-      const [, heldMs] = await took(new Bench({ desk: binding({ kind, safe, deadlineMs: 1000 }) }, [behaviour]));
+      const [, heldMs] = await took(new Bench({ desk: route({ kind, safe, deadlineMs: 1000 }) }, [behaviour]));
       expect(heldMs).toBeLessThan(1250);
     }
-  const [status, heldMs] = await took(new Bench({ desk: binding({ pool: "none", targetMs: 400 }) }, [dark]));
+  const [status, heldMs] = await took(new Bench({ desk: route({ pool: "none", targetMs: 400 }) }, [dark]));
   expect(status).toBe(503);
   expect(heldMs).toBeLessThan(100 + 20); // and the ways there and back
 });
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -21,7 +21,7 @@
     await TestTools.run(function* (env) {
       fleet = new Fleet(env, plan, folder);
       fleet.startAll();
-      yield* fleet.startReplicas();
+      yield* fleet.startEndpoints();
       expect(yield* Fleet.configure(env, plan, deployment, 60_000)).toBe(true);
       expect(yield* Fleet.ready(env, plan, 60_000)).toBe(true);
       const history = new History();
@@ -58,11 +58,11 @@
         "one-position",
       ];
       expect(
-        Checker.check(history, fleet.replicas).filter((violation) => timeless.includes(violation.invariant)),
+        Checker.check(history, fleet.endpoints).filter((violation) => timeless.includes(violation.invariant)),
       ).toEqual([]);
       expect(history.of("lotFinished").length).toBeGreaterThanOrEqual(finished + 5);
-      const [lot] = callers.acceptedLots.keys();
-      const why = yield* Fleet.json(env, plan.ingressHttp[0], "GET", `/v1/why/${lot}`);
+      const [job] = callers.acceptedJobs.keys();
+      const why = yield* Fleet.json(env, plan.ingressHttp[0], "GET", `/v1/why/${job}`);
       expect(
         why?.body.entries.some((entry: { decision: string }) => entry.decision.startsWith("accepted with 12 items")),
       ).toBe(true);
--- a/test/fuzz.test.ts
+++ b/test/fuzz.test.ts
@@ -1,12 +1,12 @@
 import * as fc from "fast-check";
 import * as net from "net";
-import { EventPieces } from "../src/adapters/eventStreamReader";
+import { EventStreamReader } from "../src/adapters/eventStreamReader";
 import { Csp } from "../src/runtime/csp";
-import { HttpReply } from "../src/runtime/env";
+import { HttpResponse } from "../src/runtime/env";
 import { SimDisk } from "../src/simulation/simDisk";
 import { SimWorld } from "../src/simulation/simWorld";
 import { Rpc } from "../src/rpc/rpc";
-import { Wire } from "../src/rpc/envelopeCodec";
+import { EnvelopeCodec } from "../src/rpc/envelopeCodec";
 import { RawClient, RawWorld } from "./rawSockets";
 
 // Seeds are kept; FUZZ_RUNS=20000 FUZZ_SEED=7 npx jest dist/test/fuzz.test.js runs longer, from elsewhere.
@@ -15,7 +15,7 @@
 const settings = { seed, numRuns: runs, endOnFailure: false };
 const socketSettings = { ...settings, numRuns: Math.ceil(runs / 4) };
 const envelope = { kind: "ask" as const, correlation: 7, cluster: "a", verb: "echo", sender: "s" };
-const oneFrame = Wire.encode({ ...envelope, body: { n: [1, 2, 3], text: "x".repeat(40) } });
+const oneSnapshot = EnvelopeCodec.encode({ ...envelope, body: { n: [1, 2, 3], text: "x".repeat(40) } });
 /** Bytes that are almost right: a text with pieces of it cut out, doubled, changed or put in. */
 const harmed = (text: Buffer): fc.Arbitrary<Buffer> =>
   fc
@@ -36,29 +36,29 @@
 
 test("frames between processes: whatever comes is decoded as a whole envelope or not at all", () => {
   const bytes = fc.oneof(
-    harmed(oneFrame),
+    harmed(oneSnapshot),
     fc.uint8Array({ maxLength: 200 }).map((each) => Buffer.from(each)),
   );
   fc.assert(
-    fc.property(bytes, (frame) => {
-      const read = Wire.decode(frame, "a");
+    fc.property(bytes, (snapshot) => {
+      const read = EnvelopeCodec.decode(snapshot, "a");
       if (read === undefined) return;
       expect([read.cluster, typeof read.verb, typeof read.sender]).toEqual(["a", "string", "string"]);
-      expect(Wire.decode(Wire.encode(read), "a")).toEqual(read);
+      expect(EnvelopeCodec.decode(EnvelopeCodec.encode(read), "a")).toEqual(read);
     }),
     settings,
   );
   fc.assert(
     fc.property(fc.jsonValue(), fc.string({ maxLength: 40 }), fc.nat(0xffffffff), (body, verb, correlation) => {
       const message = { ...envelope, verb, correlation, body };
-      expect(JSON.stringify(Wire.decode(Wire.encode(message), "a"))).toEqual(JSON.stringify(message));
+      expect(JSON.stringify(EnvelopeCodec.decode(EnvelopeCodec.encode(message), "a"))).toEqual(JSON.stringify(message));
     }),
     settings,
   );
 });
 test("links: junk ends its own connection and no process; responses out of turn reach no asker", async () => {
   await fc.assert(
-    fc.asyncProperty(fc.array(harmed(oneFrame), { maxLength: 4 }), fc.nat(20), async (frames, offset) => {
+    fc.asyncProperty(fc.array(harmed(oneSnapshot), { maxLength: 4 }), fc.nat(20), async (snapshots, offset) => {
       const world = new SimWorld(3, () => undefined);
       const server = world.start("server", new SimDisk(world));
       const client = world.start("client", new SimDisk(world));
@@ -67,16 +67,16 @@
         const links = yield* server.env.listen("10.0.0.1:7");
         if (!links.ok) return;
         for (let link = yield* Csp.take(links.value); link !== null; link = yield* Csp.take(links.value)) {
-          const asked = Wire.decode((yield* Csp.take(link.incoming)) ?? Buffer.alloc(0), "a");
+          const asked = EnvelopeCodec.decode((yield* Csp.take(link.incoming)) ?? Buffer.alloc(0), "a");
           if (!asked) continue;
-          const reply = { ...envelope, kind: "reply" as const, body: "not yours" };
-          link.send(Wire.encode({ ...reply, correlation: asked.correlation + 1 + offset }));
-          link.send(Wire.encode({ ...reply, correlation: asked.correlation, body: "yours" }));
-          for (const frame of frames) link.send(frame);
+          const response = { ...envelope, kind: "reply" as const, body: "not yours" };
+          link.send(EnvelopeCodec.encode({ ...response, correlation: asked.correlation + 1 + offset }));
+          link.send(EnvelopeCodec.encode({ ...response, correlation: asked.correlation, body: "yours" }));
+          for (const snapshot of snapshots) link.send(snapshot);
         }
       });
       const rpc = new Rpc(client.env, "a", "c");
-      const asking = rpc.ask("10.0.0.1:7", "echo", {}, 400);
+      const asking = rpc.call("10.0.0.1:7", "echo", {}, 400);
       const got = await world.finish(client, () => asking, 2000);
       expect(got).toEqual({ ok: true, value: "yours" });
       const serving = new Rpc(server.env, "a", "s");
@@ -87,8 +87,8 @@
       await world.run(50);
       const thrown = function* () {
         const link = yield* client.env.connect("10.0.0.2:7", 300);
-        if (link.ok) for (const frame of frames) link.value.send(frame);
-        return yield* rpc.ask("10.0.0.2:7", "echo", "well", 400);
+        if (link.ok) for (const snapshot of snapshots) link.value.send(snapshot);
+        return yield* rpc.call("10.0.0.2:7", "echo", "well", 400);
       };
       expect(await world.finish(client, thrown, 2000)).toEqual({ ok: true, value: "well" });
       expect([...client.errors, ...server.errors]).toEqual([]);
@@ -114,7 +114,7 @@
       const { env, errors } = reader;
       const chunks = Csp.chan<Buffer>(64);
       let aborted = false;
-      const reply: HttpReply = {
+      const response: HttpResponse = {
         status: 200,
         headers: {},
         chunks,
@@ -131,7 +131,7 @@
       chunks.close();
       const ids: number[] = [];
       const read = function* () {
-        const pieces = new EventPieces(env, "r", reply, 0);
+        const pieces = new EventStreamReader(env, "r", response, 0);
         for (;;) {
           const got = yield* pieces.next(500);
           if (!got.ok) return false;
@@ -185,16 +185,16 @@
       socket.on("data", () => socket.end(bytes));
     });
     const ask = function* () {
-      const replied = yield* world.env.http(`127.0.0.1:${port}`, { method: "GET", path: "/", timeoutMs: 500 });
-      if (!replied.ok) return undefined;
+      const response = yield* world.env.http(`127.0.0.1:${port}`, { method: "GET", path: "/", timeoutMs: 500 });
+      if (!response.ok) return undefined;
       let body = "";
       for (
-        let chunk = yield* Csp.take(replied.value.chunks);
+        let chunk = yield* Csp.take(response.value.chunks);
         chunk !== null;
-        chunk = yield* Csp.take(replied.value.chunks)
+        chunk = yield* Csp.take(response.value.chunks)
       )
         body += chunk.toString("latin1");
-      return { body, whole: !replied.value.broken(), length: replied.value.headers["content-length"] };
+      return { body, whole: !response.value.broken(), length: response.value.headers["content-length"] };
     };
     await fc.assert(
       fc.asyncProperty(harmed(right), async (given) => {
--- a/test/group.test.ts
+++ b/test/group.test.ts
@@ -1,6 +1,6 @@
 import { Constants } from "../src/common/constants";
 import { Command, Outcome } from "../src/control/controlState";
-import { Piece, Transfer, TransferReceiver } from "../src/consensus/transfer";
+import { TransferChunk, Transfer, TransferReceiver } from "../src/consensus/transfer";
 import { Result } from "../src/common/fault";
 import { Csp } from "../src/runtime/csp";
 import { EnvTools } from "../src/runtime/env";
@@ -26,16 +26,16 @@
   it("tells the newest time at which a majority is known to have stood behind the lead", async () => {
     const control = new GroupWorld(3, 5);
     await control.boot();
-    const lead = control.lead()!;
-    const follower = control.voters.find((voter) => voter !== lead)!;
-    const age = (): number => lead.process.env.mono() - lead.group.quorumContactAt();
+    const leader = control.leader()!;
+    const follower = control.voters.find((voter) => voter !== leader)!;
+    const age = (): number => leader.process.env.mono() - leader.group.quorumContactAt();
     expect(age()).toBeLessThan(300);
     expect(follower.group.quorumContactAt()).toBe(-Infinity);
-    control.world.cutOff([lead.id], "both");
+    control.world.cutOff([leader.id], "both");
     await control.world.run(700);
     expect(age()).toBeGreaterThan(600);
     await control.world.run(4000);
-    expect(lead.group.quorumContactAt()).toBe(-Infinity);
+    expect(leader.group.quorumContactAt()).toBe(-Infinity);
     control.end();
   });
 });
@@ -44,12 +44,12 @@
   it("keeps a second change out while one is uncommitted, so that two leads never hold their leases at once", async () => {
     const control = new GroupWorld(5, 5);
     await control.boot();
-    const lead = control.lead()!;
-    const voters = lead.group.voters();
+    const leader = control.leader()!;
+    const voters = leader.group.voters();
     const spare = control.voters.map(({ id }) => id).filter((id) => !voters.includes(id));
     isolate(
       control,
-      voters.filter((id) => id !== lead.id),
+      voters.filter((id) => id !== leader.id),
     );
     await control.world.run(50);
     const { taken } = await control.propose(
@@ -62,11 +62,11 @@
     expect(taken).toBe(0);
     for (let looked = 0; looked < 50; looked += 1) {
       await control.world.run(100);
-      expect(control.voters.filter(({ group }) => group.holdsLead()).length).toBeLessThan(2);
+      expect(control.voters.filter(({ group }) => group.holdsLeader()).length).toBeLessThan(2);
     }
     control.world.heal();
     await control.world.run(3000);
-    const after = control.lead()!;
+    const after = control.leader()!;
     expect(after.group.voters()).toEqual(voters);
     const grown = [...voters, spare[0]];
     expect(await proposeAt(control, after, { tag: "voters", voters: grown })).toMatchObject({ ok: true });
@@ -77,50 +77,50 @@
   it("takes one member more or one less, nothing else", async () => {
     const control = new GroupWorld(5, 6);
     await control.boot();
-    const lead = control.lead()!;
-    const voters = lead.group.voters();
+    const leader = control.leader()!;
+    const voters = leader.group.voters();
     const spare = control.voters.map(({ id }) => id).filter((id) => !voters.includes(id));
-    const others = voters.filter((id) => id !== lead.id);
+    const others = voters.filter((id) => id !== leader.id);
     const wrong = [
       voters,
       [...voters, ...spare],
-      [lead.id],
+      [leader.id],
       [...others, spare[0]],
       [...voters, voters[0]],
       [...voters, spare[0], spare[0]],
       [],
     ];
     for (const asked of wrong)
-      expect(await proposeAt(control, lead, { tag: "voters", voters: asked })).toMatchObject({
+      expect(await proposeAt(control, leader, { tag: "voters", voters: asked })).toMatchObject({
         ok: false,
         fault: { tag: "conflict" },
       });
     const found: Command = { tag: "found", group: "another", voters };
-    expect(await proposeAt(control, lead, found)).toMatchObject({ ok: false, fault: { tag: "conflict" } });
-    expect(lead.group.voters()).toEqual(voters);
+    expect(await proposeAt(control, leader, found)).toMatchObject({ ok: false, fault: { tag: "conflict" } });
+    expect(leader.group.voters()).toEqual(voters);
     for (const asked of [[...voters, spare[0]], [...voters, ...spare], [...voters, spare[1]], voters])
-      expect(await proposeAt(control, lead, { tag: "voters", voters: asked })).toMatchObject({ ok: true });
+      expect(await proposeAt(control, leader, { tag: "voters", voters: asked })).toMatchObject({ ok: true });
     control.end();
   });
 
   it("lets a lead commit its own removal without counting itself, and step down then", async () => {
     const control = new GroupWorld(3, 7);
     await control.boot();
-    const lead = control.lead()!;
-    const others = lead.group.voters().filter((id) => id !== lead.id);
+    const leader = control.leader()!;
+    const others = leader.group.voters().filter((id) => id !== leader.id);
     // with one of the two left cut off, the lead and the other are no majority of the two
     control.world.cutOff([others[0]], "both");
-    const unsure = await proposeAt(control, lead, { tag: "voters", voters: others });
+    const unsure = await proposeAt(control, leader, { tag: "voters", voters: others });
     expect(unsure).toMatchObject({ ok: false, fault: { tag: "unknown" } });
-    expect(lead.group.holdsLead()).toBe(false);
+    expect(leader.group.holdsLeader()).toBe(false);
     control.world.heal();
     await control.world.run(4000);
-    expect(lead.group.role).toBe("follower");
-    expect(lead.group.state.voters).toEqual(others);
-    expect(others).toContain(control.lead()!.id);
+    expect(leader.group.role).toBe("follower");
+    expect(leader.group.state.voters).toEqual(others);
+    expect(others).toContain(control.leader()!.id);
     await control.propose(noops(3), 2000);
     await control.world.run(1000);
-    expect(lead.group.applied).toBe(control.lead()!.group.applied);
+    expect(leader.group.applied).toBe(control.leader()!.group.applied);
     control.end();
   });
 
@@ -141,12 +141,12 @@
   async function diverged(seed: number, own: number, upTo: number): Promise<{ control: GroupWorld; cutOff: Voter }> {
     const control = new GroupWorld(3, seed);
     await control.boot();
-    const cutOff = control.lead()!;
+    const cutOff = control.leader()!;
     while (cutOff.group.applied < 394) await control.propose([noop], 2000);
     control.world.cutOff([cutOff.id], "both");
     await control.propose(noops(own), 300);
     await control.world.run(4000);
-    const next = control.lead()!;
+    const next = control.leader()!;
     while (next.group.applied < upTo) await control.propose(noops(Math.min(20, upTo - next.group.applied)), 2000);
     await control.world.run(1500);
     control.world.heal();
@@ -155,31 +155,31 @@
 
   it("a little past the index of the lead's snapshot: it catches up", async () => {
     const { control, cutOff } = await diverged(5, 12, 403);
-    expect(control.lead()!.group.baseIndex).toBeGreaterThan(394);
+    expect(control.leader()!.group.baseIndex).toBeGreaterThan(394);
     await control.world.run(3000);
-    expect(control.lead()!.group.applied).toBeGreaterThanOrEqual(403);
-    expect(cutOff.group.applied).toBe(control.lead()!.group.applied);
+    expect(control.leader()!.group.applied).toBeGreaterThanOrEqual(403);
+    expect(cutOff.group.applied).toBe(control.leader()!.group.applied);
     control.end();
   });
 
   it("past the index of the lead's snapshot, with the entries before it gone: the snapshot is taken", async () => {
     const { control, cutOff } = await diverged(5, 1000, 1250);
-    expect(control.lead()!.group.baseIndex).toBeGreaterThan(394 + Constants.groupTailEntries);
-    expect(cutOff.group.lastIndex()).toBeGreaterThan(control.lead()!.group.baseIndex);
+    expect(control.leader()!.group.baseIndex).toBeGreaterThan(394 + Constants.groupTailEntries);
+    expect(cutOff.group.lastIndex()).toBeGreaterThan(control.leader()!.group.baseIndex);
     await control.world.run(3000);
-    expect(cutOff.group.baseIndex).toBe(control.lead()!.group.baseIndex);
-    expect(cutOff.group.applied).toBe(control.lead()!.group.applied);
+    expect(cutOff.group.baseIndex).toBe(control.leader()!.group.baseIndex);
+    expect(cutOff.group.applied).toBe(control.leader()!.group.applied);
     control.end();
   });
 
   it("by hundreds of entries: the lead finds the last common one in a few requests", async () => {
     const control = new GroupWorld(3, 9);
     await control.boot();
-    const cutOff = control.lead()!;
+    const cutOff = control.leader()!;
     control.world.cutOff([cutOff.id], "both");
     await control.propose(noops(300), 300);
     await control.world.run(4000);
-    const next = control.lead()!;
+    const next = control.leader()!;
     await control.propose(noops(290), 2000);
     // a lead elected after them expects the whole of its own log at every follower
     control.world.cutOff([next.id], "both");
@@ -187,8 +187,8 @@
     const before = cutOff.meter.copy();
     control.world.heal();
     await control.world.run(3000);
-    expect(control.lead()!.id).not.toBe(cutOff.id);
-    expect(cutOff.group.applied).toBe(control.lead()!.group.applied);
+    expect(control.leader()!.id).not.toBe(cutOff.id);
+    expect(cutOff.group.applied).toBe(control.leader()!.group.applied);
     expect(cutOff.meter.since(before).frames).toBeLessThan(150);
     control.end();
   });
@@ -196,12 +196,12 @@
 
 describe("what a follower refuses", () => {
   const append = (control: GroupWorld, fields: object): object => {
-    const lead = control.lead()!;
+    const leader = control.leader()!;
     return {
-      group: lead.group.groupId(),
+      group: leader.group.groupId(),
       term: 1000,
-      lead: lead.id,
-      prevIndex: lead.group.applied,
+      lead: leader.id,
+      prevIndex: leader.group.applied,
       prevTerm: 1,
       entries: [],
       commit: 0,
@@ -212,7 +212,7 @@
     const from = control.voters.find((voter) => voter !== to)!;
     return (await control.world.finish(
       from.process,
-      () => from.rpc.ask(control.addressOf(to.id), verb, { to: to.id, ...body }, 500),
+      () => from.rpc.call(control.addressOf(to.id), verb, { to: to.id, ...body }, 500),
       1000,
     ))!;
   };
@@ -224,7 +224,7 @@
     await control.boot();
     await control.propose(noops(5), 2000);
     await control.world.run(1000);
-    const follower = control.voters.find((voter) => voter !== control.lead())!;
+    const follower = control.voters.find((voter) => voter !== control.leader())!;
     const { applied, commit } = follower.group;
     const state = structuredClone(follower.group.state);
     const overwriting = { prevIndex: 1, prevTerm: 1, entries: [{ index: 2, term: 999, command: noop }] };
@@ -241,7 +241,7 @@
   it("another group's, malformed and disordered messages, each with a numbered event and without harm", async () => {
     const control = new GroupWorld(3, 12);
     await control.boot();
-    const follower = control.voters.find((voter) => voter !== control.lead())!;
+    const follower = control.voters.find((voter) => voter !== control.leader())!;
     const last = follower.group.lastIndex();
     const base = { prevIndex: last, prevTerm: 1 };
     const bodies: object[] = [
@@ -263,23 +263,23 @@
     for (const body of bodies) {
       await control.world.run(6000);
       const before = logged(follower, 1321).length;
-      const replied = await ask(control, follower, "group.append", body);
-      expect({ body, replied }).toMatchObject({ replied: { ok: false, fault: { tag: "invalid" } } });
+      const response = await ask(control, follower, "group.append", body);
+      expect({ body, replied: response }).toMatchObject({ replied: { ok: false, fault: { tag: "invalid" } } });
       expect({ body, events: logged(follower, 1321).length }).toEqual({ body, events: before + 1 });
     }
     for (const verb of ["group.vote", "group.preVote"])
       for (const body of [{}, { group: "another", term: 5000, candidate: "c1", lastIndex: 9, lastTerm: 9 }]) {
         await control.world.run(6000);
         const before = logged(follower, 1321).length;
-        const replied = await ask(control, follower, verb, body);
-        expect(replied.ok && (replied.value as { granted: boolean }).granted).toBe(false);
+        const response = await ask(control, follower, verb, body);
+        expect(response.ok && (response.value as { granted: boolean }).granted).toBe(false);
         expect(logged(follower, 1321).length).toBe(before + 1);
       }
     expect(follower.group.lastIndex()).toBe(last);
     expect(control.voters.flatMap(({ process }) => process.errors)).toEqual([]);
     await control.propose([noop], 2000);
     await control.world.run(1000);
-    expect(follower.group.applied).toBe(control.lead()!.group.applied);
+    expect(follower.group.applied).toBe(control.leader()!.group.applied);
     control.end();
   });
 });
@@ -303,10 +303,10 @@
   async function caughtUpMs(control: GroupWorld, follower: Voter, withinMs: number): Promise<number> {
     const from = control.world.now;
     while (control.world.now - from < withinMs) {
-      const lead = control.lead();
-      if (lead) await control.propose([noop], 2000);
+      const leader = control.leader();
+      if (leader) await control.propose([noop], 2000);
       await control.world.run(200);
-      if (lead && lead.group.applied - follower.group.applied <= 2 && follower.group.applied > 0)
+      if (leader && leader.group.applied - follower.group.applied <= 2 && follower.group.applied > 0)
         return control.world.now - from;
     }
     return Infinity;
@@ -319,13 +319,13 @@
     await control.boot();
     control.kill("c4");
     expect(await control.propose([policies(control, 0, 4_000_000)], 5000)).toMatchObject({ taken: 1 });
-    while (control.lead()!.group.baseIndex <= Constants.groupTailEntries) await control.propose(noops(50), 3000);
+    while (control.leader()!.group.baseIndex <= Constants.groupTailEntries) await control.propose(noops(50), 3000);
     const before = elections(control);
     const follower = control.restart("c4", true);
     follower.process.linkBytesPerMs = slowLink;
     expect(await caughtUpMs(control, follower, 30_000)).toBeLessThan(4700);
     expect(follower.group.baseIndex).toBeGreaterThan(Constants.groupTailEntries);
-    expect(follower.group.state).toEqual(control.lead()!.group.state);
+    expect(follower.group.state).toEqual(control.leader()!.group.state);
     expect(elections(control)).toBe(before);
     control.end();
   });
@@ -335,11 +335,11 @@
     await control.boot();
     control.kill("c4");
     await control.propose([policies(control, 0, 4_000_000)], 5000);
-    while (control.lead()!.group.baseIndex <= Constants.groupTailEntries) await control.propose(noops(50), 3000);
+    while (control.leader()!.group.baseIndex <= Constants.groupTailEntries) await control.propose(noops(50), 3000);
     const follower = control.restart("c4", true);
     follower.process.linkBytesPerMs = slowLink;
-    const lead = control.lead()!;
-    const before = lead.meter.copy();
+    const leader = control.leader()!;
+    const before = leader.meter.copy();
     for (let cut = 0; cut < 3; cut += 1) {
       await control.world.run(500);
       control.world.cutOff(["c4"], "both");
@@ -347,14 +347,14 @@
       control.world.heal();
     }
     expect(await caughtUpMs(control, follower, 30_000)).toBeLessThan(4700);
-    expect(lead.meter.since(before).bytes).toBeLessThan(1.5 * 4_000_000);
+    expect(leader.meter.since(before).bytes).toBeLessThan(1.5 * 4_000_000);
     control.end();
   });
 
   it("a restarted voter takes long entries without an election, though it is needed for the majority", async () => {
     const control = new GroupWorld(3, 23);
     await control.boot();
-    const [follower, other] = control.voters.filter((voter) => voter !== control.lead());
+    const [follower, other] = control.voters.filter((voter) => voter !== control.leader());
     control.kill(follower.id);
     for (let version = 0; version < 4; version += 1)
       expect(await control.propose([policies(control, version, 1_000_000)], 5000)).toMatchObject({ taken: 1 });
@@ -362,13 +362,13 @@
     restarted.process.linkBytesPerMs = slowLink;
     await control.world.run(300);
     control.kill(other.id);
-    const lead = control.lead()!;
+    const leader = control.leader()!;
     const before = elections(control);
     for (let looked = 0; looked < 40; looked += 1) {
       await control.world.run(100);
-      expect(lead.group.holdsLead()).toBe(true);
+      expect(leader.group.holdsLeader()).toBe(true);
     }
-    expect(restarted.group.applied).toBe(lead.group.applied);
+    expect(restarted.group.applied).toBe(leader.group.applied);
     expect(await control.propose([noop], 2000)).toMatchObject({ taken: 1 });
     expect(elections(control)).toBe(before);
     control.end();
@@ -388,21 +388,21 @@
   it("vouches for nothing when it thaws, before it has heard anybody", async () => {
     const control = new GroupWorld(3, 31);
     await control.boot();
-    const lead = control.lead()!;
-    const others = control.voters.filter((voter) => voter !== lead);
-    lead.process.freeze();
+    const leader = control.leader()!;
+    const others = control.voters.filter((voter) => voter !== leader);
+    leader.process.freeze();
     await control.world.run(4000);
-    const next = control.lead()!;
+    const next = control.leader()!;
     expect(others).toContain(next);
-    const frozenAt = lead.group.quorumContactAt();
-    expect(lead.process.env.mono() - frozenAt).toBeGreaterThan(3500);
-    expect(lead.group.holdsLead()).toBe(false);
-    lead.process.wake();
+    const frozenAt = leader.group.quorumContactAt();
+    expect(leader.process.env.mono() - frozenAt).toBeGreaterThan(3500);
+    expect(leader.group.holdsLeader()).toBe(false);
+    leader.process.wake();
     for (let looked = 0; looked < 20; looked += 1) {
       await control.world.run(5);
-      expect(lead.group.holdsLead()).toBe(false);
+      expect(leader.group.holdsLeader()).toBe(false);
     }
-    expect(await proposeAt(control, lead, noop)).toMatchObject({ ok: false, fault: { tag: "notLead" } });
+    expect(await proposeAt(control, leader, noop)).toMatchObject({ ok: false, fault: { tag: "notLead" } });
     control.end();
   });
 });
@@ -421,11 +421,11 @@
     const recovered = await control.world.finish(restarted.process, () => restarted.group.recover(asked, []), 2000);
     expect(recovered).toMatchObject({ ok: true });
     await control.world.run(3000);
-    expect(control.lead()!.id).toBe(survivor.id);
+    expect(control.leader()!.id).toBe(survivor.id);
     const rejoined = control.restart(former.id);
     await control.world.run(3000);
     expect(rejoined.group.groupId()).toBe("group-scale+1");
-    expect(rejoined.group.applied).toBe(control.lead()!.group.applied);
+    expect(rejoined.group.applied).toBe(control.leader()!.group.applied);
     expect(rejoined.group.voters()).toEqual([survivor.id]);
     expect(control.world.processes.get(lost.id)!.alive).toBe(false);
     control.end();
@@ -436,8 +436,8 @@
   const content = { prevIndex: 4, prevTerm: 2, entries: [{ index: 5, term: 2, command: noop }] };
   const packed = Transfer.pack(content);
   const half = Math.floor(packed.bytes.length / 2);
-  const first = (): Piece => Transfer.piece("c1-2-1", packed, 0, half);
-  const second = (): Piece => Transfer.piece("c1-2-1", packed, half, packed.bytes.length);
+  const first = (): TransferChunk => Transfer.piece("c1-2-1", packed, 0, half);
+  const second = (): TransferChunk => Transfer.piece("c1-2-1", packed, half, packed.bytes.length);
 
   it("make the content again, also when some come twice or out of order", () => {
     const receiver = new TransferReceiver();
@@ -449,7 +449,7 @@
 
   it("are dropped when malformed, of a wrong size or damaged", () => {
     const receiver = new TransferReceiver();
-    const wrong: Partial<Piece>[] = [
+    const wrong: Partial<TransferChunk>[] = [
       { size: 0 },
       { size: Constants.transferBytes + 1 },
       { size: 1.5 },
@@ -479,34 +479,34 @@
     for (const seed of [51, 52, 53]) {
       const control = new GroupWorld(3, seed);
       await control.boot();
-      const lead = control.lead()!;
-      lead.process.disk.syncMs = [40, 5];
-      const last = lead.group.lastIndex() + 3 * Constants.groupLogKeep;
+      const leader = control.leader()!;
+      leader.process.disk.syncMs = [40, 5];
+      const last = leader.group.lastIndex() + 3 * Constants.groupLogKeep;
       // entries come one after the other, and are committed by the followers while an earlier one is being synced
       let proposing = true;
-      Csp.go(lead.process.scope, "proposals", function* () {
-        while (lead.group.lastIndex() < last) {
+      Csp.go(leader.process.scope, "proposals", function* () {
+        while (leader.group.lastIndex() < last) {
           for (let burst = 0; burst < 8; burst += 1)
-            Csp.go(lead.process.scope, "proposal", () => lead.group.propose(noop, 3000));
-          yield* EnvTools.sleep(lead.process.env, 5);
+            Csp.go(leader.process.scope, "proposal", () => leader.group.propose(noop, 3000));
+          yield* EnvTools.sleep(leader.process.env, 5);
         }
         proposing = false;
       });
       for (let waited = 0; proposing && waited < 300; waited += 1) await control.world.run(100);
       await control.world.run(1000);
-      expect(lead.group.baseIndex).toBeGreaterThan(0);
-      const held = lead.group.inspect().entries.map(({ index }) => index);
+      expect(leader.group.baseIndex).toBeGreaterThan(0);
+      const held = leader.group.inspect().entries.map(({ index }) => index);
       expect(held).toEqual(held.map((_index, at) => held[0] + at));
-      const { applied, baseIndex } = lead.group;
-      control.kill(lead.id);
-      const restarted = control.restart(lead.id);
+      const { applied, baseIndex } = leader.group;
+      control.kill(leader.id);
+      const restarted = control.restart(leader.id);
       await control.world.run(100);
       const reread = restarted.group.inspect().entries.map(({ index }) => index);
       expect({ seed, baseIndex: restarted.group.baseIndex }).toEqual({ seed, baseIndex });
       expect({ seed, reread }).toEqual({ seed, reread: reread.map((_index, at) => baseIndex + 1 + at) });
       await control.world.run(4000);
       expect(restarted.group.applied).toBeGreaterThanOrEqual(applied);
-      expect(restarted.group.applied).toBe(control.lead()!.group.applied);
+      expect(restarted.group.applied).toBe(control.leader()!.group.applied);
       expect(control.voters.flatMap(({ process }) => process.errors)).toEqual([]);
       control.end();
     }
--- a/test/kept.test.ts
+++ b/test/kept.test.ts
@@ -4,13 +4,13 @@
 import { Task } from "../src/runtime/csp";
 import { EnvTools } from "../src/runtime/env";
 import { TwoSlots } from "../src/runtime/twoSlots";
-import { ShardCopy } from "../src/shard/shardReplica";
-import { Op, PutOutcome } from "../src/shard/shardState";
+import { ShardReplica } from "../src/shard/shardReplica";
+import { ShardOperation, PutOutcome } from "../src/shard/shardState";
 import { SimDisk } from "../src/simulation/simDisk";
 import { SimProcess, SimWorld } from "../src/simulation/simWorld";
 import { Rpc } from "../src/rpc/rpc";
 
-const binding = {
+const route = {
   kind: "item" as const,
   pool: "p",
   path: "/",
@@ -21,8 +21,8 @@
 };
 const wallAt = 1_790_000_000_000;
 /** A shard of one store: its copy, opened and made the lead of the next view. */
-function* leading(process: SimProcess, epoch: number): Task<ShardCopy> {
-  const copy = new ShardCopy(process.env, new Rpc(process.env, "c", "s1"), "s1", 0, "d", {
+function* leading(process: SimProcess, epoch: number): Task<ShardReplica> {
+  const replica = new ShardReplica(process.env, new Rpc(process.env, "c", "s1"), "s1", 0, "d", {
     addressOf: () => undefined,
     bounds: () => Stamp.defaults,
     vouches: () => true,
@@ -31,18 +31,18 @@
     stopped: () => undefined,
     troubled: () => undefined,
   });
-  const opened = yield* copy.open();
+  const opened = yield* replica.open();
   if (!opened.ok) throw new Error(opened.fault.detail);
-  if (epoch > 1) yield* copy.onSeal({ epoch });
-  yield* copy.onInstall({ view: { shard: 0, epoch, members: ["s1"], lead: "s1" }, waitMs: 0 });
-  while (!copy.holdsGrant()) yield* EnvTools.sleep(process.env, 20);
-  return copy;
+  if (epoch > 1) yield* replica.onSeal({ epoch });
+  yield* replica.onInstall({ view: { shard: 0, epoch, members: ["s1"], lead: "s1" }, waitMs: 0 });
+  while (!replica.holdsLease()) yield* EnvTools.sleep(process.env, 20);
+  return replica;
 }
 let puts = 0;
-function* put(copy: ShardCopy, process: SimProcess, ops: Op[]): Task<PutOutcome> {
+function* put(replica: ShardReplica, process: SimProcess, ops: ShardOperation[]): Task<PutOutcome> {
   const putId = `p${(puts += 1)}`;
   for (;;) {
-    const done = yield* copy.put(
+    const done = yield* replica.put(
       { putId, stamp: { time: Math.floor(process.env.wall()), node: "n", seq: puts }, ops, cause: {} },
       5000,
     );
@@ -51,7 +51,7 @@
     yield* EnvTools.sleep(process.env, 10); // a lead that just began: its frontier is ahead by δ
   }
 }
-const order = (id: string, body = "h"): Op[] => [
+const order = (id: string, body = "h"): ShardOperation[] => [
   {
     op: "open",
     work: {
@@ -69,21 +69,21 @@
   },
   { op: "claim", id, round: 1, replica: "r", owner: "s1" },
 ];
-function* single(copy: ShardCopy, process: SimProcess, id: string): Task<void> {
-  yield* put(copy, process, [
+function* single(replica: ShardReplica, process: SimProcess, id: string): Task<void> {
+  yield* put(replica, process, [
     ...order(id),
     { op: "pieces", id, round: 1, first: 1, data: [`reply of ${id}`] },
     { op: "close", id, round: 1, state: "done", outcome: "" },
   ]);
 }
-const lotOrder = (id: string): Op => ({
+const jobOrder = (id: string): ShardOperation => ({
   op: "lot",
-  lot: { id, binding: "b", bodyHash: "beef00000000000", bodies: ["1", "2"], safe: false, order: 1, kept: binding },
+  lot: { id, binding: "b", bodyHash: "beef00000000000", bodies: ["1", "2"], safe: false, order: 1, kept: route },
 });
-function* lot(copy: ShardCopy, process: SimProcess, id: string): Task<void> {
-  yield* put(copy, process, [
-    lotOrder(id),
-    ...[1, 0].flatMap((item): Op[] => [
+function* job(replica: ShardReplica, process: SimProcess, id: string): Task<void> {
+  yield* put(replica, process, [
+    jobOrder(id),
+    ...[1, 0].flatMap((item): ShardOperation[] => [
       { op: "itemClaim", lot: id, item, round: 1, replica: "r", owner: "s1" },
       { op: "itemResult", lot: id, item, round: 1, state: "done", result: `${id}/${item}` },
     ]),
@@ -96,11 +96,11 @@
 };
 
 describe("far more than a few thousand requests and lots, then power lost at day's end", () => {
-  const [singles, lots] = [12_000, 3_000];
+  const [singles, jobs] = [12_000, 3_000];
   const world = new SimWorld(3);
   const disk = new SimDisk(world);
   disk.syncMs = [0.05, 0.1];
-  let copy: ShardCopy;
+  let replica: ShardReplica;
   let process: SimProcess;
   beforeAll(async () => {
     const before = world.start("day", disk);
@@ -108,51 +108,51 @@
       const filled = yield* leading(before, 1);
       for (let n = 0; n < singles; n += 1) {
         yield* single(filled, before, `key-${n}`);
-        if (n % 4 === 0) yield* lot(filled, before, `lot-${n / 4}`);
+        if (n % 4 === 0) yield* job(filled, before, `lot-${n / 4}`);
       }
       yield* EnvTools.sleep(before.env, 1000);
       yield* single(filled, before, "key-last"); // its entry carries the clock by which lots are sealed
     });
     world.kill("day", true);
     process = world.start("morning", disk);
-    copy = await inWorld(world, process, () => leading(process, 2));
+    replica = await inWorld(world, process, () => leading(process, 2));
   }, 120_000);
 
   test("every reply and every result in its position is read back; what is in memory is bounded", async () => {
     await inWorld(world, process, function* () {
       for (let n = 0; n < singles; n += 97) {
-        const work = yield* copy.work(`key-${n}`);
+        const work = yield* replica.work(`key-${n}`);
         expect(work.ok && work.value?.pieces[0].data).toBe(`reply of key-${n}`);
       }
-      for (let n = 0; n < lots; n += 29) {
-        const held = yield* copy.lot(`lot-${n}`);
+      for (let n = 0; n < jobs; n += 29) {
+        const held = yield* replica.job(`lot-${n}`);
         expect(held.ok && held.value?.positions).toEqual([1, 0]); // one put, one stamp: in the order logged
         expect(held.ok && held.value?.items.map((item) => item.result)).toEqual([`lot-${n}/0`, `lot-${n}/1`]);
       }
     });
-    expect(copy.data.works.size).toBeLessThanOrEqual(2 * Constants.segmentObjects.works);
-    expect(copy.data.lots.size).toBeLessThanOrEqual(2 * Constants.segmentObjects.lots);
+    expect(replica.data.works.size).toBeLessThanOrEqual(2 * Constants.segmentObjects.works);
+    expect(replica.data.lots.size).toBeLessThanOrEqual(2 * Constants.segmentObjects.lots);
   });
   test("a repeated key or lot id never runs again; with another body it is told apart", async () => {
     await inWorld(world, process, function* () {
       for (const id of ["key-0", `key-${singles - 1}`]) {
-        expect(yield* put(copy, process, order(id))).toEqual({ tag: "exists", same: true, state: "done" });
-        expect(yield* put(copy, process, order(id, "x"))).toEqual({ tag: "exists", same: false, state: "done" });
+        expect(yield* put(replica, process, order(id))).toEqual({ tag: "exists", same: true, state: "done" });
+        expect(yield* put(replica, process, order(id, "x"))).toEqual({ tag: "exists", same: false, state: "done" });
       }
-      for (const id of ["lot-0", `lot-${lots - 1}`])
-        expect(yield* put(copy, process, [lotOrder(id)])).toEqual({ tag: "exists", same: true, state: "finished" });
+      for (const id of ["lot-0", `lot-${jobs - 1}`])
+        expect(yield* put(replica, process, [jobOrder(id)])).toEqual({ tag: "exists", same: true, state: "finished" });
     });
   });
   test("trimmed by age: gone, never a new run; the ids outlive another start; what is newer stays", async () => {
     const trimmed = await inWorld(world, process, function* () {
-      const below = copy.segments.olderThan("works", process.env.wall() + 1) - 1;
-      yield* put(copy, process, [{ op: "trim", kind: "works", below, detail: "trimmed" }]);
+      const below = replica.segments.olderThan("works", process.env.wall() + 1) - 1;
+      yield* put(replica, process, [{ op: "trim", kind: "works", below, detail: "trimmed" }]);
       yield* EnvTools.sleep(process.env, 6000);
       return below;
     });
     expect(trimmed).toBeGreaterThan(30);
     expect([...disk.under("d").keys()].filter((name) => /^works-\d+\.seg$/.test(name)).length).toBe(
-      copy.data.segments.works - trimmed,
+      replica.data.segments.works - trimmed,
     );
     world.kill("morning", true);
     const next = world.start("next morning", disk);
@@ -182,7 +182,7 @@
         }
       });
       return inWorld(world, spoilt, function* () {
-        const segmented = new ShardCopy(spoilt.env, new Rpc(spoilt.env, "c", "s1"), "s1", 0, "d", {
+        const segmented = new ShardReplica(spoilt.env, new Rpc(spoilt.env, "c", "s1"), "s1", 0, "d", {
           addressOf: () => undefined,
           bounds: () => Stamp.defaults,
           vouches: () => true,
@@ -231,7 +231,7 @@
   [{ requestsMs: 999 }, "/retention/requestsMs: must not be shorter than the longest deadline, 1000"],
   [{ years: 1 }, "/retention/years: must NOT have additional properties"],
 ])("a retention of %j is refused with its path, in a manifest and in the calendar", (retention, path) => {
-  const doc = { bindings: { b: { ...binding, continues: undefined, prefixBytes: undefined } }, retention };
+  const doc = { bindings: { b: { ...route, continues: undefined, prefixBytes: undefined } }, retention };
   const checked = OperatorSchemas.manifest(JSON.parse(JSON.stringify(doc)));
   expect(!checked.ok && checked.fault.tag === "invalid" && checked.fault.paths).toContain(path);
   expect(
--- a/test/lotWorld.ts
+++ b/test/lotWorld.ts
@@ -1,21 +1,21 @@
-import { Binding } from "../src/control/controlState";
+import { Route } from "../src/control/controlState";
 import { Constants } from "../src/common/constants";
-import { Daemon, Running } from "../src/daemon/daemon";
+import { Daemon, RunningDaemon } from "../src/daemon/daemon";
 import { Fault, Result } from "../src/common/fault";
-import { Host } from "../src/node/nodeContext";
+import { NodeContext } from "../src/node/nodeContext";
 import { Node } from "../src/node/node";
 import { Settings } from "../src/common/settings";
 import { Csp, Task } from "../src/runtime/csp";
 import { EnvTools } from "../src/runtime/env";
-import { HandedItem, IntakeHost, LotIntake } from "../src/ingress/batchSubmission";
+import { SubmittedItem, BatchSubmissionHost, BatchSubmission } from "../src/ingress/batchSubmission";
 import { SimDisk } from "../src/simulation/simDisk";
 import { SimProcess, SimWorld } from "../src/simulation/simWorld";
-import { Listing } from "../src/storage/batchJobs";
-import { Putter } from "../src/storage/putClient";
-import { StoreNode } from "../src/storage/storageNode";
+import { JobListing } from "../src/storage/batchJobs";
+import { PutClient } from "../src/storage/putClient";
+import { StorageNode } from "../src/storage/storageNode";
 import { EventStandIn } from "../src/tools/eventStandIn";
 
-const district = (at: number): string => ["north", "east", "south", "west"][at % 4];
+const zone = (at: number): string => ["north", "east", "south", "west"][at % 4];
 const seeds = ["127.0.0.1:1"];
 
 /**
@@ -27,15 +27,15 @@
  */
 export class LotWorld {
   readonly world: SimWorld;
-  readonly replicas: EventStandIn[] = [];
-  readonly stores = new Map<string, StoreNode>();
+  readonly endpoints: EventStandIn[] = [];
+  readonly stores = new Map<string, StorageNode>();
   private readonly disks = new Map<string, SimDisk>();
   private readonly gone = new Set<string>();
   private version = 0;
   caller!: SimProcess;
-  readonly hosts: IntakeHost[] = [];
+  readonly hosts: BatchSubmissionHost[] = [];
   readonly nodes: Node[] = [];
-  static readonly binding: Binding = {
+  static readonly route: Route = {
     kind: "item",
     pool: "model",
     path: "/",
@@ -59,23 +59,23 @@
   static async start(
     seed: number,
     size: Partial<LotWorld["size"]> = {},
-    binding: Partial<Binding> = {},
+    route: Partial<Route> = {},
     log: (line: string) => void = () => undefined,
   ): Promise<LotWorld> {
-    const lots = new LotWorld(seed, { stores: 3, replicas: 2, events: 4, slots: 8, ...size }, log);
-    lots.process("control-1", { program: "control", address: seeds[0], founders: seeds, data: "data/control-1" });
-    for (let at = 1; at <= lots.size.stores; at += 1) lots.startStore(`store-${at}`);
-    for (let at = 1; at <= 2; at += 1) await lots.startCaller(at);
-    for (let at = 1; at <= lots.size.replicas; at += 1) await lots.startReplica(`r${at}`);
+    const jobs = new LotWorld(seed, { stores: 3, replicas: 2, events: 4, slots: 8, ...size }, log);
+    jobs.process("control-1", { program: "control", address: seeds[0], founders: seeds, data: "data/control-1" });
+    for (let at = 1; at <= jobs.size.stores; at += 1) jobs.startStore(`store-${at}`);
+    for (let at = 1; at <= 2; at += 1) await jobs.startCaller(at);
+    for (let at = 1; at <= jobs.size.replicas; at += 1) await jobs.startEndpoint(`r${at}`);
     for (
       let round = 0;
-      round < 40 && Object.keys(lots.node.frame().control?.views ?? {}).length < Constants.shardCount;
+      round < 40 && Object.keys(jobs.node.snapshot().control?.views ?? {}).length < Constants.shardCount;
       round += 1
     )
-      await lots.world.run(500);
-    await lots.configure({ b: { ...LotWorld.binding, ...binding } });
-    await lots.world.run(3000);
-    return lots;
+      await jobs.world.run(500);
+    await jobs.configure({ b: { ...LotWorld.route, ...route } });
+    await jobs.world.run(3000);
+    return jobs;
   }
   private process(name: string, settings: Partial<Settings>): SimProcess {
     const disk = this.disks.get(name) ?? new SimDisk(this.world);
@@ -83,16 +83,16 @@
     const process = this.world.start(name, disk);
     const whole = {
       cluster: "lots",
-      district: district(this.world.processes.size),
+      district: zone(this.world.processes.size),
       http: `127.0.0.1:${50_000 + +settings.address!.split(":")[1]}`,
       seeds,
       ...settings,
     } as Settings;
-    const lots = this;
+    const jobs = this;
     Csp.go(process.scope, "main", function* () {
-      const started: Result<Running> = yield* Daemon.start(process.env, whole);
+      const started: Result<RunningDaemon> = yield* Daemon.start(process.env, whole);
       if (!started.ok) throw new Error(started.fault.detail);
-      if (whole.program === "store") lots.stores.set(name, started.value as StoreNode);
+      if (whole.program === "store") jobs.stores.set(name, started.value as StorageNode);
     });
     return process;
   }
@@ -101,7 +101,7 @@
       program: "store",
       address: `127.0.0.1:${10 + +name.slice(6)}`,
       data: `data/${name}`,
-      district: district(+name.slice(6)),
+      district: zone(+name.slice(6)),
     });
   }
   /** Where lots are handed in; the first does what the tests ask. */
@@ -112,7 +112,7 @@
     const settings: Settings = {
       program: "agent",
       cluster: "lots",
-      district: district(at),
+      district: zone(at),
       address: `127.0.0.1:${88 + 2 * at}`,
       http: `127.0.0.1:${89 + 2 * at}`,
       seeds,
@@ -125,61 +125,61 @@
       env,
       rpc: node.rpc,
       settings: { district: settings.district },
-      putter: new Putter(env, node.rpc, node.self.id, () => node.frame()),
-      frame: () => node.frame(),
+      putClient: new PutClient(env, node.rpc, node.self.id, () => node.snapshot()),
+      snapshot: () => node.snapshot(),
     });
   }
-  get host(): IntakeHost {
+  get host(): BatchSubmissionHost {
     return this.hosts[0];
   }
   get node(): Node {
     return this.nodes[0];
   }
-  async startReplica(id: string): Promise<void> {
+  async startEndpoint(id: string): Promise<void> {
     const address = `127.0.0.1:${900 + +id.slice(1)}`;
     const process = this.world.start(`replica-${id}`, new SimDisk(this.world));
-    const replica = new EventStandIn(process.env, address, `${id}-1`, {
+    const endpoint = new EventStandIn(process.env, address, `${id}-1`, {
       events: this.size.events,
       eventMs: 25,
       slots: this.size.slots,
     });
-    this.replicas.push(replica);
-    await this.world.finish(process, () => replica.start(), 1000);
-    const lots = this;
+    this.endpoints.push(endpoint);
+    await this.world.finish(process, () => endpoint.start(), 1000);
+    const jobs = this;
     Csp.go(this.caller.scope, `announce ${id}`, function* () {
-      while (!lots.gone.has(id)) {
-        yield* Host.of(lots.node).announce({
+      while (!jobs.gone.has(id)) {
+        yield* NodeContext.of(jobs.node).announce({
           id,
           address,
           pool: "model",
           district: "north",
           version: "v1",
-          capacity: lots.size.slots,
+          capacity: jobs.size.slots,
           active: 0,
           waiting: 0,
           instance: `${id}-1`,
         });
-        yield* EnvTools.sleep(lots.caller.env, 900);
+        yield* EnvTools.sleep(jobs.caller.env, 900);
       }
-      yield* Host.of(lots.node).goodbye(id);
+      yield* NodeContext.of(jobs.node).goodbye(id);
     });
   }
   goodbye(id: string): void {
     this.gone.add(id);
   }
   /** @example await lots.configure({ b: LotWorld.binding }); */
-  async configure(bindings: Record<string, Binding>): Promise<void> {
-    const lots = this;
+  async configure(routes: Record<string, Route>): Promise<void> {
+    const jobs = this;
     const change = (): Task<Result<{ version: number }>> =>
-      Host.askControl(
-        Host.of(lots.node),
+      NodeContext.askControl(
+        NodeContext.of(jobs.node),
         {
           op: "change",
           command: {
             tag: "manifest",
-            changeId: `c${lots.version}`,
-            ifVersion: lots.version,
-            doc: { bindings },
+            changeId: `c${jobs.version}`,
+            ifVersion: jobs.version,
+            doc: { bindings: routes },
             by: "test",
           },
         },
@@ -195,25 +195,25 @@
     this.version = done.value.version;
   }
   /** @example await lots.ask((host) => LotIntake.list(host, "L1", 0, 0)) */
-  ask<T>(body: (host: IntakeHost) => Task<T>, withinMs = 20_000): Promise<T | undefined> {
+  ask<T>(body: (host: BatchSubmissionHost) => Task<T>, withinMs = 20_000): Promise<T | undefined> {
     return this.world.finish(this.caller, () => body(this.host), withinMs);
   }
-  items = (lot: string, count: number, tokens = 100): HandedItem[] =>
+  items = (job: string, count: number, tokens = 100): SubmittedItem[] =>
     Array.from({ length: count }, (_each, at) => ({
-      id: `${lot}-i${at}`,
+      id: `${job}-i${at}`,
       target: `/b/${at}?x=1`,
       headers: { "X-Prompt-Parts": "shared:300,own:20" },
-      body: Buffer.from(`body ${lot} ${at}`).toString("base64"),
+      body: Buffer.from(`body ${job} ${at}`).toString("base64"),
       tokens,
     }));
-  handIn = (lot: string, count: number, tokens = 100, withinMs = 3000) =>
+  handIn = (job: string, count: number, tokens = 100, withinMs = 3000) =>
     this.ask((host) =>
-      LotIntake.handIn(
+      BatchSubmission.handIn(
         host,
-        lot,
+        job,
         "b",
-        { ...LotWorld.binding, ...host.frame().control?.manifest.doc.bindings.b },
-        this.items(lot, count, tokens),
+        { ...LotWorld.route, ...host.snapshot().control?.manifest.doc.bindings.b },
+        this.items(job, count, tokens),
         withinMs,
       ),
     );
@@ -222,34 +222,34 @@
     const took = new Map<string, number>();
     for (const id of ids) {
       const startedAt = this.world.now;
-      const binding = { ...LotWorld.binding, ...this.host.frame().control?.manifest.doc.bindings.b };
-      const lots = this;
+      const route = { ...LotWorld.route, ...this.host.snapshot().control?.manifest.doc.bindings.b };
+      const jobs = this;
       Csp.go(this.caller.scope, `hand in ${id}`, function* () {
-        const handed = yield* LotIntake.handIn(lots.host, id, "b", binding, lots.items(id, count), 3000);
-        took.set(id, handed.ok ? lots.world.now - startedAt : Infinity);
+        const handed = yield* BatchSubmission.handIn(jobs.host, id, "b", route, jobs.items(id, count), 3000);
+        took.set(id, handed.ok ? jobs.world.now - startedAt : Infinity);
       });
     }
     while (took.size < ids.length) await this.world.run(10);
     return ids.map((id) => took.get(id)!);
   }
-  async list(lot: string, from = 0): Promise<Listing | undefined> {
-    const listed = await this.ask((host) => LotIntake.list(host, lot, from, 0));
+  async list(job: string, from = 0): Promise<JobListing | undefined> {
+    const listed = await this.ask((host) => BatchSubmission.list(host, job, from, 0));
     return listed?.ok ? listed.value : undefined;
   }
   /** Reads until all is listed, or for so long. @example await lots.whole("L1", 8000) */
-  async whole(lot: string, withinMs: number): Promise<Listing> {
+  async whole(job: string, withinMs: number): Promise<JobListing> {
     for (const until = this.world.now + withinMs; ;) {
-      const listed = await this.list(lot);
+      const listed = await this.list(job);
       if (listed && (listed.results.length === listed.total || this.world.now > until)) return listed;
       if (this.world.now > until)
-        throw new Error(`lot ${lot} not to be read: ${JSON.stringify(Fault.fail("timeout", "list", lot, ""))}`);
+        throw new Error(`lot ${job} not to be read: ${JSON.stringify(Fault.fail("timeout", "list", job, ""))}`);
       await this.world.run(250);
     }
   }
   /** The store that leads the lot's shard. @example lots.leadOf("L1") */
-  leadOf(lot: string): string {
-    const shard = this.host.putter.shardOf(lot);
-    return [...this.stores].find(([, store]) => store.copies.get(shard)?.holdsGrant())?.[0] ?? "";
+  leaderOf(job: string): string {
+    const shard = this.host.putClient.shardOf(job);
+    return [...this.stores].find(([, store]) => store.replicas.get(shard)?.holdsLease())?.[0] ?? "";
   }
   kill(name: string, powerLost = false): void {
     this.stores.delete(name);
--- a/test/manifestSteps.test.ts
+++ b/test/manifestSteps.test.ts
@@ -1,38 +1,41 @@
-import { Manifest } from "../src/control/controlState";
-import { Manifests } from "../src/control/configurations";
+import { Configuration } from "../src/control/controlState";
+import { Configurations } from "../src/control/configurations";
 import { HollowWorld } from "../src/tools/scale/hollowWorld";
 
-const doc = (count: number): Manifest => HollowWorld.frame(count, 1).manifest.doc;
+const doc = (count: number): Configuration => HollowWorld.snapshot(count, 1).manifest.doc;
 const versions = (hollow: HollowWorld): number[] =>
-  hollow.alive().map((member) => member.node.news.frame?.manifest.version ?? 0);
+  hollow.alive().map((member) => member.node.gossip.snapshot?.manifest.version ?? 0);
 const docs = (hollow: HollowWorld): Set<string> =>
-  new Set(hollow.alive().map((member) => JSON.stringify(member.node.news.frame?.manifest.doc)));
+  new Set(hollow.alive().map((member) => JSON.stringify(member.node.gossip.snapshot?.manifest.doc)));
 
 test("the change between two manifests, applied to the first, gives the second; none is told where it would be no shorter", () => {
   const from = doc(40);
   const patch = {
-    upsert: { bindings: { "tenant-3": HollowWorld.binding(99), more: HollowWorld.binding(7) } },
+    upsert: { bindings: { "tenant-3": HollowWorld.route(99), more: HollowWorld.route(7) } },
     remove: { bindings: ["tenant-5"] },
   };
-  const to = Manifests.patched(from, patch);
-  const found = Manifests.between(from, to)!;
+  const to = Configurations.patched(from, patch);
+  const found = Configurations.between(from, to)!;
   expect(Object.keys(found.upsert.bindings!)).toEqual(["tenant-3", "more"]);
-  expect(JSON.stringify(Manifests.patched(from, found))).toBe(JSON.stringify(to));
+  expect(JSON.stringify(Configurations.patched(from, found))).toBe(JSON.stringify(to));
   // the same by an operator's own form: what only control keeps is taken off, and items stay the same objects
-  const told = Manifests.patched(
+  const told = Configurations.patched(
     { ...from, origin: "x" },
-    { upsert: { bindings: { more: { ...HollowWorld.binding(7), origin: "y" } } }, remove: {} },
+    { upsert: { bindings: { more: { ...HollowWorld.route(7), origin: "y" } } }, remove: {} },
   );
   expect(
-    Object.keys(Manifests.between(Manifests.bare({ ...from, origin: "x" }), Manifests.bare(told))!.upsert.bindings!),
+    Object.keys(
+      Configurations.between(Configurations.bare({ ...from, origin: "x" }), Configurations.bare(told))!.upsert
+        .bindings!,
+    ),
   ).toEqual(["more"]);
   // another order, other settings beside the items, or most of it otherwise: whole
-  const turned: Manifest = { bindings: Object.fromEntries(Object.entries(from.bindings).reverse()) };
-  expect(Manifests.between(from, turned)).toBeUndefined();
-  expect(Manifests.between(from, { ...from, clock: { deltaMs: 1, epsilonMs: 1, bigDeltaMs: 1 } })).toBeUndefined();
-  expect(Manifests.between(from, doc(40))).toBeUndefined();
-  expect(Manifests.between({ ...from, limits: { bodyBytes: 1 } }, from)).toBeUndefined();
-  expect(Manifests.between(from, { ...from, pools: {} })).toBeUndefined();
+  const turned: Configuration = { bindings: Object.fromEntries(Object.entries(from.bindings).reverse()) };
+  expect(Configurations.between(from, turned)).toBeUndefined();
+  expect(Configurations.between(from, { ...from, clock: { deltaMs: 1, epsilonMs: 1, bigDeltaMs: 1 } })).toBeUndefined();
+  expect(Configurations.between(from, doc(40))).toBeUndefined();
+  expect(Configurations.between({ ...from, limits: { bodyBytes: 1 } }, from)).toBeUndefined();
+  expect(Configurations.between(from, { ...from, pools: {} })).toBeUndefined();
 });
 test("members take changes step by step, and end with the same manifest as its source, whoever missed some", async () => {
   const hollow = new HollowWorld({ members: 10, replicas: 0, zones: 5, regions: 2, seed: 6 });
@@ -41,16 +44,16 @@
   expect(await hollow.spreadChange(2, 5000)).toBeDefined();
   // one misses three, one is new and knows nothing
   hollow.world.cutOff(["hollow-10"], "both");
-  const { news } = hollow.alive()[0].node;
+  const { gossip: news } = hollow.alive()[0].node;
   for (let version = 3; version <= 5; version += 1) {
     const patch = {
-      upsert: { bindings: { [`new-${version}`]: HollowWorld.binding(version) } },
+      upsert: { bindings: { [`new-${version}`]: HollowWorld.route(version) } },
       remove: { bindings: [`tenant-${version}`] },
     };
-    news.offerFrame({
-      ...news.frame!,
+    news.offerSnapshot({
+      ...news.snapshot!,
       index: version,
-      manifest: { version, doc: Manifests.patched(news.frame!.manifest.doc, patch) },
+      manifest: { version, doc: Configurations.patched(news.snapshot!.manifest.doc, patch) },
     });
     await hollow.world.run(400);
   }
@@ -64,10 +67,10 @@
   hollow.end();
 }, 60_000);
 test("a change of one binding costs the same in a large manifest as in a small one", async () => {
-  const bytes = async (bindings: number): Promise<number> => {
+  const bytes = async (routes: number): Promise<number> => {
     const hollow = new HollowWorld({ members: 10, replicas: 0, zones: 5, regions: 2, seed: 7 });
     await hollow.boot(30_000);
-    await hollow.spread(bindings, 1, 5000);
+    await hollow.spread(routes, 1, 5000);
     await hollow.world.run(3000);
     const before = hollow.placed.reduce((sum, each) => sum + each.meter.counts.bytes, 0);
     expect(await hollow.spreadChange(2, 5000)).toBeDefined();
--- a/test/model.test.ts
+++ b/test/model.test.ts
@@ -1,6 +1,6 @@
 import { Constants } from "../src/common/constants";
 import { ControlState } from "../src/control/controlState";
-import { Group } from "../src/consensus/consensusGroup";
+import { ConsensusGroup } from "../src/consensus/consensusGroup";
 import { MembershipChange } from "../src/consensus/membershipChange";
 import { Fault } from "../src/common/fault";
 import { Csp } from "../src/runtime/csp";
@@ -83,13 +83,13 @@
 describe("each planted fault is found", () => {
   const properApply = ControlState.apply;
   const properRefusal = MembershipChange.refusal;
-  const properHoldsLead = Group.prototype.holdsLead;
-  const properLease = Constants.controlGrantMs;
+  const properHoldsLeader = ConsensusGroup.prototype.holdsLeader;
+  const properLease = Constants.controlLeaseMs;
   const setLease = (ms: number): void => void Object.assign(Constants, { controlGrantMs: ms });
   afterEach(() => {
     ControlState.apply = properApply;
     MembershipChange.refusal = properRefusal;
-    Group.prototype.holdsLead = properHoldsLead;
+    ConsensusGroup.prototype.holdsLeader = properHoldsLeader;
     setLease(properLease);
   });
   /** Plays walks until one fails; which invariant it broke. */
@@ -110,7 +110,7 @@
   });
   test("a lead that looks at no lease", async () => {
     const prepare = (): void => {
-      Group.prototype.holdsLead = function (this: Group): boolean {
+      ConsensusGroup.prototype.holdsLeader = function (this: ConsensusGroup): boolean {
         return this.role === "lead";
       };
     };
@@ -209,7 +209,7 @@
       group(group) {
         const propose = group.propose.bind(group);
         group.propose = function* (command, withinMs) {
-          if (!("ifVersion" in command) || !group.holdsLead()) return yield* propose(command, withinMs);
+          if (!("ifVersion" in command) || !group.holdsLeader()) return yield* propose(command, withinMs);
           Csp.go((group as any).env.scope, "late", () => propose(command, withinMs));
           return Fault.ok({ tag: "done" as const, version: command.ifVersion + 1 });
         };
--- a/test/orders.test.ts
+++ b/test/orders.test.ts
@@ -6,7 +6,7 @@
 import { Rpc } from "../src/rpc/rpc";
 import { Answer, ControlFleet } from "./controlFleet";
 
-const manifest = (version: number, path = "/x"): Record<string, unknown> => ({
+const configuration = (version: number, path = "/x"): Record<string, unknown> => ({
   version,
   bindings: { a: { kind: "lookup", pool: "p", path } },
 });
@@ -18,7 +18,7 @@
 
 describe("orders that name no version", () => {
   const at = (fleet: ControlFleet, name: string): string => fleet.settings.get(name)!.http;
-  const drained = (fleet: ControlFleet): string[] => fleet.control(fleet.lead()!)!.group.state.drained;
+  const drained = (fleet: ControlFleet): string[] => fleet.control(fleet.leader()!)!.group.state.drained;
   const order = (fleet: ControlFleet, method: string, name = "control-1", changeId?: string): Promise<Answer> =>
     fleet.ask(
       method,
@@ -65,7 +65,7 @@
     for (const seed of [1, 2, 3, 4, 5, 6]) {
       const fleet = new ControlFleet(seed, { controls: 4 });
       await fleet.run(3000);
-      const name = fleet.names("control").find((each) => each !== fleet.lead())!;
+      const name = fleet.names("control").find((each) => each !== fleet.leader())!;
       const frozen = fleet.world.processes.get(name)!;
       frozen.freeze();
       const { env } = fleet.operator;
@@ -85,11 +85,11 @@
   test("the lead appends no order after its caller's deadline, and knows no deadline of another process", async () => {
     const fleet = new ControlFleet(5, { controls: 4 });
     await fleet.run(3000);
-    const [rpc, lead] = [new Rpc(fleet.operator.env, "test", "asker"), fleet.lead()!];
+    const [rpc, leader] = [new Rpc(fleet.operator.env, "test", "asker"), fleet.leader()!];
     const ask = (body: Record<string, unknown>): Promise<any> =>
       fleet.world.finish(
         fleet.operator,
-        () => rpc.ask(fleet.settings.get(lead)!.address, "control.op", body, 2000),
+        () => rpc.call(fleet.settings.get(leader)!.address, "control.op", body, 2000),
         3000,
       );
     const command: Command = { tag: "drain", changeId: "c", district: "north", by: "ann", at: 0 };
@@ -107,14 +107,21 @@
     const fleet = new ControlFleet(6, { controls: 4 });
     await fleet.run(3000);
     for (let round = 0; round < 3; round += 1) {
-      const lead = fleet.lead()!;
-      const other = fleet.names("control").find((name) => name !== lead)!;
+      const leader = fleet.leader()!;
+      const other = fleet.names("control").find((name) => name !== leader)!;
       expect(
-        (await fleet.ask("PUT", "/v1/manifest", manifest(round + 1), { "if-match": String(round) }, at(fleet, other)))
-          .status,
+        (
+          await fleet.ask(
+            "PUT",
+            "/v1/manifest",
+            configuration(round + 1),
+            { "if-match": String(round) },
+            at(fleet, other),
+          )
+        ).status,
       ).toBe(200);
-      fleet.kill(lead);
-      fleet.restart(lead);
+      fleet.kill(leader);
+      fleet.restart(leader);
       await fleet.run(4000);
     }
     expect(fleet.close()).toEqual([]);
@@ -123,18 +130,18 @@
     const fleet = new ControlFleet(8, { controls: 4 });
     await fleet.run(3000);
     const put = async (version: number, ifVersion: number): Promise<number> =>
-      (await fleet.ask("PUT", "/v1/manifest", manifest(version), { "if-match": String(ifVersion) })).status;
+      (await fleet.ask("PUT", "/v1/manifest", configuration(version), { "if-match": String(ifVersion) })).status;
     expect([await put(9, 5), await put(5, 0), await put(9, 5), await put(7, 5)]).toEqual([503, 200, 200, 412]);
     expect(fleet.close()).toEqual([]);
   });
   test("an entry that was replaced in the log is no clear answer, for an order and for a change", async () => {
     const fleet = new ControlFleet(7, { controls: 4 });
     await fleet.run(3000);
-    const { group } = fleet.control(fleet.lead()!)!;
+    const { group } = fleet.control(fleet.leader()!)!;
     group.propose = function* () {
       return Fault.fail("conflict", "propose", "x", "entry was replaced");
     };
-    const put = await fleet.ask("PUT", "/v1/manifest", manifest(1), { "if-match": "0" });
+    const put = await fleet.ask("PUT", "/v1/manifest", configuration(1), { "if-match": "0" });
     expect([put.status, (await order(fleet, "POST")).status]).toEqual([504, 504]);
     expect(fleet.close()).toEqual([]);
   });
@@ -159,7 +166,7 @@
     (await retire(fleet, name, "GET")).body.fate === "finished";
   const storesKnown = (fleet: ControlFleet): string[] =>
     fleet
-      .control(fleet.lead()!)!
+      .control(fleet.leader()!)!
       .node.membership.all()
       .map((member) => `${member.name} ${member.state}`);
   test("sent again after its machine left it is never refused, and stays complete", async () => {
@@ -248,15 +255,15 @@
       const send = function* (path: string, ifVersion: number, round: number): Task<number> {
         const names = fleet.names("control");
         const name = names[(round + path.length + seed) % names.length];
-        const replied = yield* env.http(fleet.settings.get(name)!.http, {
+        const response = yield* env.http(fleet.settings.get(name)!.http, {
           method: "PUT",
           path: "/v1/manifest",
-          body: JSON.stringify(manifest(ifVersion + 1, path)),
+          body: JSON.stringify(configuration(ifVersion + 1, path)),
           headers: { "if-match": String(ifVersion) },
           timeoutMs: 1000,
           fresh: true,
         });
-        return replied.ok ? replied.value.status : 0;
+        return response.ok ? response.value.status : 0;
       };
       const persist = (path: string, ifVersion: number): void =>
         Csp.go(scope, path, function* () {
@@ -269,10 +276,10 @@
       persist("/one", 0);
       persist("/other", 0);
       await fleet.run(1 + fleet.world.random() * 8);
-      const lead = fleet.lead();
-      if (lead) fleet.kill(lead, true);
+      const leader = fleet.leader();
+      if (leader) fleet.kill(leader, true);
       await fleet.run(1000);
-      if (lead) fleet.restart(lead);
+      if (leader) fleet.restart(leader);
       expect(await fleet.until(() => clear("/one", "/other"), 12_000)).toBeDefined();
       expect([seed, [answers.get("/one"), answers.get("/other")].sort()]).toEqual([seed, [200, 412]]);
       const first = new Map(answers);
--- a/test/packages.test.ts
+++ b/test/packages.test.ts
@@ -45,8 +45,8 @@
   expect(build).toMatch(/npm ci .*--omit=dev .*--ignore-scripts/);
   const flags = /--max-old-space-size=\d+ --max-semi-space-size=\d+ --snapshot-blob \S+/.exec(build)![0];
   for (const [name, role] of deployment) if (name !== "") expect(role.get("run")).toContain(`node ${flags} `);
-  const manifest = JSON.parse(read("package.json")) as Record<string, Record<string, string>>;
-  expect(Object.keys(manifest.dependencies)).toContain("esbuild");
+  const configuration = JSON.parse(read("package.json")) as Record<string, Record<string, string>>;
+  expect(Object.keys(configuration.dependencies)).toContain("esbuild");
 });
 
 test("an unfit Node.js and a missing npm are refused by name", () => {
--- a/test/rawSockets.ts
+++ b/test/rawSockets.ts
@@ -1,6 +1,6 @@
 import * as net from "net";
 import { Csp, Scope, Task } from "../src/runtime/csp";
-import { Env, HttpIn, HttpLimits } from "../src/runtime/env";
+import { Env, HttpExchange, HttpLimits } from "../src/runtime/env";
 import { NodeEnv } from "../src/runtime/nodeEnv";
 
 /** A client that writes bytes as they are and keeps what comes. */
@@ -68,7 +68,7 @@
       });
     });
   }
-  async serve(handler: (incoming: HttpIn) => Task<void>, limits?: () => HttpLimits): Promise<number> {
+  async serve(handler: (incoming: HttpExchange) => Task<void>, limits?: () => HttpLimits): Promise<number> {
     const port = await RawWorld.freePort();
     const served = await this.run(() => this.env.serveHttp(`127.0.0.1:${port}`, handler, limits));
     if (!served.ok) throw new Error(served.fault.detail);
--- a/test/repair.test.ts
+++ b/test/repair.test.ts
@@ -1,7 +1,7 @@
 import * as fs from "fs";
 import * as path from "path";
 import { Constants } from "../src/common/constants";
-import { ShardCopy } from "../src/shard/shardReplica";
+import { ShardReplica } from "../src/shard/shardReplica";
 import { ShardState } from "../src/shard/shardState";
 import { SimFleet } from "../src/simulation/simFleet";
 import { Deployment } from "../src/tools/deployment";
@@ -15,21 +15,23 @@
   Object.assign(Constants.segmentObjects, sizes); // nothing is sealed in this half minute
   await fleet.boot();
   await fleet.run(4000);
-  const copies = fleet
+  const replicas = fleet
     .names("store")
-    .flatMap((name) => [...(fleet.running.get(name) as unknown as { copies: Map<number, ShardCopy> }).copies.values()]);
-  const member = copies.find((copy) => copy.role === "member" && copy.data.lots.size > 0)!;
-  const lead = copies.find((copy) => copy.shard === member.shard && copy.role === "lead")!;
-  const [lot] = member.data.lots.keys();
-  const positions = [...member.data.lots.get(lot)!.positions];
-  member.data.lots.get(lot)!.items[0].result = "rotten";
-  member.data.lots.get(lot)!.version -= 1;
+    .flatMap((name) => [
+      ...(fleet.running.get(name) as unknown as { replicas: Map<number, ShardReplica> }).replicas.values(),
+    ]);
+  const member = replicas.find((replica) => replica.role === "member" && replica.data.lots.size > 0)!;
+  const leader = replicas.find((replica) => replica.shard === member.shard && replica.role === "lead")!;
+  const [job] = member.data.lots.keys();
+  const positions = [...member.data.lots.get(job)!.positions];
+  member.data.lots.get(job)!.items[0].result = "rotten";
+  member.data.lots.get(job)!.version -= 1;
   for (const work of [...member.data.works.keys()].slice(0, 2)) member.data.works.delete(work);
-  expect(ShardState.digests(member.data)).not.toEqual(ShardState.digests(lead.data));
+  expect(ShardState.digests(member.data)).not.toEqual(ShardState.digests(leader.data));
   await fleet.run(25_000);
   expect(member.counts.mended).toBeGreaterThanOrEqual(1);
-  expect(member.data.lots.get(lot)!.items[0].result).toBe(lead.data.lots.get(lot)!.items[0].result);
-  expect(member.data.lots.get(lot)!.positions.slice(0, positions.length)).toEqual(positions);
+  expect(member.data.lots.get(job)!.items[0].result).toBe(leader.data.lots.get(job)!.items[0].result);
+  expect(member.data.lots.get(job)!.positions.slice(0, positions.length)).toEqual(positions);
   expect(await fleet.close()).toEqual([]);
 }, 120_000);
 
@@ -38,19 +40,19 @@
   await fleet.boot();
   await fleet.run(14_000);
   const name = fleet.names("store")[0];
-  const copies = (fleet.running.get(name) as unknown as { copies: Map<number, ShardCopy> }).copies;
+  const replicas = (fleet.running.get(name) as unknown as { replicas: Map<number, ShardReplica> }).replicas;
   const rotten = fleet.disks.get(name)!.damage((file) => /shard-\d+\/lots-0\.seg$/.test(file));
   expect(rotten.length).toBeGreaterThan(1);
   const before = rotten.map((file) =>
     Buffer.from(fleet.disks.get(name)!.under(path.dirname(file)).get(path.basename(file))!),
   );
   await fleet.run(1000);
-  for (const copy of copies.values())
-    for (let turn = 0; turn < copy.segments.list().length; turn += 1)
-      await fleet.world.finish(fleet.world.processes.get(name)!, () => copy.scrub(turn), 10_000);
+  for (const replica of replicas.values())
+    for (let turn = 0; turn < replica.segments.list().length; turn += 1)
+      await fleet.world.finish(fleet.world.processes.get(name)!, () => replica.scrub(turn), 10_000);
   rotten.forEach((file, at) =>
     expect(fleet.disks.get(name)!.under(path.dirname(file)).get(path.basename(file))!.equals(before[at])).toBe(false),
   );
-  expect([...copies.values()].reduce((sum, copy) => sum + copy.counts.mended, 0)).toBe(rotten.length);
+  expect([...replicas.values()].reduce((sum, replica) => sum + replica.counts.mended, 0)).toBe(rotten.length);
   expect(await fleet.close()).toEqual([]);
 }, 120_000);
--- a/test/replicaSockets.test.ts
+++ b/test/replicaSockets.test.ts
@@ -1,11 +1,11 @@
 import * as net from "net";
 import { ownHeaderNames } from "../src/adapters/headerNames";
-import { Binding, ControlState } from "../src/control/controlState";
-import { Chooser } from "../src/routing/endpointSelector";
-import { Replica } from "../src/node/clusterSnapshot";
-import { Room } from "../src/routing/admissionQueue";
+import { Route, ControlState } from "../src/control/controlState";
+import { EndpointSelector } from "../src/routing/endpointSelector";
+import { Endpoint } from "../src/node/clusterSnapshot";
+import { AdmissionQueue } from "../src/routing/admissionQueue";
 import { Task } from "../src/runtime/csp";
-import { DirectIntake } from "../src/ingress/directRequestHandler";
+import { DirectRequestHandler } from "../src/ingress/directRequestHandler";
 import { IngressNode } from "../src/ingress/ingressNode";
 import { RawClient, RawWorld } from "./rawSockets";
 
@@ -18,7 +18,7 @@
   `HTTP/1.1 421 Misdirected Request\r\nX-Request-Id: ${id}\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n`;
 const ask = (id: string, path = "/desk/1", method = "GET", more = ""): string =>
   `${method} ${path} HTTP/1.1\r\nHost: kiln.example\r\nX-Request-Id: ${id}\r\n${more}\r\n`;
-const binding = (more: Partial<Binding>): Binding => ({
+const route = (more: Partial<Route>): Route => ({
   kind: "lookup",
   pool: "desk",
   path: "/",
@@ -48,7 +48,7 @@
 });
 
 /** A replica that reads requests without bodies and answers with whatever bytes it likes. */
-const replicaOf = (behave: Behave): Promise<number> =>
+const endpointOf = (behave: Behave): Promise<number> =>
   world.listen((socket) => {
     connections += 1;
     let held = "";
@@ -66,14 +66,14 @@
     });
   });
 /** An ingress on a socket of its own before such replicas. */
-async function ingressBefore(more: Partial<Binding>, behaviours: Behave[]): Promise<void> {
-  const replicas: Replica[] = [];
+async function ingressBefore(more: Partial<Route>, behaviours: Behave[]): Promise<void> {
+  const endpoints: Endpoint[] = [];
   for (const [at, behave] of behaviours.entries())
-    replicas.push({
+    endpoints.push({
       key: `replica/r${at}/i${at}`,
       id: `r${at}`,
       instance: `i${at}`,
-      address: `127.0.0.1:${await replicaOf(behave)}`,
+      address: `127.0.0.1:${await endpointOf(behave)}`,
       pool: "desk",
       district: "north",
       version: "v1",
@@ -84,33 +84,33 @@
       warmAt: 0,
     });
   const state = ControlState.empty();
-  const manifest = { version: 1, doc: { bindings: { desk: binding(more) } } };
-  const frame = {
+  const configuration = { version: 1, doc: { bindings: { desk: route(more) } } };
+  const snapshot = {
     number: 1,
-    control: ControlState.frame({ ...state, manifest }, 1),
+    control: ControlState.frame({ ...state, manifest: configuration }, 1),
     members: [],
-    replicas,
+    replicas: endpoints,
     crowded: {},
     fresh: true,
     vouched: true,
   };
   const { env } = world;
-  const chooser = new Chooser(env, "i");
+  const endpointSelector = new EndpointSelector(env, "i");
   const ingress = {
     env,
     id: "i",
     names: ownHeaderNames,
     stopping: false,
-    frame: () => frame,
+    snapshot: () => snapshot,
     held: () => undefined,
     bodyLimit: () => 100_000,
     note: () => undefined,
     counts: { lookups: 0, busies: 0, failures: 0 },
-    chooser,
-    room: new Room(env, chooser, () => undefined),
+    endpointSelector,
+    room: new AdmissionQueue(env, endpointSelector, () => undefined),
     counted: (_name: string, body: () => Task<void>) => body(),
   } as unknown as IngressNode;
-  const direct = new DirectIntake(ingress);
+  const direct = new DirectRequestHandler(ingress);
   port = await world.serve((incoming) => direct.serve(incoming));
 }
 const status = (text: string): number => Number(/^HTTP\/1\.1 (\d+)/.exec(text)?.[1] ?? 0);
@@ -182,10 +182,10 @@
   await ingressBefore({}, [doubled]);
   for (const id of ["q5", "q6"]) expect(await once(id)).toContain(`for ${id}`);
   const unasked = await world.listen((socket) => void socket.write(ok("nobody", "not yours")));
-  const replied = await world.run(() =>
+  const response = await world.run(() =>
     world.env.http(`127.0.0.1:${unasked}`, { method: "GET", path: "/", timeoutMs: 300 }),
   );
-  expect(replied.ok && replied.value.headers["x-request-id"]).toBe("nobody"); // told by its id: DirectHttp.open ends it
+  expect(response.ok && response.value.headers["x-request-id"]).toBe("nobody"); // told by its id: DirectHttp.open ends it
 });
 test("HEAD, 204, 304 and informational responses keep their framing on both sides", async () => {
   const behave: Behave = (socket, { id, method, target }) => {
--- a/test/rpc.test.ts
+++ b/test/rpc.test.ts
@@ -4,7 +4,7 @@
 import { SimDisk } from "../src/simulation/simDisk";
 import { SimProcess, SimWorld } from "../src/simulation/simWorld";
 import { Rpc } from "../src/rpc/rpc";
-import { Envelope, Wire } from "../src/rpc/envelopeCodec";
+import { Envelope, EnvelopeCodec } from "../src/rpc/envelopeCodec";
 
 const address = "10.0.0.1:7";
 let world: SimWorld;
@@ -17,7 +17,7 @@
 });
 afterEach(() => expect(client.errors).toEqual([]));
 const response = (asked: Envelope, more: Partial<Envelope> = {}): Buffer =>
-  Wire.encode({ ...asked, kind: "reply", sender: "s", body: asked.body, ...more });
+  EnvelopeCodec.encode({ ...asked, kind: "reply", sender: "s", body: asked.body, ...more });
 /** A process that responds to each ask as it is told to. */
 function responder(respond: (link: Link, asked: Envelope) => void): SimProcess {
   const server = world.start("server", new SimDisk(world));
@@ -27,8 +27,12 @@
     for (let link = yield* Csp.take(links.value); link !== null; link = yield* Csp.take(links.value)) {
       const current: Link = link;
       Csp.go(server.env.scope, "link", function* () {
-        for (let frame = yield* Csp.take(current.incoming); frame !== null; frame = yield* Csp.take(current.incoming))
-          respond(current, Wire.decode(frame, "a")!);
+        for (
+          let snapshot = yield* Csp.take(current.incoming);
+          snapshot !== null;
+          snapshot = yield* Csp.take(current.incoming)
+        )
+          respond(current, EnvelopeCodec.decode(snapshot, "a")!);
       });
     }
   });
@@ -38,7 +42,7 @@
   const outcomes: Result<unknown>[] = [];
   for (let at = 0; at < count; at += 1)
     Csp.go(client.env.scope, `ask ${at}`, function* () {
-      outcomes.push(yield* rpc.ask(address, "echo", at, timeoutMs));
+      outcomes.push(yield* rpc.call(address, "echo", at, timeoutMs));
     });
   return outcomes;
 };
--- a/test/slowLeadDisk.test.ts
+++ b/test/slowLeadDisk.test.ts
@@ -2,18 +2,18 @@
 import { GroupUnderTest, Machine } from "../src/model/groupUnderTest";
 
 /** A group whose lead has committed changes by its followers' disks while its own disk stalls. */
-async function slowLead(seed: number, changes: number, stallMs: number): Promise<[GroupUnderTest, Machine]> {
+async function slowLeader(seed: number, changes: number, stallMs: number): Promise<[GroupUnderTest, Machine]> {
   const group = new GroupUnderTest({ seed, voters: 3, spares: 0 });
   await group.boot();
-  const lead = group.leaseholder()!;
-  group.stallDisk(lead, stallMs);
+  const leader = group.leaseholder()!;
+  group.stallDisk(leader, stallMs);
   for (let version = 0; version < changes; version += 1) {
-    group.propose(lead, "policies", version);
+    group.propose(leader, "policies", version);
     if (version === 0) await group.pass(2); // the first is being synced, the others wait for that
   }
   await group.pass(60);
-  expect(lead.life.group.state.policies.version).toBe(changes);
-  return [group, lead];
+  expect(leader.life.group.state.policies.version).toBe(changes);
+  return [group, leader];
 }
 async function expectConverged(group: GroupUnderTest): Promise<void> {
   await group.pass(5000);
@@ -30,15 +30,15 @@
   // found by a random walk: 3 voters, seed 5934
   test("folds its log before its entries are synced, and starts again from its disk", async () => {
     Object.assign(Constants, { groupLogKeep: 12 });
-    const [group] = await slowLead(3, 20, 200);
+    const [group] = await slowLeader(3, 20, 200);
     await group.pass(1200);
     for (const machine of group.machines) group.kill(machine, true, 5);
     await expectConverged(group);
   });
   // found by a random walk: 3 voters, seed 6459
   test("follows another lead before its committed entries are synced", async () => {
-    const [group, lead] = await slowLead(3, 3, 4000);
-    group.world.cutOff([lead.name], "both");
+    const [group, leader] = await slowLeader(3, 3, 4000);
+    group.world.cutOff([leader.name], "both");
     await group.pass(2500);
     group.world.heal();
     await expectConverged(group);
--- a/test/surface.test.ts
+++ b/test/surface.test.ts
@@ -3,10 +3,10 @@
 import * as os from "os";
 import * as path from "path";
 import { Settings } from "../src/common/settings";
-import { Slab } from "../src/ingress/requestTable";
+import { RequestTable } from "../src/ingress/requestTable";
 import { SimFleet } from "../src/simulation/simFleet";
 import { Deployment } from "../src/tools/deployment";
-import { Wire } from "../src/rpc/envelopeCodec";
+import { EnvelopeCodec } from "../src/rpc/envelopeCodec";
 
 const deployment = (name: string): Deployment => {
   const read = Deployment.check(JSON.parse(fs.readFileSync(path.join(__dirname, `../../deploy/${name}.json`), "utf8")));
@@ -117,35 +117,42 @@
   fs.rmSync(folder, { recursive: true, force: true });
 }, 60_000);
 test("a reply that comes late finds another generation in its slot and reaches nobody", () => {
-  const slab = new Slab<string>(1);
+  const requestTable = new RequestTable<string>(1);
   const got: string[] = [];
-  const first = slab.open((outcome) => got.push(`first ${outcome}`))!;
-  expect(slab.open(() => undefined)).toBeUndefined();
-  slab.drop(first);
-  const second = slab.open((outcome) => got.push(`second ${outcome}`))!;
-  expect(slab.resume(first, "late")).toBe(false);
-  expect(slab.resume(second, "mine")).toBe(true);
-  expect(slab.resume(second, "again")).toBe(false);
+  const first = requestTable.open((outcome) => got.push(`first ${outcome}`))!;
+  expect(requestTable.open(() => undefined)).toBeUndefined();
+  requestTable.drop(first);
+  const second = requestTable.open((outcome) => got.push(`second ${outcome}`))!;
+  expect(requestTable.resume(first, "late")).toBe(false);
+  expect(requestTable.resume(second, "mine")).toBe(true);
+  expect(requestTable.resume(second, "again")).toBe(false);
   expect(got).toEqual(["second mine"]);
-  expect(slab.late).toBe(2);
+  expect(requestTable.late).toBe(2);
 });
 test("a long body is deflated, written once for several members, and comes back as it was; a cut one is not decoded", () => {
   const message = { kind: "ask" as const, correlation: 7, cluster: "a", verb: "v", sender: "s" };
   for (const length of [10, 1500, 100_000]) {
-    const body = Wire.shared({ text: Array.from({ length }, (_each, at) => at.toString(36)).join("") });
-    const frame = Wire.encode({ ...message, body });
-    expect(frame.length < JSON.stringify(body).length).toBe(length > 10);
-    expect(Wire.encode({ ...message, body }).equals(frame)).toBe(true);
-    expect(Wire.decode(frame, "a")).toMatchObject({ correlation: 7, body });
-    expect(Wire.decode(frame.subarray(0, frame.length - 1), "a")).toBeUndefined();
+    const body = EnvelopeCodec.shared({ text: Array.from({ length }, (_each, at) => at.toString(36)).join("") });
+    const snapshot = EnvelopeCodec.encode({ ...message, body });
+    expect(snapshot.length < JSON.stringify(body).length).toBe(length > 10);
+    expect(EnvelopeCodec.encode({ ...message, body }).equals(snapshot)).toBe(true);
+    expect(EnvelopeCodec.decode(snapshot, "a")).toMatchObject({ correlation: 7, body });
+    expect(EnvelopeCodec.decode(snapshot.subarray(0, snapshot.length - 1), "a")).toBeUndefined();
   }
 });
 test("malformed and foreign messages are not decoded", () => {
-  const good = Wire.encode({ kind: "ask", correlation: 7, cluster: "a", verb: "v", sender: "s", body: { x: [1] } });
-  expect(Wire.decode(good, "a")).toMatchObject({ correlation: 7, verb: "v", body: { x: [1] } });
-  expect(Wire.decode(good, "b")).toBeUndefined();
-  for (let at = 0; at < good.length; at += 1) expect(Wire.decode(good.subarray(0, at), "a")).toBeUndefined();
-  expect(Wire.decode(Buffer.from("GET / HTTP/1.1\r\n\r\n"), "a")).toBeUndefined();
+  const good = EnvelopeCodec.encode({
+    kind: "ask",
+    correlation: 7,
+    cluster: "a",
+    verb: "v",
+    sender: "s",
+    body: { x: [1] },
+  });
+  expect(EnvelopeCodec.decode(good, "a")).toMatchObject({ correlation: 7, verb: "v", body: { x: [1] } });
+  expect(EnvelopeCodec.decode(good, "b")).toBeUndefined();
+  for (let at = 0; at < good.length; at += 1) expect(EnvelopeCodec.decode(good.subarray(0, at), "a")).toBeUndefined();
+  expect(EnvelopeCodec.decode(Buffer.from("GET / HTTP/1.1\r\n\r\n"), "a")).toBeUndefined();
 });
 
 test("the HTTP surface: good paths, and bad input that changes nothing", async () => {
--- a/test/voterRecovery.ts
+++ b/test/voterRecovery.ts
@@ -43,9 +43,9 @@
 export const VoterRecovery = {
   /** Whether the group has all its voters, alive and caught up. @example VoterRecovery.isWhole(fleet, 3) */
   isWhole(fleet: ControlFleet, wanted: number): boolean {
-    const lead = fleet.lead();
-    if (!lead) return false;
-    const { group } = fleet.control(lead)!;
+    const leader = fleet.leader();
+    if (!leader) return false;
+    const { group } = fleet.control(leader)!;
     const voters = group.state.voters;
     if (voters.length !== wanted || group.voters().join() !== voters.join()) return false;
     const living = fleet.names("control").flatMap((name) => fleet.control(name) ?? []);
@@ -106,7 +106,7 @@
     await fleet.until(
       () => {
         const at = fleet.world.now - from;
-        const control = fleet.control(fleet.lead() ?? "");
+        const control = fleet.control(fleet.leader() ?? "");
         if (!control) return false;
         const states = formerIds.map((id) => control.node.membership.find(id)?.state ?? "dead");
         if (!states.some((state) => state === "alive" || state === "suspect")) times.detectedMs ??= at;
@@ -121,7 +121,7 @@
     await fleet.run(Math.max(0, from + syncTimeMs - fleet.world.now));
     const next = VoterRecovery.pick(fleet, "lead", trial.losses);
     for (const name of next) fleet.kill(name, true);
-    times.goesOnMs = await fleet.until(() => fleet.lead() !== undefined, 5000, 50);
+    times.goesOnMs = await fleet.until(() => fleet.leader() !== undefined, 5000, 50);
     times.changeStatus = await VoterRecovery.change(fleet, 2);
     const errors = fleet.close();
     if (errors.length > 0) throw new Error(`seed ${trial.seed}: ${errors.join("; ")}`);
@@ -134,13 +134,13 @@
   },
   /** Voters by name, the lead first or left out. @example VoterRecovery.pick(fleet, "follower", 2) */
   pick(fleet: ControlFleet, first: "lead" | "follower", count: number): string[] {
-    const lead = fleet.lead();
-    if (lead === undefined) return [];
-    const voters = fleet.control(lead)!.group.voters();
+    const leader = fleet.leader();
+    if (leader === undefined) return [];
+    const voters = fleet.control(leader)!.group.voters();
     const followers = fleet
       .names("control")
-      .filter((name) => name !== lead && voters.includes(fleet.control(name)?.node.self.id ?? ""));
-    return (first === "lead" ? [lead, ...followers] : followers).slice(0, count);
+      .filter((name) => name !== leader && voters.includes(fleet.control(name)?.node.self.id ?? ""));
+    return (first === "lead" ? [leader, ...followers] : followers).slice(0, count);
   },
   /** One line: median and slowest of each stage. @example VoterRecovery.summary(all) */
   summary(all: { trial: VoterTrial; times: VoterRecoveryTimes }[]): string {
--- a/test/voters.test.ts
+++ b/test/voters.test.ts
@@ -40,13 +40,13 @@
     for (const seed of [1, 2, 3]) {
       const fleet = new ControlFleet(seed, { controls: 4 });
       await fleet.run(3000);
-      const lead = fleet.lead()!;
-      const voters = fleet.control(lead)!.group.voters();
+      const leader = fleet.leader()!;
+      const voters = fleet.control(leader)!.group.voters();
       const victim = fleet
         .names("control")
-        .find((name) => name !== lead && voters.includes(fleet.control(name)!.node.self.id))!;
+        .find((name) => name !== leader && voters.includes(fleet.control(name)!.node.self.id))!;
       // two voters are left, so that nothing is committed without the lead's own disk
-      fleet.disks.get(lead)!.syncMs = [7000, 0];
+      fleet.disks.get(leader)!.syncMs = [7000, 0];
       fleet.kill(victim, true);
       fleet.restart(victim, { empty: true });
       let most = 0;
@@ -59,7 +59,7 @@
         0.5,
       );
       expect([seed, most]).toEqual([seed, 1]);
-      fleet.disks.get(lead)!.syncMs = [0.3, 2.5];
+      fleet.disks.get(leader)!.syncMs = [0.3, 2.5];
       expect(await fleet.until(() => VoterRecovery.isWhole(fleet, 3), 8000)).toBeDefined();
       expect(fleet.close()).toEqual([]);
     }
@@ -75,7 +75,7 @@
       fleet.add(fleet.names("control")[0], "successor");
       const isVoter = (): boolean =>
         fleet
-          .control(fleet.lead() ?? "")
+          .control(fleet.leader() ?? "")
           ?.group.voters()
           .includes(fleet.control("successor")?.node.self.id ?? "") ?? false;
       expect(await fleet.until(isVoter, 8000, 1)).toBeDefined();
@@ -94,22 +94,22 @@
     for (const seed of [1, 2, 3, 4, 5, 6]) {
       const fleet = new ControlFleet(seed, { controls: 4 });
       await fleet.run(3000);
-      const lead = fleet.lead()!;
-      const stop = fleet.running.get(lead)!.stop();
-      Csp.go(fleet.world.processes.get(lead)!.scope, "stop", () => stop);
+      const leader = fleet.leader()!;
+      const stop = fleet.running.get(leader)!.stop();
+      Csp.go(fleet.world.processes.get(leader)!.scope, "stop", () => stop);
       let steps = 0;
       const from = fleet.world.now;
       await fleet.until(
         () => {
-          if (fleet.running.has(lead) && fleet.world.now - from >= 600) fleet.kill(lead);
-          if (fleet.lead() === undefined) steps += 1;
+          if (fleet.running.has(leader) && fleet.world.now - from >= 600) fleet.kill(leader);
+          if (fleet.leader() === undefined) steps += 1;
           return false;
         },
         4000,
         5,
       );
       without.push(steps * 5);
-      expect(fleet.lead()).not.toBe(lead);
+      expect(fleet.leader()).not.toBe(leader);
       expect(fleet.close()).toEqual([]);
     }
     if (process.env.VOTER_SEEDS) console.log(`without a lead after SIGTERM, ms: ${without.join(", ")}`);
@@ -119,7 +119,7 @@
     for (const seed of [1, 2, 3]) {
       const fleet = new ControlFleet(seed, { controls: 4 });
       await fleet.run(3000);
-      const voters = (): string => [...(fleet.control(fleet.lead() ?? "")?.group.voters() ?? [])].sort().join();
+      const voters = (): string => [...(fleet.control(fleet.leader() ?? "")?.group.voters() ?? [])].sort().join();
       const before = voters();
       let version = 0;
       for (const name of fleet.names("control")) {
