--- a/src/simulation/simFleet.ts
+++ b/src/simulation/simFleet.ts
@@ -3,6 +3,8 @@
 import { Csp, Task } from "../runtime/csp";
 import { EnvTools } from "../runtime/env";
 import { TwoSlots } from "../runtime/twoSlots";
+import { ControlNode } from "../control/controlNode";
+import { StorageNode } from "../storage/storageNode";
 import { ShardView } from "../control/controlState";
 import { ShardReplica } from "../shard/shardReplica";
 import { Callers } from "../tools/callers";
@@ -154,11 +156,16 @@
     });
   }
 
+  /** The running storage node of that name, if it runs. @example fleet.storageNode("store-1")?.replicas.size */
+  private storageNode = (name: string): StorageNode | undefined =>
+    this.names("store").includes(name) ? (this.running.get(name) as StorageNode | undefined) : undefined;
+  /** The running control node of that name, if it runs. @example fleet.controlNode("control-1")?.group.holdsLeader() */
+  private controlNode = (name: string): ControlNode | undefined =>
+    this.names("control").includes(name) ? (this.running.get(name) as ControlNode | undefined) : undefined;
+
   // ---------- what is on the disks ----------
   private replicasOf(name: string): ShardReplica[] {
-    const replicas = (this.running.get(name) as unknown as { replicas?: Map<number, ShardReplica> } | undefined)
-      ?.replicas;
-    return replicas ? [...replicas.values()] : [];
+    return [...(this.storageNode(name)?.replicas.values() ?? [])];
   }
   /** What a lead has answered stands on every copy: its last applied entry. */
   private noteAcknowledged(name: string): void {
@@ -172,10 +179,7 @@
   }
   /** The views that the control log holds, by the member that has applied most of it. @example fleet.views()["3"].members */
   views(): Record<string, ShardView> {
-    type Control = { group?: { applied: number; state: { views: Record<string, ShardView> } } };
-    const groups = this.names("control").flatMap(
-      (name) => (this.running.get(name) as unknown as Control | undefined)?.group ?? [],
-    );
+    const groups = this.names("control").flatMap((name) => this.controlNode(name)?.group ?? []);
     return groups.sort((left, right) => right.applied - left.applied)[0]?.state.views ?? {};
   }
   /** A store must be a member of some view again. @example fleet.expectInViews("store-1"); */
@@ -217,12 +221,8 @@
   }
   /** The newest control group's name and its voters. @example fleet.controlGroup().voters[0].name */
   controlGroup(): { group: string; voters: { name: string; id: string }[] } {
-    type Control = {
-      node: { self: { id: string } };
-      group: { applied: number; state: { group: string; voters: string[] } };
-    };
     const all = this.names("control").flatMap((name) => {
-      const control = this.running.get(name) as unknown as Control | undefined;
+      const control = this.controlNode(name);
       return control ? [{ name, id: control.node.self.id, control }] : [];
     });
     const { state } = [...all].sort((left, right) => right.control.group.applied - left.control.group.applied)[0]
@@ -546,19 +546,15 @@
   /** The store that leads most shards now. @example fleet.busiestStore() */
   busiestStore(): string {
     const leaders = (name: string): number => {
-      const running = this.running.get(name) as unknown as { replicas?: Map<number, { role: string }> } | undefined;
-      return running?.replicas
-        ? [...running.replicas.values()].filter((replica) => replica.role === "lead").length
-        : -1;
+      const replicas = this.storageNode(name)?.replicas;
+      return replicas ? [...replicas.values()].filter((replica) => replica.role === "lead").length : -1;
     };
     return [...this.names("store")].sort((left, right) => leaders(right) - leaders(left))[0];
   }
   /** The control member that leads. @example fleet.controlLead() */
   controlLeader(): string {
     return (
-      this.names("control").find((name) =>
-        (this.running.get(name) as unknown as { group?: { holdsLead(): boolean } } | undefined)?.group?.holdsLead(),
-      ) ?? this.names("control")[0]
+      this.names("control").find((name) => this.controlNode(name)?.group.holdsLeader()) ?? this.names("control")[0]
     );
   }
 
