--- a/src/adapters/callerHttp.ts
+++ b/src/adapters/callerHttp.ts
@@ -327,11 +327,11 @@
       };
       ingress.counts.lots += 1;
       let first = true;
-      const done: Result<any> = yield* ingress.putClient.askLeader(
-        ingress.putClient.shardOf(id),
+      const done: Result<any> = yield* ingress.shardClient.callLeader(
+        ingress.shardClient.shardOf(id),
         "lot.accept",
         () => {
-          const arrival = first ? stamp.value : ingress.putClient.stamp(env.wall());
+          const arrival = first ? stamp.value : ingress.shardClient.stamp(env.wall());
           first = false;
           return { stamp: arrival, lot: job, cause: accepted.value.cause };
         },
@@ -372,8 +372,8 @@
       Http.json(incoming, done.value.tag === "exists" ? 200 : 202, { id, items: bodies.length });
     };
     const askJob = function* (verb: string, id: string, body: () => Record<string, unknown>): Task<Result<any>> {
-      const done: Result<any> = yield* ingress.putClient.askLeader(
-        ingress.putClient.shardOf(id),
+      const done: Result<any> = yield* ingress.shardClient.callLeader(
+        ingress.shardClient.shardOf(id),
         verb,
         () => ({ id, ...body() }),
         5000,
@@ -442,7 +442,7 @@
         path: /^\/v1\/lots\/([^/]+)\/end$/,
         *run(incoming, [id]) {
           const by = incoming.headers["x-caller"] || "caller";
-          const ended = yield* askJob("lot.end", id, () => ({ stamp: ingress.putClient.stamp(env.wall()), by }));
+          const ended = yield* askJob("lot.end", id, () => ({ stamp: ingress.shardClient.stamp(env.wall()), by }));
           if (!ended.ok) return Http.problem(incoming, ended.fault);
           Http.json(incoming, 200, { id, ended: true });
         },
--- a/src/adapters/operatorHttp.ts
+++ b/src/adapters/operatorHttp.ts
@@ -7,14 +7,14 @@
 import { Hash } from "../common/hash";
 import { LedgerReader } from "../node/ledgerReader";
 import { Node } from "../node/node";
-import { PutClient } from "../storage/putClient";
+import { ShardClient } from "../storage/shardClient";
 import { Http, HttpRoute } from "./http";
 import { OperatorSchemas } from "./operatorSchemas";
 
 export type OperatorHooks = {
   ready: () => string | undefined;
   metrics: () => Record<string, number>;
-  ledgerSource: PutClient;
+  ledgerSource: ShardClient;
 };
 
 /** If-Match as a version, or a reply that one is needed. */
@@ -245,7 +245,7 @@
           : why;
       }),
       reading(/^\/v1\/at\/(.+)$/, (incoming, [subject]) =>
-        hooks.ledgerSource.askLeader(
+        hooks.ledgerSource.callLeader(
           hooks.ledgerSource.shardOf(subject.replace(/^(request|lot) /, "")),
           "temporal.get",
           () => ({
--- a/src/agent/agentNode.ts
+++ b/src/agent/agentNode.ts
@@ -6,7 +6,7 @@
 import { Node } from "../node/node";
 import { Settings } from "../common/settings";
 import { OperatorHttp } from "../adapters/operatorHttp";
-import { PutClient } from "../storage/putClient";
+import { ShardClient } from "../storage/shardClient";
 
 /* eslint-disable @typescript-eslint/no-explicit-any */
 /**
@@ -46,7 +46,7 @@
         probes: agent.node.membership.probes,
         dropped_datagrams: agent.node.membership.dropped,
       }),
-      ledgerSource: new PutClient(env, rpc, agent.node.self.id, () => agent.node.snapshot()),
+      ledgerSource: new ShardClient(env, rpc, agent.node.self.id, () => agent.node.snapshot()),
     });
     if (!http.ok) return http;
     return Fault.ok(agent);
--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -10,7 +10,7 @@
 import { Settings } from "../common/settings";
 import { ProtocolAdapters } from "../daemon/protocolAdapters";
 import { OperatorHttp } from "../adapters/operatorHttp";
-import { PutClient } from "../storage/putClient";
+import { ShardClient } from "../storage/shardClient";
 import { Calendar } from "./calendar";
 import { CalendarEntry, Command, ControlState, Outcome, ShardView } from "./controlState";
 import { ConsensusGroup } from "../consensus/consensusGroup";
@@ -30,7 +30,7 @@
   readonly group: ConsensusGroup;
   readonly views: ShardPlacement;
   readonly calendar: Calendar;
-  private readonly putClient: PutClient;
+  private readonly shardClient: ShardClient;
   /** Names this process's clock: a reading of it means nothing to another process, nor to this one's next start. */
   private readonly clockId: string;
   /** A majority stays when as many as may be lost at once are lost. */
@@ -55,7 +55,7 @@
     });
     this.views = new ShardPlacement(env, node, this.group);
     this.calendar = new Calendar(env, node, this.group, this.views);
-    this.putClient = new PutClient(env, node.rpc, node.self.id, () => node.snapshot());
+    this.shardClient = new ShardClient(env, node.rpc, node.self.id, () => node.snapshot());
   }
 
   /** @example yield* ControlNode.start(env, settings) */
@@ -109,7 +109,7 @@
     const http = yield* OperatorHttp.serve(env, settings.http, control.node, {
       ready: () => (control.node.stopping ? "stopping" : !control.group.founded() ? "no control group yet" : undefined),
       metrics: () => control.metrics(),
-      ledgerSource: control.putClient,
+      ledgerSource: control.shardClient,
     });
     if (!http.ok) return http;
     for (const surface of shapes.control?.(control) ?? []) {
@@ -304,8 +304,8 @@
       if (untold.length === 0 || Object.keys(this.group.state.views).length < Constants.shardCount) continue;
       let upTo = 0;
       for (const decision of untold) {
-        const told = yield* this.putClient.put(
-          this.putClient.shardOf(decision.subject),
+        const told = yield* this.shardClient.put(
+          this.shardClient.shardOf(decision.subject),
           `control-${decision.index}`,
           [
             {
--- a/src/ingress/batchSubmission.ts
+++ b/src/ingress/batchSubmission.ts
@@ -9,15 +9,15 @@
 import { Stamp } from "../common/stamp";
 import { Route } from "../control/controlState";
 import { Cause, ItemRequest, BatchJobSpec } from "../shard/shardState";
-import type { JobSubmissionResult, JobListing } from "../storage/batchJobs";
-import { PutClient } from "../storage/putClient";
+import type { SubmitJobResponse, JobResultPage } from "../storage/batchJobs";
+import { ShardClient } from "../storage/shardClient";
 import { Rpc } from "../rpc/rpc";
 
 /** What lots need of the process that takes them in. */
 export type BatchSubmissionHost = {
   readonly env: Env;
   readonly rpc: Rpc;
-  readonly putClient: PutClient;
+  readonly shardClient: ShardClient;
   readonly settings?: { district: string };
   snapshot(): ClusterSnapshot;
 };
@@ -49,21 +49,21 @@
     route: Route,
     items: SubmittedItem[],
     withinMs: number,
-  ): Task<Result<JobSubmissionResult>> {
-    const { env, putClient: putter } = host;
-    const arrival = putter.stamp(env.wall());
+  ): Task<Result<SubmitJobResponse>> {
+    const { env, shardClient } = host;
+    const arrival = shardClient.stamp(env.wall());
     const control = host.snapshot().control;
     if (!Stamp.admits(arrival.time, env.wall(), control?.manifest.doc.clock ?? Stamp.defaults))
       return Fault.busy("stamp", "ingress", "our stamps are ahead of our clock", Constants.retryAfterMs);
     const { lot: job, cause } = BatchSubmission.order(host, id, name, route, items);
     const life = Stamp.text(arrival);
     let attempts = 0;
-    const handed = yield* putter.askLeader<JobSubmissionResult>(
-      putter.shardOf(id),
+    const handed = yield* shardClient.callLeader<SubmitJobResponse>(
+      shardClient.shardOf(id),
       "lot.handIn",
       () => {
         attempts += 1;
-        return { stamp: attempts === 1 ? arrival : putter.stamp(env.wall()), life, lot: job, cause };
+        return { stamp: attempts === 1 ? arrival : shardClient.stamp(env.wall()), life, lot: job, cause };
       },
       withinMs,
       Constants.jobAttemptMs,
@@ -127,12 +127,12 @@
     };
   },
   /** Its fate is not known: it is closed as refused at its shard, or found to be kept; else nothing can be said. */
-  *refuse(host: BatchSubmissionHost, id: string, fault: Fault): Task<Result<JobSubmissionResult>> {
-    const { env, putClient: putter } = host;
-    const refused = yield* putter.askLeader<{ refused: boolean }>(
-      putter.shardOf(id),
+  *refuse(host: BatchSubmissionHost, id: string, fault: Fault): Task<Result<SubmitJobResponse>> {
+    const { env, shardClient } = host;
+    const refused = yield* shardClient.callLeader<{ refused: boolean }>(
+      shardClient.shardOf(id),
       "lot.refuse",
-      () => ({ id, stamp: putter.stamp(env.wall()) }),
+      () => ({ id, stamp: shardClient.stamp(env.wall()) }),
       Constants.jobRefuseMs,
     );
     if (!refused.ok) return Fault.fail("unknown", "hand in", fault.member, fault.detail);
@@ -140,18 +140,18 @@
     return fault.tag === "busy" ? { ok: false, fault } : busy(fault);
   },
   /** Results from a position on, from a member of the lot's shard in our district, else any. "notFound" is certain, all else is "busy". @example yield* LotIntake.list(ingress, "lot-17", 0, 1000) */
-  list: (host: BatchSubmissionHost, id: string, from: number, waitMs: number): Task<Result<JobListing>> =>
-    BatchSubmission.askMembers<JobListing>(host, id, "lot.list", { from, waitMs }, waitMs),
+  list: (host: BatchSubmissionHost, id: string, from: number, waitMs: number): Task<Result<JobResultPage>> =>
+    BatchSubmission.askMembers<JobResultPage>(host, id, "lot.list", { from, waitMs }, waitMs),
   /** The body, in base64, of an item that is not listed yet. @example yield* LotIntake.itemBody(ingress, "lot-17", "i1") */
   itemBody: (host: BatchSubmissionHost, id: string, item: string): Task<Result<{ body: string }>> =>
     BatchSubmission.askMembers<{ body: string }>(host, id, "lot.itemBody", { item }, 0),
   /** Ends a lot, as often as it is asked. @example yield* LotIntake.end(ingress, "lot-17", "caller") */
   *end(host: BatchSubmissionHost, id: string, by: string): Task<Result<{ ended: true }>> {
-    const { env, putClient: putter } = host;
-    const ended = yield* putter.askLeader<{ ended: true }>(
-      putter.shardOf(id),
+    const { env, shardClient } = host;
+    const ended = yield* shardClient.callLeader<{ ended: true }>(
+      shardClient.shardOf(id),
       "lot.end",
-      () => ({ id, stamp: putter.stamp(env.wall()), by }),
+      () => ({ id, stamp: shardClient.stamp(env.wall()), by }),
       Constants.jobHoldMs,
     );
     if (ended.ok || ended.fault.tag === "notFound" || ended.fault.tag === "gone" || ended.fault.tag === "unknown")
@@ -165,8 +165,8 @@
     body: Record<string, unknown>,
     waitMs: number,
   ): Task<Result<T>> {
-    const { env, putClient: putter, rpc } = host;
-    const shard = putter.shardOf(id);
+    const { env, shardClient, rpc } = host;
+    const shard = shardClient.shardOf(id);
     const until = env.mono() + waitMs + Constants.jobReadMs;
     let last: Result<T> = Fault.fail("timeout", verb, `shard ${shard}`, "no view is known");
     for (let attempt = 0; ; attempt += 1) {
--- a/src/ingress/ingressNode.ts
+++ b/src/ingress/ingressNode.ts
@@ -21,7 +21,7 @@
 import { EndpointHttp } from "../adapters/endpointHttp";
 import { Route, Limits } from "../control/controlState";
 import { Cause } from "../shard/shardState";
-import { PutClient } from "../storage/putClient";
+import { ShardClient } from "../storage/shardClient";
 import { Rpc } from "../rpc/rpc";
 import { WarmUpRequests } from "./warmUpRequests";
 import { RequestTable, RequestHandle } from "./requestTable";
@@ -63,7 +63,7 @@
   readonly id: string;
   readonly rpc: Rpc;
   readonly names: HeaderNames;
-  readonly putClient: PutClient;
+  readonly shardClient: ShardClient;
   readonly endpointSelector: EndpointSelector;
   readonly requestTable = new RequestTable<Result<CallerResponse>>(Constants.requestTableSlots);
   /** Apart from the agent's: an agent that runs on says nothing about what an ingress that has just started holds. */
@@ -92,7 +92,7 @@
         *fetch() {}, // the feed brings it
       });
     this.names = shapes.names ?? ownHeaderNames;
-    this.putClient = new PutClient(env, this.rpc, this.id, () => this.current);
+    this.shardClient = new ShardClient(env, this.rpc, this.id, () => this.current);
     this.endpointSelector = new EndpointSelector(env, this.id);
     this.room = new AdmissionQueue(env, this.endpointSelector, (pool) => this.overload(pool));
   }
@@ -125,7 +125,7 @@
       ...OperatorHttp.routes(host, {
         ready: () => ingress.unready(),
         metrics: () => ingress.metrics(),
-        ledgerSource: ingress.putClient,
+        ledgerSource: ingress.shardClient,
       }),
     ];
     const direct = new DirectRequestHandler(ingress);
@@ -283,8 +283,8 @@
       if (this.notes.length === 0 || !this.current.control) continue;
       const batch = this.notes.splice(0, 100);
       this.noteBatch += 1;
-      const put = yield* this.putClient.put(
-        this.putClient.shardOf(this.id),
+      const put = yield* this.shardClient.put(
+        this.shardClient.shardOf(this.id),
         `notes-${this.id}-${this.noteBatch}`,
         [{ op: "note", entries: batch }],
         {},
@@ -443,7 +443,7 @@
     keyed: boolean,
     stamp: Stamp,
   ): Task<Result<{ tag: "opened" } | { tag: "exists"; same: boolean; state: string }>> {
-    const shard = this.putClient.shardOf(id);
+    const shard = this.shardClient.shardOf(id);
     const work = {
       id,
       binding: accepted.name,
@@ -456,11 +456,11 @@
       order: accepted.order,
     };
     let first = true;
-    const opened = yield* this.putClient.askLeader<any>(
+    const opened = yield* this.shardClient.callLeader<any>(
       shard,
       "work.open",
       () => {
-        const arrival = first ? stamp : this.putClient.stamp(this.env.wall());
+        const arrival = first ? stamp : this.shardClient.stamp(this.env.wall());
         first = false;
         return {
           stamp: arrival,
@@ -476,10 +476,10 @@
     if (opened.ok || opened.fault.tag === "busy") return opened;
     if (opened.fault.tag === "unknown") {
       // it may be running: make sure that it never will, or say plainly that we don't know
-      const refused = yield* this.putClient.askLeader<any>(
+      const refused = yield* this.shardClient.callLeader<any>(
         shard,
         "work.refuse",
-        () => ({ id, stamp: this.putClient.stamp(this.env.wall()) }),
+        () => ({ id, stamp: this.shardClient.stamp(this.env.wall()) }),
         1500,
       );
       if (refused.ok && refused.value.refused)
@@ -497,8 +497,8 @@
   }
   /** @example yield* ingress.read(id, 3, 800, 12000) */
   *read(id: string, after: number, waitMs: number, withinMs: number): Task<Result<any>> {
-    return yield* this.putClient.askLeader(
-      this.putClient.shardOf(id),
+    return yield* this.shardClient.callLeader(
+      this.shardClient.shardOf(id),
       "work.read",
       () => ({ id, after, waitMs }),
       withinMs,
@@ -509,7 +509,7 @@
   keyedId = (name: string, key: string): string => `key-${Hash.text(`${name}\n${key}`)}`;
   /** The stamp of an arrival: this is the first node it reaches, so rule 1 is checked here. @example const stamp = ingress.stamp(); */
   stamp(): Result<Stamp> {
-    const stamp = this.putClient.stamp(this.env.wall());
+    const stamp = this.shardClient.stamp(this.env.wall());
     const bounds = this.current.control?.manifest.doc.clock ?? Stamp.defaults;
     if (!Stamp.admits(stamp.time, this.env.wall(), bounds))
       return this.busy("stamp", "our stamps are ahead of our clock", Constants.retryAfterMs);
@@ -517,7 +517,7 @@
   }
   /** Temporal reads of a lot's results, from any member of its shard's view. @example yield* ingress.lotResults("L1", 0, 100, 0) */
   *jobResults(id: string, after: number, limit: number, waitMs: number): Task<Result<any>> {
-    const shard = this.putClient.shardOf(id);
+    const shard = this.shardClient.shardOf(id);
     const until = this.env.mono() + Math.max(waitMs, 500) + 2500;
     let last: Result<any> = Fault.fail("timeout", "lot results", `shard ${shard}`, "no view is known");
     while (this.env.mono() < until) {
--- a/src/storage/batchJobs.ts
+++ b/src/storage/batchJobs.ts
@@ -9,10 +9,10 @@
 import { ItemExecution } from "./itemExecution";
 import { Quota } from "./quota";
 
-export type JobSubmission = { stamp: Stamp; life: string; lot: BatchJobSpec; cause: Cause };
-export type JobSubmissionResult = { tag: "accepted" } | { tag: "exists"; same: boolean; state: string };
-export type ListedResult = { id: string; state: "complete" | "abandoned"; text: string };
-export type JobListing = { total: number; results: ListedResult[]; ended: boolean };
+export type SubmitJobRequest = { stamp: Stamp; life: string; lot: BatchJobSpec; cause: Cause };
+export type SubmitJobResponse = { tag: "accepted" } | { tag: "exists"; same: boolean; state: string };
+export type JobResultEntry = { id: string; state: "complete" | "abandoned"; text: string };
+export type JobResultPage = { total: number; results: JobResultEntry[]; ended: boolean };
 
 /**
  * Lots whose items are whole requests: taken in when they stand on every copy, listed behind the frontier, ended.
@@ -23,17 +23,17 @@
  * const accepted = yield* lots.handIn(copy, { stamp, life, lot, cause });
  */
 export class BatchJobs {
-  private takingIn = new Map<string, Chan<true>>();
+  private submitting = new Map<string, Chan<true>>();
   readonly counts = { accepted: 0, again: 0, refused: 0, listed: 0 };
   constructor(
     private readonly env: Env,
     private readonly node: Node,
     private readonly quota: Quota,
-    private readonly runs: ItemExecution,
+    private readonly itemExecution: ItemExecution,
   ) {}
   private notLeader = (replica: ShardReplica, step: string): Result<never> =>
     Fault.fail("notLead", step, this.node.self.id, replica.view?.lead ?? "");
-  private known(replica: ShardReplica, id: string, bodyHash: string): JobSubmissionResult | undefined {
+  private known(replica: ShardReplica, id: string, bodyHash: string): SubmitJobResponse | undefined {
     const sealed = replica.segments.find("lots", id);
     if (sealed)
       return {
@@ -46,34 +46,34 @@
   }
 
   /** Only "accepted" and "exists" mean that the lot is kept; after "busy" it will not be by this arrival. @example yield* lots.handIn(copy, body) */
-  *handIn(replica: ShardReplica, body: JobSubmission): Task<Result<JobSubmissionResult>> {
+  *submit(replica: ShardReplica, body: SubmitJobRequest): Task<Result<SubmitJobResponse>> {
     const { id } = body.lot;
-    for (let busy = this.takingIn.get(id); busy; busy = this.takingIn.get(id)) yield* Csp.take(busy);
+    for (let busy = this.submitting.get(id); busy; busy = this.submitting.get(id)) yield* Csp.take(busy);
     if (!replica.holdsLease() || this.node.stopping || !this.node.vouches()) return this.notLeader(replica, "hand in");
     const known = this.known(replica, id, body.lot.bodyHash);
     if (known) {
       this.counts.again += 1;
-      this.runs.opened(replica, id);
+      this.itemExecution.opened(replica, id);
       return Fault.ok(known);
     }
     if (!Stamp.admits(body.stamp.time, this.env.wall(), this.node.bounds()))
       return Fault.fail("late", "hand in", this.node.self.id, "stamp outside the bounds");
     if (replica.view!.members.length < Constants.minReplicasForJobs) return this.busy("too few copies");
     const done = Csp.chan<true>(1);
-    this.takingIn.set(id, done);
+    this.submitting.set(id, done);
     try {
       const tokens = body.lot.requests!.reduce((sum, request) => sum + request.tokens, 0);
       const granted = yield* this.quota.take(replica, body.lot.binding, id, tokens);
-      if (!granted.ok) return this.notKept(granted.fault);
-      return yield* this.keep(replica, body);
+      if (!granted.ok) return this.rejection(granted.fault);
+      return yield* this.storeJob(replica, body);
     } finally {
       this.quota.leave(replica.shard, id);
-      this.takingIn.delete(id);
+      this.submitting.delete(id);
       done.close();
     }
   }
   /** Why a place was not granted; nothing was put, so whatever kept the count from us is no matter of fate. */
-  private notKept(fault: Fault): Result<never> {
+  private rejection(fault: Fault): Result<never> {
     if (fault.tag !== "busy") return this.busy(`what waits could not be counted: ${fault.detail}`);
     this.counts.refused += 1;
     return { ok: false, fault };
@@ -82,7 +82,7 @@
     this.counts.refused += 1;
     return Fault.busy("hand in", this.node.self.id, why, Constants.retryAfterMs);
   }
-  private *keep(replica: ShardReplica, body: JobSubmission): Task<Result<JobSubmissionResult>> {
+  private *storeJob(replica: ShardReplica, body: SubmitJobRequest): Task<Result<SubmitJobResponse>> {
     const { lot: job, life } = body;
     const put = yield* replica.put(
       {
@@ -97,7 +97,7 @@
     switch (put.value.tag) {
       case "done":
         this.counts.accepted += 1;
-        this.runs.opened(replica, job.id);
+        this.itemExecution.opened(replica, job.id);
         return Fault.ok({ tag: "accepted" });
       case "exists":
         return Fault.ok(put.value);
@@ -118,7 +118,7 @@
       1100,
     );
     if (!put.ok) return put;
-    this.runs.opened(replica, body.id); // kept after all, if it is there
+    this.itemExecution.opened(replica, body.id); // kept after all, if it is there
     return Fault.ok({ refused: put.value.tag === "done" });
   }
 
@@ -130,7 +130,7 @@
   *list(
     replica: ShardReplica,
     body: { id: string; from: number; waitMs: number; anyAge?: boolean },
-  ): Task<Result<JobListing>> {
+  ): Task<Result<JobResultPage>> {
     const until = this.env.mono() + Math.min(body.waitMs, Constants.readWaitMs);
     for (;;) {
       if (!this.isMember(replica)) return Fault.fail("notLead", "list", this.node.self.id, "no member of the view");
@@ -143,8 +143,8 @@
       const over = this.env.mono() >= until;
       if (job) {
         const settled = job.open === 0 && job.positions.length === job.items.filter((item) => item.stamp).length;
-        if (job.positions.length > body.from || settled || over) return Fault.ok(this.page(job, body.from));
-      } else if (replica.holdsLease() && !this.takingIn.has(body.id))
+        if (job.positions.length > body.from || settled || over) return Fault.ok(this.pageOf(job, body.from));
+      } else if (replica.holdsLease() && !this.submitting.has(body.id))
         return Fault.fail("notFound", "list", this.node.self.id, `no lot ${body.id}`);
       else if (over || !replica.holdsLease()) return Fault.fail("notLead", "list", this.node.self.id, "not known here");
       yield* replica.changedWithin(until - this.env.mono());
@@ -154,8 +154,8 @@
     const view = this.node.gossip.snapshot?.views[replica.shard] ?? replica.view;
     return replica.exists && !!view?.members.includes(this.node.self.id);
   }
-  private page(job: BatchJob, from: number): JobListing {
-    const results: ListedResult[] = [];
+  private pageOf(job: BatchJob, from: number): JobResultPage {
+    const results: JobResultEntry[] = [];
     let bytes = 0;
     for (const at of job.positions.slice(from)) {
       const item = job.items[at];
@@ -176,7 +176,7 @@
     const held = yield* replica.job(body.id);
     if (!held.ok) return held;
     const job = held.value;
-    const unsure = !replica.holdsLease() || this.takingIn.has(body.id);
+    const unsure = !replica.holdsLease() || this.submitting.has(body.id);
     if (!job) return Fault.fail(unsure ? "notLead" : "notFound", "item body", this.node.self.id, `no lot ${body.id}`);
     const at = job.requests?.findIndex(({ id }) => id === body.item) ?? -1;
     const found = job.ended ? undefined : job.bodies[at];
@@ -189,7 +189,7 @@
     if (!replica.holdsLease()) return this.notLeader(replica, "end lot");
     const job = replica.data.lots.get(body.id);
     const sealed = replica.segments.find("lots", body.id);
-    if (!job && !sealed && this.takingIn.has(body.id))
+    if (!job && !sealed && this.submitting.has(body.id))
       return Fault.fail("notLead", "end lot", this.node.self.id, "it is being taken in");
     if (!job && !sealed) return Fault.fail("notFound", "end lot", this.node.self.id, `no lot ${body.id}`);
     if (sealed || job?.ended) return Fault.ok({ ended: true });
@@ -203,7 +203,7 @@
       1100,
     );
     if (!put.ok) return put;
-    this.runs.ended(body.id);
+    this.itemExecution.ended(body.id);
     return Fault.ok({ ended: true });
   }
 }
--- a/src/storage/itemExecution.ts
+++ b/src/storage/itemExecution.ts
@@ -10,7 +10,7 @@
 import { Route } from "../control/controlState";
 import { ShardReplica } from "../shard/shardReplica";
 import { ItemOutcome, BatchJob, ShardOperation } from "../shard/shardState";
-import { PutClient } from "./putClient";
+import { ShardClient } from "./shardClient";
 
 /** What is known of an item between its rounds; a new lead begins it anew. */
 type Progress = { after: number; data: string[]; failures: number; notBefore: number; avoid: string };
@@ -57,7 +57,7 @@
   constructor(
     private readonly env: Env,
     private readonly node: Node,
-    private readonly putClient: PutClient,
+    private readonly shardClient: ShardClient,
     private readonly endpointSelector: EndpointSelector,
     private readonly replicas: Map<number, ShardReplica>,
     private readonly names: HeaderNames,
@@ -468,11 +468,11 @@
     const putId = `results-${this.node.self.id}-${(this.batch += 1)}-${Math.floor(this.env.wall())}`;
     const replica = this.replicas.get(shard);
     for (let attempt = 0; attempt < Constants.lateAttempts && replica?.holdsLease(); attempt += 1) {
-      const put = yield* replica.put({ putId, stamp: this.putClient.stamp(this.env.wall()), ops, cause: {} }, 2500);
+      const put = yield* replica.put({ putId, stamp: this.shardClient.stamp(this.env.wall()), ops, cause: {} }, 2500);
       if (put.ok) return true;
       if (put.fault.tag !== "late") break;
       yield* EnvTools.sleep(this.env, 10);
     }
-    return (yield* this.putClient.put(shard, putId, ops, {}, 12_000)).ok;
+    return (yield* this.shardClient.put(shard, putId, ops, {}, 12_000)).ok;
   }
 }
--- a/src/storage/quota.ts
+++ b/src/storage/quota.ts
@@ -4,7 +4,7 @@
 import { Fault, Result } from "../common/fault";
 import { Node } from "../node/node";
 import { ShardReplica } from "../shard/shardReplica";
-import { PutClient } from "./putClient";
+import { ShardClient } from "./shardClient";
 
 /** What waits on a binding in one shard, as its lead counts it; the lots it has asked for are in it, by id. */
 export type Tally = { shard: number; epoch: number; turn: number; tokens: number; asking: Record<string, number> };
@@ -35,7 +35,7 @@
   constructor(
     private readonly env: Env,
     private readonly node: Node,
-    private readonly putClient: PutClient,
+    private readonly shardClient: ShardClient,
     private readonly replicas: Map<number, ShardReplica>,
   ) {}
 
@@ -44,7 +44,7 @@
     Object.fromEntries(Object.entries(this.counts).map(([name, count]) => [`quota_${name}`, count]));
   private limitOf = (route: string): number =>
     this.node.snapshot().control?.manifest.doc.bindings[route]?.maxWaitingTokens ?? 0;
-  private homeShard = (route: string): number => this.putClient.shardOf(`quota ${route}`);
+  private homeShard = (route: string): number => this.shardClient.shardOf(`quota ${route}`);
 
   // ---------- a lead that takes a lot in ----------
   /** A place for a lot, or "busy" with the step "quota" when it doesn't fit. @example yield* quota.take(copy, "audit", "lot-17", 940) */
@@ -57,7 +57,7 @@
     const home = this.replicas.get(this.homeShard(route));
     const response: Result<true> = home?.holdsLease()
       ? yield* this.reserve(home, body())
-      : yield* this.putClient.askLeader<true>(
+      : yield* this.shardClient.callLeader<true>(
           this.homeShard(route),
           "quota.reserve",
           body,
--- a/src/storage/putClient.ts
+++ b/src/storage/shardClient.ts
@@ -16,9 +16,9 @@
  * const putter = new Putter(env, rpc, "node-1", () => node.frame());
  * yield* putter.put(3, "p-1", ops, {}, 5000);
  */
-export class PutClient {
+export class ShardClient {
   readonly stamp: (now: number) => Stamp;
-  restamped = 0;
+  restampedPuts = 0;
   constructor(
     private readonly env: Env,
     private readonly rpc: Rpc,
@@ -36,7 +36,7 @@
     return snapshot.members.find((member) => member.id === leader)?.address;
   }
   /** Asks the lead of a shard until it answers; only faults that a new lead or a new stamp may cure are tried again. @example yield* putter.askLead(3, "work.read", () => body, 5000) */
-  *askLeader<R = any>(
+  *callLeader<R = any>(
     shard: number,
     verb: string,
     body: () => Record<string, unknown>,
@@ -67,7 +67,7 @@
         if (last.ok) return last;
         switch (last.fault.tag) {
           case "late":
-            this.restamped += 1;
+            this.restampedPuts += 1;
             this.env.log(1405, { shard, verb });
             yield* EnvTools.sleep(this.env, 15);
             continue;
@@ -91,7 +91,7 @@
   }
   /** @example yield* putter.put(3, "p-1", [{ op: "note", entries }], {}, 5000) */
   *put(shard: number, putId: string, ops: ShardOperation[], cause: Cause, withinMs: number): Task<Result<PutOutcome>> {
-    return yield* this.askLeader<PutOutcome>(
+    return yield* this.callLeader<PutOutcome>(
       shard,
       "shard.put",
       () => ({ put: { putId, stamp: this.stamp(this.env.wall()), ops, cause } }),
--- a/src/storage/storageNode.ts
+++ b/src/storage/storageNode.ts
@@ -13,7 +13,7 @@
 import { LedgerEntry, ShardState } from "../shard/shardState";
 import { ItemExecution } from "./itemExecution";
 import { BatchJobs } from "./batchJobs";
-import { PutClient } from "./putClient";
+import { ShardClient } from "./shardClient";
 import { Quota } from "./quota";
 import { WorkExecutor } from "./workExecutor";
 
@@ -26,7 +26,7 @@
  */
 export class StorageNode {
   readonly replicas = new Map<number, ShardReplica>();
-  readonly putClient: PutClient;
+  readonly shardClient: ShardClient;
   readonly endpointSelector: EndpointSelector;
   readonly work: WorkExecutor;
   readonly jobs: BatchJobs;
@@ -41,11 +41,11 @@
     readonly node: Node,
     readonly names: HeaderNames,
   ) {
-    this.putClient = new PutClient(env, node.rpc, node.self.id, () => node.snapshot());
+    this.shardClient = new ShardClient(env, node.rpc, node.self.id, () => node.snapshot());
     this.endpointSelector = new EndpointSelector(env, node.self.id);
-    this.work = new WorkExecutor(env, node, this.putClient, this.endpointSelector, this.replicas);
-    this.quota = new Quota(env, node, this.putClient, this.replicas);
-    this.itemRuns = new ItemExecution(env, node, this.putClient, this.endpointSelector, this.replicas, names);
+    this.work = new WorkExecutor(env, node, this.shardClient, this.endpointSelector, this.replicas);
+    this.quota = new Quota(env, node, this.shardClient, this.replicas);
+    this.itemRuns = new ItemExecution(env, node, this.shardClient, this.endpointSelector, this.replicas, names);
     this.jobs = new BatchJobs(env, node, this.quota, this.itemRuns);
   }
 
@@ -78,7 +78,7 @@
       ready: () =>
         store.node.stopping ? "stopping" : !store.node.vouches() ? "clock or frame not vouched for" : undefined,
       metrics: () => store.metrics(),
-      ledgerSource: store.putClient,
+      ledgerSource: store.shardClient,
     });
     if (!http.ok) return http;
     return Fault.ok(store);
@@ -166,7 +166,7 @@
       const below = replica.segments.olderThan(kind, before);
       if (below <= replica.data.trimmed[kind]) continue;
       const detail = `trimmed ${kind} segments ${replica.data.trimmed[kind]} to ${below - 1}: nothing in them is newer than ${new Date(before).toISOString()}`;
-      yield* this.putClient.put(
+      yield* this.shardClient.put(
         replica.shard,
         `trim-${replica.shard}-${kind}-${below}`,
         [{ op: "trim", kind, below, detail }],
@@ -227,7 +227,7 @@
     on("work.refuse", (replica, body) => this.work.refuse(replica, body));
     on("lot.handIn", (replica, body) => {
       this.relays.add(this.env.wall() - body.stamp.time);
-      return this.jobs.handIn(replica, body);
+      return this.jobs.submit(replica, body);
     });
     on("lot.refuse", (replica, body) => this.jobs.refuse(replica, body));
     on("lot.list", (replica, body) => this.jobs.list(replica, body));
@@ -402,7 +402,7 @@
       ...this.relays.metrics("relay_ms"),
       skew_ms: +(this.node.membership.skew()?.offset ?? 0).toFixed(2),
       disk_syncs: sum((replica) => replica.syncs()),
-      restamped_puts: this.putClient.restamped,
+      restamped_puts: this.shardClient.restampedPuts,
       affinity_hits: this.endpointSelector.hits,
       affinity_misses: this.endpointSelector.misses,
       ...this.work.metrics(),
--- a/src/storage/workExecutor.ts
+++ b/src/storage/workExecutor.ts
@@ -19,7 +19,7 @@
   ShardState,
   LiveRequest as Held,
 } from "../shard/shardState";
-import { PutClient } from "./putClient";
+import { ShardClient } from "./shardClient";
 
 /* eslint-disable @typescript-eslint/no-explicit-any */
 type OpenBody = {
@@ -55,7 +55,7 @@
   constructor(
     private readonly env: Env,
     private readonly node: Node,
-    private readonly putClient: PutClient,
+    private readonly shardClient: ShardClient,
     private readonly endpointSelector: EndpointSelector,
     private readonly replicas: Map<number, ShardReplica>,
   ) {
@@ -167,7 +167,7 @@
           1100,
         );
         if (put.ok || put.fault.tag !== "late" || attempt >= Constants.lateAttempts) break;
-        stamp = this.putClient.stamp(this.env.wall());
+        stamp = this.shardClient.stamp(this.env.wall());
         yield* EnvTools.sleep(this.env, 10);
       }
       // its fate is not known (the view is just changing): nothing was delivered, so it is found out and gone on with
@@ -257,7 +257,7 @@
     if (replica?.holdsLease()) {
       for (let attempt = 0; attempt < Constants.lateAttempts; attempt += 1) {
         const put = yield* replica.put(
-          { putId, stamp: this.putClient.stamp(this.env.wall()), ops, cause },
+          { putId, stamp: this.shardClient.stamp(this.env.wall()), ops, cause },
           Math.min(withinMs, 2500),
         );
         if (put.ok) {
@@ -269,7 +269,7 @@
       }
     }
     // the lead has moved on: it may be another store by now
-    return yield* this.putClient.put(shard, putId, ops, cause, withinMs);
+    return yield* this.shardClient.put(shard, putId, ops, cause, withinMs);
   }
   private stillEligible(endpoint: Endpoint, route: string, kind: string, caller: string, pool: string): boolean {
     return EndpointSelector.inPool({ snapshot: this.node.snapshot(), pool, route, caller, kind }).some(
--- a/test/lotWorld.ts
+++ b/test/lotWorld.ts
@@ -10,8 +10,8 @@
 import { SubmittedItem, BatchSubmissionHost, BatchSubmission } from "../src/ingress/batchSubmission";
 import { SimDisk } from "../src/simulation/simDisk";
 import { SimProcess, SimWorld } from "../src/simulation/simWorld";
-import { JobListing } from "../src/storage/batchJobs";
-import { PutClient } from "../src/storage/putClient";
+import { JobResultPage } from "../src/storage/batchJobs";
+import { ShardClient } from "../src/storage/shardClient";
 import { StorageNode } from "../src/storage/storageNode";
 import { EventStandIn } from "../src/tools/eventStandIn";
 
@@ -125,7 +125,7 @@
       env,
       rpc: node.rpc,
       settings: { district: settings.district },
-      putClient: new PutClient(env, node.rpc, node.self.id, () => node.snapshot()),
+      shardClient: new ShardClient(env, node.rpc, node.self.id, () => node.snapshot()),
       snapshot: () => node.snapshot(),
     });
   }
@@ -232,12 +232,12 @@
     while (took.size < ids.length) await this.world.run(10);
     return ids.map((id) => took.get(id)!);
   }
-  async list(job: string, from = 0): Promise<JobListing | undefined> {
+  async list(job: string, from = 0): Promise<JobResultPage | undefined> {
     const listed = await this.ask((host) => BatchSubmission.list(host, job, from, 0));
     return listed?.ok ? listed.value : undefined;
   }
   /** Reads until all is listed, or for so long. @example await lots.whole("L1", 8000) */
-  async whole(job: string, withinMs: number): Promise<JobListing> {
+  async whole(job: string, withinMs: number): Promise<JobResultPage> {
     for (const until = this.world.now + withinMs; ;) {
       const listed = await this.list(job);
       if (listed && (listed.results.length === listed.total || this.world.now > until)) return listed;
@@ -248,7 +248,7 @@
   }
   /** The store that leads the lot's shard. @example lots.leadOf("L1") */
   leaderOf(job: string): string {
-    const shard = this.host.putClient.shardOf(job);
+    const shard = this.host.shardClient.shardOf(job);
     return [...this.stores].find(([, store]) => store.replicas.get(shard)?.holdsLease())?.[0] ?? "";
   }
   kill(name: string, powerLost = false): void {
--- a/test/lots.test.ts
+++ b/test/lots.test.ts
@@ -143,7 +143,7 @@
   if (!said?.ok) expect(runs()).toBe(0);
   expect((await jobs.handIn("R", 5))?.ok).toBe(true);
   expect((await jobs.whole("R", 6000)).results).toHaveLength(5);
-  const shard = jobs.host.putClient.shardOf("S");
+  const shard = jobs.host.shardClient.shardOf("S");
   const refuse = await jobs.ask((host) =>
     BatchSubmission.refuse(host, "S", { tag: "unknown", step: "", member: "", detail: "" }),
   );
@@ -152,10 +152,10 @@
   const { lot: job, cause } = BatchSubmission.order(jobs.host, "S", "b", LotWorld.route, jobs.items("S", 2));
   const life = `${early.time}~early~0`;
   const late = await jobs.ask((host) =>
-    host.putClient.askLeader(
+    host.shardClient.callLeader(
       shard,
       "lot.handIn",
-      () => ({ stamp: host.putClient.stamp(host.env.wall()), life, lot: job, cause }),
+      () => ({ stamp: host.shardClient.stamp(host.env.wall()), life, lot: job, cause }),
       2000,
     ),
   );
