--- a/scripts/scale.js
+++ b/scripts/scale.js
@@ -47,7 +47,7 @@
   const sum = (pick) => nodes().reduce((total, node) => total + pick(node), 0);
   const before = {
     probes: sum((node) => node.membership.probes),
-    asks: sum((node) => node.rpc.asked),
+    asks: sum((node) => node.rpc.callCount),
     cpu: process.cpuUsage().user,
   };
   calm = true;
@@ -55,7 +55,7 @@
   calm = false;
   const found = {
     probes: (sum((node) => node.membership.probes) - before.probes) / nodes().length / 10,
-    asks: (sum((node) => node.rpc.asked) - before.asks) / nodes().length / 10,
+    asks: (sum((node) => node.rpc.callCount) - before.asks) / nodes().length / 10,
     cpu: (process.cpuUsage().user - before.cpu) / 1000 / nodes().length / 10,
     suspicions,
     small: [],
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -187,9 +187,9 @@
       to,
       EnvelopeCodec.encode({
         kind: "datagram",
-        correlation: 0,
+        correlationId: 0,
         cluster: this.cluster,
-        verb: datagram.tag,
+        method: datagram.tag,
         sender: this.self.id,
         body: datagram,
       }),
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -86,7 +86,7 @@
     membership.watch((changed) => {
       node.cached = undefined;
       // a connection to who does not answer may carry nothing: a new one tells, and is made once it is there again
-      if (changed && changed.state !== "alive" && changed.id !== id) rpc.drop(changed.address);
+      if (changed && changed.state !== "alive" && changed.id !== id) rpc.closeIfIdle(changed.address);
     });
     gossip.watch(() => (node.cached = undefined));
     node.confirmation.serve();
@@ -129,7 +129,7 @@
       yield* EnvTools.sleep(this.env, Constants.clockWatchMs);
       const now = this.env.mono();
       if (now - sweptAt > Constants.linkIdleMs) {
-        this.rpc.sweep(Constants.linkIdleMs);
+        this.rpc.closeUnused(Constants.linkIdleMs);
         sweptAt = now;
       }
       const offset = this.env.wall() - now;
--- a/test/fuzz.test.ts
+++ b/test/fuzz.test.ts
@@ -14,7 +14,7 @@
 const seed = Number(process.env.FUZZ_SEED ?? 20_241);
 const settings = { seed, numRuns: runs, endOnFailure: false };
 const socketSettings = { ...settings, numRuns: Math.ceil(runs / 4) };
-const envelope = { kind: "ask" as const, correlation: 7, cluster: "a", verb: "echo", sender: "s" };
+const envelope = { kind: "request" as const, correlationId: 7, cluster: "a", method: "echo", sender: "s" };
 const oneSnapshot = EnvelopeCodec.encode({ ...envelope, body: { n: [1, 2, 3], text: "x".repeat(40) } });
 /** Bytes that are almost right: a text with pieces of it cut out, doubled, changed or put in. */
 const harmed = (text: Buffer): fc.Arbitrary<Buffer> =>
@@ -43,14 +43,14 @@
     fc.property(bytes, (snapshot) => {
       const read = EnvelopeCodec.decode(snapshot, "a");
       if (read === undefined) return;
-      expect([read.cluster, typeof read.verb, typeof read.sender]).toEqual(["a", "string", "string"]);
+      expect([read.cluster, typeof read.method, typeof read.sender]).toEqual(["a", "string", "string"]);
       expect(EnvelopeCodec.decode(EnvelopeCodec.encode(read), "a")).toEqual(read);
     }),
     settings,
   );
   fc.assert(
-    fc.property(fc.jsonValue(), fc.string({ maxLength: 40 }), fc.nat(0xffffffff), (body, verb, correlation) => {
-      const message = { ...envelope, verb, correlation, body };
+    fc.property(fc.jsonValue(), fc.string({ maxLength: 40 }), fc.nat(0xffffffff), (body, method, correlationId) => {
+      const message = { ...envelope, method, correlationId, body };
       expect(JSON.stringify(EnvelopeCodec.decode(EnvelopeCodec.encode(message), "a"))).toEqual(JSON.stringify(message));
     }),
     settings,
@@ -69,9 +69,9 @@
         for (let link = yield* Csp.take(links.value); link !== null; link = yield* Csp.take(links.value)) {
           const asked = EnvelopeCodec.decode((yield* Csp.take(link.incoming)) ?? Buffer.alloc(0), "a");
           if (!asked) continue;
-          const response = { ...envelope, kind: "reply" as const, body: "not yours" };
-          link.send(EnvelopeCodec.encode({ ...response, correlation: asked.correlation + 1 + offset }));
-          link.send(EnvelopeCodec.encode({ ...response, correlation: asked.correlation, body: "yours" }));
+          const response = { ...envelope, kind: "response" as const, body: "not yours" };
+          link.send(EnvelopeCodec.encode({ ...response, correlationId: asked.correlationId + 1 + offset }));
+          link.send(EnvelopeCodec.encode({ ...response, correlationId: asked.correlationId, body: "yours" }));
           for (const snapshot of snapshots) link.send(snapshot);
         }
       });
--- a/test/model.test.ts
+++ b/test/model.test.ts
@@ -10,7 +10,8 @@
 import { Plants } from "../src/model/groupUnderTest";
 import { InvariantName } from "../src/model/invariants";
 import { Walk } from "../src/model/walk";
-import { Handler, Rpc } from "../src/rpc/rpc";
+import { UntypedHandler } from "../src/rpc/methods";
+import { Rpc } from "../src/rpc/rpc";
 
 /* eslint-disable @typescript-eslint/no-explicit-any */
 describe("random walks over the control group, every invariant after each step", () => {
@@ -50,7 +51,7 @@
   return {
     rpc(rpc: Rpc): void {
       const handle = rpc.handle.bind(rpc);
-      rpc.handle = (handled: string, handler: Handler): void =>
+      rpc.handle = (handled: string, handler: UntypedHandler): void =>
         handle(
           handled,
           handled !== verb
@@ -181,7 +182,7 @@
     const plants: Plants = {
       rpc(rpc, id) {
         const handle = rpc.handle.bind(rpc);
-        rpc.handle = (verb, handler) =>
+        rpc.handle = (verb: string, handler: UntypedHandler): void =>
           handle(verb, (body, sender) =>
             id === "c2" && verb === "group.append"
               ? handler({ ...body, entries: body.entries.map(replaced) }, sender)
@@ -246,10 +247,11 @@
     const plants: Plants = {
       rpc(rpc, id) {
         const handle = rpc.handle.bind(rpc);
-        const refusing: Handler = function* () {
+        const refusing: UntypedHandler = function* () {
           return Fault.fail("refused", "append", id, "planted");
         };
-        rpc.handle = (verb, handler) => handle(verb, id === "c4" && verb === "group.append" ? refusing : handler);
+        rpc.handle = (verb: string, handler: UntypedHandler): void =>
+          handle(verb, id === "c4" && verb === "group.append" ? refusing : handler);
       },
     };
     expect(await found(plants, within)).toEqual(oneOf("converged-after-heal"));
@@ -258,10 +260,11 @@
     const plants: Plants = {
       rpc(rpc, id) {
         const handle = rpc.handle.bind(rpc);
-        const deaf: Handler = function* (body) {
+        const deaf: UntypedHandler = function* (body) {
           return Fault.ok({ term: body.term, matched: true, match: body.prevIndex + body.entries.length });
         };
-        rpc.handle = (verb, handler) => handle(verb, id === "c4" && verb === "group.append" ? deaf : handler);
+        rpc.handle = (verb: string, handler: UntypedHandler): void =>
+          handle(verb, id === "c4" && verb === "group.append" ? deaf : handler);
       },
     };
     expect(await found(plants, within)).toEqual(
--- a/test/rpc.test.ts
+++ b/test/rpc.test.ts
@@ -17,7 +17,7 @@
 });
 afterEach(() => expect(client.errors).toEqual([]));
 const response = (asked: Envelope, more: Partial<Envelope> = {}): Buffer =>
-  EnvelopeCodec.encode({ ...asked, kind: "reply", sender: "s", body: asked.body, ...more });
+  EnvelopeCodec.encode({ ...asked, kind: "response", sender: "s", body: asked.body, ...more });
 /** A process that responds to each ask as it is told to. */
 function responder(respond: (link: Link, asked: Envelope) => void): SimProcess {
   const server = world.start("server", new SimDisk(world));
@@ -51,7 +51,7 @@
   const held: (() => void)[] = [];
   responder((link, asked) => {
     if (asked.body === 0) held.push(() => link.send(response(asked)));
-    else for (const verb of ["other", asked.verb, asked.verb]) link.send(response(asked, { verb }));
+    else for (const method of ["other", asked.method, asked.method]) link.send(response(asked, { method }));
   });
   await world.run(50);
   const first = asks(2, 100);
@@ -62,7 +62,7 @@
   ]);
   held.forEach((send) => send());
   await world.run(50);
-  expect(rpc.late).toBe(3);
+  expect(rpc.lateResponseCount).toBe(3);
 });
 test("the end of a connection reaches every waiter once", async () => {
   responder(() => undefined);
@@ -82,21 +82,21 @@
   world.kill("server");
   // the new one responds to whatever number it is asked by, and to the numbers before it
   responder((link, asked) => {
-    for (let correlation = 1; correlation <= asked.correlation; correlation += 1)
-      link.send(response(asked, { correlation, body: `new ${correlation}` }));
+    for (let correlationId = 1; correlationId <= asked.correlationId; correlationId += 1)
+      link.send(response(asked, { correlationId, body: `new ${correlationId}` }));
   });
   await world.run(200);
   const young = asks(1, 1000);
   await world.run(6000);
   expect(old.every((each) => !each.ok)).toBe(true);
   expect(young).toEqual([{ ok: true, value: "new 4" }]);
-  expect(rpc.late).toBe(3);
+  expect(rpc.lateResponseCount).toBe(3);
 });
 test("a fault that has not a fault's shape is told as broken; an ask in place of a response ends the connection", async () => {
   const bodies = [null, 7, {}, { tag: "constructor", step: "", member: "", detail: "" }, { tag: "busy", step: "a" }];
   responder((link, asked) => {
     const body = bodies[Number(asked.body)];
-    link.send(response(asked, { kind: asked.body === bodies.length ? "ask" : "fault", body }));
+    link.send(response(asked, { kind: asked.body === bodies.length ? "request" : "error", body }));
   });
   await world.run(50);
   const outcomes = asks(bodies.length + 1);
--- a/test/surface.test.ts
+++ b/test/surface.test.ts
@@ -130,26 +130,26 @@
   expect(requestTable.late).toBe(2);
 });
 test("a long body is deflated, written once for several members, and comes back as it was; a cut one is not decoded", () => {
-  const message = { kind: "ask" as const, correlation: 7, cluster: "a", verb: "v", sender: "s" };
+  const message = { kind: "request" as const, correlationId: 7, cluster: "a", method: "v", sender: "s" };
   for (const length of [10, 1500, 100_000]) {
     const body = EnvelopeCodec.shared({ text: Array.from({ length }, (_each, at) => at.toString(36)).join("") });
     const snapshot = EnvelopeCodec.encode({ ...message, body });
     expect(snapshot.length < JSON.stringify(body).length).toBe(length > 10);
     expect(EnvelopeCodec.encode({ ...message, body }).equals(snapshot)).toBe(true);
-    expect(EnvelopeCodec.decode(snapshot, "a")).toMatchObject({ correlation: 7, body });
+    expect(EnvelopeCodec.decode(snapshot, "a")).toMatchObject({ correlationId: 7, body });
     expect(EnvelopeCodec.decode(snapshot.subarray(0, snapshot.length - 1), "a")).toBeUndefined();
   }
 });
 test("malformed and foreign messages are not decoded", () => {
   const good = EnvelopeCodec.encode({
-    kind: "ask",
-    correlation: 7,
+    kind: "request",
+    correlationId: 7,
     cluster: "a",
-    verb: "v",
+    method: "v",
     sender: "s",
     body: { x: [1] },
   });
-  expect(EnvelopeCodec.decode(good, "a")).toMatchObject({ correlation: 7, verb: "v", body: { x: [1] } });
+  expect(EnvelopeCodec.decode(good, "a")).toMatchObject({ correlationId: 7, method: "v", body: { x: [1] } });
   expect(EnvelopeCodec.decode(good, "b")).toBeUndefined();
   for (let at = 0; at < good.length; at += 1) expect(EnvelopeCodec.decode(good.subarray(0, at), "a")).toBeUndefined();
   expect(EnvelopeCodec.decode(Buffer.from("GET / HTTP/1.1\r\n\r\n"), "a")).toBeUndefined();
