--- a/scripts/bite.js
+++ b/scripts/bite.js
@@ -137,7 +137,7 @@
   },
   {
     name: "majority-before-reply",
-    file: "control/group/replication.js",
+    file: "consensus/replication.js",
     find: "const majorityIndex = matches[this.replica.majority() - 1];",
     put: "const majorityIndex = matches[0];",
     scenario: "change-races-lead,control-cut-in-two",
--- a/src/consensus/consensusGroup.ts
+++ b/src/consensus/consensusGroup.ts
@@ -65,7 +65,7 @@
     EnvTools.keep(this.env, this.env.scope, "log writer", () => this.replication.writeLoop());
   }
   /** Whether this member belongs to a founded group. @example if (!group.founded()) yield* found(); */
-  founded(): boolean {
+  isBootstrapped(): boolean {
     return this.log.founded();
   }
   /** @example group.groupId() */
@@ -81,11 +81,11 @@
     return { term: this.log.term, entries: this.log.entries };
   }
   /** Index of the newest entry known to be on a majority of disks. */
-  get commit(): number {
+  get commitIndex(): number {
     return this.replica.commit;
   }
   /** Index of the newest entry that the state holds. */
-  get applied(): number {
+  get lastApplied(): number {
     return this.replica.applied;
   }
   /** The state machine. */
@@ -97,7 +97,7 @@
     return this.replica.role;
   }
   /** The lead last heard of, or "". */
-  get leader(): string {
+  get leaderId(): string {
     return this.replica.leader;
   }
   /** When this node was last elected, on its monotonic clock. */
@@ -105,15 +105,15 @@
     return this.replica.leaderSince;
   }
   /** How often this node asked for votes. */
-  get elections(): number {
+  get electionsStarted(): number {
     return this.election.elections;
   }
   /** Index of the snapshot. */
-  get baseIndex(): number {
+  get snapshotIndex(): number {
     return this.log.baseIndex;
   }
   /** @example group.lastIndex() >= group.applied */
-  lastIndex(): number {
+  lastLogIndex(): number {
     return this.log.lastIndex();
   }
   /**
@@ -121,7 +121,7 @@
    * applied here: an entry of its own term is committed.
    * @example if (!group.holdsLead()) return;
    */
-  holdsLeader(): boolean {
+  hasLeaderLease(): boolean {
     return this.replication.holdsLeader();
   }
   /**
@@ -142,11 +142,11 @@
    * heard just now. One that has nothing yet could neither acknowledge nor vote, and the group might need it to.
    * @example group.caughtUp("node-4")
    */
-  caughtUp(id: string): boolean {
+  isCaughtUp(id: string): boolean {
     return this.replication.caughtUp(id);
   }
   /** The founding entry, the same on every founder. @example yield* group.found("g-1", ["a", "b", "c"]); */
-  *found(group: string, voters: string[]): Task<Result<true>> {
+  *bootstrap(group: string, voters: string[]): Task<Result<true>> {
     yield* Csp.take(this.log.diskToken);
     try {
       if (this.log.founded())
@@ -174,7 +174,7 @@
         return refuse(`this voter belongs to group ${this.replica.groupId() || "none"}`);
       if (asked.voter !== this.self || !this.log.voters().includes(this.self))
         return refuse(`this is ${this.self}, voters are ${this.log.voters().join(", ")}`);
-      if (this.replica.role === "lead" && this.holdsLeader()) return refuse("the group has a lead");
+      if (this.replica.role === "leader" && this.hasLeaderLease()) return refuse("the group has a lead");
       const state = structuredClone(this.replica.state);
       for (const entry of this.log.entries.filter(
         (each) => each.index > this.replica.applied && each.index <= this.log.synced,
@@ -203,8 +203,8 @@
   }
   /** Puts a command to the group; the fault "unknown" means it may yet be taken. @example yield* group.propose(command, 1500) */
   *propose(command: Command, withinMs: number): Task<Result<Outcome>> {
-    if (!this.holdsLeader())
-      return Fault.fail("notLead", "propose", this.self, this.replica.role === "lead" ? "" : this.replica.leader);
+    if (!this.hasLeaderLease())
+      return Fault.fail("notLead", "propose", this.self, this.replica.role === "leader" ? "" : this.replica.leader);
     const refusal = MembershipChange.refusal(command, this.log, this.replica.commit);
     if (refusal !== undefined) return Fault.fail("conflict", "propose", this.self, refusal);
     const entry = this.replication.append(command);
@@ -219,15 +219,15 @@
    * before it is asked to, so the others need not wait for its end.
    * @example yield* group.handOver();
    */
-  *handOver(): Task<void> {
+  *transferLeadership(): Task<void> {
     const { term } = this.log;
     const until = this.env.mono() + Constants.handOverWaitMs;
     const settled = (): boolean =>
       this.replica.commit === this.log.lastIndex() && this.lag(this.replication.successor()) === 0;
-    while (this.holdsLeader() && !settled() && this.env.mono() < until) yield* EnvTools.sleep(this.env, 10);
+    while (this.hasLeaderLease() && !settled() && this.env.mono() < until) yield* EnvTools.sleep(this.env, 10);
     const successor = this.replication.successor();
     const address = this.replica.hooks.addressOf(successor);
-    if (!this.holdsLeader() || this.log.term !== term || !address) return;
+    if (!this.hasLeaderLease() || this.log.term !== term || !address) return;
     this.replica.resign();
     this.replica.setElection();
     const body: LeadershipTransferRequest = { to: successor, group: this.replica.groupId(), term };
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -37,7 +37,7 @@
   *electionLoop(): Task<void> {
     for (;;) {
       yield* EnvTools.sleep(this.env, this.untilLook());
-      if (this.replica.role === "lead") {
+      if (this.replica.role === "leader") {
         // a lead that lost its majority for long says so and steps down
         const now = this.env.mono();
         const heard = this.log
@@ -70,7 +70,7 @@
   /** A follower has nothing to do before its next election would be due: every heartbeat puts that off. */
   private untilLook(): number {
     if (this.replica.newborn) return 10;
-    if (this.replica.role === "lead") return Constants.heartbeatMs;
+    if (this.replica.role === "leader") return Constants.heartbeatMs;
     return this.log.founded()
       ? Math.min(Constants.electionLookMs, Math.max(20, this.replica.nextElection - this.env.mono()))
       : 60;
@@ -195,7 +195,7 @@
   }
   /** Whether nothing but our own start speaks against a vote that all voters, just started too, are asked for. */
   private waives = (body: VoteRequest): boolean =>
-    this.replica.role !== "lead" &&
+    this.replica.role !== "leader" &&
     ((body.ofNewborns && this.replica.newborn) || (!!body.handedOver && body.term === this.log.term + 1));
   /** Whether a candidate's log holds all that this one may have acknowledged. */
   private atLeast = (body: { lastIndex: number; lastTerm: number }): boolean => {
@@ -204,7 +204,7 @@
   };
   /** Leads from now on, with an entry of its own term first. */
   private won(): void {
-    this.replica.role = "lead";
+    this.replica.role = "leader";
     this.replica.newborn = false;
     this.replica.leader = this.self;
     this.replica.leaderSince = this.env.mono();
--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -5,14 +5,15 @@
 import { Fault, Result } from "../common/fault";
 import { ControlState, Outcome } from "../control/controlState";
 import { ReplicatedLog, Saved } from "./log";
+import { RaftRole } from "./role";
 
 /** What a lead knows of a follower: the next entry for it, up to where it matches, and when it last answered. */
 export type Follower = { next: number; match: number; heardAt: number; wake: Chan<true> };
 export type ConsensusGroupHooks = {
   addressOf(id: string): string | undefined;
   /** Every control node now alive, this one left out: voters or standbys. */
-  others(): string[];
-  applied(state: ControlState, index: number): void;
+  otherNodes(): string[];
+  onApplied(state: ControlState, index: number): void;
 };
 
 /**
@@ -26,7 +27,7 @@
   commit = 0;
   applied = 0;
   state = ControlState.empty();
-  role: "follower" | "candidate" | "lead" = "follower";
+  role: RaftRole = "follower";
   leader = "";
   leaderSince = 0;
   heardAt: number;
@@ -67,14 +68,14 @@
     this.state = structuredClone(saved.base);
     this.applied = this.commit = saved.baseIndex;
     this.role = "follower";
-    this.hooks.applied(this.state, this.applied);
+    this.hooks.onApplied(this.state, this.applied);
     return done;
   }
   /** How many of the newest voters are a quorum. */
   majority = (): number => Math.floor(this.log.voters().length / 2) + 1;
   /** Whether this node leads, is a voter, and has applied an entry of its own term: all of earlier terms with it. */
   leadsCommitted(): boolean {
-    return this.role === "lead" && this.isVoter() && this.log.termAt(this.applied) === this.log.term;
+    return this.role === "leader" && this.isVoter() && this.log.termAt(this.applied) === this.log.term;
   }
   /** Whether this node is one of the newest voters. A lead whose removal is under way is not. */
   isVoter(): boolean {
@@ -90,7 +91,7 @@
   }
   /** Leads no more, in the same term. What was proposed here and is not committed may yet be. */
   resign(): void {
-    if (this.role === "lead") {
+    if (this.role === "leader") {
       this.env.log(1304, { term: this.log.term });
       for (const waiting of this.waiting.values())
         Csp.offer(
@@ -131,10 +132,10 @@
             : Fault.fail("conflict", "propose", this.self, "entry was replaced"),
         );
     }
-    this.hooks.applied(this.state, this.applied);
+    this.hooks.onApplied(this.state, this.applied);
   }
   /** Whether no lead was heard for so long that one may be elected. */
-  quiet = (): boolean => this.role !== "lead" && this.env.mono() - this.heardAt >= Constants.electionMinMs;
+  quiet = (): boolean => this.role !== "leader" && this.env.mono() - this.heardAt >= Constants.electionMinMs;
   /** What is meant for another member is not answered in its name: an emptied machine at its address holds neither its log nor its vote. */
   forUs(to: string, step: string): Result<never> | undefined {
     return to === this.self
--- a/src/consensus/replication.ts
+++ b/src/consensus/replication.ts
@@ -101,7 +101,7 @@
           yield* this.replica.stepDown(this.log.term, true);
           continue;
         }
-        if (synced.value > 0 && this.replica.role === "lead") this.advance();
+        if (synced.value > 0 && this.replica.role === "leader") this.advance();
         if (this.log.isLong(this.replica.applied)) yield* this.log.fold(this.replica.state, this.replica.applied);
       } finally {
         Csp.offer(this.log.diskToken, true);
@@ -111,8 +111,8 @@
   /** Keeps one replication task a member, voters and standbys alike. */
   *replicators(term: number): Task<void> {
     const running = new Set<string>();
-    while (this.replica.role === "lead" && this.log.term === term) {
-      const wanted = new Set([...this.log.voters(), ...this.replica.hooks.others()]);
+    while (this.replica.role === "leader" && this.log.term === term) {
+      const wanted = new Set([...this.log.voters(), ...this.replica.hooks.otherNodes()]);
       wanted.delete(this.self);
       for (const id of wanted) {
         if (running.has(id)) continue;
@@ -135,12 +135,12 @@
   }
   /** Brings one follower up and keeps it there; each append is a heartbeat. */
   private *replicate(id: string, term: number): Task<void> {
-    while (this.replica.role === "lead" && this.log.term === term) {
+    while (this.replica.role === "leader" && this.log.term === term) {
       const follower = this.replica.followers.get(id);
       const address = this.replica.hooks.addressOf(id);
       if (!follower) return;
       if (!address) {
-        if (!this.log.voters().includes(id) && !this.replica.hooks.others().includes(id))
+        if (!this.log.voters().includes(id) && !this.replica.hooks.otherNodes().includes(id))
           return void this.replica.followers.delete(id);
         yield* EnvTools.sleep(this.env, Constants.heartbeatMs);
         continue;
@@ -155,7 +155,7 @@
             { ...this.header(id), ...content } satisfies AppendRequest,
             Constants.appendTimeoutMs,
           );
-      if (this.replica.role !== "lead" || this.log.term !== term) return;
+      if (this.replica.role !== "leader" || this.log.term !== term) return;
       if (response.ok) {
         if (response.value.term > this.log.term) return void (yield* this.replica.stepDown(response.value.term, false));
         follower.heardAt = Math.max(follower.heardAt, askedAt);
@@ -237,7 +237,7 @@
       const body = { ...this.header(id), ...place, entries: [], piece } satisfies AppendRequest;
       const askedAt = this.env.mono();
       const response = yield* this.rpc.call<AppendResponse>(address, "group.append", body, Constants.appendTimeoutMs);
-      if (this.replica.role !== "lead" || this.log.term !== term) return response;
+      if (this.replica.role !== "leader" || this.log.term !== term) return response;
       if (!response.ok) {
         failures += 1;
         if (response.fault.tag === "invalid" || failures >= Constants.transferTries) return response;
--- a/src/control/calendar.ts
+++ b/src/control/calendar.ts
@@ -29,8 +29,8 @@
   }
   private *loop(): Task<void> {
     for (;;) {
-      yield* EnvTools.sleep(this.env, this.group.role === "lead" ? Constants.movePeriodMs : Constants.dutyPeriodMs);
-      if (!this.group.holdsLeader()) continue;
+      yield* EnvTools.sleep(this.env, this.group.role === "leader" ? Constants.movePeriodMs : Constants.dutyPeriodMs);
+      if (!this.group.hasLeaderLease()) continue;
       for (const entry of Object.values(this.group.state.calendar)) {
         const due = entry.due <= this.env.wall();
         if (this.busy.has(entry.id) || !(entry.fate === "started" || (entry.fate === "pencilled" && due))) continue;
--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -14,6 +14,7 @@
 import { Calendar } from "./calendar";
 import { CalendarEntry, Command, ControlState, Outcome, ShardView } from "./controlState";
 import { ConsensusGroup } from "../consensus/consensusGroup";
+import { roleOnWire } from "../consensus/role";
 import { VoterSelection, VoterSituation } from "./voterSelection";
 import { ShardPlacement } from "./shardPlacement";
 
@@ -46,12 +47,12 @@
     this.votersWanted = 2 * (settings.losses ?? Constants.losses) + 1;
     this.group = new ConsensusGroup(env, node.rpc, node.self.id, new TwoSlots(env, `${settings.data}/group`), {
       addressOf: (id) => node.addressOf(id),
-      others: () =>
+      otherNodes: () =>
         node.membership
           .alive("control")
           .map((member) => member.id)
           .filter((id) => id !== node.self.id),
-      applied: (state, index) => this.applied(state, index),
+      onApplied: (state, index) => this.applied(state, index),
     });
     this.views = new ShardPlacement(env, node, this.group);
     this.calendar = new Calendar(env, node, this.group, this.views);
@@ -74,7 +75,7 @@
     rpc.handle("found.status", function* () {
       return Fault.ok({
         id: control.node.self.id,
-        founded: control.group.founded(),
+        founded: control.group.isBootstrapped(),
         group: control.group.groupId() || control.node.gossip.snapshot?.group || "",
         founders: [...(settings.founders ?? [])].sort(),
       });
@@ -82,7 +83,7 @@
     rpc.handle("found.commit", function* (body) {
       if (control.node.gossip.snapshot && control.node.gossip.snapshot.group !== body.group)
         return Fault.fail("conflict", "found", control.node.self.id, "a group is known");
-      return yield* control.group.found(body.group, body.voters);
+      return yield* control.group.bootstrap(body.group, body.voters);
     });
     rpc.handle("views.call", function* () {
       control.views.call();
@@ -93,11 +94,11 @@
     rpc.handle("control.status", function* () {
       return Fault.ok({
         id: control.node.self.id,
-        role: control.group.role,
-        lead: control.group.leader,
+        role: roleOnWire(control.group.role),
+        lead: control.group.leaderId,
         voters: control.group.voters(),
-        applied: control.group.applied,
-        holds: control.group.holdsLeader(),
+        applied: control.group.lastApplied,
+        holds: control.group.hasLeaderLease(),
       });
     });
     control.group.start();
@@ -107,7 +108,8 @@
     control.views.start();
     control.calendar.start();
     const http = yield* OperatorHttp.serve(env, settings.http, control.node, {
-      ready: () => (control.node.stopping ? "stopping" : !control.group.founded() ? "no control group yet" : undefined),
+      ready: () =>
+        control.node.stopping ? "stopping" : !control.group.isBootstrapped() ? "no control group yet" : undefined,
       metrics: () => control.metrics(),
       ledgerSource: control.shardClient,
     });
@@ -121,9 +123,9 @@
   /** @example control.metrics().is_lead */
   metrics(): Record<string, number> {
     return {
-      is_lead: this.group.holdsLeader() ? 1 : 0,
-      applied_index: this.group.applied,
-      elections: this.group.elections,
+      is_lead: this.group.hasLeaderLease() ? 1 : 0,
+      applied_index: this.group.lastApplied,
+      elections: this.group.electionsStarted,
       voters: this.group.voters().length,
       views_changed: this.views.changed,
       moves_run: this.calendar.ran,
@@ -137,7 +139,7 @@
   private *foundLoop(): Task<void> {
     const founders = [...(this.settings.founders ?? [])].sort();
     let told = "";
-    while (!this.group.founded()) {
+    while (!this.group.isBootstrapped()) {
       yield* EnvTools.sleep(this.env, Constants.foundRetryMs);
       const hold = (reason: string): void => {
         if (reason !== told) this.env.log(1302, { reason });
@@ -176,7 +178,7 @@
       }
       const group = EnvTools.id(this.env, "group");
       const voters = ids.slice(0, this.votersWanted);
-      const own = yield* this.group.found(group, voters);
+      const own = yield* this.group.bootstrap(group, voters);
       if (!own.ok) {
         this.env.log(1404, { fault: own.fault });
         continue;
@@ -264,7 +266,7 @@
     const standbys = node.membership
       .alive("control")
       .map((member) => member.id)
-      .filter((id) => id !== node.self.id && !committed.includes(id) && group.caughtUp(id));
+      .filter((id) => id !== node.self.id && !committed.includes(id) && group.isCaughtUp(id));
     return {
       self: node.self.id,
       wanted: this.votersWanted,
@@ -279,7 +281,7 @@
   private *dutyLoop(): Task<void> {
     for (;;) {
       yield* EnvTools.sleep(this.env, Constants.dutyPeriodMs);
-      if (!this.group.holdsLeader()) continue;
+      if (!this.group.hasLeaderLease()) continue;
       const voters = VoterSelection.next(this.voterSituation());
       if (!voters) continue;
       const outcome = yield* this.group.propose({ tag: "voters", voters }, Constants.proposeTimeoutMs);
@@ -298,8 +300,8 @@
   /** Decisions of control reach the ledger keyed by log index, so that a repeat adds nothing. */
   private *tellLoop(): Task<void> {
     for (;;) {
-      yield* EnvTools.sleep(this.env, this.group.role === "lead" ? 200 : Constants.dutyPeriodMs);
-      if (!this.group.holdsLeader()) continue;
+      yield* EnvTools.sleep(this.env, this.group.role === "leader" ? 200 : Constants.dutyPeriodMs);
+      if (!this.group.hasLeaderLease()) continue;
       const untold = this.group.state.untold.slice(0, 50);
       if (untold.length === 0 || Object.keys(this.group.state.views).length < Constants.shardCount) continue;
       let upTo = 0;
@@ -328,11 +330,11 @@
   /** As the lead: nothing that nodes are told past this index was committed when contact with a majority last began. */
   private readIndex(): ReadIndex | undefined {
     const { group } = this;
-    if (!group.holdsLeader()) return undefined;
-    return { group: group.groupId(), index: group.state.frameIndex ?? group.applied, at: group.quorumContactAt() };
+    if (!group.hasLeaderLease()) return undefined;
+    return { group: group.groupId(), index: group.state.frameIndex ?? group.lastApplied, at: group.quorumContactAt() };
   }
   private leaderAddress(): string | undefined {
-    const { leader: lead } = this.group;
+    const { leaderId: lead } = this.group;
     return lead === "" || lead === this.node.self.id ? undefined : this.node.addressOf(lead);
   }
   private notLeader = (): Result<never> =>
@@ -340,17 +342,17 @@
       "notLead",
       "control op",
       this.node.self.id,
-      this.group.role === "lead" ? "" : (this.leaderAddress() ?? ""),
+      this.group.role === "leader" ? "" : (this.leaderAddress() ?? ""),
     );
   /**
    * What operators ask for; only the lead answers, and only while it holds its lease. What it says from memory alone is
    * said only if the lease still stands afterwards; what went through the log is true whatever became of the lease.
    */
   private *operate(body: any): Task<Result<any>> {
-    if (!this.group.holdsLeader()) return this.notLeader();
+    if (!this.group.hasLeaderLease()) return this.notLeader();
     const response = yield* this.operateAsLeader(body);
     const fromMemory = body.op === "read" || (!response.ok && response.fault.tag !== "unknown");
-    return fromMemory && !this.group.holdsLeader() ? this.notLeader() : response;
+    return fromMemory && !this.group.hasLeaderLease() ? this.notLeader() : response;
   }
   private *operateAsLeader(body: any): Task<Result<any>> {
     const { group } = this;
@@ -506,7 +508,7 @@
   stop(): Task<void> {
     const control = this;
     return this.node.depart(function* () {
-      yield* control.group.handOver();
+      yield* control.group.transferLeadership();
       yield* EnvTools.sleep(control.env, Constants.handOverWaitMs);
     });
   }
--- a/src/control/shardPlacement.ts
+++ b/src/control/shardPlacement.ts
@@ -48,7 +48,7 @@
   private *loop(): Task<void> {
     for (;;) {
       yield* EnvTools.takeWithin(this.env, this.called, Constants.statusPeriodMs);
-      if (!this.group.holdsLeader()) {
+      if (!this.group.hasLeaderLease()) {
         this.statuses.clear();
         this.firstStoreAt = Infinity;
         continue;
@@ -414,7 +414,7 @@
     if (
       !filled.ok ||
       filled.value.tag !== "ok" ||
-      !this.group.holdsLeader() ||
+      !this.group.hasLeaderLease() ||
       this.group.state.views[shard].epoch !== view.epoch
     )
       return;
@@ -438,7 +438,7 @@
   /** The same, by what the stores say now. @example if (yield* views.confirmEmptied(move)) yield* finish(); */
   *confirmEmptied(move: { store: string; name?: string }): Task<boolean> {
     yield* this.look();
-    return this.group.holdsLeader() && this.emptied(move);
+    return this.group.hasLeaderLease() && this.emptied(move);
   }
   /** A copy counts while its store answers, holds all that the view acknowledged on a disk that works, and stays. */
   private isIntact(view: ShardView, id: string): boolean {
--- a/src/model/groupUnderTest.ts
+++ b/src/model/groupUnderTest.ts
@@ -77,14 +77,14 @@
     const process = this.world.start(machine.name, machine.disk);
     const rpc = new Rpc(process.env, "model", id);
     this.plants.rpc?.(rpc, id);
-    const others = (): string[] => this.machines.map((each) => each.life.id).filter((other) => other !== id);
+    const otherNodes = (): string[] => this.machines.map((each) => each.life.id).filter((other) => other !== id);
     const addressOf = (other: string): string | undefined => this.machineOf.get(other)?.address;
     const { invariants } = this;
     const replica: Replica = { id, group: undefined as unknown as ConsensusGroup };
     const hooks = {
       addressOf,
-      others,
-      applied: (): void => invariants.applied(replica, replica.group.state, replica.group.applied),
+      otherNodes,
+      onApplied: (): void => invariants.applied(replica, replica.group.state, replica.group.lastApplied),
     };
     const group = new ConsensusGroup(process.env, rpc, id, new TwoSlots(process.env, `data/group`), hooks);
     replica.group = group;
@@ -95,8 +95,8 @@
       yield* rpc.serve(machine.address);
       const opened = yield* group.open();
       if (!opened.ok) return void invariants.taskError(`${id} can't open its disk: ${opened.fault.detail}`);
-      invariants.compareState(id, group.state, group.applied);
-      if (founders.includes(id)) yield* group.found(groupName, founders);
+      invariants.compareState(id, group.state, group.lastApplied);
+      if (founders.includes(id)) yield* group.bootstrap(groupName, founders);
       machine.opened = true;
       group.start();
       yield* test.duties(machine.life);
@@ -176,12 +176,12 @@
   }
   private runningMachines = (): Machine[] => this.machines.filter(({ life, opened }) => life.process.alive && opened);
   leaseholder(): Machine | undefined {
-    return this.runningMachines().find(({ life }) => life.group.holdsLeader());
+    return this.runningMachines().find(({ life }) => life.group.hasLeaderLease());
   }
   /** Whoever takes itself for the lead, the one with the oldest term first: it is the one that may be cut off. */
   leads(): Machine[] {
     return this.runningMachines()
-      .filter(({ life }) => life.group.role === "lead")
+      .filter(({ life }) => life.group.role === "leader")
       .sort((left, right) => left.life.group.inspect().term - right.life.group.inspect().term);
   }
 
@@ -190,7 +190,7 @@
   private *duties(life: Life): Task<void> {
     for (;;) {
       yield* EnvTools.sleep(life.process.env, Constants.dutyPeriodMs);
-      if (!life.group.holdsLeader()) continue;
+      if (!life.group.hasLeaderLease()) continue;
       const voters = this.nextVoters(life);
       if (voters && this.bearable(this.wipedIds, [voters]))
         yield* life.group.propose({ tag: "voters", voters }, Constants.proposeTimeoutMs);
@@ -205,7 +205,7 @@
       return voters.filter((id) => id !== surplus);
     }
     if (voters.length === this.size.voters) return undefined;
-    const standby = this.machines.map(({ life }) => life.id).find((id) => !voters.includes(id) && group.caughtUp(id));
+    const standby = this.machines.map(({ life }) => life.id).find((id) => !voters.includes(id) && group.isCaughtUp(id));
     return standby === undefined ? undefined : [...voters, standby];
   }
   /** Asks one machine for new voters, unless a majority of them has lost its disk by the time it hears of it. */
@@ -242,7 +242,7 @@
   }
   /** As the control node does it: a lead that knows the outcome of a change tells it from its state. */
   private static *answer(group: ConsensusGroup, { changeId, command }: Change): Task<Result<Outcome>> {
-    const known = group.holdsLeader() ? group.state.changes[changeId] : undefined;
+    const known = group.hasLeaderLease() ? group.state.changes[changeId] : undefined;
     return known ? Fault.ok(known) : yield* group.propose(command, Constants.proposeTimeoutMs);
   }
   private ask(machine: Machine, body: (group: ConsensusGroup) => Task<void>): void {
--- a/src/model/invariants.ts
+++ b/src/model/invariants.ts
@@ -145,22 +145,23 @@
 
   /** At this very instant: who could answer a read, and with what. Cheap, for every few milliseconds. */
   leases(running: Replica[]): void {
-    const holders = running.filter(({ group }) => group.holdsLeader());
+    const holders = running.filter(({ group }) => group.hasLeaderLease());
     if (holders.length > 1)
       this.broken(
         "one-leaseholder",
         `${holders.map(({ id, group }) => `${id} (term ${group.inspect().term})`).join(" and ")} hold the lease at once`,
       );
     for (const { id, group } of holders)
-      if (group.applied < this.acknowledgedIndex)
+      if (group.lastApplied < this.acknowledgedIndex)
         this.broken(
           "lease-read-current",
-          `${id} holds the lease at ${group.applied}, index ${this.acknowledgedIndex} is acknowledged`,
+          `${id} holds the lease at ${group.lastApplied}, index ${this.acknowledgedIndex} is acknowledged`,
         );
     for (const { id, group } of running) {
       const before = this.commitOf.get(group) ?? 0;
-      if (group.commit < before) this.broken("commit-never-falls", `${id} fell from ${before} to ${group.commit}`);
-      this.commitOf.set(group, group.commit);
+      if (group.commitIndex < before)
+        this.broken("commit-never-falls", `${id} fell from ${before} to ${group.commitIndex}`);
+      this.commitOf.set(group, group.commitIndex);
     }
   }
 
@@ -196,7 +197,7 @@
 
   /** Whether all replicas have applied everything that was ever committed. */
   converged(running: Replica[]): boolean {
-    return running.every(({ group }) => group.applied === this.committedIndex);
+    return running.every(({ group }) => group.lastApplied === this.committedIndex);
   }
   /** What the end of a walk has to show, after everything was healed. */
   atEnd(running: Replica[], hasLeader: boolean): void {
@@ -216,7 +217,7 @@
     return running
       .map(
         ({ id, group }) =>
-          `${id} ${group.role} term ${group.inspect().term} applied ${group.applied} voters ${group.voters().join(",")}`,
+          `${id} ${group.role} term ${group.inspect().term} applied ${group.lastApplied} voters ${group.voters().join(",")}`,
       )
       .join("; ");
   }
--- a/src/model/walk.ts
+++ b/src/model/walk.ts
@@ -40,7 +40,7 @@
   const voters = leader.voters();
   const standbys = group.machines
     .map(({ life }) => life.id)
-    .filter((id) => !voters.includes(id) && leader.caughtUp(id));
+    .filter((id) => !voters.includes(id) && leader.isCaughtUp(id));
   const candidates = add ? standbys : voters;
   if (candidates.length === 0) return;
   const chosen = candidates[pick % candidates.length];
--- a/src/simulation/simFleet.ts
+++ b/src/simulation/simFleet.ts
@@ -159,7 +159,7 @@
   /** The running storage node of that name, if it runs. @example fleet.storageNode("store-1")?.replicas.size */
   private storageNode = (name: string): StorageNode | undefined =>
     this.names("store").includes(name) ? (this.running.get(name) as StorageNode | undefined) : undefined;
-  /** The running control node of that name, if it runs. @example fleet.controlNode("control-1")?.group.holdsLeader() */
+  /** The running control node of that name, if it runs. @example fleet.controlNode("control-1")?.group.hasLeaderLease() */
   private controlNode = (name: string): ControlNode | undefined =>
     this.names("control").includes(name) ? (this.running.get(name) as ControlNode | undefined) : undefined;
 
@@ -180,7 +180,7 @@
   /** The views that the control log holds, by the member that has applied most of it. @example fleet.views()["3"].members */
   views(): Record<string, ShardView> {
     const groups = this.names("control").flatMap((name) => this.controlNode(name)?.group ?? []);
-    return groups.sort((left, right) => right.applied - left.applied)[0]?.state.views ?? {};
+    return groups.sort((left, right) => right.lastApplied - left.lastApplied)[0]?.state.views ?? {};
   }
   /** A store must be a member of some view again. @example fleet.expectInViews("store-1"); */
   expectInViews(name: string): void {
@@ -225,8 +225,9 @@
       const control = this.controlNode(name);
       return control ? [{ name, id: control.node.self.id, control }] : [];
     });
-    const { state } = [...all].sort((left, right) => right.control.group.applied - left.control.group.applied)[0]
-      .control.group;
+    const { state } = [...all].sort(
+      (left, right) => right.control.group.lastApplied - left.control.group.lastApplied,
+    )[0].control.group;
     return {
       group: state.group,
       voters: state.voters.flatMap((id) =>
@@ -554,7 +555,7 @@
   /** The control member that leads. @example fleet.controlLead() */
   controlLeader(): string {
     return (
-      this.names("control").find((name) => this.controlNode(name)?.group.holdsLeader()) ?? this.names("control")[0]
+      this.names("control").find((name) => this.controlNode(name)?.group.hasLeaderLease()) ?? this.names("control")[0]
     );
   }
 
--- a/src/tools/scale/groupWorld.ts
+++ b/src/tools/scale/groupWorld.ts
@@ -34,15 +34,15 @@
     const rpc = new Rpc(process.env, "scale", id);
     const hooks = {
       addressOf: this.addressOf,
-      others: () => this.ids().filter((other) => other !== id),
-      applied: () => undefined,
+      otherNodes: () => this.ids().filter((other) => other !== id),
+      onApplied: () => undefined,
     };
     const group = new ConsensusGroup(process.env, rpc, id, new TwoSlots(process.env, `data/${id}`), hooks);
     const addressOf = this.addressOf;
     Csp.go(process.scope, "main", function* () {
       yield* rpc.serve(addressOf(id));
       yield* group.open();
-      if (founders.includes(id)) yield* group.found("group-scale", founders);
+      if (founders.includes(id)) yield* group.bootstrap("group-scale", founders);
       group.start();
     });
     return { id, process, group, rpc, meter };
@@ -69,9 +69,9 @@
     this.voters[at] = this.start(id, disk, []);
     return this.voters[at];
   }
-  /** @example control.lead()?.group.applied */
+  /** @example control.leader()?.group.lastApplied */
   leader(): Voter | undefined {
-    return this.voters.find((voter) => voter.process.alive && voter.group.holdsLeader());
+    return this.voters.find((voter) => voter.process.alive && voter.group.hasLeaderLease());
   }
   /** Proposes commands side by side; how long each took, and how many were taken. @example await control.propose([{ tag: "noop" }], 5000) */
   async propose(commands: Command[], withinMs: number): Promise<{ taken: number; tookMs: number[] }> {
--- a/test/control.test.ts
+++ b/test/control.test.ts
@@ -155,7 +155,7 @@
       fleet.world.processes.get(leader)!.freeze();
       for (const name of others) fleet.kill(name);
       for (const name of others) fleet.restart(name);
-      const next = (): boolean => others.some((name) => fleet.control(name)?.group.holdsLeader() ?? false);
+      const next = (): boolean => others.some((name) => fleet.control(name)?.group.hasLeaderLease() ?? false);
       expect(await fleet.until(next, 6000)).toBeGreaterThanOrEqual(Constants.electionMinMs);
       expect(fleet.close()).toEqual([]);
     }
@@ -172,7 +172,7 @@
         () => {
           for (const name of fleet.names("control")) {
             const group = fleet.control(name)?.group;
-            if (group?.holdsLeader() && group.state.manifest.version !== 5)
+            if (group?.hasLeaderLease() && group.state.manifest.version !== 5)
               early.push([seed, name, group.state.manifest.version]);
           }
           return fleet.leader() !== undefined && fleet.control(fleet.leader()!)!.group.state.manifest.version === 5;
--- a/test/controlFleet.ts
+++ b/test/controlFleet.ts
@@ -165,10 +165,10 @@
   }
   /** @example fleet.ingress("ingress-1")?.unready() */
   ingress = (name: string): IngressNode | undefined => this.running.get(name) as unknown as IngressNode | undefined;
-  /** @example fleet.control("control-1")?.group.holdsLead() */
+  /** @example fleet.control("control-1")?.group.hasLeaderLease() */
   control = (name: string): ControlNode | undefined => this.running.get(name) as unknown as ControlNode | undefined;
   /** @example fleet.lead() // "control-2", or undefined */
-  leader = (): string | undefined => this.names("control").find((name) => this.control(name)?.group.holdsLeader());
+  leader = (): string | undefined => this.names("control").find((name) => this.control(name)?.group.hasLeaderLease());
   /** Virtual time until something holds, or undefined. @example await fleet.until(() => fleet.lead() !== undefined, 3000) */
   async until(holds: () => boolean | Promise<boolean>, withinMs: number, stepMs = 20): Promise<number | undefined> {
     for (const from = this.world.now; this.world.now - from <= withinMs; await this.run(stepMs))
--- a/test/group.test.ts
+++ b/test/group.test.ts
@@ -62,7 +62,7 @@
     expect(taken).toBe(0);
     for (let looked = 0; looked < 50; looked += 1) {
       await control.world.run(100);
-      expect(control.voters.filter(({ group }) => group.holdsLeader()).length).toBeLessThan(2);
+      expect(control.voters.filter(({ group }) => group.hasLeaderLease()).length).toBeLessThan(2);
     }
     control.world.heal();
     await control.world.run(3000);
@@ -112,7 +112,7 @@
     control.world.cutOff([others[0]], "both");
     const unsure = await proposeAt(control, leader, { tag: "voters", voters: others });
     expect(unsure).toMatchObject({ ok: false, fault: { tag: "unknown" } });
-    expect(leader.group.holdsLeader()).toBe(false);
+    expect(leader.group.hasLeaderLease()).toBe(false);
     control.world.heal();
     await control.world.run(4000);
     expect(leader.group.role).toBe("follower");
@@ -120,7 +120,7 @@
     expect(others).toContain(control.leader()!.id);
     await control.propose(noops(3), 2000);
     await control.world.run(1000);
-    expect(leader.group.applied).toBe(control.leader()!.group.applied);
+    expect(leader.group.lastApplied).toBe(control.leader()!.group.lastApplied);
     control.end();
   });
 
@@ -130,7 +130,7 @@
     const standby = control.voters[3];
     control.world.cutOff([standby.id], "both");
     await control.world.run(10_000);
-    expect(standby.group.elections).toBe(0);
+    expect(standby.group.electionsStarted).toBe(0);
     expect(standby.group.role).toBe("follower");
     control.end();
   });
@@ -142,12 +142,13 @@
     const control = new GroupWorld(3, seed);
     await control.boot();
     const cutOff = control.leader()!;
-    while (cutOff.group.applied < 394) await control.propose([noop], 2000);
+    while (cutOff.group.lastApplied < 394) await control.propose([noop], 2000);
     control.world.cutOff([cutOff.id], "both");
     await control.propose(noops(own), 300);
     await control.world.run(4000);
     const next = control.leader()!;
-    while (next.group.applied < upTo) await control.propose(noops(Math.min(20, upTo - next.group.applied)), 2000);
+    while (next.group.lastApplied < upTo)
+      await control.propose(noops(Math.min(20, upTo - next.group.lastApplied)), 2000);
     await control.world.run(1500);
     control.world.heal();
     return { control, cutOff };
@@ -155,20 +156,20 @@
 
   it("a little past the index of the lead's snapshot: it catches up", async () => {
     const { control, cutOff } = await diverged(5, 12, 403);
-    expect(control.leader()!.group.baseIndex).toBeGreaterThan(394);
+    expect(control.leader()!.group.snapshotIndex).toBeGreaterThan(394);
     await control.world.run(3000);
-    expect(control.leader()!.group.applied).toBeGreaterThanOrEqual(403);
-    expect(cutOff.group.applied).toBe(control.leader()!.group.applied);
+    expect(control.leader()!.group.lastApplied).toBeGreaterThanOrEqual(403);
+    expect(cutOff.group.lastApplied).toBe(control.leader()!.group.lastApplied);
     control.end();
   });
 
   it("past the index of the lead's snapshot, with the entries before it gone: the snapshot is taken", async () => {
     const { control, cutOff } = await diverged(5, 1000, 1250);
-    expect(control.leader()!.group.baseIndex).toBeGreaterThan(394 + Constants.groupTailEntries);
-    expect(cutOff.group.lastIndex()).toBeGreaterThan(control.leader()!.group.baseIndex);
+    expect(control.leader()!.group.snapshotIndex).toBeGreaterThan(394 + Constants.groupTailEntries);
+    expect(cutOff.group.lastLogIndex()).toBeGreaterThan(control.leader()!.group.snapshotIndex);
     await control.world.run(3000);
-    expect(cutOff.group.baseIndex).toBe(control.leader()!.group.baseIndex);
-    expect(cutOff.group.applied).toBe(control.leader()!.group.applied);
+    expect(cutOff.group.snapshotIndex).toBe(control.leader()!.group.snapshotIndex);
+    expect(cutOff.group.lastApplied).toBe(control.leader()!.group.lastApplied);
     control.end();
   });
 
@@ -188,7 +189,7 @@
     control.world.heal();
     await control.world.run(3000);
     expect(control.leader()!.id).not.toBe(cutOff.id);
-    expect(cutOff.group.applied).toBe(control.leader()!.group.applied);
+    expect(cutOff.group.lastApplied).toBe(control.leader()!.group.lastApplied);
     expect(cutOff.meter.since(before).frames).toBeLessThan(150);
     control.end();
   });
@@ -201,7 +202,7 @@
       group: leader.group.groupId(),
       term: 1000,
       lead: leader.id,
-      prevIndex: leader.group.applied,
+      prevIndex: leader.group.lastApplied,
       prevTerm: 1,
       entries: [],
       commit: 0,
@@ -225,15 +226,15 @@
     await control.propose(noops(5), 2000);
     await control.world.run(1000);
     const follower = control.voters.find((voter) => voter !== control.leader())!;
-    const { applied, commit } = follower.group;
+    const { lastApplied: applied, commitIndex: commit } = follower.group;
     const state = structuredClone(follower.group.state);
     const overwriting = { prevIndex: 1, prevTerm: 1, entries: [{ index: 2, term: 999, command: noop }] };
     const lowering = { whole: { index: 3, term: 999, state: { ...state, voters: ["x"] } } };
     for (const fields of [overwriting, lowering])
       expect(await ask(control, follower, "group.append", append(control, fields))).toMatchObject({ ok: false });
     expect(logged(follower, 1320).length).toBeGreaterThan(0);
-    expect(follower.group.applied).toBe(applied);
-    expect(follower.group.commit).toBe(commit);
+    expect(follower.group.lastApplied).toBe(applied);
+    expect(follower.group.commitIndex).toBe(commit);
     expect(follower.group.state).toEqual(state);
     control.end();
   });
@@ -242,7 +243,7 @@
     const control = new GroupWorld(3, 12);
     await control.boot();
     const follower = control.voters.find((voter) => voter !== control.leader())!;
-    const last = follower.group.lastIndex();
+    const last = follower.group.lastLogIndex();
     const base = { prevIndex: last, prevTerm: 1 };
     const bodies: object[] = [
       append(control, { group: "another" }),
@@ -275,11 +276,11 @@
         expect(response.ok && (response.value as { granted: boolean }).granted).toBe(false);
         expect(logged(follower, 1321).length).toBe(before + 1);
       }
-    expect(follower.group.lastIndex()).toBe(last);
+    expect(follower.group.lastLogIndex()).toBe(last);
     expect(control.voters.flatMap(({ process }) => process.errors)).toEqual([]);
     await control.propose([noop], 2000);
     await control.world.run(1000);
-    expect(follower.group.applied).toBe(control.leader()!.group.applied);
+    expect(follower.group.lastApplied).toBe(control.leader()!.group.lastApplied);
     control.end();
   });
 });
@@ -306,25 +307,25 @@
       const leader = control.leader();
       if (leader) await control.propose([noop], 2000);
       await control.world.run(200);
-      if (leader && leader.group.applied - follower.group.applied <= 2 && follower.group.applied > 0)
+      if (leader && leader.group.lastApplied - follower.group.lastApplied <= 2 && follower.group.lastApplied > 0)
         return control.world.now - from;
     }
     return Infinity;
   }
   const elections = (control: GroupWorld): number =>
-    control.voters.reduce((sum, { group }) => sum + group.elections, 0);
+    control.voters.reduce((sum, { group }) => sum + group.electionsStarted, 0);
 
   it("an emptied node takes a state of 4 MB in pieces while changes go on", async () => {
     const control = new GroupWorld(4, 21);
     await control.boot();
     control.kill("c4");
     expect(await control.propose([policies(control, 0, 4_000_000)], 5000)).toMatchObject({ taken: 1 });
-    while (control.leader()!.group.baseIndex <= Constants.groupTailEntries) await control.propose(noops(50), 3000);
+    while (control.leader()!.group.snapshotIndex <= Constants.groupTailEntries) await control.propose(noops(50), 3000);
     const before = elections(control);
     const follower = control.restart("c4", true);
     follower.process.linkBytesPerMs = slowLink;
     expect(await caughtUpMs(control, follower, 30_000)).toBeLessThan(4700);
-    expect(follower.group.baseIndex).toBeGreaterThan(Constants.groupTailEntries);
+    expect(follower.group.snapshotIndex).toBeGreaterThan(Constants.groupTailEntries);
     expect(follower.group.state).toEqual(control.leader()!.group.state);
     expect(elections(control)).toBe(before);
     control.end();
@@ -335,7 +336,7 @@
     await control.boot();
     control.kill("c4");
     await control.propose([policies(control, 0, 4_000_000)], 5000);
-    while (control.leader()!.group.baseIndex <= Constants.groupTailEntries) await control.propose(noops(50), 3000);
+    while (control.leader()!.group.snapshotIndex <= Constants.groupTailEntries) await control.propose(noops(50), 3000);
     const follower = control.restart("c4", true);
     follower.process.linkBytesPerMs = slowLink;
     const leader = control.leader()!;
@@ -366,9 +367,9 @@
     const before = elections(control);
     for (let looked = 0; looked < 40; looked += 1) {
       await control.world.run(100);
-      expect(leader.group.holdsLeader()).toBe(true);
+      expect(leader.group.hasLeaderLease()).toBe(true);
     }
-    expect(restarted.group.applied).toBe(leader.group.applied);
+    expect(restarted.group.lastApplied).toBe(leader.group.lastApplied);
     expect(await control.propose([noop], 2000)).toMatchObject({ taken: 1 });
     expect(elections(control)).toBe(before);
     control.end();
@@ -379,7 +380,7 @@
     await control.boot();
     for (let version = 0; version < 8; version += 1) await control.propose([policies(control, version, 800_000)], 5000);
     await control.world.run(1000);
-    for (const { group } of control.voters) expect(group.lastIndex() - group.baseIndex).toBeLessThan(5);
+    for (const { group } of control.voters) expect(group.lastLogIndex() - group.snapshotIndex).toBeLessThan(5);
     control.end();
   });
 });
@@ -396,11 +397,11 @@
     expect(others).toContain(next);
     const frozenAt = leader.group.quorumContactAt();
     expect(leader.process.env.mono() - frozenAt).toBeGreaterThan(3500);
-    expect(leader.group.holdsLeader()).toBe(false);
+    expect(leader.group.hasLeaderLease()).toBe(false);
     leader.process.wake();
     for (let looked = 0; looked < 20; looked += 1) {
       await control.world.run(5);
-      expect(leader.group.holdsLeader()).toBe(false);
+      expect(leader.group.hasLeaderLease()).toBe(false);
     }
     expect(await proposeAt(control, leader, noop)).toMatchObject({ ok: false, fault: { tag: "notLead" } });
     control.end();
@@ -425,7 +426,7 @@
     const rejoined = control.restart(former.id);
     await control.world.run(3000);
     expect(rejoined.group.groupId()).toBe("group-scale+1");
-    expect(rejoined.group.applied).toBe(control.leader()!.group.applied);
+    expect(rejoined.group.lastApplied).toBe(control.leader()!.group.lastApplied);
     expect(rejoined.group.voters()).toEqual([survivor.id]);
     expect(control.world.processes.get(lost.id)!.alive).toBe(false);
     control.end();
@@ -481,11 +482,11 @@
       await control.boot();
       const leader = control.leader()!;
       leader.process.disk.syncMs = [40, 5];
-      const last = leader.group.lastIndex() + 3 * Constants.groupLogKeep;
+      const last = leader.group.lastLogIndex() + 3 * Constants.groupLogKeep;
       // entries come one after the other, and are committed by the followers while an earlier one is being synced
       let proposing = true;
       Csp.go(leader.process.scope, "proposals", function* () {
-        while (leader.group.lastIndex() < last) {
+        while (leader.group.lastLogIndex() < last) {
           for (let burst = 0; burst < 8; burst += 1)
             Csp.go(leader.process.scope, "proposal", () => leader.group.propose(noop, 3000));
           yield* EnvTools.sleep(leader.process.env, 5);
@@ -494,19 +495,19 @@
       });
       for (let waited = 0; proposing && waited < 300; waited += 1) await control.world.run(100);
       await control.world.run(1000);
-      expect(leader.group.baseIndex).toBeGreaterThan(0);
+      expect(leader.group.snapshotIndex).toBeGreaterThan(0);
       const held = leader.group.inspect().entries.map(({ index }) => index);
       expect(held).toEqual(held.map((_index, at) => held[0] + at));
-      const { applied, baseIndex } = leader.group;
+      const { lastApplied: applied, snapshotIndex: baseIndex } = leader.group;
       control.kill(leader.id);
       const restarted = control.restart(leader.id);
       await control.world.run(100);
       const reread = restarted.group.inspect().entries.map(({ index }) => index);
-      expect({ seed, baseIndex: restarted.group.baseIndex }).toEqual({ seed, baseIndex });
+      expect({ seed, baseIndex: restarted.group.snapshotIndex }).toEqual({ seed, baseIndex });
       expect({ seed, reread }).toEqual({ seed, reread: reread.map((_index, at) => baseIndex + 1 + at) });
       await control.world.run(4000);
-      expect(restarted.group.applied).toBeGreaterThanOrEqual(applied);
-      expect(restarted.group.applied).toBe(control.leader()!.group.applied);
+      expect(restarted.group.lastApplied).toBeGreaterThanOrEqual(applied);
+      expect(restarted.group.lastApplied).toBe(control.leader()!.group.lastApplied);
       expect(control.voters.flatMap(({ process }) => process.errors)).toEqual([]);
       control.end();
     }
--- a/test/model.test.ts
+++ b/test/model.test.ts
@@ -84,13 +84,13 @@
 describe("each planted fault is found", () => {
   const properApply = ControlState.apply;
   const properRefusal = MembershipChange.refusal;
-  const properHoldsLeader = ConsensusGroup.prototype.holdsLeader;
+  const properHoldsLeader = ConsensusGroup.prototype.hasLeaderLease;
   const properLease = Constants.controlLeaseMs;
-  const setLease = (ms: number): void => void Object.assign(Constants, { controlGrantMs: ms });
+  const setLease = (ms: number): void => void Object.assign(Constants, { controlLeaseMs: ms });
   afterEach(() => {
     ControlState.apply = properApply;
     MembershipChange.refusal = properRefusal;
-    ConsensusGroup.prototype.holdsLeader = properHoldsLeader;
+    ConsensusGroup.prototype.hasLeaderLease = properHoldsLeader;
     setLease(properLease);
   });
   /** Plays walks until one fails; which invariant it broke. */
@@ -111,8 +111,8 @@
   });
   test("a lead that looks at no lease", async () => {
     const prepare = (): void => {
-      ConsensusGroup.prototype.holdsLeader = function (this: ConsensusGroup): boolean {
-        return this.role === "lead";
+      ConsensusGroup.prototype.hasLeaderLease = function (this: ConsensusGroup): boolean {
+        return this.role === "leader";
       };
     };
     expect(await found({}, within, prepare)).toEqual(oneOf("one-leaseholder", "lease-read-current"));
@@ -210,7 +210,7 @@
       group(group) {
         const propose = group.propose.bind(group);
         group.propose = function* (command, withinMs) {
-          if (!("ifVersion" in command) || !group.holdsLeader()) return yield* propose(command, withinMs);
+          if (!("ifVersion" in command) || !group.hasLeaderLease()) return yield* propose(command, withinMs);
           Csp.go((group as any).env.scope, "late", () => propose(command, withinMs));
           return Fault.ok({ tag: "done" as const, version: command.ifVersion + 1 });
         };
--- a/test/removedVoter.test.ts
+++ b/test/removedVoter.test.ts
@@ -3,7 +3,7 @@
 /** Waits in virtual time for a lead among these. */
 async function leaderAmong(world: GroupWorld, voters: Voter[], withinMs: number): Promise<Voter | undefined> {
   for (let waited = 0; waited < withinMs; waited += 100) {
-    const leader = voters.find((voter) => voter.group.holdsLeader());
+    const leader = voters.find((voter) => voter.group.hasLeaderLease());
     if (leader) return leader;
     await world.world.run(100);
   }
--- a/test/voterRecovery.ts
+++ b/test/voterRecovery.ts
@@ -50,7 +50,7 @@
     if (voters.length !== wanted || group.voters().join() !== voters.join()) return false;
     const living = fleet.names("control").flatMap((name) => fleet.control(name) ?? []);
     return voters.every((id) =>
-      living.some(({ node, group: own }) => node.self.id === id && own.applied >= group.commit),
+      living.some(({ node, group: own }) => node.self.id === id && own.lastApplied >= group.commitIndex),
     );
   },
   /** A fixed mix of all losses. @example VoterRecovery.trials(500, 1) */
--- a/test/voters.test.ts
+++ b/test/voters.test.ts
@@ -34,7 +34,7 @@
   const pendingVoterEntries = (fleet: ControlFleet, name: string): number => {
     const group = fleet.control(name)?.group;
     const entries = group?.inspect().entries ?? [];
-    return entries.filter(({ index, command }) => command.tag === "voters" && index > group!.commit).length;
+    return entries.filter(({ index, command }) => command.tag === "voters" && index > group!.commitIndex).length;
   };
   test("while one is not committed, the lead proposes no other, however long its disk stalls", async () => {
     for (const seed of [1, 2, 3]) {
