--- a/src/shard/lotOperations.ts
+++ b/src/shard/batchJobOperations.ts
@@ -4,24 +4,24 @@
 
 /** A lot is taken in, once by its id. */
 export function acceptJob({ data, note, put }: OperationContext, op: OperationOf<"lot">): PutOutcome {
-  const kept = data.sealed.find("lots", op.lot.id);
+  const kept = data.sealedObjects.find("lots", op.lot.id);
   if (kept)
     return {
       tag: "exists",
-      same: data.sealed.sameBody(kept, op.lot.bodyHash),
+      same: data.sealedObjects.hasSameBody(kept, op.lot.bodyHash),
       state: kept.trimmed ? "trimmed" : kept.state,
     };
-  const known = data.lots.get(op.lot.id);
+  const known = data.jobs.get(op.lot.id);
   if (known)
     return {
       tag: "exists",
       same: known.bodyHash === op.lot.bodyHash,
       state: known.ended ? "ended" : known.open === 0 ? "finished" : "open",
     };
-  const refusedAt = data.lotsRefused.get(op.lot.id);
+  const refusedAt = data.refusedJobs.get(op.lot.id);
   if (refusedAt && op.life !== undefined && Stamp.compare(Stamp.parse(op.life)!, refusedAt) <= 0)
     return { tag: "no", why: "this arrival of the lot was refused" };
-  data.lotsRefused.delete(op.lot.id);
+  data.refusedJobs.delete(op.lot.id);
   const tokensWaiting = op.lot.requests?.reduce((sum, request) => sum + request.tokens, 0);
   const items = op.lot.bodies.map((): BatchItem => ({
     state: "waiting",
@@ -31,7 +31,7 @@
     stamp: null,
     result: "",
   }));
-  data.lots.set(op.lot.id, {
+  data.jobs.set(op.lot.id, {
     ...op.lot,
     stamp: put.stamp,
     items,
@@ -49,21 +49,21 @@
 
 /** No arrival of the lot up to this put is ever kept. */
 export function refuseJob({ data, note, put }: OperationContext, op: OperationOf<"lotRefuse">): PutOutcome {
-  const kept = data.sealed.find("lots", op.lot);
-  const known = data.lots.get(op.lot);
+  const kept = data.sealedObjects.find("lots", op.lot);
+  const known = data.jobs.get(op.lot);
   if (kept || known) return { tag: "exists", same: true, state: known?.ended ? "ended" : "open" };
-  data.lotsRefused.delete(op.lot); // the newest last
-  data.lotsRefused.set(op.lot, put.stamp);
+  data.refusedJobs.delete(op.lot); // the newest last
+  data.refusedJobs.set(op.lot, put.stamp);
   note(`lot ${op.lot}`, "refused: given up before it was kept");
   return { tag: "done" };
 }
 
 /** Results of items run without claims; the first result of each counts. */
 export function addItemResults(
-  { data, note, put, waiting }: OperationContext,
+  { data, note, put, unstable: waiting }: OperationContext,
   op: OperationOf<"itemResults">,
 ): PutOutcome {
-  const job = data.lots.get(op.lot);
+  const job = data.jobs.get(op.lot);
   const fresh = op.results.filter(({ item }) => job?.requests && job.items[item]?.state === "waiting");
   for (const { item, state, result } of fresh) {
     Object.assign(job!.items[item], { state, stamp: put.stamp, result });
@@ -82,7 +82,7 @@
 
 /** An item is claimed for one attempt at a replica. */
 export function claimItem({ data, note }: OperationContext, op: OperationOf<"itemClaim">): PutOutcome {
-  const job = data.lots.get(op.lot);
+  const job = data.jobs.get(op.lot);
   const item = job?.items[op.item];
   if (!job || !item) return { tag: "no", why: "no such item" };
   if (job.ended) return { tag: "no", why: "lot is ended" };
@@ -95,7 +95,7 @@
 
 /** An attempt at an item that provably did not run gives its claim back. */
 export function releaseItem({ data, note, put }: OperationContext, op: OperationOf<"itemRelease">): PutOutcome {
-  const job = data.lots.get(op.lot);
+  const job = data.jobs.get(op.lot);
   const item = job?.items[op.item];
   if (!job || !item || item.state !== "claimed" || item.round !== op.round)
     return { tag: "no", why: "not claimed in this round" };
@@ -107,10 +107,10 @@
 
 /** The result of a claimed item. */
 export function addItemResult(
-  { data, note, put, waiting }: OperationContext,
+  { data, note, put, unstable: waiting }: OperationContext,
   op: OperationOf<"itemResult">,
 ): PutOutcome {
-  const job = data.lots.get(op.lot);
+  const job = data.jobs.get(op.lot);
   const item = job?.items[op.item];
   if (!job || !item || item.state !== "claimed" || item.round !== op.round)
     return { tag: "no", why: "not claimed in this round" };
@@ -124,9 +124,9 @@
 
 /** A lot ends by its client's word: items that wait will not run. */
 export function endJob({ data, note, put }: OperationContext, op: OperationOf<"lotEnd">): PutOutcome {
-  const job = data.lots.get(op.lot);
+  const job = data.jobs.get(op.lot);
   if (!job)
-    return data.sealed.find("lots", op.lot)
+    return data.sealedObjects.find("lots", op.lot)
       ? { tag: "exists", same: true, state: "closed" }
       : { tag: "no", why: "no such lot" };
   if (job.ended) return { tag: "exists", same: true, state: "ended" };
@@ -151,6 +151,6 @@
     (newest, item) => (item.stamp && Stamp.compare(item.stamp, newest) > 0 ? item.stamp : newest),
     at,
   );
-  data.lotsClosed.push(job.id);
-  if (job.requests) data.bodiesKept.push(job.id);
+  data.closedJobs.push(job.id);
+  if (job.requests) data.jobsWithBodies.push(job.id);
 }
--- a/src/shard/segments.ts
+++ b/src/shard/segments.ts
@@ -11,7 +11,7 @@
 export type SegmentKind = "works" | "lots" | "ledger";
 type ObjectOf = { works: LiveRequest; lots: BatchJob; ledger: LedgerEntry };
 /** Objects that will not change any more, by a number that every copy gives them alike. */
-export type Sealing = { kind: SegmentKind; number: number; objects: ObjectOf[SegmentKind][] };
+export type PendingSegment = { kind: SegmentKind; number: number; objects: ObjectOf[SegmentKind][] };
 /** What stays in memory, and on disk after the objects were trimmed: id digest, body digest, outcome. */
 export type SegmentIndex = {
   kind: SegmentKind;
@@ -24,7 +24,14 @@
   last?: Stamp;
   subjects?: string; // ledger
 };
-export type Found = { kind: SegmentKind; number: number; at: number; body: number; state: string; trimmed: boolean };
+export type SealedObjectLocation = {
+  kind: SegmentKind;
+  number: number;
+  at: number;
+  body: number;
+  state: string;
+  trimmed: boolean;
+};
 export type SegmentCounts = Record<SegmentKind, number>;
 const kinds: SegmentKind[] = ["works", "lots", "ledger"];
 const states = ["done", "failed", "unknown", "finished", "ended"];
@@ -77,7 +84,7 @@
 export class Segments {
   private indexes: Record<SegmentKind, SegmentIndex[]> = { works: [], lots: [], ledger: [] };
   private tables = { works: new IdTable(), lots: new IdTable() };
-  private unwritten = new Map<string, Sealing>();
+  private unwritten = new Map<string, PendingSegment>();
   /** The shard's own counts of what its log has trimmed; the files follow. */
   trimmed: SegmentCounts = { works: 0, lots: 0, ledger: 0 };
   private removed: SegmentCounts = { works: 0, lots: 0, ledger: 0 };
@@ -90,7 +97,7 @@
     `${this.folder}/${this.name(kind, number, part)}`;
 
   /** Takes up the indexes of so many segments; those still in memory are given along. @example yield* segments.open(counts, trimmed, sealing) */
-  *open(counts: SegmentCounts, trimmed: SegmentCounts, sealing: Sealing[]): Task<Result<true>> {
+  *open(counts: SegmentCounts, trimmed: SegmentCounts, sealing: PendingSegment[]): Task<Result<true>> {
     this.indexes = { works: [], lots: [], ledger: [] };
     this.tables = { works: new IdTable(), lots: new IdTable() };
     this.unwritten.clear();
@@ -108,7 +115,7 @@
       for (let number = 0; number < counts[kind]; number += 1) {
         const pending = sealing.find((each) => each.kind === kind && each.number === number);
         if (pending) {
-          this.take(pending);
+          this.add(pending);
           continue;
         }
         if (kind === "ledger" && number < trimmed.ledger) continue;
@@ -130,9 +137,9 @@
       );
     index.ids = []; // the table has them
   }
-  private static bodyOf = (sealing: Sealing): Buffer =>
+  private static bodyOf = (sealing: PendingSegment): Buffer =>
     Buffer.from(sealing.objects.map((object) => JSON.stringify(object)).join("\n"), "utf8");
-  private static indexOf(sealing: Sealing, body: Buffer): SegmentIndex {
+  private static indexOf(sealing: PendingSegment, body: Buffer): SegmentIndex {
     const common = { kind: sealing.kind, number: sealing.number, sum: crc32(body) >>> 0, bytes: body.length };
     if (sealing.kind === "ledger") {
       const entries = sealing.objects as LedgerEntry[];
@@ -157,12 +164,12 @@
     };
   }
   /** Known from now on, though not yet on disk as a file. @example segments.take(sealing); */
-  take(sealing: Sealing): void {
+  add(sealing: PendingSegment): void {
     this.unwritten.set(this.name(sealing.kind, sealing.number, "seg"), sealing);
     this.remember(Segments.indexOf(sealing, Segments.bodyOf(sealing)));
   }
   /** Writes a sealed one, its index last; from then on the slots need not carry it. @example yield* segments.write(sealing) */
-  *write(sealing: Sealing): Task<Result<true>> {
+  *write(sealing: PendingSegment): Task<Result<true>> {
     const { kind, number } = sealing;
     const body = Segments.bodyOf(sealing);
     if (number >= this.trimmed[kind]) {
@@ -181,7 +188,7 @@
   }
 
   /** Whether an id was closed and sealed, without touching the disk. @example segments.find("works", "key-1") */
-  find(kind: "works" | "lots", id: string): Found | undefined {
+  find(kind: "works" | "lots", id: string): SealedObjectLocation | undefined {
     const known = this.tables[kind].get(digestOf(id));
     if (!known) return undefined;
     const state = known.value % 8;
@@ -191,7 +198,7 @@
     return { kind, number, at, body: known.body, state: states[state], trimmed: number < this.trimmed[kind] };
   }
   /** @example segments.sameBody(found, work.bodyHash) */
-  sameBody = (found: Found, bodyHash: string): boolean => found.body === bodyDigest(bodyHash);
+  hasSameBody = (found: SealedObjectLocation, bodyHash: string): boolean => found.body === bodyDigest(bodyHash);
   private *bodyBytes(kind: SegmentKind, number: number): Task<Result<Buffer>> {
     const pending = this.unwritten.get(this.name(kind, number, "seg"));
     if (pending) return Fault.ok(Segments.bodyOf(pending));
@@ -207,7 +214,7 @@
     );
   }
   /** One closed request or lot, from its segment. @example const lot = yield* segments.object("lots", "lot-17"); */
-  *object<K extends "works" | "lots">(kind: K, id: string): Task<Result<ObjectOf[K] | undefined>> {
+  *readObject<K extends "works" | "lots">(kind: K, id: string): Task<Result<ObjectOf[K] | undefined>> {
     const found = this.find(kind, id);
     if (!found) return Fault.ok(undefined);
     if (found.trimmed) return Fault.fail("gone", "read segment", this.env.name, `${id} was trimmed by retention`);
@@ -280,9 +287,9 @@
     return Fault.ok(found);
   }
   /** The oldest ledger entry still kept here. @example segments.oldest()?.time */
-  oldest = (): Stamp | undefined => this.indexes.ledger[this.trimmed.ledger]?.first;
+  oldestLedgerStamp = (): Stamp | undefined => this.indexes.ledger[this.trimmed.ledger]?.first;
   /** How many segments of a kind hold only what is older than a time. @example segments.olderThan("lots", now - retentionMs) */
-  olderThan(kind: SegmentKind, time: number): number {
+  endOfOlderThan(kind: SegmentKind, time: number): number {
     let number = this.trimmed[kind];
     while (number < this.indexes[kind].length && this.indexes[kind][number].to < time) number += 1;
     return number;
@@ -312,14 +319,14 @@
   /** One digest over all of them, for a quick look whether two copies agree. @example segments.digest() */
   digest = (): string => Hash.text(JSON.stringify(this.list()));
   /** The next written one in turn, to be looked at whether it is still whole. @example segments.next(7) */
-  next(turn: number): { kind: SegmentKind; number: number; sum: number } | undefined {
+  segmentToScrub(turn: number): { kind: SegmentKind; number: number; sum: number } | undefined {
     const written = this.list().filter(
       ({ kind, number }) => number >= this.trimmed[kind] && !this.unwritten.has(this.name(kind, number, "seg")),
     );
     return written[turn % Math.max(1, written.length)];
   }
   /** A part of a file, as it is on disk, for a copy that is being filled. @example yield* segments.part("lots", 3, "seg", 0) */
-  *part(
+  *readChunk(
     kind: SegmentKind,
     number: number,
     part: "seg" | "idx",
@@ -345,7 +352,7 @@
     });
   }
   /** Whether a segment is here whole, by its checksum. @example yield* segments.holds("lots", 3, sum, false) */
-  *holds(kind: SegmentKind, number: number, sum: number, trimmed: boolean): Task<boolean> {
+  *isIntact(kind: SegmentKind, number: number, sum: number, trimmed: boolean): Task<boolean> {
     const file = yield* this.env.disk.read(this.path(kind, number, "idx"));
     const index = file.ok ? unwrap(indexMagic, file.value) : "";
     if (typeof index === "string" || (JSON.parse(index.toString("utf8")) as SegmentIndex).sum !== sum) return false;
@@ -355,7 +362,7 @@
     return typeof body !== "string" && crc32(body) >>> 0 === sum;
   }
   /** Takes a whole file that came from another copy; a damaged one is refused. @example yield* segments.put("lots", 3, "seg", file) */
-  *put(kind: SegmentKind, number: number, part: "seg" | "idx", file: Buffer): Task<Result<true>> {
+  *writeFile(kind: SegmentKind, number: number, part: "seg" | "idx", file: Buffer): Task<Result<true>> {
     const body = unwrap(part === "seg" ? bodyMagic : indexMagic, file);
     if (typeof body === "string")
       return Fault.fail("invalid", "take segment", this.env.name, `${this.name(kind, number, part)} ${body}`);
--- a/src/shard/shardReplica.ts
+++ b/src/shard/shardReplica.ts
@@ -35,11 +35,11 @@
 export type ShardReplicaHooks = {
   addressOf(id: string): string | undefined;
   bounds(): Bounds;
-  vouches(): boolean;
-  putTook(ms: number): void;
-  started(replica: ShardReplica): void;
-  stopped(replica: ShardReplica): void;
-  troubled(): void; // control should look at us now
+  isClockTrusted(): boolean;
+  putCompleted(ms: number): void;
+  leadershipStarted(replica: ShardReplica): void;
+  leadershipStopped(replica: ShardReplica): void;
+  viewChangeNeeded(): void; // control should look at us now
 };
 
 /**
@@ -54,16 +54,16 @@
  */
 export class ShardReplica {
   view: ShardView | undefined;
-  sealed = 0;
-  seq = 0;
+  sealedEpoch = 0;
+  lastSeq = 0;
   lastEpoch = 0;
-  applied = 0;
+  appliedSeq = 0;
   appliedEpoch = 0;
   data: ShardData;
   readonly segments: Segments;
   role: ShardReplicaStatus["role"] = "out";
   exists = false;
-  wantsView = "";
+  viewChangeReason = "";
   private tail: ShardLogEntry[] = []; // the last entries, for catch-up; ends at seq
   private sealedInThisLife = 0;
   private leases = new Map<string, number>(); // lead: member → mono time its grant ends for us
@@ -95,7 +95,7 @@
     this.slots = new TwoSlots(env, folder, 2);
     this.segments = new Segments(env, folder);
     this.data = ShardState.empty(this.segments);
-    this.segments.trimmed = this.data.trimmed;
+    this.segments.trimmed = this.data.trimmedCounts;
     const replica = this;
     EnvTools.keep(env, env.scope, `segments of shard ${shard}`, () => replica.segmentLoop());
     this.grantedUntil = env.mono() + Constants.shardLeaseMs; // a restarted member may have granted just before
@@ -112,7 +112,7 @@
       if (!taken.ok) return taken;
     }
     for (const noted of opened.value.records as Noted[]) {
-      if (noted.tag === "seal") this.sealed = Math.max(this.sealed, noted.epoch);
+      if (noted.tag === "seal") this.sealedEpoch = Math.max(this.sealedEpoch, noted.epoch);
       else if (noted.tag === "view") this.view = noted.view;
       else this.remember([noted.entry]);
     }
@@ -121,14 +121,14 @@
     if (this.view?.members.includes(this.self)) {
       this.role = "member";
       // entries of our time as lead may stand on others' disks only: a new view finds the longest log
-      if (this.view.lead === this.self) this.wantsView = "lead was restarted";
+      if (this.view.lead === this.self) this.viewChangeReason = "lead was restarted";
     }
     return Fault.ok(true as const);
   }
   /** Segments are written in the background: what is in them is in the slots until then. */
   private *segmentLoop(): Task<void> {
     for (;;) {
-      const [next] = this.data.sealing;
+      const [next] = this.data.pendingSegments;
       const { data } = this;
       if (!next || this.slots.broken) {
         if (!this.slots.broken) yield* this.segments.removeTrimmed();
@@ -137,17 +137,17 @@
       }
       const written = yield* this.segments.write(next);
       if (!written.ok) this.breakDown(written.fault);
-      else if (this.data === data) data.sealing.shift();
+      else if (this.data === data) data.pendingSegments.shift();
     }
   }
   private *take(saved: Saved): Task<Result<true>> {
     const opened = yield* this.segments.open(saved.data.segments, saved.data.trimmed, saved.data.sealing);
     if (!opened.ok) return opened;
-    this.seq = this.applied = saved.seq;
+    this.lastSeq = this.appliedSeq = saved.seq;
     this.lastEpoch = this.appliedEpoch = saved.lastEpoch;
-    this.sealed = Math.max(this.sealed, saved.sealed);
+    this.sealedEpoch = Math.max(this.sealedEpoch, saved.sealed);
     this.view = saved.view ?? undefined;
-    this.data = ShardState.thaw(saved.data, this.segments);
+    this.data = ShardState.deserialize(saved.data, this.segments);
     this.tail = [];
     this.exists = true;
     return opened;
@@ -155,7 +155,7 @@
   private remember(entries: ShardLogEntry[]): void {
     for (const entry of entries) {
       this.tail.push(entry);
-      this.seq = entry.seq;
+      this.lastSeq = entry.seq;
       this.lastEpoch = entry.epoch;
     }
     if (this.tail.length > Constants.shardLogKeep) this.tail.splice(0, this.tail.length - Constants.shardLogKeep);
@@ -163,12 +163,12 @@
   }
   private applyAll(): PutOutcome[] {
     const outcomes: PutOutcome[] = [];
-    for (const entry of this.tail.slice(Math.max(0, this.tail.length - (this.seq - this.applied)))) {
-      invariant(entry.seq === this.applied + 1, "entries are applied one after the other, none left out");
-      ShardState.tick(this.data, entry.frontier);
+    for (const entry of this.tail.slice(Math.max(0, this.tail.length - (this.lastSeq - this.appliedSeq)))) {
+      invariant(entry.seq === this.appliedSeq + 1, "entries are applied one after the other, none left out");
+      ShardState.advanceClock(this.data, entry.frontier);
       for (const put of entry.puts) outcomes.push(ShardState.apply(this.data, put));
       ShardState.seal(this.data);
-      this.applied = entry.seq;
+      this.appliedSeq = entry.seq;
       this.appliedEpoch = entry.epoch;
     }
     Csp.offer(this.segmentWake, true);
@@ -176,7 +176,7 @@
     return outcomes;
   }
   private epochAt(seq: number): number | undefined {
-    if (seq === this.seq) return this.lastEpoch;
+    if (seq === this.lastSeq) return this.lastEpoch;
     if (seq === 0) return 0;
     const first = this.tail[0];
     return first && seq >= first.seq ? this.tail[seq - first.seq]?.epoch : undefined;
@@ -213,8 +213,8 @@
       if (!probed.ok) return;
       replica.slots = slots;
       Object.assign(replica, {
-        seq: 0,
-        applied: 0,
+        lastSeq: 0,
+        appliedSeq: 0,
         lastEpoch: 0,
         appliedEpoch: 0,
         sealedInThisLife: 0,
@@ -225,7 +225,7 @@
         exists: false,
         role: "out",
       });
-      replica.segments.trimmed = replica.data.trimmed;
+      replica.segments.trimmed = replica.data.trimmedCounts;
       const opened = yield* replica.open();
       const written = opened.ok && replica.exists ? yield* slots.rotate(replica.saved()) : opened;
       if (!written.ok) {
@@ -233,24 +233,24 @@
         replica.role = "out";
         return;
       }
-      replica.env.log(1414, { shard: replica.shard, seq: replica.seq });
+      replica.env.log(1414, { shard: replica.shard, seq: replica.lastSeq });
     });
     this.retryingDisk = false;
   }
   private *foldIfLong(): Task<void> {
     const long = this.sinceFold >= Constants.shardLogKeep || this.slots.logBytes >= Constants.shardLogBytes;
-    if (!long || this.applied !== this.seq) return;
+    if (!long || this.appliedSeq !== this.lastSeq) return;
     this.sinceFold = 0;
     const done = yield* this.slots.rotate(this.saved());
     if (!done.ok) this.breakDown(done.fault);
   }
   private saved(): Saved {
     return {
-      seq: this.applied,
+      seq: this.appliedSeq,
       lastEpoch: this.appliedEpoch,
-      sealed: this.sealed,
+      sealed: this.sealedEpoch,
       view: this.view ?? null,
-      data: ShardState.freeze(this.data),
+      data: ShardState.serialize(this.data),
     };
   }
 
@@ -268,8 +268,8 @@
     const replica = this;
     return yield* this.locked<Result<any>>(function* () {
       if (replica.slots.broken) return Fault.ok({ tag: "broken" });
-      if (body.epoch < replica.sealed || body.epoch < (replica.view?.epoch ?? 0))
-        return Fault.ok({ tag: "sealed", epoch: replica.sealed });
+      if (body.epoch < replica.sealedEpoch || body.epoch < (replica.view?.epoch ?? 0))
+        return Fault.ok({ tag: "sealed", epoch: replica.sealedEpoch });
       if (replica.role === "lead" && replica.view?.epoch === body.epoch)
         return Fault.fail("conflict", "replicate", replica.self, "two leads in one epoch");
       const records: Noted[] = [];
@@ -277,13 +277,13 @@
         replica.stopLeader("newer view");
         records.push({ tag: "view", view: body.view });
       }
-      const matches = body.prevSeq <= replica.seq && replica.epochAt(body.prevSeq) === body.prevEpoch;
-      if (!matches) return Fault.ok({ tag: "behind", seq: replica.seq, lastEpoch: replica.lastEpoch });
-      const fresh = body.entries.filter((entry) => entry.seq > replica.seq);
+      const matches = body.prevSeq <= replica.lastSeq && replica.epochAt(body.prevSeq) === body.prevEpoch;
+      if (!matches) return Fault.ok({ tag: "behind", seq: replica.lastSeq, lastEpoch: replica.lastEpoch });
+      const fresh = body.entries.filter((entry) => entry.seq > replica.lastSeq);
       // what we hold beyond the lead's word in an older epoch was never acknowledged by all
       if (
-        body.entries.some((entry) => entry.seq <= replica.seq && replica.epochAt(entry.seq) !== entry.epoch) ||
-        (body.entries.length === 0 && body.prevSeq < replica.seq && replica.lastEpoch < body.epoch)
+        body.entries.some((entry) => entry.seq <= replica.lastSeq && replica.epochAt(entry.seq) !== entry.epoch) ||
+        (body.entries.length === 0 && body.prevSeq < replica.lastSeq && replica.lastEpoch < body.epoch)
       )
         return Fault.ok({ tag: "behind", seq: -1, lastEpoch: -1 });
       for (const entry of fresh) records.push({ tag: "entry", entry });
@@ -295,18 +295,18 @@
       replica.exists = true;
       if (body.epoch > (replica.view?.epoch ?? 0)) {
         replica.view = body.view;
-        replica.sealed = Math.max(replica.sealed, body.epoch);
-        replica.wantsView = "";
+        replica.sealedEpoch = Math.max(replica.sealedEpoch, body.epoch);
+        replica.viewChangeReason = "";
       }
       replica.role = "member";
       replica.remember(fresh);
       replica.applyAll();
-      if (replica.applied >= body.stable && replica.epochAt(body.stable) !== undefined)
+      if (replica.appliedSeq >= body.stable && replica.epochAt(body.stable) !== undefined)
         replica.moveFrontier(body.frontier);
       replica.grantedUntil = replica.env.mono() + Constants.shardLeaseMs;
       yield* replica.foldIfLong();
       replica.env.point(42);
-      return Fault.ok({ tag: "ok", seq: replica.seq, lowDisk: replica.diskLow });
+      return Fault.ok({ tag: "ok", seq: replica.lastSeq, lowDisk: replica.diskLow });
     });
   }
   diskLow = false;
@@ -317,12 +317,12 @@
       if (!replica.exists) return Fault.fail("notFound", "seal", replica.self, "no copy here");
       // nothing of it counts, but its word that it does not lead spares the wait for its grant's end
       if (replica.slots.broken) return Fault.ok({ tag: "stopped" });
-      if (replica.sealed > body.epoch || (replica.view?.epoch ?? 0) >= body.epoch)
-        return Fault.fail("conflict", "seal", replica.self, `sealed for ${replica.sealed}`);
-      if (replica.sealed < body.epoch) {
+      if (replica.sealedEpoch > body.epoch || (replica.view?.epoch ?? 0) >= body.epoch)
+        return Fault.fail("conflict", "seal", replica.self, `sealed for ${replica.sealedEpoch}`);
+      if (replica.sealedEpoch < body.epoch) {
         const done = yield* replica.write([{ tag: "seal", epoch: body.epoch }]);
         if (!done.ok) return done;
-        replica.sealed = body.epoch;
+        replica.sealedEpoch = body.epoch;
       }
       replica.sealedInThisLife = body.epoch;
       replica.stopLeader("sealed");
@@ -330,9 +330,9 @@
       replica.env.point(43);
       return Fault.ok({
         tag: "sealed",
-        seq: replica.seq,
+        seq: replica.lastSeq,
         lastEpoch: replica.lastEpoch,
-        tailFrom: replica.tail[0]?.seq ?? replica.seq + 1,
+        tailFrom: replica.tail[0]?.seq ?? replica.lastSeq + 1,
         grantLeftMs: Math.max(0, replica.grantedUntil - replica.env.mono()),
       });
     });
@@ -343,7 +343,7 @@
     const installedAt = this.env.mono();
     const installed = yield* this.locked<Result<true>>(function* () {
       const known = replica.view?.epoch ?? 0;
-      if (body.view.epoch < known || replica.sealed > body.view.epoch)
+      if (body.view.epoch < known || replica.sealedEpoch > body.view.epoch)
         return Fault.fail("conflict", "install", replica.self, "a newer epoch is known");
       if (body.view.epoch === known && replica.exists) return Fault.ok(true as const);
       if (replica.slots.broken) return Fault.fail("disk", "install", replica.self, "disk failed");
@@ -359,9 +359,9 @@
       const done = yield* replica.write([{ tag: "view", view: body.view }]);
       if (!done.ok) return done;
       replica.view = body.view;
-      replica.sealed = Math.max(replica.sealed, body.view.epoch);
+      replica.sealedEpoch = Math.max(replica.sealedEpoch, body.view.epoch);
       replica.exists = true;
-      replica.wantsView = "";
+      replica.viewChangeReason = "";
       if (body.view.members.includes(replica.self)) replica.role = "member";
       replica.env.log(1401, {
         shard: replica.shard,
@@ -376,9 +376,9 @@
       this.view?.epoch === body.view.epoch &&
       body.view.lead === this.self &&
       this.role === "member" &&
-      !this.wantsView
+      !this.viewChangeReason
     ) {
-      if (this.sealedInThisLife !== body.view.epoch) this.wantsView = "lead was restarted before it began";
+      if (this.sealedInThisLife !== body.view.epoch) this.viewChangeReason = "lead was restarted before it began";
       else {
         this.role = "starting";
         this.mayLeadAt = installedAt + body.waitMs;
@@ -413,11 +413,12 @@
   }
   private levelFault(epoch: number): Result<never> | undefined {
     if (this.slots.broken) return Fault.fail("disk", "level", this.self, "disk failed");
-    if (this.sealedInThisLife === epoch && this.sealed === epoch && (this.view?.epoch ?? 0) < epoch) return undefined;
-    return Fault.fail("conflict", "level", this.self, `sealed for ${this.sealed}`);
+    if (this.sealedInThisLife === epoch && this.sealedEpoch === epoch && (this.view?.epoch ?? 0) < epoch)
+      return undefined;
+    return Fault.fail("conflict", "level", this.self, `sealed for ${this.sealedEpoch}`);
   }
   private *levelOne(address: string, epoch: number, until: number): Task<boolean> {
-    let from = this.seq;
+    let from = this.lastSeq;
     while (this.env.mono() < until && !this.levelFault(epoch)) {
       const entries = this.tail.filter((entry) => entry.seq > from).slice(0, Constants.fillEntries);
       const response = yield* this.rpc.call(
@@ -431,9 +432,9 @@
         continue;
       }
       const where: { tag: string; seq: number; lastEpoch: number } = response.value;
-      if (where.tag === "ok" && where.seq === this.seq && where.lastEpoch === this.lastEpoch) return true;
+      if (where.tag === "ok" && where.seq === this.lastSeq && where.lastEpoch === this.lastEpoch) return true;
       if (where.tag !== "ok" && where.tag !== "behind") return false;
-      if (!this.goesOn(where)) return false; // it has to be filled first
+      if (!this.canBeExtendedFrom(where)) return false; // it has to be filled first
       from = where.seq;
     }
     return false;
@@ -443,16 +444,16 @@
     const replica = this;
     return yield* this.locked<Result<any>>(function* () {
       if (replica.slots.broken) return Fault.ok({ tag: "broken" });
-      if (body.epoch < replica.sealed || body.epoch <= (replica.view?.epoch ?? 0))
-        return Fault.ok({ tag: "sealed", epoch: replica.sealed });
-      const matches = replica.seq === body.prevSeq && replica.lastEpoch === body.prevEpoch;
-      if (!matches) return Fault.ok({ tag: "behind", seq: replica.seq, lastEpoch: replica.lastEpoch });
+      if (body.epoch < replica.sealedEpoch || body.epoch <= (replica.view?.epoch ?? 0))
+        return Fault.ok({ tag: "sealed", epoch: replica.sealedEpoch });
+      const matches = replica.lastSeq === body.prevSeq && replica.lastEpoch === body.prevEpoch;
+      if (!matches) return Fault.ok({ tag: "behind", seq: replica.lastSeq, lastEpoch: replica.lastEpoch });
       const records: Noted[] = body.entries.map((entry) => ({ tag: "entry", entry }));
-      if (replica.sealed < body.epoch) records.unshift({ tag: "seal", epoch: body.epoch });
+      if (replica.sealedEpoch < body.epoch) records.unshift({ tag: "seal", epoch: body.epoch });
       const done: Result<true> = records.length > 0 ? yield* replica.write(records) : Fault.ok(true as const);
       if (!done.ok) return Fault.ok({ tag: "broken" });
       replica.exists = true;
-      replica.sealed = replica.sealedInThisLife = body.epoch;
+      replica.sealedEpoch = replica.sealedInThisLife = body.epoch;
       replica.stopLeader("sealed");
       replica.remember(body.entries);
       replica.applyAll();
@@ -460,7 +461,7 @@
         shard: replica.shard,
         joiners: replica.view?.members.includes(replica.self) ? [] : [replica.self],
       });
-      return Fault.ok({ tag: "ok", seq: replica.seq, lastEpoch: replica.lastEpoch });
+      return Fault.ok({ tag: "ok", seq: replica.lastSeq, lastEpoch: replica.lastEpoch });
     });
   }
   /** What is open, all at once, for a copy being filled; what is closed for good comes as segments. @example yield* copy.onOpenState({ member: "store-9" }) */
@@ -482,7 +483,7 @@
       const where = yield* this.rpc.call(
         body.from,
         "shard.goesOn",
-        { shard: this.shard, seq: this.seq, lastEpoch: this.lastEpoch },
+        { shard: this.shard, seq: this.lastSeq, lastEpoch: this.lastEpoch },
         500,
       );
       if (!where.ok) return where;
@@ -519,7 +520,7 @@
     if (!listed.ok) return listed;
     for (const { kind, number, sum } of listed.value.segments) {
       const trimmed = number < listed.value.trimmed[kind];
-      if (yield* this.segments.holds(kind, number, sum, trimmed)) continue;
+      if (yield* this.segments.isIntact(kind, number, sum, trimmed)) continue;
       for (const part of trimmed ? (["idx"] as const) : (["seg", "idx"] as const)) {
         const taken = yield* this.fetchFile(from, kind, number, part);
         if (!taken.ok) return taken;
@@ -546,23 +547,23 @@
       yield* EnvTools.sleep(this.env, (bytes.length * 1000) / Constants.fillBytesPerSecond);
     }
     this.env.point(17);
-    return yield* this.segments.put(kind, number, part, Buffer.concat(pieces));
+    return yield* this.segments.writeFile(kind, number, part, Buffer.concat(pieces));
   }
   private *takeOpenState(epoch: number, given: Saved): Task<Result<{ tag: "ok" }>> {
     const replica = this;
     return yield* this.locked<Result<{ tag: "ok" }>>(function* () {
       if (replica.slots.broken) return Fault.fail("disk", "fill", replica.self, "disk failed");
-      if (epoch < replica.sealed || epoch < (replica.view?.epoch ?? 0))
-        return Fault.fail("conflict", "fill", replica.self, `sealed for ${replica.sealed}`);
+      if (epoch < replica.sealedEpoch || epoch < (replica.view?.epoch ?? 0))
+        return Fault.fail("conflict", "fill", replica.self, `sealed for ${replica.sealedEpoch}`);
       // a member of the view that it was taken from is never set back
       if (
         replica.view?.members.includes(replica.self) &&
         replica.view.epoch === given.view?.epoch &&
-        given.seq < replica.seq
+        given.seq < replica.lastSeq
       )
-        return Fault.fail("conflict", "fill", replica.self, `holds ${replica.seq} already`);
+        return Fault.fail("conflict", "fill", replica.self, `holds ${replica.lastSeq} already`);
       replica.stopLeader("filled from another");
-      const saved: Saved = { ...given, sealed: Math.max(replica.sealed, epoch) };
+      const saved: Saved = { ...given, sealed: Math.max(replica.sealedEpoch, epoch) };
       const done = yield* replica.slots.rotate(saved);
       if (!done.ok) {
         replica.breakDown(done.fault);
@@ -575,29 +576,31 @@
       }
       Csp.offer(replica.segmentWake, true);
       replica.role = saved.view?.members.includes(replica.self) ? "member" : "out";
-      replica.env.log(1407, { shard: replica.shard, seq: replica.seq });
+      replica.env.log(1407, { shard: replica.shard, seq: replica.lastSeq });
       return Fault.ok({ tag: "ok" });
     });
   }
   /** Whether a log that ends there can be brought up by entries of our tail. @example copy.goesOn({ seq: 100, lastEpoch: 3 }) */
-  goesOn = (where: { seq: number; lastEpoch: number }): boolean =>
+  canBeExtendedFrom = (where: { seq: number; lastEpoch: number }): boolean =>
     where.seq > 0 &&
-    where.seq <= this.seq &&
+    where.seq <= this.lastSeq &&
     this.epochAt(where.seq) === where.lastEpoch &&
-    (where.seq === this.seq || (this.tail[0]?.seq ?? Infinity) <= where.seq + 1);
+    (where.seq === this.lastSeq || (this.tail[0]?.seq ?? Infinity) <= where.seq + 1);
   /** @example yield* copy.onDigest({ seq: 100 }) */
   *onDigest(body: { seq: number }): Task<Result<any>> {
     return Fault.ok(
-      this.applied === body.seq ? { digests: ShardState.digests(this.data), segments: this.segments.digest() } : {},
+      this.appliedSeq === body.seq
+        ? { digests: ShardState.rangeDigests(this.data), segments: this.segments.digest() }
+        : {},
     );
   }
   /** Objects of the given ranges, to mend by. @example yield* copy.onMend({ works, lots }) */
-  *onMend(body: { epoch: number; seq: number; works: LiveRequest[]; lots: BatchJob[] }): Task<Result<any>> {
+  *onRepair(body: { epoch: number; seq: number; works: LiveRequest[]; lots: BatchJob[] }): Task<Result<any>> {
     const replica = this;
     return yield* this.locked<Result<any>>(function* () {
-      if (body.epoch < replica.sealed || replica.slots.broken || replica.applied < body.seq)
+      if (body.epoch < replica.sealedEpoch || replica.slots.broken || replica.appliedSeq < body.seq)
         return Fault.ok({ mended: 0 });
-      const mended = ShardState.mend(replica.data, body.works, body.lots);
+      const mended = ShardState.repair(replica.data, body.works, body.lots);
       if (mended > 0) {
         replica.counts.mended += mended;
         replica.env.log(1408, { shard: replica.shard, objects: mended });
@@ -610,28 +613,28 @@
   // ---------- reads ----------
   /** An open lot or a closed one, from its segment. @example const lot = yield* copy.lot("lot-17"); */
   *job(id: string): Task<Result<BatchJob | undefined>> {
-    const job = this.data.lots.get(id);
-    return job ? Fault.ok(job) : yield* this.segments.object("lots", id);
+    const job = this.data.jobs.get(id);
+    return job ? Fault.ok(job) : yield* this.segments.readObject("lots", id);
   }
   /** @example const request = yield* copy.work("req-1"); */
-  *work(id: string): Task<Result<LiveRequest | undefined>> {
-    const work = this.data.works.get(id);
-    return work ? Fault.ok(work) : yield* this.segments.object("works", id);
+  *liveRequest(id: string): Task<Result<LiveRequest | undefined>> {
+    const work = this.data.liveRequests.get(id);
+    return work ? Fault.ok(work) : yield* this.segments.readObject("works", id);
   }
   /** A read of sealed entries that goes on in the newest ones: repeated if some were sealed meanwhile. @example yield* copy.ofSealed(() => read) */
-  *ofSealed<T>(read: () => Task<Result<T>>): Task<Result<T>> {
+  *readConsistently<T>(read: () => Task<Result<T>>): Task<Result<T>> {
     for (;;) {
-      const before = this.data.segments.ledger;
+      const before = this.data.segmentCounts.ledger;
       const done = yield* read();
-      if (!done.ok || this.data.segments.ledger === before) return done;
+      if (!done.ok || this.data.segmentCounts.ledger === before) return done;
     }
   }
   /** Waits until something was applied here or came behind the frontier. @example yield* copy.changedWithin(800) */
-  *changedWithin(ms: number): Task<void> {
+  *waitForChange(ms: number): Task<void> {
     const wake = Csp.sliding<true>(1);
     this.readers.add(wake);
     // at the lead the frontier moves with the time itself: awake when it passes the next that waits for it
-    const next = Math.min(...this.data.waiting.map((waiting) => waiting.stamp.time));
+    const next = Math.min(...this.data.unstablePuts.map((waiting) => waiting.stamp.time));
     const due = this.role === "lead" ? next + Stamp.delay(this.hooks.bounds()) - this.env.wall() + 1 : Infinity;
     yield* EnvTools.takeWithin(this.env, wake, Math.min(ms, due > 0 ? due : Constants.statusPeriodMs));
     this.readers.delete(wake);
@@ -642,32 +645,32 @@
   private silent = (): string[] =>
     [...this.failing].filter(([, since]) => this.env.mono() - since > Constants.memberSilentMs).map(([id]) => id);
   /** How long the lead has not been heard by this member. @example copy.leadSilentFor() */
-  leaderSilentFor = (): number => this.env.mono() - (this.grantedUntil - Constants.shardLeaseMs);
+  leaderSilenceMs = (): number => this.env.mono() - (this.grantedUntil - Constants.shardLeaseMs);
   /** Whether a change of view seems to be called for. @example if (copy.isTroubled()) call(); */
-  isTroubled(): boolean {
+  needsViewChange(): boolean {
     if (this.role === "lead") return this.silent().length > 0;
     const follows = this.role === "member" && !!this.view?.members.includes(this.self);
-    return follows && (this.wantsView !== "" || this.leaderSilentFor() > Constants.leaderSilentMs);
+    return follows && (this.viewChangeReason !== "" || this.leaderSilenceMs() > Constants.leaderSilentMs);
   }
   /** Synced writes so far. @example copy.syncs() */
-  syncs = (): number => this.slots.syncs;
+  syncedWrites = (): number => this.slots.syncs;
   /** @example copy.status().role */
   status(): ShardReplicaStatus {
     return {
       shard: this.shard,
       epoch: this.view?.epoch ?? 0,
       view: this.view ?? null,
-      sealed: this.sealed,
+      sealed: this.sealedEpoch,
       role: this.role,
-      seq: this.seq,
+      seq: this.lastSeq,
       lastEpoch: this.lastEpoch,
       failing: this.silent(),
-      leadSilentMs: Math.round(this.leaderSilentFor()),
-      wantsView: this.wantsView,
+      leadSilentMs: Math.round(this.leaderSilenceMs()),
+      wantsView: this.viewChangeReason,
       broken: this.slots.broken || this.retryingDisk,
       frontier: this.data.frontier,
-      lots: this.data.lots.size + this.data.segments.lots * Constants.segmentObjects.lots,
-      works: this.data.works.size + this.data.segments.works * Constants.segmentObjects.works,
+      lots: this.data.jobs.size + this.data.segmentCounts.lots * Constants.segmentObjects.lots,
+      works: this.data.liveRequests.size + this.data.segmentCounts.works * Constants.segmentObjects.works,
     };
   }
 
@@ -688,10 +691,10 @@
     for (const pending of this.inFlight) Csp.offer(pending.reply, Fault.fail("unknown", "put", this.self, why));
     this.pending = [];
     this.inFlight = [];
-    this.wantsView = why;
-    if (why !== "sealed") this.hooks.troubled();
+    this.viewChangeReason = why;
+    if (why !== "sealed") this.hooks.viewChangeNeeded();
     Csp.offer(this.wake, true);
-    this.hooks.stopped(this);
+    this.hooks.leadershipStopped(this);
   }
   private isLeadOf = (epoch: number): boolean =>
     (this.role === "lead" || this.role === "starting") && this.view?.epoch === epoch;
@@ -716,7 +719,7 @@
         prevEpoch: this.epochAt(prevSeq) ?? -2,
         entries,
         frontier: this.published,
-        stable: this.applied,
+        stable: this.appliedSeq,
       },
       Constants.replicateTimeoutMs,
     );
@@ -755,7 +758,7 @@
     for (const id of this.others())
       Csp.go(this.env.scope, `grant of ${id}`, function* () {
         // every member stands where we stand: the view was committed only then
-        while (replica.isLeadOf(epoch) && (yield* replica.send(id, epoch, replica.seq, [])) !== "ok")
+        while (replica.isLeadOf(epoch) && (yield* replica.send(id, epoch, replica.lastSeq, [])) !== "ok")
           yield* EnvTools.sleep(replica.env, 40);
         Csp.offer(ready, true);
       });
@@ -767,12 +770,12 @@
     this.applyAll();
     // the former lead may have let reads go as far as the end of its grant: begin there, plus δ
     this.published = Math.max(this.data.frontier, this.env.wall() + this.hooks.bounds().deltaMs);
-    this.wantsView = "";
+    this.viewChangeReason = "";
     this.role = "lead";
-    for (const id of this.others()) yield* this.send(id, epoch, this.seq, []);
+    for (const id of this.others()) yield* this.send(id, epoch, this.lastSeq, []);
     if (!this.isLeadOf(epoch)) return;
-    this.env.log(1411, { shard: this.shard, epoch, seq: this.seq });
-    this.hooks.started(this);
+    this.env.log(1411, { shard: this.shard, epoch, seq: this.lastSeq });
+    this.hooks.leadershipStarted(this);
     Csp.go(this.env.scope, `renewals of shard ${this.shard} epoch ${epoch}`, () => replica.renewLoop(epoch));
     yield* this.orderLoop(epoch);
   }
@@ -780,12 +783,12 @@
     while (this.isLeadOf(epoch)) {
       const replica = this;
       this.advance();
-      if (this.isTroubled()) this.hooks.troubled();
+      if (this.needsViewChange()) this.hooks.viewChangeNeeded();
       // where puts go, they have renewed
       const due = this.env.mono() + Constants.shardLeaseMs - Constants.shardLeaseMarginMs - Constants.leaseRenewMs / 2;
       for (const id of this.others().filter((other) => (this.leases.get(other) ?? 0) < due))
         Csp.go(this.env.scope, "renew", function* () {
-          if ((yield* replica.send(id, epoch, replica.applied, [])) === "behind")
+          if ((yield* replica.send(id, epoch, replica.appliedSeq, [])) === "behind")
             replica.failSince(id, replica.env.mono());
         });
       yield* EnvTools.sleep(this.env, Constants.leaseRenewMs);
@@ -793,7 +796,7 @@
   }
   /** The temporal stability frontier: Δ + 2δ + ε into the past, held back by what is known to be under way. */
   private advance(): void {
-    if (this.role !== "lead" || !this.hooks.vouches()) return;
+    if (this.role !== "lead" || !this.hooks.isClockTrusted()) return;
     let candidate = this.env.wall() - Stamp.delay(this.hooks.bounds());
     for (const pending of [...this.inFlight, ...this.pending])
       candidate = Math.min(candidate, pending.put.stamp.time - 0.001);
@@ -802,7 +805,7 @@
   }
   private moveFrontier(to: number): void {
     const before = this.data.frontier;
-    ShardState.advance(this.data, to);
+    ShardState.advanceFrontier(this.data, to);
     if (this.data.frontier !== before) this.wakeReaders();
   }
   /** How far temporal reads may go on this copy. @example const upTo = copy.frontier(); */
@@ -814,7 +817,7 @@
   /** Puts through the lead. "late" and "notLead" mean it was never logged; "unknown" means ask again by the same id. @example yield* copy.put(put, 1000) */
   *put(put: Put, withinMs: number): Task<Result<PutOutcome>> {
     if (!this.holdsLease()) return Fault.fail("notLead", "put", this.self, this.view?.lead ?? "");
-    const repeated = this.data.puts.get(put.putId);
+    const repeated = this.data.putOutcomes.get(put.putId);
     if (repeated) return Fault.ok(repeated.outcome);
     if (this.pending.length >= Constants.shardBufferPuts)
       return Fault.busy("put", this.self, "shard buffer full", Constants.retryAfterMs);
@@ -845,12 +848,12 @@
       if (this.pending.length === 0) continue;
       const batch = (this.inFlight = this.pending.splice(0, Constants.putBatch));
       const entry: ShardLogEntry = {
-        seq: this.seq + 1,
+        seq: this.lastSeq + 1,
         epoch,
         frontier: this.published,
         puts: batch.map((pending) => pending.put),
       };
-      const prevSeq = this.seq;
+      const prevSeq = this.lastSeq;
       const prevEpoch = this.lastEpoch;
       const acks = Csp.chan<boolean>(16);
       const members = this.others();
@@ -888,7 +891,7 @@
       const bounds = this.hooks.bounds();
       batch.forEach((pending, at) => {
         const took = now - pending.put.stamp.time;
-        this.hooks.putTook(this.env.mono() - pending.enqueuedAt);
+        this.hooks.putCompleted(this.env.mono() - pending.enqueuedAt);
         if (took > bounds.bigDeltaMs + bounds.epsilonMs + bounds.deltaMs) {
           this.counts.overruns += 1;
           this.env.log(1406, { shard: this.shard, putId: pending.put.putId, tookMs: Math.round(took) });
@@ -927,15 +930,19 @@
   }
   /** What a copy that is being filled is told of our segments. @example copy.onSegments() */
   onSegments = (): Result<{ counts: SegmentCounts; trimmed: SegmentCounts; segments: ReturnType<Segments["list"]> }> =>
-    Fault.ok({ counts: { ...this.data.segments }, trimmed: { ...this.data.trimmed }, segments: this.segments.list() });
+    Fault.ok({
+      counts: { ...this.data.segmentCounts },
+      trimmed: { ...this.data.trimmedCounts },
+      segments: this.segments.list(),
+    });
   /** Looks at one segment file in turn; a damaged one is fetched anew from another member. @example yield* copy.scrub(7) */
   *scrub(turn: number): Task<void> {
-    const looked = this.segments.next(turn);
+    const looked = this.segments.segmentToScrub(turn);
     if (
       !looked ||
       this.slots.broken ||
       this.role === "out" ||
-      (yield* this.segments.holds(looked.kind, looked.number, looked.sum, false))
+      (yield* this.segments.isIntact(looked.kind, looked.number, looked.sum, false))
     )
       return;
     this.env.log(1413, { shard: this.shard, segment: `${looked.kind}-${looked.number}` });
@@ -948,13 +955,13 @@
     }
   }
   /** The lead holds other segments than we do: its word goes. @example yield* copy.onMendSegments({ from }) */
-  *onMendSegments(body: { from: string }): Task<Result<{ mended: number }>> {
+  *onRepairSegments(body: { from: string }): Task<Result<{ mended: number }>> {
     const before = this.segments.digest();
     const fetched = yield* this.fetchSegments(body.from);
     if (!fetched.ok) return fetched;
     const replica = this;
     const opened = yield* this.locked(() =>
-      replica.segments.open(replica.data.segments, replica.data.trimmed, replica.data.sealing),
+      replica.segments.open(replica.data.segmentCounts, replica.data.trimmedCounts, replica.data.pendingSegments),
     );
     if (!opened.ok) return opened;
     const mended = this.segments.digest() === before ? 0 : 1;
@@ -977,11 +984,11 @@
   private *compare(id: string): Task<number | undefined> {
     const address = this.hooks.addressOf(id);
     if (!address || !this.holdsLease() || !this.view) return 0;
-    const seq = this.applied;
-    const ours = ShardState.digests(this.data);
+    const seq = this.appliedSeq;
+    const ours = ShardState.rangeDigests(this.data);
     const theirs = yield* this.rpc.call(address, "shard.digest", { shard: this.shard, seq }, 1000);
     if (!theirs.ok) return 0;
-    if (!theirs.value.digests || this.applied !== seq) return undefined;
+    if (!theirs.value.digests || this.appliedSeq !== seq) return undefined;
     if (theirs.value.segments !== this.segments.digest()) {
       const mended = yield* this.rpc.call(
         address,
@@ -993,7 +1000,7 @@
     }
     const differing = new Set(ours.flatMap((digest, range) => (digest === theirs.value.digests[range] ? [] : [range])));
     if (differing.size === 0) return 0;
-    const inRange = (object: { id: string }): boolean => differing.has(ShardState.bucketOf(object.id));
+    const inRange = (object: { id: string }): boolean => differing.has(ShardState.rangeOf(object.id));
     const response = yield* this.rpc.call(
       address,
       "shard.mend",
@@ -1001,8 +1008,8 @@
         shard: this.shard,
         epoch: this.view.epoch,
         seq,
-        works: [...this.data.works.values()].filter(inRange),
-        lots: [...this.data.lots.values()].filter(inRange),
+        works: [...this.data.liveRequests.values()].filter(inRange),
+        lots: [...this.data.jobs.values()].filter(inRange),
       },
       2000,
     );
--- a/src/shard/shardTypes.ts
+++ b/src/shard/shardTypes.ts
@@ -1,7 +1,7 @@
 /** What a shard holds, and the operations that change it. */
 import type { Route } from "../control/controlState";
 import type { Stamp } from "../common/stamp";
-import type { Found, Sealing, SegmentCounts } from "./segments";
+import type { SealedObjectLocation, PendingSegment, SegmentCounts } from "./segments";
 
 export type StreamChunk = { n: number; stamp: Stamp; data: string };
 export type Cause = { policy?: string; manifest?: number; view?: number; note?: string };
@@ -95,39 +95,54 @@
 /** What became of a put's last op that could be refused. */
 export type PutOutcome = { tag: "done" } | { tag: "exists"; same: boolean; state: string } | { tag: "no"; why: string };
 /** What a put decided and found, until the frontier has passed it. */
-export type Waiting = { stamp: Stamp; ledger: LedgerEntry[]; results: { lot: string; item: number }[] };
+export type UnstablePut = { stamp: Stamp; ledger: LedgerEntry[]; results: { lot: string; item: number }[] };
 /** What was sealed for good, as the state machine needs it: by id, without the disk. */
-export type SealedIndex = {
-  find(kind: "works" | "lots", id: string): Found | undefined;
-  sameBody(found: Found, bodyHash: string): boolean;
-  take(sealing: Sealing): void;
+export type SealedObjects = {
+  find(kind: "works" | "lots", id: string): SealedObjectLocation | undefined;
+  hasSameBody(found: SealedObjectLocation, bodyHash: string): boolean;
+  add(sealing: PendingSegment): void;
 };
 /** What is open, and what was closed lately; all else is in segments. */
 export type ShardData = {
-  works: Map<string, LiveRequest>;
-  worksClosed: string[]; // closed and not yet sealed, oldest first
-  refused: string[]; // kept only as long as a late open of theirs may still come
-  lots: Map<string, BatchJob>;
-  lotsClosed: string[];
-  lotsRefused: Map<string, Stamp>; // by id, when; kept as long as a late put of theirs may still come
-  bodiesKept: string[]; // closed lots whose items' bodies are still asked for, oldest first
+  liveRequests: Map<string, LiveRequest>;
+  closedRequests: string[]; // closed and not yet sealed, oldest first
+  refusedRequests: string[]; // kept only as long as a late open of theirs may still come
+  jobs: Map<string, BatchJob>;
+  closedJobs: string[];
+  refusedJobs: Map<string, Stamp>; // by id, when; kept as long as a late put of theirs may still come
+  jobsWithBodies: string[]; // closed lots whose items' bodies are still asked for, oldest first
   ledger: LedgerEntry[]; // the newest part of the time index: only what lies behind the frontier, in stamp order
-  waiting: Waiting[]; // logged, but not yet behind the frontier
+  unstablePuts: UnstablePut[]; // logged, but not yet behind the frontier
   frontier: number;
-  clock: number; // the greatest frontier that the log itself records: the same on every copy at the same entry
-  puts: Map<string, { until: number; outcome: PutOutcome }>;
-  told: Record<string, number>; // by source, the greatest index noted once
-  sealing: Sealing[]; // sealed, not yet written as files
-  segments: SegmentCounts; // sealed so far, those in sealing among them
-  trimmed: SegmentCounts;
-  sealed: SealedIndex;
+  logClock: number; // the greatest frontier that the log itself records: the same on every copy at the same entry
+  putOutcomes: Map<string, { until: number; outcome: PutOutcome }>;
+  notedSources: Record<string, number>; // by source, the greatest index noted once
+  pendingSegments: PendingSegment[]; // sealed, not yet written as files
+  segmentCounts: SegmentCounts; // sealed so far, those in sealing among them
+  trimmedCounts: SegmentCounts;
+  sealedObjects: SealedObjects;
 };
-/** The same as plain JSON, without the index of what was sealed. */
-export type SerializedShard = Omit<ShardData, "works" | "lots" | "lotsRefused" | "puts" | "sealed"> & {
+/**
+ * The stored form of {@link ShardData}, plain JSON: what a slot file holds and what a new replica is sent. Its field
+ * names are part of the data format and never change.
+ */
+export type SerializedShard = {
   works: LiveRequest[];
+  worksClosed: string[];
+  refused: string[];
   lots: BatchJob[];
+  lotsClosed: string[];
   lotsRefused: [string, Stamp][];
+  bodiesKept: string[];
+  ledger: LedgerEntry[];
+  waiting: UnstablePut[];
+  frontier: number;
+  clock: number;
   puts: [string, { until: number; outcome: PutOutcome }][];
+  told: Record<string, number>;
+  sealing: PendingSegment[];
+  segments: SegmentCounts;
+  trimmed: SegmentCounts;
 };
 
 /** What an operation works on: the shard's state, its put, and where its decisions and results go. */
@@ -135,7 +150,7 @@
   data: ShardData;
   put: Put;
   note: (subject: string, decision: string, cause?: Cause) => void;
-  waiting: Waiting;
+  unstable: UnstablePut;
 };
 export type OperationOf<Tag extends ShardOperation["op"]> = Extract<ShardOperation, { op: Tag }>;
 
--- a/src/simulation/simFleet.ts
+++ b/src/simulation/simFleet.ts
@@ -172,7 +172,7 @@
     for (const replica of this.replicasOf(name)) {
       if (replica.role !== "lead") continue;
       const known = this.acknowledged.get(replica.shard);
-      const place = { epoch: replica.appliedEpoch, seq: replica.applied };
+      const place = { epoch: replica.appliedEpoch, seq: replica.appliedSeq };
       if (!known || place.epoch > known.epoch || (place.epoch === known.epoch && place.seq > known.seq))
         this.acknowledged.set(replica.shard, place);
     }
--- a/src/storage/batchJobs.ts
+++ b/src/storage/batchJobs.ts
@@ -38,10 +38,10 @@
     if (sealed)
       return {
         tag: "exists",
-        same: replica.segments.sameBody(sealed, bodyHash),
+        same: replica.segments.hasSameBody(sealed, bodyHash),
         state: sealed.trimmed ? "trimmed" : "",
       };
-    const job = replica.data.lots.get(id);
+    const job = replica.data.jobs.get(id);
     return job && { tag: "exists", same: job.bodyHash === bodyHash, state: "" };
   }
 
@@ -147,7 +147,7 @@
       } else if (replica.holdsLease() && !this.submitting.has(body.id))
         return Fault.fail("notFound", "list", this.node.self.id, `no lot ${body.id}`);
       else if (over || !replica.holdsLease()) return Fault.fail("notLead", "list", this.node.self.id, "not known here");
-      yield* replica.changedWithin(until - this.env.mono());
+      yield* replica.waitForChange(until - this.env.mono());
     }
   }
   private isMember(replica: ShardReplica): boolean {
@@ -187,7 +187,7 @@
   /** Nothing of the lot starts from now on, and what runs is broken off. @example yield* lots.end(copy, { id: "lot-17", stamp, by: "caller" }) */
   *end(replica: ShardReplica, body: { id: string; stamp: Stamp; by: string }): Task<Result<{ ended: true }>> {
     if (!replica.holdsLease()) return this.notLeader(replica, "end lot");
-    const job = replica.data.lots.get(body.id);
+    const job = replica.data.jobs.get(body.id);
     const sealed = replica.segments.find("lots", body.id);
     if (!job && !sealed && this.submitting.has(body.id))
       return Fault.fail("notLead", "end lot", this.node.self.id, "it is being taken in");
--- a/src/storage/itemExecution.ts
+++ b/src/storage/itemExecution.ts
@@ -77,7 +77,7 @@
   // ---------- which lots are ours to run ----------
   /** A lot was accepted, or found in the log of a shard that we lead now. @example runs.opened(copy, "lot-17"); */
   opened(replica: ShardReplica, id: string): void {
-    const job = replica.data.lots.get(id);
+    const job = replica.data.jobs.get(id);
     const epoch = replica.view?.epoch ?? 0;
     const known = this.open.get(id);
     if (!job?.requests || job.open === 0 || job.ended || known?.epoch === epoch) return;
@@ -99,7 +99,7 @@
   }
   /** @example runs.leadStarted(copy); */
   leaderStarted(replica: ShardReplica): void {
-    for (const job of replica.data.lots.values()) this.opened(replica, job.id);
+    for (const job of replica.data.jobs.values()) this.opened(replica, job.id);
   }
   /** Nothing starts from now on; what runs goes on for a while, since most changes of view leave the lead. @example runs.leadStopped(copy); */
   leaderStopped(replica: ShardReplica): void {
@@ -122,13 +122,13 @@
   }
   /** Whether what runs of a lot may go on: it is not ended, and no other store is known to lead it. */
   private goesOn(open: OpenLot): boolean {
-    const job = open.copy.data.lots.get(open.id);
+    const job = open.copy.data.jobs.get(open.id);
     const led = open.copy.view?.lead === this.node.self.id && this.env.mono() - open.lostAt < Constants.jobRegainMs;
     return !!job && job.open > 0 && !job.ended && led && this.open.get(open.id) === open;
   }
   /** The lot, as long as it is ours to run. */
   private ours(open: OpenLot): BatchJob | undefined {
-    const job = open.copy.data.lots.get(open.id);
+    const job = open.copy.data.jobs.get(open.id);
     const runs =
       job &&
       !job.ended &&
--- a/src/storage/quota.ts
+++ b/src/storage/quota.ts
@@ -74,11 +74,11 @@
   /** What waits in a shard that we hold: its lots, and those on their way. @example quota.tallyOf(copy, "audit").tokens */
   tallyOf(replica: ShardReplica, route: string): Tally {
     let tokens = 0;
-    for (const job of replica.data.lots.values())
+    for (const job of replica.data.jobs.values())
       if (job.binding === route && job.open > 0) tokens += job.tokensWaiting ?? 0;
     const asking: Record<string, number> = {};
     for (const [job, criteria] of this.asked.get(replica.shard) ?? [])
-      if (criteria.binding === route && !replica.data.lots.has(job)) {
+      if (criteria.binding === route && !replica.data.jobs.has(job)) {
         asking[job] = criteria.tokens;
         tokens += criteria.tokens;
       }
--- a/src/storage/storageNode.ts
+++ b/src/storage/storageNode.ts
@@ -96,14 +96,14 @@
         {
           addressOf: (id) => this.node.addressOf(id),
           bounds: () => this.node.bounds(),
-          vouches: () => this.node.vouches(),
-          putTook: (ms) => this.puts.add(ms),
-          troubled: () => void Csp.offer(this.trouble, true),
-          started: (started) => {
+          isClockTrusted: () => this.node.vouches(),
+          putCompleted: (ms) => this.puts.add(ms),
+          viewChangeNeeded: () => void Csp.offer(this.trouble, true),
+          leadershipStarted: (started) => {
             this.work.leaderStarted(started);
             this.itemRuns.leaderStarted(started);
           },
-          stopped: (stopped) => {
+          leadershipStopped: (stopped) => {
             this.work.leaderStopped(stopped);
             this.itemRuns.leaderStopped(stopped);
           },
@@ -127,7 +127,7 @@
   private *callLoop(): Task<void> {
     for (;;) {
       yield* EnvTools.takeWithin(this.env, this.trouble, Constants.leaseRenewMs);
-      if (![...this.replicas.values()].some((replica) => replica.isTroubled())) continue;
+      if (![...this.replicas.values()].some((replica) => replica.needsViewChange())) continue;
       for (const member of this.node.membership.alive("control")) {
         const { rpc } = this.node;
         Csp.go(this.env.scope, "call for control", () =>
@@ -163,9 +163,9 @@
       const keepMs = configuration?.doc.retention?.[setting];
       if (keepMs === undefined) continue;
       const before = this.env.wall() - keepMs;
-      const below = replica.segments.olderThan(kind, before);
-      if (below <= replica.data.trimmed[kind]) continue;
-      const detail = `trimmed ${kind} segments ${replica.data.trimmed[kind]} to ${below - 1}: nothing in them is newer than ${new Date(before).toISOString()}`;
+      const below = replica.segments.endOfOlderThan(kind, before);
+      if (below <= replica.data.trimmedCounts[kind]) continue;
+      const detail = `trimmed ${kind} segments ${replica.data.trimmedCounts[kind]} to ${below - 1}: nothing in them is newer than ${new Date(before).toISOString()}`;
       yield* this.shardClient.put(
         replica.shard,
         `trim-${replica.shard}-${kind}-${below}`,
@@ -203,13 +203,15 @@
     on("shard.segments", function* (replica) {
       return replica.onSegments();
     });
-    on("shard.segmentPart", (replica, body) => replica.segments.part(body.kind, body.number, body.part, body.from));
-    on("shard.mendSegments", (replica, body) => replica.onMendSegments(body));
+    on("shard.segmentPart", (replica, body) =>
+      replica.segments.readChunk(body.kind, body.number, body.part, body.from),
+    );
+    on("shard.mendSegments", (replica, body) => replica.onRepairSegments(body));
     on("shard.goesOn", function* (replica, body) {
-      return Fault.ok({ goesOn: replica.goesOn(body) });
+      return Fault.ok({ goesOn: replica.canBeExtendedFrom(body) });
     });
     on("shard.digest", (replica, body) => replica.onDigest(body));
-    on("shard.mend", (replica, body) => replica.onMend(body));
+    on("shard.mend", (replica, body) => replica.onRepair(body));
     const store = this;
     rpc.handle("store.status", function* () {
       return Fault.ok({
@@ -252,7 +254,7 @@
         lots: [...store.replicas.values()]
           .filter((replica) => replica.role === "lead")
           .flatMap((replica) =>
-            [...replica.data.lots.values()].map((job) => ({
+            [...replica.data.jobs.values()].map((job) => ({
               id: job.id,
               shard: replica.shard,
               items: job.items.length,
@@ -319,7 +321,7 @@
       } else if (replica.holdsLease())
         return Fault.fail("notFound", "lot results", this.node.self.id, `no lot ${body.id}`);
       else if (this.env.mono() >= until) return Fault.fail("notLead", "lot results", this.node.self.id, "not here yet");
-      yield* replica.changedWithin(until - this.env.mono());
+      yield* replica.waitForChange(until - this.env.mono());
     }
   }
   private *ledgerRead(replica: ShardReplica, body: { after: string; limit: number }): Task<Result<unknown>> {
@@ -327,11 +329,11 @@
     if (outside) return outside;
     const frontier = replica.frontier();
     const after = Stamp.parse(body.after) ?? { time: -1, node: "", seq: 0 };
-    const sealed = yield* replica.ofSealed(() => replica.segments.ledgerAfter(after, body.limit));
+    const sealed = yield* replica.readConsistently(() => replica.segments.ledgerAfter(after, body.limit));
     if (!sealed.ok) return sealed;
     // by its place, not by its stamp: a put's entries may lie on both sides
     const all = sealed.value.all
-      ? [...sealed.value.entries, ...replica.data.ledger.slice(ShardState.after(replica.data, after))]
+      ? [...sealed.value.entries, ...replica.data.ledger.slice(ShardState.firstLedgerIndexAfter(replica.data, after))]
       : sealed.value.entries;
     // a put's entries stay together
     let cut = Math.min(body.limit, all.length);
@@ -339,7 +341,7 @@
     return Fault.ok({
       frontier,
       entries: all.slice(0, cut),
-      oldest: replica.segments.oldest() ?? replica.data.ledger[0]?.stamp ?? null,
+      oldest: replica.segments.oldestLedgerStamp() ?? replica.data.ledger[0]?.stamp ?? null,
     });
   }
   private *ledgerAbout(replica: ShardReplica, body: { subjects: string[]; change: string }): Task<Result<unknown>> {
@@ -348,13 +350,15 @@
     const about = (entry: LedgerEntry): boolean =>
       body.subjects.some((subject) => entry.subject === subject || entry.subject.startsWith(`${subject}/`)) ||
       (body.change !== "" && !!entry.cause.note?.startsWith(`change ${body.change} `));
-    const sealed = yield* replica.ofSealed(() =>
+    const sealed = yield* replica.readConsistently(() =>
       replica.segments.ledgerAbout([...body.subjects, `change ${body.change}`], 0, about, Constants.aboutEntriesMax),
     );
     if (!sealed.ok) return sealed;
     const stable = replica.data.ledger.filter(about);
     // logical mode at the lead: what was logged but not yet indexed is shown too, marked as such
-    const fresh = replica.holdsLease() ? replica.data.waiting.flatMap((waiting) => waiting.ledger).filter(about) : [];
+    const fresh = replica.holdsLease()
+      ? replica.data.unstablePuts.flatMap((waiting) => waiting.ledger).filter(about)
+      : [];
     return Fault.ok({ entries: [...sealed.value, ...stable, ...fresh], frontier: replica.frontier() });
   }
   /** The nearest version not prior to τ; past the frontier it waits, then says busy. */
@@ -368,7 +372,9 @@
     for (;;) {
       const frontier = replica.frontier();
       const fits = (entry: LedgerEntry): boolean => entry.subject === body.subject && entry.stamp.time >= body.time;
-      const sealed = yield* replica.ofSealed(() => replica.segments.ledgerAbout([body.subject], body.time, fits, 1));
+      const sealed = yield* replica.readConsistently(() =>
+        replica.segments.ledgerAbout([body.subject], body.time, fits, 1),
+      );
       if (!sealed.ok) return sealed;
       const found = sealed.value[0] ?? ShardState.nearest(replica.data, body.subject, body.time);
       if (found) return Fault.ok({ version: found, frontier });
@@ -381,7 +387,7 @@
           Math.round(lacking),
         );
       }
-      yield* replica.changedWithin(until - this.env.mono());
+      yield* replica.waitForChange(until - this.env.mono());
     }
   }
 
@@ -401,7 +407,7 @@
       ...this.puts.metrics("put_ms"),
       ...this.relays.metrics("relay_ms"),
       skew_ms: +(this.node.membership.skew()?.offset ?? 0).toFixed(2),
-      disk_syncs: sum((replica) => replica.syncs()),
+      disk_syncs: sum((replica) => replica.syncedWrites()),
       restamped_puts: this.shardClient.restampedPuts,
       affinity_hits: this.endpointSelector.hits,
       affinity_misses: this.endpointSelector.misses,
--- a/src/storage/workExecutor.ts
+++ b/src/storage/workExecutor.ts
@@ -119,10 +119,10 @@
     if (kept)
       return Fault.ok({
         tag: "exists",
-        same: copy.segments.sameBody(kept, body.work.bodyHash),
+        same: copy.segments.hasSameBody(kept, body.work.bodyHash),
         state: kept.trimmed ? "trimmed" : kept.state,
       });
-    const known = copy.data.works.get(id);
+    const known = copy.data.liveRequests.get(id);
     const again =
       known?.state === "refused" && known.closedAt !== null && Stamp.compare(body.stamp, known.closedAt) > 0;
     if (known && !again)
@@ -223,7 +223,7 @@
     try {
       for (;;) {
         if (!replica.holdsLease()) return Fault.fail("notLead", "read", this.node.self.id, replica.view?.lead ?? "");
-        const held = yield* replica.work(body.id);
+        const held = yield* replica.liveRequest(body.id);
         if (!held.ok) return held;
         const work = held.value;
         if (!work) return Fault.fail("notFound", "read", this.node.self.id, `no request ${body.id}`);
@@ -537,10 +537,10 @@
     if (kept)
       return Fault.ok({
         tag: "exists",
-        same: replica.segments.sameBody(kept, body.lot.bodyHash),
+        same: replica.segments.hasSameBody(kept, body.lot.bodyHash),
         state: kept.trimmed ? "trimmed" : "",
       });
-    const known = replica.data.lots.get(body.lot.id);
+    const known = replica.data.jobs.get(body.lot.id);
     if (known) return Fault.ok({ tag: "exists", same: known.bodyHash === body.lot.bodyHash, state: "" });
     if (!Stamp.admits(body.stamp.time, this.env.wall(), this.node.bounds()))
       return Fault.fail("late", "accept lot", this.node.self.id, "stamp outside the bounds");
@@ -580,7 +580,7 @@
   }
   /** A lot whose put outran the handler's patience was accepted all the same. */
   private noteOpenJobs(replica: ShardReplica): void {
-    for (const job of replica.data.lots.values())
+    for (const job of replica.data.jobs.values())
       if (job.open > 0 && !job.ended && !job.requests) this.openJob(job.id, replica.shard);
   }
   /** A shard's lead begins: what its log calls for is taken up. @example work.leadStarted(copy); */
@@ -606,8 +606,9 @@
   private *takeUp(replica: ShardReplica, epoch: number): Task<void> {
     const orphanOf = new Map<string, string[]>(); // owner → ids
     const add = (owner: string, id: string): void => void orphanOf.set(owner, [...(orphanOf.get(owner) ?? []), id]);
-    for (const work of replica.data.works.values()) if (!ShardState.isClosed(work)) add(work.owner, `work ${work.id}`);
-    for (const job of replica.data.lots.values())
+    for (const work of replica.data.liveRequests.values())
+      if (!ShardState.isClosed(work)) add(work.owner, `work ${work.id}`);
+    for (const job of replica.data.jobs.values())
       if (job.open > 0)
         job.items.forEach((item, at) => item.state === "claimed" && add(item.owner, `item ${job.id}/${at}`));
     for (const [owner, all] of orphanOf) {
@@ -655,7 +656,7 @@
     }
   }
   private *recoverWork(replica: ShardReplica, id: string): Task<void> {
-    const work = replica.data.works.get(id);
+    const work = replica.data.liveRequests.get(id);
     if (!work || ShardState.isClosed(work)) return;
     const shard = replica.shard;
     const close = (state: "failed" | "unknown" | "refused", outcome: string): Task<Result<PutOutcome>> =>
@@ -732,10 +733,10 @@
     const cut = name.lastIndexOf("/");
     const jobId = name.slice(0, cut);
     const at = +name.slice(cut + 1);
-    const item = replica.data.lots.get(jobId)?.items[at];
+    const item = replica.data.jobs.get(jobId)?.items[at];
     if (!item || item.state !== "claimed") return;
     const putId = `recover-${name}-${item.round}`;
-    const op: ShardOperation = replica.data.lots.get(jobId)!.safe
+    const op: ShardOperation = replica.data.jobs.get(jobId)!.safe
       ? { op: "itemRelease", lot: jobId, item: at, round: item.round, why: "its store was lost" }
       : {
           op: "itemResult",
@@ -763,7 +764,7 @@
       const jobs: { lot: BatchJob; copy: ShardReplica }[] = [];
       for (const [id, shard] of this.openJobs) {
         const copy = this.replicas.get(shard);
-        const job = copy?.data.lots.get(id);
+        const job = copy?.data.jobs.get(id);
         if (!copy || !job || job.open === 0 || job.ended) {
           this.openJobs.delete(id);
           continue;
@@ -855,7 +856,7 @@
     }
     this.env.point(55);
     const copy = this.replicas.get(shard);
-    const job = copy?.data.lots.get(jobId);
+    const job = copy?.data.jobs.get(jobId);
     const stale =
       this.env.mono() - claimedAt > Constants.claimOldMs ||
       !copy?.holdsLease() ||
--- a/test/clock.test.ts
+++ b/test/clock.test.ts
@@ -46,21 +46,21 @@
   const data = ShardState.empty();
   for (const put of [note("c", 30), note("a", 10), note("b", 20)]) ShardState.apply(data, put);
   expect(data.ledger).toEqual([]);
-  ShardState.advance(data, 20);
+  ShardState.advanceFrontier(data, 20);
   expect(data.ledger.map((entry) => entry.decision)).toEqual(["a", "b"]);
-  ShardState.advance(data, 15); // never back
+  ShardState.advanceFrontier(data, 15); // never back
   expect(data.frontier).toBe(20);
-  ShardState.advance(data, 31);
+  ShardState.advanceFrontier(data, 31);
   expect(data.ledger.map((entry) => entry.decision)).toEqual(["a", "b", "c"]);
 });
 test("a temporal read gets the nearest version not prior to τ: equal, between, none", () => {
   const data = ShardState.empty();
   for (const put of [note("v1", 10), note("other", 15, "other thing"), note("v2", 20)]) ShardState.apply(data, put);
-  ShardState.advance(data, 19);
+  ShardState.advanceFrontier(data, 19);
   expect(ShardState.nearest(data, "thing", 10)?.decision).toBe("v1"); // equal
   expect(ShardState.nearest(data, "thing", 5)?.decision).toBe("v1"); // before the first
   expect(ShardState.nearest(data, "thing", 11)).toBeUndefined(); // the next is not stable yet
-  ShardState.advance(data, 20);
+  ShardState.advanceFrontier(data, 20);
   expect(ShardState.nearest(data, "thing", 11)?.decision).toBe("v2"); // between
   expect(ShardState.nearest(data, "thing", 21)).toBeUndefined(); // none
 });
@@ -76,7 +76,7 @@
   };
   expect(ShardState.apply(data, job)).toEqual({ tag: "done" });
   expect(ShardState.apply(data, job)).toEqual({ tag: "done" });
-  expect(data.waiting).toHaveLength(1);
+  expect(data.unstablePuts).toHaveLength(1);
   expect(
     ShardState.apply(data, {
       ...job,
@@ -104,8 +104,8 @@
   expect(put({ op: "lotEnd", lot: "L", by: "c" })).toBe("done");
   expect(put({ op: "itemClaim", lot: "L", item: 2, round: 1, replica: "r", owner: "s" })).toBe("no");
   expect(put({ op: "itemRelease", lot: "L", item: 1, round: 1, why: "unsent" })).toBe("done");
-  expect(data.lots.get("L")!.items.map((item) => item.state)).toEqual(["done", "ended", "ended"]);
-  expect(data.lots.get("L")!.open).toBe(0);
+  expect(data.jobs.get("L")!.items.map((item) => item.state)).toEqual(["done", "ended", "ended"]);
+  expect(data.jobs.get("L")!.open).toBe(0);
 });
 test("what was refused may come again only as a later arrival", () => {
   const data = ShardState.empty();
--- a/test/kept.test.ts
+++ b/test/kept.test.ts
@@ -25,11 +25,11 @@
   const replica = new ShardReplica(process.env, new Rpc(process.env, "c", "s1"), "s1", 0, "d", {
     addressOf: () => undefined,
     bounds: () => Stamp.defaults,
-    vouches: () => true,
-    putTook: () => undefined,
-    started: () => undefined,
-    stopped: () => undefined,
-    troubled: () => undefined,
+    isClockTrusted: () => true,
+    putCompleted: () => undefined,
+    leadershipStarted: () => undefined,
+    leadershipStopped: () => undefined,
+    viewChangeNeeded: () => undefined,
   });
   const opened = yield* replica.open();
   if (!opened.ok) throw new Error(opened.fault.detail);
@@ -121,7 +121,7 @@
   test("every reply and every result in its position is read back; what is in memory is bounded", async () => {
     await inWorld(world, process, function* () {
       for (let n = 0; n < singles; n += 97) {
-        const work = yield* replica.work(`key-${n}`);
+        const work = yield* replica.liveRequest(`key-${n}`);
         expect(work.ok && work.value?.pieces[0].data).toBe(`reply of key-${n}`);
       }
       for (let n = 0; n < jobs; n += 29) {
@@ -130,8 +130,8 @@
         expect(held.ok && held.value?.items.map((item) => item.result)).toEqual([`lot-${n}/0`, `lot-${n}/1`]);
       }
     });
-    expect(replica.data.works.size).toBeLessThanOrEqual(2 * Constants.segmentObjects.works);
-    expect(replica.data.lots.size).toBeLessThanOrEqual(2 * Constants.segmentObjects.lots);
+    expect(replica.data.liveRequests.size).toBeLessThanOrEqual(2 * Constants.segmentObjects.works);
+    expect(replica.data.jobs.size).toBeLessThanOrEqual(2 * Constants.segmentObjects.lots);
   });
   test("a repeated key or lot id never runs again; with another body it is told apart", async () => {
     await inWorld(world, process, function* () {
@@ -145,20 +145,20 @@
   });
   test("trimmed by age: gone, never a new run; the ids outlive another start; what is newer stays", async () => {
     const trimmed = await inWorld(world, process, function* () {
-      const below = replica.segments.olderThan("works", process.env.wall() + 1) - 1;
+      const below = replica.segments.endOfOlderThan("works", process.env.wall() + 1) - 1;
       yield* put(replica, process, [{ op: "trim", kind: "works", below, detail: "trimmed" }]);
       yield* EnvTools.sleep(process.env, 6000);
       return below;
     });
     expect(trimmed).toBeGreaterThan(30);
     expect([...disk.under("d").keys()].filter((name) => /^works-\d+\.seg$/.test(name)).length).toBe(
-      replica.data.segments.works - trimmed,
+      replica.data.segmentCounts.works - trimmed,
     );
     world.kill("morning", true);
     const next = world.start("next morning", disk);
     await inWorld(world, next, function* () {
       const again = yield* leading(next, 3);
-      const read = yield* again.work("key-0");
+      const read = yield* again.liveRequest("key-0");
       expect(!read.ok && read.fault.tag).toBe("gone");
       expect(yield* put(again, next, order("key-0"))).toEqual({ tag: "exists", same: true, state: "trimmed" });
       expect(yield* put(again, next, [{ op: "close", id: "key-0", round: 0, state: "refused", outcome: "" }])).toEqual({
@@ -166,7 +166,7 @@
         same: true,
         state: "done",
       });
-      const newest = yield* again.work(`key-${singles - 1}`);
+      const newest = yield* again.liveRequest(`key-${singles - 1}`);
       expect(newest.ok && newest.value?.state).toBe("done");
     });
   });
@@ -185,11 +185,11 @@
         const segmented = new ShardReplica(spoilt.env, new Rpc(spoilt.env, "c", "s1"), "s1", 0, "d", {
           addressOf: () => undefined,
           bounds: () => Stamp.defaults,
-          vouches: () => true,
-          putTook: () => undefined,
-          started: () => undefined,
-          stopped: () => undefined,
-          troubled: () => undefined,
+          isClockTrusted: () => true,
+          putCompleted: () => undefined,
+          leadershipStarted: () => undefined,
+          leadershipStopped: () => undefined,
+          viewChangeNeeded: () => undefined,
         });
         const opened = yield* segmented.open();
         return opened.ok ? "opened" : opened.fault.detail;
--- a/test/repair.test.ts
+++ b/test/repair.test.ts
@@ -20,18 +20,18 @@
     .flatMap((name) => [
       ...(fleet.running.get(name) as unknown as { replicas: Map<number, ShardReplica> }).replicas.values(),
     ]);
-  const member = replicas.find((replica) => replica.role === "member" && replica.data.lots.size > 0)!;
+  const member = replicas.find((replica) => replica.role === "member" && replica.data.jobs.size > 0)!;
   const leader = replicas.find((replica) => replica.shard === member.shard && replica.role === "lead")!;
-  const [job] = member.data.lots.keys();
-  const positions = [...member.data.lots.get(job)!.positions];
-  member.data.lots.get(job)!.items[0].result = "rotten";
-  member.data.lots.get(job)!.version -= 1;
-  for (const work of [...member.data.works.keys()].slice(0, 2)) member.data.works.delete(work);
-  expect(ShardState.digests(member.data)).not.toEqual(ShardState.digests(leader.data));
+  const [job] = member.data.jobs.keys();
+  const positions = [...member.data.jobs.get(job)!.positions];
+  member.data.jobs.get(job)!.items[0].result = "rotten";
+  member.data.jobs.get(job)!.version -= 1;
+  for (const work of [...member.data.liveRequests.keys()].slice(0, 2)) member.data.liveRequests.delete(work);
+  expect(ShardState.rangeDigests(member.data)).not.toEqual(ShardState.rangeDigests(leader.data));
   await fleet.run(25_000);
   expect(member.counts.mended).toBeGreaterThanOrEqual(1);
-  expect(member.data.lots.get(job)!.items[0].result).toBe(leader.data.lots.get(job)!.items[0].result);
-  expect(member.data.lots.get(job)!.positions.slice(0, positions.length)).toEqual(positions);
+  expect(member.data.jobs.get(job)!.items[0].result).toBe(leader.data.jobs.get(job)!.items[0].result);
+  expect(member.data.jobs.get(job)!.positions.slice(0, positions.length)).toEqual(positions);
   expect(await fleet.close()).toEqual([]);
 }, 120_000);
 
