--- a/src/simulation/simDisk.ts
+++ b/src/simulation/simDisk.ts
@@ -3,7 +3,8 @@
 import { DurableDisk } from "../runtime/durableDisk";
 import { Disk } from "../runtime/env";
 import { Fault, Result } from "../common/fault";
-import type { SimProcess, SimWorld } from "./simWorld";
+import type { SimProcess } from "./simProcess";
+import type { SimWorld } from "./simWorld";
 
 /** What becomes of each thing that wasn't synced when power is lost: one of so many outcomes, 0 lost, the last one kept. */
 export interface PowerLoss {
--- /dev/null
+++ b/src/simulation/simEnvironment.ts
@@ -0,0 +1,147 @@
+import { Chan, Csp, Task } from "../runtime/csp";
+import { DatagramSocket, Env, FaultPointContext, Link, Timer } from "../runtime/env";
+import { Fault, Result } from "../common/fault";
+import { SimHttp } from "./simHttp";
+import { NetworkClock, SimNetwork } from "./simNetwork";
+import type { SimProcess } from "./simProcess";
+
+/** Wall time at the start of virtual time, in milliseconds since 1970. */
+export const WALL_CLOCK_START_MS = 1_790_000_000_000;
+const MONOTONIC_START_MS = 1000; // ms; monotonic time at the start of virtual time
+const ACCEPT_CAPACITY = 1024; // connections; waiting to be accepted at one address
+const DATAGRAM_CAPACITY = 1024; // datagrams; waiting at one socket
+const LOG_LINES_KEPT = 400; // lines; of one process
+const TASK_FAILED_EVENT = 1004; // number of the log event of a task that failed
+
+interface Listener {
+  process: SimProcess;
+  accepted: Chan<Link>;
+}
+interface Socket {
+  process: SimProcess;
+  incoming: Chan<{ from: string; data: Buffer }>;
+}
+/** What the environments of all processes share. */
+export interface SimEnvironmentHost extends NetworkClock {
+  readonly network: SimNetwork;
+  readonly http: SimHttp;
+  readonly processes: ReadonlyMap<string, SimProcess>;
+  /** Takes a line of a process's log. */
+  log(line: string): void;
+  /** Called when a process reaches a numbered fault point. */
+  reachPoint(process: SimProcess, point: number, context?: FaultPointContext): void;
+}
+
+/**
+ * Binds the environment of each process to virtual time, the simulated network and its simulated disk.
+ *
+ * @example
+ * const env = environments.of(process);
+ */
+export class SimEnvironments {
+  private readonly listeners = new Map<string, Listener>();
+  private readonly sockets = new Map<string, Socket>();
+
+  constructor(private readonly host: SimEnvironmentHost) {}
+
+  /** Frees every address that a process listened at. @example environments.release(process); */
+  release(process: SimProcess): void {
+    for (const [address, { process: owner }] of this.listeners) if (owner === process) this.listeners.delete(address);
+    for (const [address, { process: owner }] of this.sockets) if (owner === process) this.sockets.delete(address);
+    this.host.http.stopServing(process);
+  }
+  /** The environment of a process. @example environments.of(process).mono() */
+  of(process: SimProcess): Env {
+    const { host } = this;
+    const environments = this;
+    return {
+      name: process.name,
+      scope: process.scope,
+      disk: process.disk.of(process),
+      wall: () => WALL_CLOCK_START_MS + host.now + process.skewMs,
+      mono: () => MONOTONIC_START_MS + host.now,
+      random: () => host.random(),
+      timer: (ms) => this.timer(process, ms),
+      *listen(address) {
+        return environments.listen(process, address);
+      },
+      connect: (address, timeoutMs) => this.connect(process, address, timeoutMs),
+      *datagrams(address) {
+        return Fault.ok(environments.bind(process, address));
+      },
+      *serveHttp(address, handler) {
+        return host.http.serve(process, address, handler)
+          ? Fault.ok(true as const)
+          : Fault.fail("internal", "serve http", address, "address in use");
+      },
+      stopServing: () => host.http.stopServing(process),
+      http: (address, out) => host.http.request(process, address, out),
+      point: (number, context) => host.reachPoint(process, number, context),
+      log: (event, fields) => this.log(process, event, fields),
+    };
+  }
+
+  private timer(process: SimProcess, ms: number): Timer {
+    const chan = Csp.alarm();
+    let cancelled = false;
+    this.host.at(ms, () => {
+      if (!cancelled) process.deliver(() => chan.close());
+    });
+    return { chan, cancel: () => (cancelled = true) };
+  }
+  private listen(process: SimProcess, address: string): Result<Chan<Link>> {
+    if (this.listeners.has(address)) return Fault.fail("internal", "listen", address, "address in use");
+    const accepted = Csp.chan<Link>(ACCEPT_CAPACITY);
+    this.listeners.set(address, { process, accepted });
+    return Fault.ok(accepted);
+  }
+  private *connect(process: SimProcess, address: string, timeoutMs: number): Task<Result<Link>> {
+    const { host } = this;
+    const outcome = Csp.chan<{ value: Result<Link> }>(1);
+    const settle = (result: Result<Link>): void => process.deliver(() => void Csp.offer(outcome, { value: result }));
+    const refuse = (detail: string): void => settle(Fault.fail("refused", "connect", address, detail));
+    host.at(timeoutMs, () => refuse("no connection in time"));
+    const listener = this.listeners.get(address);
+    if (listener) host.at(host.network.latency(), () => this.handshake(process, listener, address, settle, refuse));
+    else if (this.anotherRuns(process)) host.at(host.network.latency(), () => refuse("connection refused"));
+    return (yield* Csp.take(outcome))!.value;
+  }
+  private handshake(
+    process: SimProcess,
+    listener: Listener,
+    address: string,
+    settle: (result: Result<Link>) => void,
+    refuse: (detail: string) => void,
+  ): void {
+    const { network } = this.host;
+    if (!listener.process.alive) return refuse("connection refused");
+    if (!process.alive) return;
+    if (network.connected(process, listener.process))
+      settle(Fault.ok(network.connect(process, listener.process, listener.accepted, address)));
+    else if (network.partitionsReset) refuse("connection reset");
+  }
+  /** Whether any other process runs: somebody has to refuse a connection to an address where nobody listens. */
+  private anotherRuns(process: SimProcess): boolean {
+    return [...this.host.processes.values()].some((other) => other.alive && other !== process);
+  }
+  private bind(process: SimProcess, address: string): DatagramSocket {
+    const { host } = this;
+    const incoming = Csp.chan<{ from: string; data: Buffer }>(DATAGRAM_CAPACITY);
+    this.sockets.set(address, { process, incoming });
+    return {
+      incoming,
+      send: (to, data) => {
+        const target = this.sockets.get(to);
+        if (!target || host.random() < host.network.lossRate) return;
+        host.network.send(process, target.process, () => void Csp.offer(target.incoming, { from: address, data }));
+      },
+    };
+  }
+  private log(process: SimProcess, event: number, fields?: Record<string, unknown>): void {
+    const line = `${this.host.now.toFixed(1)} ${process.name} PB${event} ${fields ? JSON.stringify(fields) : ""}`;
+    if (event === TASK_FAILED_EVENT) process.errors.push(line);
+    process.logs.push(line);
+    if (process.logs.length > LOG_LINES_KEPT) process.logs.shift();
+    this.host.log(line);
+  }
+}
