--- /dev/null
+++ b/test/golden/frame.ts
@@ -0,0 +1,32 @@
+import { inflateRawSync } from "zlib";
+
+/** A message between processes, read from its bytes without the product's codec. */
+export type Frame = {
+  kind: string;
+  correlation: number;
+  cluster: string;
+  method: string;
+  sender: string;
+  body: unknown;
+};
+const magic = 0x5042;
+const deflatedVersion = 2;
+const kinds = ["request", "response", "failure", "datagram"];
+
+/** Reads a frame by the layout that version 0.1.0 wrote. @example parseFrame(bytes).method */
+export function parseFrame(bytes: Buffer): Frame {
+  if (bytes.readUInt16BE(0) !== magic) throw new Error("not a frame");
+  const [version, kind] = [bytes.readUInt8(2), bytes.readUInt8(3)];
+  const correlation = bytes.readUInt32BE(4);
+  let offset = 8;
+  const readText = (): string => {
+    const end = offset + 1 + bytes.readUInt8(offset);
+    const text = bytes.toString("utf8", offset + 1, end);
+    offset = end;
+    return text;
+  };
+  const [cluster, method, sender] = [readText(), readText(), readText()];
+  const stored = bytes.subarray(offset + 4, offset + 4 + bytes.readUInt32BE(offset));
+  const body = version === deflatedVersion ? inflateRawSync(stored) : stored;
+  return { kind: kinds[kind], correlation, cluster, method, sender, body: JSON.parse(body.toString("utf8")) };
+}
--- /dev/null
+++ b/test/golden/goldenFleet.ts
@@ -0,0 +1,140 @@
+import { Csp, Task } from "../../src/runtime/csp";
+import { HeaderNames, ownHeaderNames } from "../../src/adapters/headerNames";
+import { Result } from "../../src/common/fault";
+import { Disk } from "../../src/runtime/env";
+import { SimDisk } from "../../src/simulation/simDisk";
+import { SimProcess } from "../../src/simulation/simWorld";
+import { EventStandIn } from "../../src/tools/eventStandIn";
+import { ReplicaSettings, StandInReplica } from "../../src/tools/standIns";
+import { Rpc } from "../../src/rpc/rpc";
+import { Answer, ControlFleet } from "../controlFleet";
+import { Exchange } from "./exchange";
+
+type CallOptions = { body?: unknown; headers?: Record<string, string>; at?: string; address?: string };
+type FleetOptions = NonNullable<ConstructorParameters<typeof ControlFleet>[1]>;
+
+/**
+ * A simulated fleet of which every HTTP exchange and every log line is kept.
+ *
+ * @example
+ * const golden = new GoldenFleet(11, { controls: 1, stores: 1, ingresses: 1 });
+ * await golden.fleet.run(5000);
+ * await golden.call("GET", "/v1/manifest");
+ * golden.exchanges[0].status;
+ */
+export class GoldenFleet {
+  readonly fleet: ControlFleet;
+  readonly exchanges: Exchange[] = [];
+  readonly logLines: string[] = [];
+  private readonly rpc: Rpc;
+
+  constructor(seed: number, options: FleetOptions) {
+    this.fleet = new ControlFleet(seed, { ...options, log: (line) => this.logLines.push(line) });
+    this.rpc = new Rpc(this.fleet.operator.env, "test", "golden-operator");
+  }
+
+  /** The HTTP address of a process. @example golden.http("ingress-1") */
+  http = (name: string): string => this.fleet.settings.get(name)!.http;
+
+  /** Sends a request to a process and keeps the exchange. @example await golden.call("GET", "/livez", { at: "store-1" }) */
+  call = async (method: string, target: string, options: CallOptions = {}): Promise<Exchange> => {
+    const address = options.address ?? this.http(options.at ?? "control-1");
+    const answer = await this.fleet.ask(method, target, options.body, options.headers ?? {}, address);
+    const program = (options.at ?? "control-1").split("-")[0];
+    const exchange: Exchange = { request: `${method} ${target} ${program}`, ...answer };
+    this.exchanges.push(exchange);
+    return exchange;
+  };
+  /** Repeats a call that is not kept until it succeeds. @example await golden.waitFor("GET", "/readyz", { at: "ingress-1" }) */
+  async waitFor(method: string, target: string, options: CallOptions = {}): Promise<void> {
+    const address = options.address ?? this.http(options.at ?? "control-1");
+    let last: Answer | undefined;
+    for (let attempt = 0; attempt < 60; attempt += 1) {
+      const answer = await this.fleet.ask(method, target, options.body, options.headers ?? {}, address);
+      if (answer.status >= 200 && answer.status < 300) return;
+      last = answer;
+      await this.fleet.run(250);
+    }
+    throw new Error(`${method} ${target} at ${address}: ${JSON.stringify(last)}`);
+  }
+  /** Sends an internal request as a member would. @example await golden.ask("control-1", "control.status", {}) */
+  ask(name: string, method: string, body: unknown): Promise<Result<unknown> | undefined> {
+    const { address } = this.fleet.settings.get(name)!;
+    return this.fleet.world.finish(this.fleet.operator, () => this.rpc.call(address, method, body, 2000), 3000);
+  }
+  /** Sends bytes on a connection of their own. @example await golden.sendBytes("store-1", Buffer.from("GET /")) */
+  async sendBytes(name: string, bytes: Buffer): Promise<void> {
+    const { env } = this.fleet.operator;
+    const { address } = this.fleet.settings.get(name)!;
+    await this.fleet.world.finish(
+      this.fleet.operator,
+      function* () {
+        const link = yield* env.connect(address, 500);
+        if (link.ok) link.value.send(bytes);
+        return true;
+      },
+      1000,
+    );
+    await this.fleet.run(100);
+  }
+  /** Writes files below the data folder of a process that is down. @example await golden.writeFiles("store-1", files) */
+  async writeFiles(name: string, files: Record<string, Buffer>): Promise<void> {
+    await this.onDisk(name, function* (disk) {
+      for (const [file, content] of Object.entries(files)) yield* disk.write(`data/${name}/${file}`, content);
+      return true;
+    });
+  }
+  /** Appends to a file of a process that is down. @example await golden.appendFile("store-1", "shard-0/log-0", bytes) */
+  async appendFile(name: string, file: string, content: Buffer): Promise<void> {
+    await this.onDisk(name, (disk) => disk.append(`data/${name}/${file}`, content));
+  }
+  private async onDisk(name: string, body: (disk: Disk) => Task<unknown>): Promise<void> {
+    const { world } = this.fleet;
+    const writer = world.start(`writer of ${name}`, this.fleet.disks.get(name)!);
+    await world.finish(writer, () => body(writer.env.disk), 60_000);
+    world.kill(`writer of ${name}`);
+  }
+
+  private startProcess = (name: string): SimProcess => this.fleet.world.start(name, new SimDisk(this.fleet.world));
+  /** A replica that speaks the product's own form and announces itself. @example golden.startReplica("model-1", "model", 10, ["ingress-1"]) */
+  startReplica(id: string, pool: string, port: number, announceTo: string[]): StandInReplica {
+    const settings: ReplicaSettings = {
+      id,
+      pool,
+      address: `127.0.0.1:${port}`,
+      district: "north",
+      version: "v1",
+      capacity: 8,
+      announceTo: announceTo.map(this.http),
+      prefillMs: 40,
+      prefillCachedMs: 20,
+      pieceMs: 30,
+      pieces: 4,
+      itemMs: 40,
+    };
+    const process = this.startProcess(`replica-${id}`);
+    const replica = new StandInReplica(process.env, settings);
+    Csp.go(process.scope, "main", () => replica.start());
+    return replica;
+  }
+  /** A replica that takes requests as they are; it is announced by whoever starts it. @example golden.startEventReplica("e1", 9001) */
+  startEventReplica(id: string, port: number, names: HeaderNames = ownHeaderNames): EventStandIn {
+    const address = `127.0.0.1:${port}`;
+    const process = this.startProcess(`replica-${id}`);
+    const replica = new EventStandIn(process.env, address, id, { events: 3, eventMs: 20, slots: 8 }, names);
+    Csp.go(process.scope, "main", () => replica.start());
+    return replica;
+  }
+  /** Repeats a request every 900 ms, as a replica renews its announcement. @example golden.renew("PUT", "/v1/replicas/e1", body, address) */
+  renew(method: string, path: string, body: unknown, address: string): void {
+    const { env } = this.fleet.operator;
+    const { world } = this.fleet;
+    const once = (): void => {
+      Csp.go(env.scope, "renew an announcement", function* () {
+        yield* env.http(address, { method, path, body: JSON.stringify(body), timeoutMs: 500 });
+      });
+      world.at(900, once);
+    };
+    once();
+  }
+}
--- /dev/null
+++ b/test/golden/observeFrames.ts
@@ -0,0 +1,16 @@
+import { EnvelopeCodec } from "../../src/rpc/envelopeCodec";
+
+/** Calls `observe` with the bytes of each message that is encoded while `body` runs. */
+export async function observeFrames<T>(observe: (bytes: Buffer) => void, body: () => Promise<T>): Promise<T> {
+  const { encode } = EnvelopeCodec;
+  EnvelopeCodec.encode = (envelope) => {
+    const bytes = encode(envelope);
+    observe(bytes);
+    return bytes;
+  };
+  try {
+    return await body();
+  } finally {
+    EnvelopeCodec.encode = encode;
+  }
+}
--- /dev/null
+++ b/test/golden/record.ts
@@ -0,0 +1,34 @@
+/**
+ * Records the golden files of the product anew: `node dist/test/golden/record.js messages|folders`, then prettier.
+ * Only a change that is meant to change what is sent, answered, logged or stored may do so, and its commit says why.
+ */
+import { productRun } from "./productRun";
+import {
+  goldenResponses,
+  logCatalogue,
+  logEventShapes,
+  messageShapes,
+  readDataFolders,
+  shortestFrames,
+  writeDataFolders,
+  writeGolden,
+} from "./recordings";
+import { readFolders, writeFolders } from "./storageRun";
+
+async function recordMessages(): Promise<void> {
+  const { exchanges, frames, logLines } = await productRun();
+  writeGolden("messages.json", messageShapes(frames));
+  writeGolden("frames.json", shortestFrames(frames));
+  writeGolden("responses.json", goldenResponses(exchanges));
+  writeGolden("logEvents.json", logEventShapes(logLines));
+  writeGolden("logCatalogue.json", logCatalogue());
+}
+async function recordFolders(): Promise<void> {
+  writeDataFolders(await writeFolders());
+  writeGolden("readBack.json", await readFolders(readDataFolders()));
+}
+
+const recorders: Record<string, () => Promise<void>> = { messages: recordMessages, folders: recordFolders };
+const recorder = recorders[process.argv[2] ?? ""];
+if (!recorder) throw new Error(`expected one of ${Object.keys(recorders).join(", ")}`);
+void recorder().then(() => process.exit(0));
--- /dev/null
+++ b/test/goldenFolders.test.ts
@@ -0,0 +1,48 @@
+import * as fs from "fs";
+import * as os from "os";
+import * as path from "path";
+import { DataFolder } from "../src/runtime/dataFolder";
+import { Exchange } from "./golden/exchange";
+import { readDataFolders, readGolden } from "./golden/recordings";
+import { DataFolders, readFolders, writeFolders } from "./golden/storageRun";
+import { TestTools } from "./tools";
+
+/** What differs, by name; whole files would not be readable in a failure. */
+function differing(expected: DataFolders, actual: DataFolders): string[] {
+  const names = (folders: DataFolders): string[] =>
+    Object.entries(folders).flatMap(([process, files]) => Object.keys(files).map((file) => `${process}/${file}`));
+  const content = (folders: DataFolders, name: string): Buffer | undefined => {
+    const [process, ...file] = name.split("/");
+    return folders[process]?.[file.join("/")];
+  };
+  const all = [...new Set([...names(expected), ...names(actual)])].sort();
+  return all.filter((name) => {
+    const [before, after] = [content(expected, name), content(actual, name)];
+    return !before || !after || !before.equals(after);
+  });
+}
+
+test("data folders of an earlier version are opened, and tell what was recorded of them", async () => {
+  const exchanges = JSON.parse(JSON.stringify(await readFolders(readDataFolders()))) as Exchange[];
+  const recorded = readGolden<Exchange[]>("readBack.json");
+  expect(exchanges.map(({ request, status }) => ({ request, status }))).toEqual(
+    recorded.map(({ request, status }) => ({ request, status })),
+  );
+  expect(exchanges).toEqual(recorded);
+});
+test("a fixed run writes the recorded bytes into every file of its data folders", async () => {
+  const recorded = readDataFolders();
+  expect(Object.keys(recorded)).toEqual(["control-1", "store-1", "store-2"]);
+  expect(differing(recorded, await writeFolders())).toEqual([]);
+});
+test("a real data folder holds the lock and the identity in their recorded form", async () => {
+  const parent = fs.mkdtempSync(path.join(os.tmpdir(), "petrelbeam-golden-"));
+  const folder = path.join(parent, "data");
+  const identity = { id: "store-1abc", cluster: "golden", program: "store" as const };
+  const opened = await TestTools.run((env) => DataFolder.open(env, folder, "127.0.0.1:7660", identity));
+  expect(opened).toEqual({ ok: true, value: "store-1abc" });
+  expect(fs.readdirSync(folder).sort()).toEqual(["identity", "lock"]);
+  expect(fs.readFileSync(path.join(folder, "identity"), "utf8")).toBe(readGolden<string[]>("identity.json")[0]);
+  expect(fs.readFileSync(path.join(folder, "lock"), "utf8")).toMatch(/^\d+ \d+ 127\.0\.0\.1:7660\n$/);
+  fs.rmSync(parent, { recursive: true, force: true });
+});
--- /dev/null
+++ b/test/goldenMessages.test.ts
@@ -0,0 +1,42 @@
+import { EnvelopeCodec } from "../src/rpc/envelopeCodec";
+import { ProductRecording, productRun } from "./golden/productRun";
+import {
+  GoldenFrame,
+  GoldenResponse,
+  goldenResponses,
+  logCatalogue,
+  logEventShapes,
+  messageShapes,
+  readGolden,
+} from "./golden/recordings";
+import { Shape } from "./golden/shape";
+
+describe("a fixed run sends, answers and logs what was recorded", () => {
+  let recording: ProductRecording;
+  beforeAll(async () => {
+    recording = await productRun();
+  });
+
+  test("messages of the same methods, with the same fields", () => {
+    expect(messageShapes(recording.frames)).toEqual(readGolden<Record<string, Shape>>("messages.json"));
+  });
+  test("HTTP responses with the same statuses, headers and fields, and metrics of the same names", () => {
+    expect(goldenResponses(recording.exchanges)).toEqual(readGolden<GoldenResponse[]>("responses.json"));
+  });
+  test("log events of the same numbers, with the same fields", () => {
+    expect(logEventShapes(recording.logLines)).toEqual(readGolden<Record<string, Shape>>("logEvents.json"));
+  });
+});
+
+test("the codec reads each recorded message, and writes it in the same bytes", () => {
+  for (const { bytes, kind: _kind, ...golden } of readGolden<GoldenFrame[]>("frames.json")) {
+    const recorded = Buffer.from(bytes, "base64");
+    const envelope = EnvelopeCodec.decode(recorded, golden.cluster)!;
+    const { correlation, cluster, verb: method, sender, body } = envelope;
+    expect({ correlation, cluster, method, sender, body }).toEqual(golden);
+    expect([golden.method, EnvelopeCodec.encode(envelope).toString("base64")]).toEqual([golden.method, bytes]);
+  }
+});
+test("the catalogue of log events has the recorded numbers, levels and texts", () => {
+  expect(logCatalogue()).toEqual(readGolden("logCatalogue.json"));
+});
