--- a/scripts/bite.js
+++ b/scripts/bite.js
@@ -105,15 +105,15 @@
   },
   {
     name: "drain",
-    file: "core/chooser.js",
-    find: "!control?.drained.includes(replica.district) &&",
+    file: "routing/endpointEligibility.js",
+    find: "!control?.drained.includes(endpoint.district) &&",
     put: "",
     scenario: "drain-in-crowd",
     expect: ["drain-respected"],
   },
   {
     name: "slow-start",
-    file: "core/chooser.js",
+    file: "routing/slowStart.js",
     find: "return Math.min(1, Math.max(constants_1.Constants.slowStartFloor, age / constants_1.Constants.slowStartMs));",
     put: "return 1;",
     scenario: "replicas-crash",
--- a/scripts/scale.js
+++ b/scripts/scale.js
@@ -63,7 +63,9 @@
     largeCpu: [],
   };
   const inForce = (version) =>
-    fleet.names("ingress").every((name) => (fleet.running.get(name).snapshot().control?.manifest.version ?? 0) >= version);
+    fleet
+      .names("ingress")
+      .every((name) => (fleet.running.get(name).snapshot().control?.manifest.version ?? 0) >= version);
   for (const [kind, bindings] of [
     ["small", 1],
     ["small", 1],
--- a/src/adapters/callerHttp.ts
+++ b/src/adapters/callerHttp.ts
@@ -178,12 +178,12 @@
         });
       Csp.go(env.scope, `lookup ${id}`, () => ingress.lookup(ticket, id, accepted, body));
       yield* Csp.select([response, incoming.gone]);
-      if (ingress.requestTable.holds(ticket)) ingress.requestTable.drop(ticket);
+      if (ingress.requestTable.isOpen(ticket)) ingress.requestTable.cancel(ticket);
     };
     const request = function* (incoming: HttpExchange, [name]: string[]): Task<void> {
       const accepted = ingress.accept(name, incoming.headers);
       if (!accepted.ok) return Http.problem(incoming, accepted.fault);
-      const read = yield* Http.body(incoming, ingress.bodyLimit());
+      const read = yield* Http.body(incoming, ingress.bodyLimitBytes());
       if (!read) return;
       if (typeof read.value !== "object" || read.value === null || Array.isArray(read.value))
         return Http.problem(incoming, {
@@ -195,7 +195,7 @@
       const stamp = ingress.stamp();
       if (!stamp.ok) return Http.problem(incoming, stamp.fault);
       const { route } = accepted.value;
-      yield* ingress.counted(name, function* () {
+      yield* ingress.countLive(name, function* () {
         if (route.kind === "lookup" && route.safe)
           return yield* lookup(incoming, EnvTools.id(env, "req"), accepted.value, read.text);
         const key = incoming.headers["idempotency-key"];
@@ -238,7 +238,7 @@
       });
     };
     const resume = function* (incoming: HttpExchange, [id]: string[]): Task<void> {
-      const why = ingress.unready();
+      const why = ingress.unreadyReason();
       if (why)
         return Http.problem(incoming, {
           tag: "busy",
@@ -267,7 +267,7 @@
       items: SubmittedItem[],
     ): Task<void> {
       ingress.counts.lots += 1;
-      const handed = yield* BatchSubmission.handIn(
+      const handed = yield* BatchSubmission.submit(
         ingress,
         id,
         accepted.name,
@@ -298,9 +298,9 @@
       Http.json(incoming, 202, { id, items: items.length });
     };
     const acceptJob = function* (incoming: HttpExchange): Task<void> {
-      const body = yield* Http.body(incoming, ingress.bodyLimit());
+      const body = yield* Http.body(incoming, ingress.bodyLimitBytes());
       if (!body) return;
-      const checked = OperatorSchemas.lot(body.value);
+      const checked = OperatorSchemas.job(body.value);
       if (!checked.ok) return Http.problem(incoming, checked.fault);
       const accepted = ingress.accept(checked.value.binding, incoming.headers);
       if (!accepted.ok) return Http.problem(incoming, accepted.fault);
--- a/src/adapters/operatorHttp.ts
+++ b/src/adapters/operatorHttp.ts
@@ -12,13 +12,13 @@
 import { OperatorSchemas } from "./operatorSchemas";
 
 export type OperatorHooks = {
-  ready: () => string | undefined;
+  unreadyReason: () => string | undefined;
   metrics: () => Record<string, number>;
   ledgerSource: ShardClient;
 };
 
 /** If-Match as a version, or a reply that one is needed. */
-function versionOf(incoming: HttpExchange): number | undefined {
+function ifMatchVersion(incoming: HttpExchange): number | undefined {
   const given = (incoming.headers["if-match"] ?? "").replace(/^W\//, "").replace(/"/g, "");
   if (/^\d+$/.test(given)) return +given;
   Http.problem(
@@ -47,19 +47,19 @@
   },
 
   /** The id of a change that was given none: the same change again has the same. @example OperatorHttp.changeId(incoming, 7, body.text) */
-  changeId: (incoming: HttpExchange, ifVersion: number, body: string): string =>
+  derivedChangeId: (incoming: HttpExchange, ifVersion: number, body: string): string =>
     `change-${Hash.text(`${incoming.method} ${incoming.path} ${ifVersion} ${body}`)}`,
   /**
    * Whether the caller still waits. A process that was frozen reads an order and the end of its connection at once: an
    * order that names no version must not be carried out for a caller that left before.
    * @example if (!(yield* OperatorHttp.callerWaits(env, incoming))) return;
    */
-  *callerWaits(env: Env, incoming: HttpExchange): Task<boolean> {
+  *callerStillWaits(env: Env, incoming: HttpExchange): Task<boolean> {
     const gone = yield* EnvTools.takeWithin(env, incoming.gone, Constants.callerGoneLookMs);
     return gone === undefined;
   },
   /** If-Match as a version, or a reply that one is needed. @example const ifVersion = OperatorHttp.versionOf(incoming); */
-  versionOf,
+  versionOf: ifMatchVersion,
   /** @example const routes = OperatorHttp.routes(host, hooks); */
   routes(host: NodeContext, hooks: OperatorHooks): HttpRoute[] {
     const { env } = host;
@@ -69,9 +69,9 @@
       body: string,
       make: (base: { changeId: string; ifVersion: number; by: string }) => Command,
     ): Task<void> {
-      const ifVersion = versionOf(incoming);
+      const ifVersion = ifMatchVersion(incoming);
       if (ifVersion === undefined) return;
-      const changeId = incoming.headers["x-change-id"] || OperatorHttp.changeId(incoming, ifVersion, body);
+      const changeId = incoming.headers["x-change-id"] || OperatorHttp.derivedChangeId(incoming, ifVersion, body);
       const done = yield* NodeContext.askControl(
         host,
         { op: "change", command: make({ changeId, ifVersion, by: by(incoming) }) },
@@ -101,7 +101,7 @@
             return checked.ok ? Fault.ok({ doc: checked.value }) : checked;
           };
           const checked: Result<{ version?: number; doc: unknown }> =
-            what === "manifest" ? OperatorSchemas.manifestChange(body.value) : policies();
+            what === "manifest" ? OperatorSchemas.configurationChange(body.value) : policies();
           if (!checked.ok) return Http.problem(incoming, checked.fault);
           yield* changed(incoming, body.text, (base) => ({ tag: what, ...base, ...checked.value }) as Command);
         },
@@ -133,7 +133,7 @@
     ): Task<void> {
       const given = incoming.headers["x-change-id"];
       const changeId = given || EnvTools.id(env, "change");
-      if (!(yield* OperatorHttp.callerWaits(env, incoming))) return;
+      if (!(yield* OperatorHttp.callerStillWaits(env, incoming))) return;
       const done = yield* NodeContext.askControl(
         host,
         make({ changeId, by: by(incoming), identified: Boolean(given) }),
@@ -162,7 +162,7 @@
         *run(incoming) {
           const body = yield* Http.body(incoming, Constants.configurationLimitBytes);
           if (!body) return;
-          const checked = OperatorSchemas.manifestPatch(body.value);
+          const checked = OperatorSchemas.configurationPatch(body.value);
           if (!checked.ok) return Http.problem(incoming, checked.fault);
           yield* changed(incoming, body.text, (base) => ({ tag: "patch", ...base, ...checked.value }));
         },
@@ -189,7 +189,7 @@
         *run(incoming, [id]) {
           const body = yield* Http.body(incoming, Constants.configurationLimitBytes);
           if (!body) return;
-          const checked = OperatorSchemas.calendar(body.value, env.wall());
+          const checked = OperatorSchemas.calendarEntry(body.value, env.wall());
           if (!checked.ok) return Http.problem(incoming, checked.fault);
           yield* changed(incoming, body.text, (base) => ({
             tag: "pencil",
@@ -280,7 +280,7 @@
       }),
       reading(/^\/v1\/inforce$/, function* () {
         // a node that holds new work has nothing in force
-        const held = hooks.ready();
+        const held = hooks.unreadyReason();
         if (held) return Fault.busy("read what is in force", host.id, held, Constants.retryAfterMs);
         const control = host.snapshot().control;
         return Fault.ok(
@@ -328,7 +328,7 @@
         method: "GET",
         path: /^\/readyz$/,
         *run(incoming) {
-          const why = hooks.ready();
+          const why = hooks.unreadyReason();
           if (why)
             Http.problem(incoming, {
               tag: "busy",
--- a/src/adapters/operatorSchemas.ts
+++ b/src/adapters/operatorSchemas.ts
@@ -286,7 +286,7 @@
  */
 export const OperatorSchemas = {
   /** Retention may not be shorter than the longest deadline: a repeat within it must find its reply. @example OperatorSchemas.manifest(doc) */
-  manifest(candidate: unknown): Result<Configuration> {
+  configuration(candidate: unknown): Result<Configuration> {
     const checked = run<Configuration>(compiled.manifest, "manifest", candidate);
     if (!checked.ok) return checked;
     const faults = Configurations.faults(checked.value);
@@ -299,15 +299,15 @@
     );
   },
   /** A whole manifest as it is put, with the operator's own version if one is given. @example OperatorSchemas.manifestChange({ version: 7, bindings }) */
-  manifestChange(candidate: unknown): Result<{ version?: number; doc: Configuration }> {
+  configurationChange(candidate: unknown): Result<{ version?: number; doc: Configuration }> {
     const checked = run<Configuration & { version?: number }>(compiled.versioned, "manifest", candidate);
     if (!checked.ok) return checked;
     const { version: given, ...doc } = checked.value;
-    const whole = OperatorSchemas.manifest(doc);
+    const whole = OperatorSchemas.configuration(doc);
     return whole.ok ? Fault.ok({ ...(given === undefined ? {} : { version: given }), doc: whole.value }) : whole;
   },
   /** A change by item; what results is checked where it is applied. @example OperatorSchemas.manifestPatch({ remove: { bindings: ["b"] } }) */
-  manifestPatch(candidate: unknown): Result<{ version?: number; patch: ConfigurationPatch }> {
+  configurationPatch(candidate: unknown): Result<{ version?: number; patch: ConfigurationPatch }> {
     const checked = run<ConfigurationPatch & { version?: number }>(compiled.patch, "manifest patch", candidate);
     if (!checked.ok) return checked;
     const { version: given, ...patch } = checked.value;
@@ -315,11 +315,11 @@
   },
   policies: (candidate: unknown): Result<PolicyLine[]> => run(compiled.policies, "policies", candidate),
   /** Due becomes milliseconds; "now" is now. @example OperatorSchemas.calendar({ due: "now", move }, Date.now()) */
-  calendar(candidate: unknown, now: number): Result<{ due: number; move: Move }> {
+  calendarEntry(candidate: unknown, now: number): Result<{ due: number; move: Move }> {
     const checked = run<{ due: string; move: Move }>(compiled.calendar, "calendar entry", candidate);
     if (!checked.ok) return checked;
     const { move: planned } = checked.value;
-    const configuration = planned.kind === "manifest" ? OperatorSchemas.manifest(planned.doc) : checked;
+    const configuration = planned.kind === "manifest" ? OperatorSchemas.configuration(planned.doc) : checked;
     if (!configuration.ok) return configuration;
     const due = checked.value.due === "now" ? now : Date.parse(checked.value.due);
     if (!Number.isFinite(due))
@@ -338,6 +338,6 @@
   announcement: (candidate: unknown): Result<Announcement> => run(compiled.announcement, "announcement", candidate),
   recovery: (candidate: unknown): Result<{ group: string; voter: string }> =>
     run(compiled.recovery, "recovery", candidate),
-  lot: (candidate: unknown): Result<{ id?: string; binding: string; items?: unknown[]; requests?: SubmittedItem[] }> =>
+  job: (candidate: unknown): Result<{ id?: string; binding: string; items?: unknown[]; requests?: SubmittedItem[] }> =>
     run(compiled.lot, "lot", candidate),
 };
--- a/src/daemon/protocolAdapters.ts
+++ b/src/adapters/protocolAdapters.ts
@@ -1,7 +1,7 @@
 import type { ControlNode } from "../control/controlNode";
 import type { Task } from "../runtime/csp";
 import type { HttpExchange } from "../runtime/env";
-import type { HeaderNames } from "../adapters/headerNames";
+import type { HeaderNames } from "../forwarding/headerNames";
 import type { DirectRequestHandler } from "../ingress/directRequestHandler";
 import type { IngressNode } from "../ingress/ingressNode";
 
--- a/src/agent/agentNode.ts
+++ b/src/agent/agentNode.ts
@@ -37,7 +37,8 @@
       return Fault.ok(true);
     });
     const http = yield* OperatorHttp.serve(env, settings.http, agent.node, {
-      ready: () => (agent.node.stopping ? "stopping" : agent.node.gossip.snapshot ? undefined : "no control frame yet"),
+      unreadyReason: () =>
+        agent.node.stopping ? "stopping" : agent.node.gossip.snapshot ? undefined : "no control frame yet",
       metrics: () => ({
         members: agent.node.membership.alive().length,
         replicas: agent.node.snapshot().replicas.length,
--- a/src/cli/operatorCommands.ts
+++ b/src/cli/operatorCommands.ts
@@ -149,7 +149,7 @@
       );
       command(`${what} check <file>`, `Checks a ${what} file without sending it.`).action((name: string) => {
         const checked =
-          what === "manifest" ? OperatorSchemas.manifest(file(name)) : OperatorSchemas.policies(file(name));
+          what === "manifest" ? OperatorSchemas.configuration(file(name)) : OperatorSchemas.policies(file(name));
         if (checked.ok) return print(`${name} is well`);
         for (const path of checked.fault.tag === "invalid" ? (checked.fault.paths ?? []) : [])
           process.stderr.write(`${path}\n`);
--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -8,7 +8,7 @@
 import { Node } from "../node/node";
 import { Member } from "../membership/member";
 import { Settings } from "../common/settings";
-import { ProtocolAdapters } from "../daemon/protocolAdapters";
+import { ProtocolAdapters } from "../adapters/protocolAdapters";
 import { OperatorHttp } from "../adapters/operatorHttp";
 import { ShardClient } from "../storage/shardClient";
 import { Calendar } from "./calendar";
@@ -108,7 +108,7 @@
     control.views.start();
     control.calendar.start();
     const http = yield* OperatorHttp.serve(env, settings.http, control.node, {
-      ready: () =>
+      unreadyReason: () =>
         control.node.stopping ? "stopping" : !control.group.isBootstrapped() ? "no control group yet" : undefined,
       metrics: () => control.metrics(),
       ledgerSource: control.shardClient,
--- a/src/adapters/directHttp.ts
+++ b/src/forwarding/directHttp.ts
@@ -13,10 +13,10 @@
   body: Buffer;
   id: string;
   remainingMs: number;
-  after: number;
-  order: number;
+  lastEventId: number;
+  priority: number;
 };
-export type DirectResponse = { status: number; headers: Record<string, string>; reply: HttpResponse };
+export type DirectResponse = { status: number; headers: Record<string, string>; response: HttpResponse };
 
 const perConnection = new Set([
   "connection",
@@ -61,9 +61,9 @@
     const headers: Record<string, string> = { ...direct.headers };
     headers[names.requestId] = direct.id;
     headers[names.remainingMs] = String(Math.max(1, Math.floor(direct.remainingMs)));
-    headers[names.target] = endpoint.instance;
-    headers[names.order] = String(direct.order);
-    if (direct.after > 0) headers[names.lastPiece] = String(direct.after);
+    headers[names.targetInstance] = endpoint.instance;
+    headers[names.priority] = String(direct.priority);
+    if (direct.lastEventId > 0) headers[names.lastEventId] = String(direct.lastEventId);
     const response = yield* env.http(endpoint.address, {
       method: direct.method,
       path: direct.target,
@@ -80,7 +80,7 @@
       reply.abort();
       return Fault.fail("broken", "check reply", endpoint.id, "the reply is another request's");
     }
-    if (reply.headers[names.notRun] !== undefined || reply.status === 421) {
+    if (reply.headers[names.notExecuted] !== undefined || reply.status === 421) {
       reply.finish();
       return Fault.fail("refused", "deliver", endpoint.id, `replica replied ${reply.status}: not run`);
     }
@@ -88,9 +88,9 @@
     const length = reply.headers["content-length"];
     // here the length tells of a body that does not come: it is part of the response and not of its framing
     if (length !== undefined && (direct.method === "HEAD" || reply.status === 304)) kept["content-length"] = length;
-    return Fault.ok({ status: reply.status, headers: kept, reply });
+    return Fault.ok({ status: reply.status, headers: kept, response: reply });
   },
   /** The whole body, or undefined if it was cut, too long or too slow. @example yield* DirectHttp.whole(env, opened, 500) */
-  whole: (env: Env, opened: DirectResponse, withinMs: number): Task<Buffer | undefined> =>
-    EnvTools.bytesOf(env, opened.reply, Constants.responseLimitBytes, withinMs),
+  readBody: (env: Env, opened: DirectResponse, withinMs: number): Task<Buffer | undefined> =>
+    EnvTools.bytesOf(env, opened.response, Constants.responseLimitBytes, withinMs),
 };
--- a/src/adapters/endpointHttp.ts
+++ b/src/forwarding/endpointHttp.ts
@@ -3,22 +3,22 @@
 import { Env, EnvTools, HttpResponse } from "../runtime/env";
 import { Fault, Result } from "../common/fault";
 import { Endpoint } from "../node/clusterSnapshot";
-import { Http } from "./http";
+import { Http } from "../adapters/http";
 
 export type ForwardedRequest = {
   path: string;
   id: string;
-  round: number;
+  attempt: number;
   body: string;
-  pieces: string[];
+  receivedChunks: string[];
   deadlineMs: number;
-  safe: boolean;
+  idempotent: boolean;
 };
 
 /** One opened stream of a replica: pieces one by one. */
 export class EndpointStream {
-  private held = "";
-  private size = 0;
+  private buffer = "";
+  private receivedBytes = 0;
   constructor(
     private readonly env: Env,
     private readonly endpoint: Endpoint,
@@ -29,9 +29,9 @@
     const until = this.env.mono() + withinMs;
     const pieces: string[] = [];
     for (;;) {
-      for (let at = this.held.indexOf("\n"); at >= 0; at = this.held.indexOf("\n")) {
-        const line = this.held.slice(0, at);
-        this.held = this.held.slice(at + 1);
+      for (let at = this.buffer.indexOf("\n"); at >= 0; at = this.buffer.indexOf("\n")) {
+        const line = this.buffer.slice(0, at);
+        this.buffer = this.buffer.slice(at + 1);
         if (line.trim() === "") continue;
         let told: { piece?: unknown; end?: unknown };
         try {
@@ -42,7 +42,7 @@
         if (told && typeof told.piece === "string") pieces.push(told.piece);
         else if (told && told.end === true) {
           if (pieces.length === 0) return Fault.ok(undefined);
-          this.held = line + "\n" + this.held; // the end is told after its pieces
+          this.buffer = line + "\n" + this.buffer; // the end is told after its pieces
           return Fault.ok(pieces);
         } else return this.fail("invalid", "line is neither piece nor end");
       }
@@ -50,9 +50,9 @@
       const chunk = yield* EnvTools.takeWithin(this.env, this.response.chunks, until - this.env.mono());
       if (chunk === undefined) return this.fail("timeout", "replica fell silent");
       if (chunk === null) return this.fail("broken", "replica ended without saying so");
-      this.size += chunk.length;
-      if (this.size > Constants.responseLimitBytes) return this.fail("invalid", "reply over the limit");
-      this.held += chunk.toString("utf8");
+      this.receivedBytes += chunk.length;
+      if (this.receivedBytes > Constants.responseLimitBytes) return this.fail("invalid", "reply over the limit");
+      this.buffer += chunk.toString("utf8");
     }
   }
   /** @example stream.abort(); */
@@ -67,7 +67,7 @@
 
 const head = (delivery: ForwardedRequest): Record<string, string> => ({
   "x-request-id": delivery.id,
-  "x-round": String(delivery.round),
+  "x-round": String(delivery.attempt),
   "x-deadline-ms": String(Math.max(1, Math.round(delivery.deadlineMs))),
 });
 /** Only a replica's plain word counts as "not accepted"; any other refusal may have run. */
@@ -84,8 +84,8 @@
 export const EndpointHttp = {
   *stream(env: Env, endpoint: Endpoint, delivery: ForwardedRequest): Task<Result<EndpointStream>> {
     const body =
-      delivery.pieces.length > 0
-        ? JSON.stringify({ ...JSON.parse(delivery.body), continueFrom: delivery.pieces })
+      delivery.receivedChunks.length > 0
+        ? JSON.stringify({ ...JSON.parse(delivery.body), continueFrom: delivery.receivedChunks })
         : delivery.body;
     const response = yield* env.http(endpoint.address, {
       method: "POST",
@@ -93,7 +93,7 @@
       headers: { ...head(delivery), accept: "application/x-ndjson" },
       body,
       timeoutMs: Math.min(delivery.deadlineMs, Constants.firstPieceMs),
-      fresh: !delivery.safe,
+      fresh: !delivery.idempotent,
     });
     if (!response.ok) return response;
     if (response.value.status === 200) return Fault.ok(new EndpointStream(env, endpoint, response.value));
@@ -113,7 +113,7 @@
       headers: head(delivery),
       body: delivery.body,
       timeoutMs: delivery.deadlineMs,
-      fresh: !delivery.safe,
+      fresh: !delivery.idempotent,
     });
     if (!response.ok) return response;
     const reply = response.value;
--- a/src/adapters/eventStreamReader.ts
+++ b/src/forwarding/eventStreamReader.ts
@@ -24,8 +24,8 @@
  * const got = yield* pieces.next(1000); // ok with undefined: the proper end
  */
 export class EventStreamReader {
-  private held: Buffer = Buffer.alloc(0);
-  private size = 0;
+  private buffer: Buffer = Buffer.alloc(0);
+  private receivedBytes = 0;
   constructor(
     private readonly env: Env,
     private readonly endpoint: string,
@@ -38,13 +38,13 @@
     for (;;) {
       const pieces: StreamEvent[] = [];
       for (let end = this.endOfEvent(); end > 0; end = this.endOfEvent()) {
-        const raw = this.held.subarray(0, end);
+        const raw = this.buffer.subarray(0, end);
         const text = raw.toString("utf8");
         const id = idOf(text);
         // an event without an id that rises by one belongs to no stream of ours; what came before it does
         if (id !== this.lastId + 1 && pieces.length > 0) break;
         if (id !== this.lastId + 1) return this.fail("broken", `event ${id} after ${this.lastId}`);
-        this.held = this.held.subarray(end);
+        this.buffer = this.buffer.subarray(end);
         this.lastId = id;
         pieces.push({ id, data: dataOf(text), raw });
       }
@@ -53,16 +53,16 @@
       if (chunk === undefined) return this.fail("timeout", "replica fell silent");
       if (chunk === null) {
         if (this.response.broken()) return this.fail("broken", "reply ended early");
-        return this.held.length > 0 ? this.fail("broken", "reply ended inside an event") : Fault.ok(undefined);
+        return this.buffer.length > 0 ? this.fail("broken", "reply ended inside an event") : Fault.ok(undefined);
       }
-      this.size += chunk.length;
-      if (this.size > Constants.responseLimitBytes) return this.fail("invalid", "reply over the limit");
-      this.held = this.held.length === 0 ? chunk : Buffer.concat([this.held, chunk]);
+      this.receivedBytes += chunk.length;
+      if (this.receivedBytes > Constants.responseLimitBytes) return this.fail("invalid", "reply over the limit");
+      this.buffer = this.buffer.length === 0 ? chunk : Buffer.concat([this.buffer, chunk]);
     }
   }
   private endOfEvent(): number {
-    const plain = this.held.indexOf("\n\n");
-    const carriage = this.held.indexOf("\r\n\r\n");
+    const plain = this.buffer.indexOf("\n\n");
+    const carriage = this.buffer.indexOf("\r\n\r\n");
     if (carriage >= 0 && (plain < 0 || carriage < plain)) return carriage + 4;
     return plain >= 0 ? plain + 2 : -1;
   }
--- a/src/adapters/headerNames.ts
+++ b/src/forwarding/headerNames.ts
@@ -2,14 +2,14 @@
 export type HeaderNames = {
   requestId: string; // in requests, and given back in replies
   remainingMs: string; // how long the caller will wait
-  target: string; // the only instance that may run the request
-  lastPiece: string; // a stream goes on after this piece
+  targetInstance: string; // the only instance that may run the request
+  lastEventId: string; // a stream goes on after this piece
   promptParts: string; // the parts of a prompt in order, ID:TOKENS with commas
   tokens: string; // of the prompt, and the most out
   model: string;
-  order: string; // 0 first
-  notRun: string; // in replies: the replica did not run the request
-  mark: string; // in replies: the replica's own mark, without which a success is none ("" where there is none)
+  priority: string; // 0 first
+  notExecuted: string; // in replies: the replica did not run the request
+  endpointSignature: string; // in replies: the replica's own mark, without which a success is none ("" where there is none)
 };
 
 /**
@@ -21,12 +21,12 @@
 export const ownHeaderNames: HeaderNames = {
   requestId: "x-request-id",
   remainingMs: "x-deadline-ms",
-  target: "x-target-instance",
-  lastPiece: "last-event-id",
+  targetInstance: "x-target-instance",
+  lastEventId: "last-event-id",
   promptParts: "x-prompt-parts",
   tokens: "x-tokens",
   model: "x-model",
-  order: "x-order",
-  notRun: "x-not-run",
-  mark: "",
+  priority: "x-order",
+  notExecuted: "x-not-run",
+  endpointSignature: "",
 };
--- a/src/ingress/batchSubmission.ts
+++ b/src/ingress/batchSubmission.ts
@@ -1,8 +1,8 @@
 import { Constants } from "../common/constants";
 import { Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
-import { DirectHttp } from "../adapters/directHttp";
-import { EndpointSelector } from "../routing/endpointSelector";
+import { DirectHttp } from "../forwarding/directHttp";
+import { firstMatchingRule } from "../routing/policyRules";
 import { Fault, Result } from "../common/fault";
 import { ClusterSnapshot } from "../node/clusterSnapshot";
 import { Hash } from "../common/hash";
@@ -42,7 +42,7 @@
    * "quota" if it didn't fit; "unknown" promises nothing.
    * @example yield* LotIntake.handIn(ingress, "lot-17", "audit", binding, items, 3000)
    */
-  *handIn(
+  *submit(
     host: BatchSubmissionHost,
     id: string,
     name: string,
@@ -55,7 +55,7 @@
     const control = host.snapshot().control;
     if (!Stamp.admits(arrival.time, env.wall(), control?.manifest.doc.clock ?? Stamp.defaults))
       return Fault.busy("stamp", "ingress", "our stamps are ahead of our clock", Constants.retryAfterMs);
-    const { lot: job, cause } = BatchSubmission.order(host, id, name, route, items);
+    const { lot: job, cause } = BatchSubmission.toJob(host, id, name, route, items);
     const life = Stamp.text(arrival);
     let attempts = 0;
     const handed = yield* shardClient.callLeader<SubmitJobResponse>(
@@ -85,7 +85,7 @@
     }
   },
   /** The lot as it is put, and what it was taken in by. @example LotIntake.order(host, "lot-17", "audit", binding, items).lot */
-  order(
+  toJob(
     host: BatchSubmissionHost,
     id: string,
     name: string,
@@ -94,7 +94,7 @@
   ): { lot: BatchJobSpec; cause: Cause } {
     const { control } = host.snapshot();
     const policies = control?.policies;
-    const line = EndpointSelector.line(
+    const line = firstMatchingRule(
       { route: name, kind: route.kind, caller: "" },
       policies?.doc ?? [],
       (each) => each.order !== undefined,
@@ -141,10 +141,10 @@
   },
   /** Results from a position on, from a member of the lot's shard in our district, else any. "notFound" is certain, all else is "busy". @example yield* LotIntake.list(ingress, "lot-17", 0, 1000) */
   list: (host: BatchSubmissionHost, id: string, from: number, waitMs: number): Task<Result<JobResultPage>> =>
-    BatchSubmission.askMembers<JobResultPage>(host, id, "lot.list", { from, waitMs }, waitMs),
+    BatchSubmission.callReplicas<JobResultPage>(host, id, "lot.list", { from, waitMs }, waitMs),
   /** The body, in base64, of an item that is not listed yet. @example yield* LotIntake.itemBody(ingress, "lot-17", "i1") */
   itemBody: (host: BatchSubmissionHost, id: string, item: string): Task<Result<{ body: string }>> =>
-    BatchSubmission.askMembers<{ body: string }>(host, id, "lot.itemBody", { item }, 0),
+    BatchSubmission.callReplicas<{ body: string }>(host, id, "lot.itemBody", { item }, 0),
   /** Ends a lot, as often as it is asked. @example yield* LotIntake.end(ingress, "lot-17", "caller") */
   *end(host: BatchSubmissionHost, id: string, by: string): Task<Result<{ ended: true }>> {
     const { env, shardClient } = host;
@@ -158,7 +158,7 @@
       return ended;
     return Fault.busy("end lot", ended.fault.member, ended.fault.detail, Constants.retryAfterMs);
   },
-  *askMembers<T>(
+  *callReplicas<T>(
     host: BatchSubmissionHost,
     id: string,
     verb: string,
--- a/src/ingress/directRequestHandler.ts
+++ b/src/ingress/directRequestHandler.ts
@@ -1,11 +1,12 @@
 import { Constants } from "../common/constants";
 import { Task } from "../runtime/csp";
 import { Env, EnvTools, HttpExchange, HttpRequest } from "../runtime/env";
-import { DirectRequest, DirectHttp, DirectResponse } from "../adapters/directHttp";
-import { EventStreamReader } from "../adapters/eventStreamReader";
+import { DirectRequest, DirectHttp, DirectResponse } from "../forwarding/directHttp";
+import { EventStreamReader } from "../forwarding/eventStreamReader";
 import { Http } from "../adapters/http";
 import { Route } from "../control/controlState";
-import { EndpointSelector, SelectionCriteria } from "../routing/endpointSelector";
+import { EndpointEligibility } from "../routing/endpointEligibility";
+import { SelectionCriteria } from "../routing/selectionCriteria";
 import { Fault, Result } from "../common/fault";
 import { Endpoint } from "../node/clusterSnapshot";
 import { Prompt, LongPromptIsolation } from "../routing/longPromptIsolation";
@@ -14,7 +15,7 @@
 import type { IngressNode } from "./ingressNode";
 
 /** One request on its way: what came, and what of a stream has been passed on. */
-type Passing = {
+type PendingRequest = {
   incoming: HttpExchange;
   name: string;
   binding: Route;
@@ -27,12 +28,12 @@
   pool: string;
   prompt: Prompt;
 };
-type Outcome =
+type AttemptOutcome =
   | { tag: "replied"; status: number }
   | { tag: "gone" }
   | { tag: "unrun"; fault: Fault; sent: boolean }
   | { tag: "lost"; fault: Fault };
-export type LotIntake = (incoming: HttpExchange, bound: MatchedRoute, body: Buffer) => Task<void>;
+export type BatchJobHandler = (incoming: HttpExchange, bound: MatchedRoute, body: Buffer) => Task<void>;
 
 /**
  * Requests that are passed on as they are, by host and path: straight to a replica, streams as their events come.
@@ -56,10 +57,10 @@
   fits = (incoming: HttpExchange): boolean => this.bound(incoming) !== undefined;
 
   /** @example yield* direct.serve(incoming, (each, bound, body) => lots.handIn(each, bound, body)) */
-  *serve(incoming: HttpExchange, jobs?: LotIntake): Task<void> {
+  *serve(incoming: HttpExchange, jobs?: BatchJobHandler): Task<void> {
     const { ingress } = this;
     const arrivedAt = this.env.mono();
-    const why = ingress.held();
+    const why = ingress.rejectReason();
     if (why)
       return this.refuse(incoming, {
         tag: "busy",
@@ -75,7 +76,7 @@
         { tag: "notFound", step: "find binding", member: ingress.id, detail: `no binding for ${incoming.path}` },
         404,
       );
-    const read: Result<Buffer> = yield* incoming.body(ingress.bodyLimit());
+    const read: Result<Buffer> = yield* incoming.body(ingress.bodyLimitBytes());
     if (!read.ok) return this.response(incoming, read.fault, read.fault.tag === "invalid" ? 413 : 400);
     if (bound.route.kind === "item") {
       if (jobs) return yield* jobs(incoming, bound, read.value);
@@ -87,19 +88,19 @@
     }
     const passing = this.passing(incoming, bound, read.value, arrivedAt);
     if (!passing.ok) return this.response(incoming, passing.fault, 400);
-    yield* ingress.counted(bound.name, () => this.pass(passing.value));
+    yield* ingress.countLive(bound.name, () => this.pass(passing.value));
   }
   private passing(
     incoming: HttpExchange,
     { name, route: binding }: MatchedRoute,
     body: Buffer,
     arrivedAt: number,
-  ): Result<Passing> {
+  ): Result<PendingRequest> {
     const { names } = this.ingress;
     const { headers } = incoming;
     const asked = Number(headers[names.remainingMs]);
     const left = Math.min(binding.deadlineMs, Number.isFinite(asked) && asked > 0 ? asked : binding.deadlineMs);
-    const after = headers[names.lastPiece] ?? "0";
+    const after = headers[names.lastEventId] ?? "0";
     if (!/^\d{1,9}$/.test(after)) return Fault.fail("invalid", "read last piece", "caller", "not a piece number");
     const direct: DirectRequest = {
       method: incoming.method,
@@ -108,13 +109,13 @@
       body,
       id: headers[names.requestId] ?? EnvTools.id(this.env, "req"),
       remainingMs: left,
-      after: +after,
-      order: Math.min(7, binding.order ?? 5),
+      lastEventId: +after,
+      priority: Math.min(7, binding.order ?? 5),
     };
     const prompt = LongPromptIsolation.parse(binding.affinity ? (headers[names.promptParts] ?? "") : "");
     const pool = DirectRequestHandler.poolOf(binding, this.env.random());
     if (binding.kind === "stream" && binding.pieceGapMs)
-      this.ingress.endpointSelector.saw(pool, prompt, binding.pieceGapMs);
+      this.ingress.endpointSelector.recordPrompt(pool, prompt, binding.pieceGapMs);
     return Fault.ok({
       incoming,
       name,
@@ -137,7 +138,7 @@
     return route.split.filter((share) => share.weight > 0).at(-1)!.pool;
   }
 
-  private criteria(passing: Passing, exclude: Set<string>): SelectionCriteria {
+  private criteria(passing: PendingRequest, exclude: Set<string>): SelectionCriteria {
     const { name, binding: route, pool, prompt } = passing;
     const gapMs = route.kind === "stream" ? route.pieceGapMs : undefined;
     return {
@@ -147,13 +148,13 @@
       caller: "",
       kind: route.kind,
       prefix: prompt.parts[0]?.id ?? "",
-      lane: "live",
+      workClass: "live",
       exclude,
       prompt,
-      gapMs,
+      chunkGapMs: gapMs,
     };
   }
-  private *pass(passing: Passing): Task<void> {
+  private *pass(passing: PendingRequest): Task<void> {
     const { ingress } = this;
     const { binding: route, incoming } = passing;
     const exclude = new Set<string>();
@@ -191,16 +192,16 @@
     }
   }
   /** A place at a replica: waited for only as long as a later try elsewhere is still worth something. */
-  private *take(passing: Passing, exclude: Set<string>, left: number): Task<Endpoint | undefined> {
+  private *take(passing: PendingRequest, exclude: Set<string>, left: number): Task<Endpoint | undefined> {
     const { binding: route, pool } = passing;
     const waited = this.env.mono() - passing.arrivedAt;
     const patience = passing.open
       ? Constants.resumeWaitMs
       : (route.targetMs ?? Constants.liveWaitMs) * Constants.refuseShare - waited;
-    const eligible = EndpointSelector.inPool(this.criteria(passing, exclude));
+    const eligible = EndpointEligibility.inPool(this.criteria(passing, exclude));
     if (eligible.every((endpoint) => exclude.has(endpoint.key)) && exclude.size > 0) exclude.clear();
     this.ingress.counts.lookups += 1;
-    return yield* this.ingress.room.take(
+    return yield* this.ingress.admissionQueue.acquire(
       () => this.criteria(passing, exclude),
       route.order ?? 100,
       passing.arrivedAt,
@@ -208,7 +209,7 @@
       pool,
     );
   }
-  private giveUp(passing: Passing, last: Fault | undefined): void {
+  private giveUp(passing: PendingRequest, last: Fault | undefined): void {
     const { ingress } = this;
     const fault: Fault = last ?? {
       tag: "busy",
@@ -247,9 +248,9 @@
   }
 
   /** One replica tried, its place given back whatever comes. */
-  private *attempt(passing: Passing, endpoint: Endpoint, more: boolean): Task<Outcome> {
+  private *attempt(passing: PendingRequest, endpoint: Endpoint, more: boolean): Task<AttemptOutcome> {
     const { binding: route, direct } = passing;
-    const { room } = this.ingress;
+    const { admissionQueue: room } = this.ingress;
     const left = passing.untilMono - this.env.mono();
     const patience = route.safe && more ? Math.min(left, Math.max(Constants.headMs, 2 * (route.targetMs ?? 0))) : left;
     const cancellation: NonNullable<HttpRequest["cancellation"]> = {};
@@ -264,27 +265,36 @@
       cancellation,
     );
     if (!opened.ok && passing.incoming.gone.isClosed()) {
-      room.leave(endpoint, true);
+      room.release(endpoint, true);
       return { tag: "gone" };
     }
     if (!opened.ok) {
       const unrun = opened.fault.tag === "refused";
       const sent = opened.fault.step === "deliver";
       // a connection that is not taken, or a silence, says more than a single bad reply
-      room.leave(endpoint, unrun && sent, !sent && opened.fault.tag !== "broken");
+      room.release(endpoint, unrun && sent, !sent && opened.fault.tag !== "broken");
       return unrun ? { tag: "unrun", fault: opened.fault, sent } : { tag: "lost", fault: opened.fault };
     }
     const outcome = yield* this.relay(passing, endpoint, opened.value, patience);
     passing.incoming.onGone = undefined;
-    room.leave(endpoint, outcome.tag !== "lost", outcome.tag === "lost" && outcome.fault.tag === "timeout");
+    room.release(endpoint, outcome.tag !== "lost", outcome.tag === "lost" && outcome.fault.tag === "timeout");
     return outcome;
   }
-  private *relay(passing: Passing, endpoint: Endpoint, opened: DirectResponse, firstWithin: number): Task<Outcome> {
+  private *relay(
+    passing: PendingRequest,
+    endpoint: Endpoint,
+    opened: DirectResponse,
+    firstWithin: number,
+  ): Task<AttemptOutcome> {
     const { binding: route, incoming } = passing;
     const { names } = this.ingress;
     const streams = opened.status === 200 && (opened.headers["content-type"] ?? "").startsWith("text/event-stream");
-    if (opened.status < 300 && names.mark !== "" && opened.headers[names.mark] === undefined) {
-      opened.reply.abort();
+    if (
+      opened.status < 300 &&
+      names.endpointSignature !== "" &&
+      opened.headers[names.endpointSignature] === undefined
+    ) {
+      opened.response.abort();
       return {
         tag: "lost",
         fault: {
@@ -296,7 +306,7 @@
       };
     }
     if (streams) return yield* this.stream(passing, endpoint, opened, firstWithin);
-    const body = yield* DirectHttp.whole(this.env, opened, passing.untilMono - this.env.mono());
+    const body = yield* DirectHttp.readBody(this.env, opened, passing.untilMono - this.env.mono());
     if (!body && incoming.gone.isClosed()) return { tag: "gone" };
     if (!body)
       return {
@@ -318,9 +328,14 @@
     incoming.send(opened.status, { ...opened.headers, ...close } as Record<string, string>, body);
     return { tag: "replied", status: opened.status };
   }
-  private *stream(passing: Passing, endpoint: Endpoint, opened: DirectResponse, firstWithin: number): Task<Outcome> {
+  private *stream(
+    passing: PendingRequest,
+    endpoint: Endpoint,
+    opened: DirectResponse,
+    firstWithin: number,
+  ): Task<AttemptOutcome> {
     const { binding: route, incoming, direct } = passing;
-    const pieces = new EventStreamReader(this.env, endpoint.id, opened.reply, direct.after);
+    const pieces = new EventStreamReader(this.env, endpoint.id, opened.response, direct.lastEventId);
     const exact = route.safe && route.continues === "exact";
     for (let first = true; ; first = false) {
       const left = passing.untilMono - this.env.mono();
@@ -331,7 +346,7 @@
           : left;
       const got = yield* pieces.next(Math.min(left, silence));
       if (incoming.gone.isClosed()) {
-        opened.reply.abort();
+        opened.response.abort();
         return { tag: "gone" };
       }
       if (!got.ok) return { tag: "lost", fault: got.fault };
@@ -345,7 +360,7 @@
         return { tag: "replied", status: opened.status };
       }
       incoming.write(got.value.length === 1 ? got.value[0].raw : Buffer.concat(got.value.map((piece) => piece.raw)));
-      direct.after = pieces.lastId;
+      direct.lastEventId = pieces.lastId;
     }
   }
 }
--- a/src/ingress/ingressNode.ts
+++ b/src/ingress/ingressNode.ts
@@ -2,23 +2,25 @@
 import { Csp, Task } from "../runtime/csp";
 import { Env, EnvTools, HttpLimits } from "../runtime/env";
 import { defaultHttpLimits } from "../runtime/httpServer";
-import { EndpointSelector, SelectionCriteria } from "../routing/endpointSelector";
+import { EndpointSelector } from "../routing/endpointSelector";
+import { firstMatchingRule } from "../routing/policyRules";
+import { SelectionCriteria } from "../routing/selectionCriteria";
 import { ReadIndexConfirmation } from "../node/readIndexConfirmation";
 import { Fault, Result } from "../common/fault";
 import { ClusterSnapshot } from "../node/clusterSnapshot";
 import { Node } from "../node/node";
-import { HeaderNames, ownHeaderNames } from "../adapters/headerNames";
+import { HeaderNames, ownHeaderNames } from "../forwarding/headerNames";
 import { DirectRequestHandler } from "./directRequestHandler";
 import { Hash } from "../common/hash";
 import { NodeContext } from "../node/nodeContext";
 import { AdmissionQueue } from "../routing/admissionQueue";
 import { Settings } from "../common/settings";
-import { ProtocolAdapters, HttpSurface } from "../daemon/protocolAdapters";
+import { ProtocolAdapters, HttpSurface } from "../adapters/protocolAdapters";
 import { Stamp } from "../common/stamp";
 import { Http } from "../adapters/http";
 import { CallerHttp } from "../adapters/callerHttp";
 import { OperatorHttp } from "../adapters/operatorHttp";
-import { EndpointHttp } from "../adapters/endpointHttp";
+import { EndpointHttp } from "../forwarding/endpointHttp";
 import { Route, Limits } from "../control/controlState";
 import { Cause } from "../shard/shardState";
 import { ShardClient } from "../storage/shardClient";
@@ -59,7 +61,7 @@
   private noteBatch = 0;
   private live = new Map<string, number>();
   private overloadTold = new Map<string, number>();
-  readonly room: AdmissionQueue;
+  readonly admissionQueue: AdmissionQueue;
   readonly id: string;
   readonly rpc: Rpc;
   readonly names: HeaderNames;
@@ -94,7 +96,7 @@
     this.names = shapes.names ?? ownHeaderNames;
     this.shardClient = new ShardClient(env, this.rpc, this.id, () => this.current);
     this.endpointSelector = new EndpointSelector(env, this.id);
-    this.room = new AdmissionQueue(env, this.endpointSelector, (pool) => this.overload(pool));
+    this.admissionQueue = new AdmissionQueue(env, this.endpointSelector, (pool) => this.overload(pool));
   }
 
   /** @example yield* IngressNode.start(env, settings) */
@@ -123,7 +125,7 @@
       ...CallerHttp.routes(ingress),
       ...WarmUpRequests.routes(ingress.names),
       ...OperatorHttp.routes(host, {
-        ready: () => ingress.unready(),
+        unreadyReason: () => ingress.unreadyReason(),
         metrics: () => ingress.metrics(),
         ledgerSource: ingress.shardClient,
       }),
@@ -172,7 +174,7 @@
     return this.limits;
   }
   /** The largest body of a caller by the configuration in force. @example ingress.bodyLimit() */
-  bodyLimit = (): number => this.current.control?.manifest.doc.limits?.bodyBytes ?? Constants.bodyLimitBytes;
+  bodyLimitBytes = (): number => this.current.control?.manifest.doc.limits?.bodyBytes ?? Constants.bodyLimitBytes;
   private *tracked(body: () => Task<void>): Task<void> {
     this.inFlight += 1;
     try {
@@ -184,7 +186,7 @@
   private watchNode(node: Node): void {
     let told = -1;
     const changed = (): void => {
-      this.room.changed();
+      this.admissionQueue.endpointsChanged();
       const index = node.gossip.snapshot?.index ?? -1;
       if (index > told) this.env.log(1601, { index, manifest: node.gossip.snapshot?.manifest.version });
       told = Math.max(told, index);
@@ -193,13 +195,13 @@
     node.membership.watch(changed);
   }
   /** Why direct work cannot be taken, if so; while stopping, what still comes is served. @example const why = ingress.held(); */
-  held(): string | undefined {
-    const why = this.unready();
+  rejectReason(): string | undefined {
+    const why = this.unreadyReason();
     if (why !== undefined && why !== "stopping") return why;
     return this.current.control?.manifest.version ? undefined : "no manifest in force yet";
   }
   /** Why new work is held, if it is. @example const why = ingress.unready(); */
-  unready(): string | undefined {
+  unreadyReason(): string | undefined {
     if (this.stopping) return "stopping";
     if (!this.current.control) return "no manifest yet";
     if (!this.warmedUp) return "rehearsing";
@@ -214,13 +216,13 @@
     return {
       ...this.counts,
       slab_used: this.requestTable.used,
-      late_replies: this.requestTable.late,
+      late_replies: this.requestTable.lateOutcomes,
       in_flight: this.inFlight,
       frame_index: this.current.control?.index ?? 0,
       manifest_version: this.current.control?.manifest.version ?? 0,
       replicas: this.current.replicas.length,
-      affinity_hits: this.endpointSelector.hits,
-      affinity_misses: this.endpointSelector.misses,
+      affinity_hits: this.endpointSelector.affinityHits,
+      affinity_misses: this.endpointSelector.affinityMisses,
     };
   }
   private *feedLoop(): Task<void> {
@@ -244,7 +246,7 @@
       // an agent that was started again may know less than we do: its word counts once it has caught up
       this.fed = { ...rest, control: newest, fresh: rest.fresh && controlIndex >= (newest?.index ?? 0) };
       this.fedAt = askedAt;
-      this.room.changed();
+      this.admissionQueue.endpointsChanged();
     }
   }
   private *watchClock(): Task<void> {
@@ -297,7 +299,7 @@
   // ---------- accept or refuse ----------
   /** Whether a request may come in now, by manifest, policies and room. @example const accepted = ingress.accept("ask", headers); */
   accept(name: string, headers: Record<string, string>): Result<AdmittedRequest> {
-    const why = this.unready();
+    const why = this.unreadyReason();
     if (why) return this.busy("accept", why, Constants.retryAfterMs);
     const { manifest: configuration, policies } = this.current.control!;
     const route = Object.prototype.hasOwnProperty.call(configuration.doc.bindings, name)
@@ -306,8 +308,8 @@
     if (!route) return Fault.fail("notFound", "accept", this.id, `no binding ${name}`);
     const caller = headers["x-caller"] ?? "";
     const criteria = { route: name, kind: route.kind, caller };
-    const ordered = EndpointSelector.line(criteria, policies.doc, (line) => line.order !== undefined);
-    const limited = EndpointSelector.line(criteria, policies.doc, (line) => line.limit !== undefined);
+    const ordered = firstMatchingRule(criteria, policies.doc, (line) => line.order !== undefined);
+    const limited = firstMatchingRule(criteria, policies.doc, (line) => line.limit !== undefined);
     const limit = Math.min(limited?.limit ?? Infinity, route.kind === "lookup" ? Infinity : Constants.liveBuffer * 4);
     const cause: Cause = {
       manifest: configuration.version,
@@ -329,7 +331,7 @@
     return Fault.busy(step, this.id, detail, retryAfterMs);
   }
   /** Counts a request as live while the body runs. @example yield* ingress.counted("ask", body) */
-  *counted<T>(name: string, body: () => Task<T>): Task<T> {
+  *countLive<T>(name: string, body: () => Task<T>): Task<T> {
     this.live.set(name, (this.live.get(name) ?? 0) + 1);
     try {
       return yield* body();
@@ -389,18 +391,23 @@
         caller,
         kind: binding.kind,
         prefix: "",
-        lane: "live",
+        workClass: "live",
         exclude,
       });
       const open = this.endpointSelector.eligible(make()).some((endpoint) => !exclude.has(endpoint.key));
       const patience = open ? Math.min(left, Constants.liveWaitMs - (this.env.mono() - startedAt)) : 0;
-      const chosen = yield* this.room.take(make, accepted.order, startedAt, patience);
+      const chosen = yield* this.admissionQueue.acquire(make, accepted.order, startedAt, patience);
       if (!chosen) {
         if (sent) break;
-        return Fault.busy("choose", this.id, `no room in pool ${binding.pool}`, this.room.retryAfterMs(binding.pool));
+        return Fault.busy(
+          "choose",
+          this.id,
+          `no room in pool ${binding.pool}`,
+          this.admissionQueue.retryAfterMs(binding.pool),
+        );
       }
-      if (!this.requestTable.holds(ticket)) {
-        this.room.leave(chosen, true);
+      if (!this.requestTable.isOpen(ticket)) {
+        this.admissionQueue.release(chosen, true);
         return Fault.fail("broken", "lookup", "caller", "caller went away");
       }
       const attemptMs =
@@ -408,13 +415,13 @@
       const response = yield* EndpointHttp.single(this.env, chosen, {
         path: binding.path,
         id,
-        round: attempt,
+        attempt: attempt,
         body,
-        pieces: [],
+        receivedChunks: [],
         deadlineMs: attemptMs,
-        safe: true,
+        idempotent: true,
       });
-      this.room.leave(chosen, response.ok || response.fault.step === "deliver");
+      this.admissionQueue.release(chosen, response.ok || response.fault.step === "deliver");
       if (response.ok) return response;
       last = response.fault;
       exclude.add(chosen.key);
--- a/src/ingress/requestTable.ts
+++ b/src/ingress/requestTable.ts
@@ -14,7 +14,7 @@
   private readonly slots: Slot<T>[] = [];
   private free = -1;
   used = 0;
-  late = 0;
+  lateOutcomes = 0;
   constructor(private readonly size: number) {}
   /** Undefined when every slot is taken. @example const ticket = slab.open(reply); */
   open(continuation: (outcome: T) => void): RequestHandle | undefined {
@@ -32,7 +32,7 @@
   private take(ticket: RequestHandle): ((outcome: T) => void) | undefined {
     const slot = this.slots[ticket.index];
     if (!slot || slot.generation !== ticket.generation || !slot.continuation) {
-      this.late += 1;
+      this.lateOutcomes += 1;
       return undefined;
     }
     const { continuation } = slot;
@@ -49,11 +49,11 @@
     return continuation !== undefined;
   }
   /** The caller has gone. @example slab.drop(ticket); */
-  drop(ticket: RequestHandle): void {
+  cancel(ticket: RequestHandle): void {
     this.take(ticket);
   }
   /** @example slab.holds(ticket) */
-  holds(ticket: RequestHandle): boolean {
+  isOpen(ticket: RequestHandle): boolean {
     const slot = this.slots[ticket.index];
     return slot !== undefined && slot.generation === ticket.generation && slot.continuation !== undefined;
   }
--- a/src/ingress/warmUpRequests.ts
+++ b/src/ingress/warmUpRequests.ts
@@ -1,9 +1,9 @@
 import { Constants } from "../common/constants";
 import { Csp, Task } from "../runtime/csp";
 import { Env, EnvTools, HttpExchange } from "../runtime/env";
-import { DirectHttp } from "../adapters/directHttp";
-import { EventStreamReader } from "../adapters/eventStreamReader";
-import { HeaderNames } from "../adapters/headerNames";
+import { DirectHttp } from "../forwarding/directHttp";
+import { EventStreamReader } from "../forwarding/eventStreamReader";
+import { HeaderNames } from "../forwarding/headerNames";
 import { HttpRoute } from "../adapters/http";
 import { Endpoint } from "../node/clusterSnapshot";
 
@@ -59,12 +59,12 @@
         body: Buffer.alloc(1400),
         id,
         remainingMs: 500,
-        after: 0,
-        order: 5,
+        lastEventId: 0,
+        priority: 5,
       };
       const opened = yield* DirectHttp.open(env, names, self, direct, 500);
       if (!opened.ok) return false;
-      const pieces = new EventStreamReader(env, self.id, opened.value.reply, 0);
+      const pieces = new EventStreamReader(env, self.id, opened.value.response, 0);
       for (;;) {
         const got = yield* pieces.next(500);
         if (!got.ok || got.value === undefined) return got.ok;
--- a/src/routing/admissionQueue.ts
+++ b/src/routing/admissionQueue.ts
@@ -1,84 +1,116 @@
 import { Constants } from "../common/constants";
 import { Chan, Csp, Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
-import { EndpointSelector, SelectionCriteria } from "./endpointSelector";
+import { EndpointSelector } from "./endpointSelector";
+import { SelectionCriteria } from "./selectionCriteria";
 import { Endpoint } from "../node/clusterSnapshot";
 
-type Waiter = { order: number; time: number; wake: Chan<true> };
+/** A request that waits for an endpoint. */
+interface QueuedRequest {
+  /** Priority by policy or route; the lowest number is served first. */
+  order: number;
+  /** When the request arrived, by one clock for all requests of a queue; ties of priority are served in this order. */
+  arrivedAt: number;
+  wake: Chan<true>;
+}
+
+/** How many queued requests double the pause that a rejected caller is told. */
+const queueLengthThatDoublesPause = 8;
+
+const goesBefore = (one: QueuedRequest, other: QueuedRequest): boolean =>
+  one.order < other.order || (one.order === other.order && one.arrivedAt < other.arrivedAt);
 
 /**
- * Live work that waits for a replica with room: one bounded buffer a pool, in policy order and then in order of arrival,
- * the foremost woken when room may have come. What can't be served within its time is refused at once by the caller.
+ * Queues live requests until an endpoint has capacity: one bounded queue for each pool, ordered by priority and then by
+ * arrival. Only the request at the head selects an endpoint; it is woken when capacity may have become free.
  *
  * @example
- * const room = new Room(env, chooser, (pool) => tellCrowd(pool));
- * const replica = yield* room.take(() => wish, 10, stamp.time, 400);
- * room.leave(replica, true);
+ * const queue = new AdmissionQueue(env, selector, (pool) => overload.signal(pool));
+ * const endpoint = yield* queue.acquire(() => criteria, 10, env.mono(), 400);
+ * if (endpoint) queue.release(endpoint, true);
  */
 export class AdmissionQueue {
-  private buffers = new Map<string, Waiter[]>();
+  private readonly queues = new Map<string, QueuedRequest[]>();
+  /** `onOverload` is called with the pool whenever a request cannot be sent at once. */
   constructor(
     private readonly env: Env,
     private readonly endpointSelector: EndpointSelector,
-    private readonly overloaded: (pool: string) => void,
+    private readonly onOverload: (pool: string) => void,
   ) {}
-  /** How many wait for a pool. @example room.waiting("model") */
-  waiting = (pool: string): number => this.buffers.get(pool)?.length ?? 0;
-  /** When to come back: later the more wait. @example room.retryAfterMs("model") */
+
+  /** The number of requests queued for a pool. */
+  waiting = (pool: string): number => this.queues.get(pool)?.length ?? 0;
+
+  /** After how many ms a rejected caller should retry: longer with the queue, with jitter of a fifth. */
   retryAfterMs = (pool: string): number =>
-    Math.round(Constants.retryAfterMs * (1 + this.waiting(pool) / 8) * (0.8 + 0.4 * this.env.random()));
+    Math.round(
+      Constants.retryAfterMs * (1 + this.waiting(pool) / queueLengthThatDoublesPause) * (0.8 + 0.4 * this.env.random()),
+    );
 
-  /** A replica, its place taken; undefined when there is none in time, or too many wait. @example yield* room.take(make, 10, now, 400) */
-  *take(
-    make: () => SelectionCriteria,
+  /**
+   * Acquires capacity at an endpoint; the caller must release it. Undefined when there is none within `withinMs`, or when
+   * the queue is full. `makeCriteria` is called anew for every selection, since endpoints change meanwhile.
+   */
+  *acquire(
+    makeCriteria: () => SelectionCriteria,
     order: number,
-    time: number,
+    arrivedAt: number,
     withinMs: number,
-    pool = make().pool,
+    pool = makeCriteria().pool,
   ): Task<Endpoint | undefined> {
-    const buffer = this.buffers.get(pool) ?? [];
-    this.buffers.set(pool, buffer);
-    const chosen = buffer.length === 0 ? this.chosen(make()) : undefined;
-    if (chosen) return chosen;
-    this.overloaded(pool);
-    if (buffer.length >= Constants.liveBuffer || withinMs <= 0) return undefined;
-    const waiter: Waiter = { order, time, wake: Csp.sliding(1) };
-    const behind = buffer.findIndex((other) => other.order > order || (other.order === order && other.time > time));
-    buffer.splice(behind < 0 ? buffer.length : behind, 0, waiter);
-    const until = this.env.mono() + withinMs;
+    const queue = this.queues.get(pool) ?? [];
+    this.queues.set(pool, queue);
+    const immediate = queue.length === 0 ? this.select(makeCriteria()) : undefined;
+    if (immediate) return immediate;
+    this.onOverload(pool);
+    if (queue.length >= Constants.liveBuffer || withinMs <= 0) return undefined;
+    const request: QueuedRequest = { order, arrivedAt, wake: Csp.sliding(1) };
+    const successor = queue.findIndex((other) => goesBefore(request, other));
+    queue.splice(successor < 0 ? queue.length : successor, 0, request);
     try {
-      while (this.env.mono() < until) {
-        // awake on an event; a slow start's next turn and the end of an ejection are told by the time alone
-        yield* EnvTools.takeWithin(
-          this.env,
-          waiter.wake,
-          buffer[0] === waiter ? Math.min(Constants.roomTurnMs, until - this.env.mono()) : until - this.env.mono(),
-        );
-        const endpoint = buffer[0] === waiter ? this.chosen(make()) : undefined;
-        if (endpoint) return endpoint;
-      }
-      return undefined;
+      return yield* this.waitForEndpoint(queue, request, makeCriteria, this.env.mono() + withinMs);
     } finally {
-      buffer.splice(buffer.indexOf(waiter), 1);
-      this.wake(pool);
+      queue.splice(queue.indexOf(request), 1);
+      this.wakeHead(pool);
     }
   }
-  private chosen(criteria: SelectionCriteria): Endpoint | undefined {
+
+  private *waitForEndpoint(
+    queue: QueuedRequest[],
+    request: QueuedRequest,
+    makeCriteria: () => SelectionCriteria,
+    until: number,
+  ): Task<Endpoint | undefined> {
+    while (this.env.mono() < until) {
+      // nothing signals the next turn of a slow start or the end of an ejection: the head polls for them
+      const leftMs = until - this.env.mono();
+      const waitMs = queue[0] === request ? Math.min(Constants.roomTurnMs, leftMs) : leftMs;
+      yield* EnvTools.takeWithin(this.env, request.wake, waitMs);
+      const endpoint = queue[0] === request ? this.select(makeCriteria()) : undefined;
+      if (endpoint) return endpoint;
+    }
+    return undefined;
+  }
+
+  private select(criteria: SelectionCriteria): Endpoint | undefined {
     const endpoint = this.endpointSelector.choose(criteria);
-    if (endpoint) this.endpointSelector.begin(endpoint);
+    if (endpoint) this.endpointSelector.requestStarted(endpoint);
     return endpoint;
   }
-  private wake(pool: string): void {
-    const foremost = this.buffers.get(pool)?.[0];
-    if (foremost) Csp.offer(foremost.wake, true);
+
+  private wakeHead(pool: string): void {
+    const head = this.queues.get(pool)?.[0];
+    if (head) Csp.offer(head.wake, true);
   }
-  /** A round at a replica ended. @example room.leave(replica, true); */
-  leave(endpoint: Endpoint, lively: boolean, plainly = false): void {
-    this.endpointSelector.end(endpoint, lively, plainly);
-    this.wake(endpoint.pool);
+
+  /** A request ended at the endpoint; for `healthy` and `decisive` see EndpointSelector.requestEnded. */
+  release(endpoint: Endpoint, healthy: boolean, decisive = false): void {
+    this.endpointSelector.requestEnded(endpoint, healthy, decisive);
+    this.wakeHead(endpoint.pool);
   }
-  /** Replicas may have come, or told of less load. @example node.news.watch(() => room.changed()); */
-  changed(): void {
-    for (const pool of this.buffers.keys()) this.wake(pool);
+
+  /** Endpoints may have been added, or may have announced less load. */
+  endpointsChanged(): void {
+    for (const pool of this.queues.keys()) this.wakeHead(pool);
   }
 }
--- /dev/null
+++ b/src/routing/endpointEligibility.ts
@@ -0,0 +1,43 @@
+import { Env } from "../runtime/env";
+import { Endpoint } from "../node/clusterSnapshot";
+import { PoolCriteria } from "./selectionCriteria";
+import { firstMatchingRule } from "./policyRules";
+
+/**
+ * Which endpoints the configuration lets a request run at, whatever their load and health.
+ *
+ * @example
+ * const endpoints = EndpointEligibility.inRelease(env, criteria);
+ */
+export const EndpointEligibility = {
+  /** The announced endpoints of the pool outside drained zones, where the placement policies allow. */
+  inPool(criteria: PoolCriteria): Endpoint[] {
+    const control = criteria.snapshot.control;
+    const placement = firstMatchingRule(criteria, control?.policies.doc ?? [], (rule) => !!rule.land)?.land;
+    return criteria.snapshot.replicas.filter(
+      (endpoint) =>
+        endpoint.pool === criteria.pool &&
+        !control?.drained.includes(endpoint.district) &&
+        (!placement?.districts || placement.districts.includes(endpoint.district)) &&
+        !placement?.avoid?.includes(endpoint.district),
+    );
+  },
+
+  /**
+   * The same, narrowed to one side of a release: a gradual release sends a growing share of requests to the new version,
+   * and a withdrawn version gets none. A side without endpoints falls back to the whole pool.
+   */
+  inRelease(env: Env, criteria: PoolCriteria): Endpoint[] {
+    const release = criteria.snapshot.control?.releases[criteria.pool];
+    const announced = EndpointEligibility.inPool(criteria);
+    const notWithdrawn = announced.filter(
+      (endpoint) => release?.withdrawn === undefined || endpoint.version !== release.withdrawn,
+    );
+    const candidates = notWithdrawn.length > 0 ? notWithdrawn : announced;
+    if (!release || !candidates.some((endpoint) => endpoint.version === release.version)) return candidates;
+    const releasedShare = release.overMs <= 0 ? 1 : Math.min(1, (env.wall() - release.startedAt) / release.overMs);
+    const useNewVersion = env.random() < releasedShare;
+    const chosen = candidates.filter((endpoint) => (endpoint.version === release.version) === useNewVersion);
+    return chosen.length > 0 ? chosen : candidates;
+  },
+};
--- a/src/routing/longPromptIsolation.ts
+++ b/src/routing/longPromptIsolation.ts
@@ -3,71 +3,101 @@
 import { Endpoint } from "../node/clusterSnapshot";
 import { Hash } from "../common/hash";
 
-/** The parts of a prompt in order, as its caller told them. */
-export type Prompt = { parts: { id: string; tokens: number }[]; tokens: number };
-type Flow = { tokens: number; at: number };
+/** One part of a prompt, as its caller declares it. */
+export interface PromptPart {
+  /** Equal ids mean equal text, so that an endpoint's prefix cache may hold it. */
+  id: string;
+  tokens: number;
+}
+/** A prompt as its caller declares it. */
+export interface Prompt {
+  /** In the order of the text. */
+  parts: PromptPart[];
+  /** Tokens of all parts. */
+  tokens: number;
+}
+/** A sum of tokens that decays exponentially, with the monotonic ms of its last update. */
+interface DecayingTokens {
+  tokens: number;
+  updatedAt: number;
+}
+
+/** Endpoints are reserved from this fraction of the busy share on. */
+const minBusyShare = Constants.longPromptBusyShare / 20;
+
+/** Reads "ID:TOKENS"; no part if it is malformed. */
+function parsePart(text: string): PromptPart[] {
+  const colon = text.lastIndexOf(":");
+  const tokens = Number(text.slice(colon + 1));
+  const valid = colon > 0 && Number.isFinite(tokens) && tokens >= 0;
+  return valid ? [{ id: text.slice(0, colon).trim(), tokens }] : [];
+}
 
 /**
- * Long prompts keep to a few replicas of a pool, so that reading them does not hold up the pieces of the others.
- * How many, each sender works out from the long prompts that it sees; which, all agree on without a word.
+ * Reserves a few endpoints of a pool for long prompts, so that their prefill does not delay the decode of other requests.
+ * Each sender derives the number of reserved endpoints from the long prompts that it sees itself; rendezvous hashing makes
+ * all senders reserve the same endpoints without coordination.
  *
  * @example
- * const lanes = new PromptLanes(env);
- * lanes.saw("model", prompt, gapMs);
- * const preferred = lanes.preferred("model", room, everyone, PromptLanes.isLong(prompt, gapMs), 8);
+ * const isolation = new LongPromptIsolation(env);
+ * isolation.record("model", prompt, 300);
+ * const preferred = isolation.preferred("model", available, eligible, LongPromptIsolation.isLong(prompt, 300), 8);
  */
 export class LongPromptIsolation {
-  private readonly flows = new Map<string, Flow>();
+  private readonly prefillByPool = new Map<string, DecayingTokens>();
   constructor(private readonly env: Env) {}
 
-  /** @example PromptLanes.parse("5c1e:800,91bd:410").tokens // 1210 */
+  /** Reads the parts of a prompt from a header; malformed parts are left out. @example LongPromptIsolation.parse("5c1e:800,91bd:410").tokens // 1210 */
   static parse(text: string): Prompt {
-    const parts = text
-      .split(",")
-      .slice(0, Constants.promptPartsMax)
-      .flatMap((part) => {
-        const cut = part.lastIndexOf(":");
-        const tokens = Number(part.slice(cut + 1));
-        return cut > 0 && Number.isFinite(tokens) && tokens >= 0 ? [{ id: part.slice(0, cut).trim(), tokens }] : [];
-      });
+    const parts = text.split(",").slice(0, Constants.promptPartsMax).flatMap(parsePart);
     return { parts, tokens: parts.reduce((sum, part) => sum + part.tokens, 0) };
   }
-  /** Whether reading it whole would by itself take a good part of the pause that others bear. @example PromptLanes.isLong(prompt, 300) */
-  static isLong = (prompt: Prompt, gapMs: number): boolean =>
-    prompt.tokens / Constants.promptTokensPerMs > gapMs * Constants.longPromptShare;
 
-  /** A prompt goes out; the rate of long ones fades over some seconds. @example lanes.saw("model", prompt, 300) */
-  saw(pool: string, prompt: Prompt, gapMs: number): void {
-    if (!LongPromptIsolation.isLong(prompt, gapMs)) return;
-    // its shared part is mostly kept already: what has to be read is the rest
-    const unread = prompt.tokens - Math.max(0, ...prompt.parts.slice(0, -1).map((part) => part.tokens)) / 2;
+  /** Whether the prefill takes a large share of the pause between chunks (in ms) that the other streams tolerate. */
+  static isLong = (prompt: Prompt, chunkGapMs: number): boolean =>
+    prompt.tokens / Constants.promptTokensPerMs > chunkGapMs * Constants.longPromptShare;
+
+  /** Counts a prompt towards the rate of long ones, if it is long. */
+  record(pool: string, prompt: Prompt, chunkGapMs: number): void {
+    if (!LongPromptIsolation.isLong(prompt, chunkGapMs)) return;
+    // the largest shared part is in the prefix cache about every second time
+    const longestSharedPart = Math.max(0, ...prompt.parts.slice(0, -1).map((part) => part.tokens));
+    const uncachedTokens = prompt.tokens - longestSharedPart / 2;
     const now = this.env.mono();
-    const flow = this.flows.get(pool) ?? { tokens: 0, at: now };
-    flow.tokens = flow.tokens * Math.exp((flow.at - now) / Constants.longPromptFadeMs) + unread;
-    flow.at = now;
-    this.flows.set(pool, flow);
+    const prefill = this.prefillByPool.get(pool) ?? { tokens: 0, updatedAt: now };
+    prefill.tokens = this.decayed(prefill, now) + uncachedTokens;
+    prefill.updatedAt = now;
+    this.prefillByPool.set(pool, prefill);
   }
-  /** How many replicas of the pool are the long prompts' own. @example lanes.width("model", 13, 8) // 3 */
-  width(pool: string, endpoints: number, ingresses: number): number {
-    const flow = this.flows.get(pool);
-    if (!flow || endpoints < Constants.longPromptEndpointsMin) return 0;
-    const faded = flow.tokens * Math.exp((flow.at - this.env.mono()) / Constants.longPromptFadeMs);
-    const readingShare = (faded * ingresses) / Constants.longPromptFadeMs / Constants.promptTokensPerMs;
-    if (readingShare < Constants.longPromptBusyShare / 20) return 0;
-    const wanted = Math.ceil(readingShare / Constants.longPromptBusyShare);
-    return wanted > endpoints / 2 ? 0 : wanted;
+
+  /** How many of the pool's endpoints are reserved for long prompts; 0 where isolation would not pay. */
+  reservedEndpoints(pool: string, endpointCount: number, ingressCount: number): number {
+    const prefill = this.prefillByPool.get(pool);
+    if (!prefill || endpointCount < Constants.longPromptEndpointsMin) return 0;
+    const tokens = this.decayed(prefill, this.env.mono());
+    const busyEndpoints = (tokens * ingressCount) / Constants.longPromptFadeMs / Constants.promptTokensPerMs;
+    if (busyEndpoints < minBusyShare) return 0;
+    const reserved = Math.ceil(busyEndpoints / Constants.longPromptBusyShare);
+    return reserved > endpointCount / 2 ? 0 : reserved;
   }
-  /** Of those with room, the ones that a prompt of this length should go to; all, if there are none. @example lanes.preferred(...) */
-  preferred(pool: string, room: Endpoint[], everyone: Endpoint[], long: boolean, ingresses: number): Endpoint[] {
-    const width = this.width(pool, everyone.length, ingresses);
-    if (width === 0) return room;
-    const own = new Set(
-      Hash.rendezvous(
-        `long ${pool}`,
-        everyone.map((endpoint) => endpoint.key),
-      ).slice(0, width),
-    );
-    const kept = room.filter((endpoint) => own.has(endpoint.key) === long);
-    return kept.length > 0 ? kept : room;
+
+  /** The available endpoints for a prompt of this length; all available ones if there are none of those. */
+  preferred(
+    pool: string,
+    available: Endpoint[],
+    eligible: Endpoint[],
+    isLong: boolean,
+    ingressCount: number,
+  ): Endpoint[] {
+    const reservedCount = this.reservedEndpoints(pool, eligible.length, ingressCount);
+    if (reservedCount === 0) return available;
+    const keys = eligible.map((endpoint) => endpoint.key);
+    const reserved = new Set(Hash.rendezvous(`long ${pool}`, keys).slice(0, reservedCount));
+    const matching = available.filter((endpoint) => reserved.has(endpoint.key) === isLong);
+    return matching.length > 0 ? matching : available;
+  }
+
+  private decayed(sum: DecayingTokens, now: number): number {
+    return sum.tokens * Math.exp((sum.updatedAt - now) / Constants.longPromptFadeMs);
   }
 }
--- /dev/null
+++ b/src/routing/prefixAffinity.ts
@@ -0,0 +1,44 @@
+import { Constants } from "../common/constants";
+import { Hash } from "../common/hash";
+import { Endpoint } from "../node/clusterSnapshot";
+import { Env } from "../runtime/env";
+import { EndpointStates } from "./endpointStates";
+import { SlowStart } from "./slowStart";
+
+/**
+ * Prefix affinity: requests with the same prefix go to the endpoint whose cache has it. The order of preference comes from
+ * rendezvous hashing, and no endpoint gets more than a bounded multiple of the mean load (consistent hashing with bounded
+ * loads, Mirrokni, Thorup and Zadimoghaddam 2018).
+ *
+ * @example
+ * const endpoint = affinity.select("prompt-1", candidates);
+ */
+export class PrefixAffinity {
+  /** Requests that went to the endpoint that their prefix prefers. */
+  hits = 0;
+  /** Requests that went elsewhere, because the preferred endpoint was loaded or starting. */
+  misses = 0;
+  constructor(
+    private readonly env: Env,
+    private readonly states: EndpointStates,
+    private readonly slowStart: SlowStart,
+  ) {}
+
+  /** The most preferred candidate below the load bound; undefined if there is none, which counts as a miss. */
+  select(prefix: string, candidates: Endpoint[]): Endpoint | undefined {
+    const totalLoad = candidates.reduce((sum, endpoint) => sum + this.states.load(endpoint), 0);
+    const loadBound = Math.ceil((totalLoad / candidates.length + 1) * Constants.boundedLoad);
+    const byKey = new Map(candidates.map((endpoint) => [endpoint.key, endpoint]));
+    const preferred = Hash.rendezvous(prefix, [...byKey.keys()]);
+    for (const [rank, key] of preferred.entries()) {
+      const endpoint = byKey.get(key)!;
+      const accepted = this.states.load(endpoint) < loadBound && this.env.random() < this.slowStart.weight(endpoint);
+      if (!accepted) continue;
+      if (rank === 0) this.hits += 1;
+      else this.misses += 1;
+      return endpoint;
+    }
+    this.misses += 1;
+    return undefined;
+  }
+}
--- /dev/null
+++ b/src/routing/slowStart.ts
@@ -0,0 +1,60 @@
+import { Constants } from "../common/constants";
+import { Hash } from "../common/hash";
+import { Endpoint } from "../node/clusterSnapshot";
+import { Env } from "../runtime/env";
+import { EndpointStates } from "./endpointStates";
+
+const minWarmUpRate = 1e-6;
+const maxWarmUpIntervalMs = 1000;
+
+/**
+ * Slow start: a new endpoint gets requests at a limited rate. An endpoint that announces until when it is warming up gets
+ * the pool's warm-up rate; for any other one the weight rises with its age.
+ *
+ * @example
+ * const slowStart = new SlowStart(env, "ingress-1", states);
+ * const allowed = slowStart.allowsStart(endpoint, senderIds.length, env.mono());
+ */
+export class SlowStart {
+  private readonly startedAt: number;
+  constructor(
+    private readonly env: Env,
+    private readonly self: string,
+    private readonly states: EndpointStates,
+  ) {
+    this.startedAt = env.mono();
+  }
+
+  /** The share of its capacity that an endpoint may use, from the floor to 1. */
+  weight(endpoint: Endpoint): number {
+    if (endpoint.warmAt !== undefined) return 1;
+    const age = this.env.wall() - endpoint.bornAt;
+    return Math.min(1, Math.max(Constants.slowStartFloor, age / Constants.slowStartMs));
+  }
+
+  /** Whether the endpoint has announced that it is still warming up. */
+  isWarmingUp(endpoint: Endpoint): boolean {
+    return endpoint.warmAt !== undefined && endpoint.warmAt + Constants.coldMarginMs > this.env.wall();
+  }
+
+  /** Whether this node may send the endpoint one more warm-up request now; perSecond is the pool's rate for all senders. */
+  allowsWarmUp(endpoint: Endpoint, perSecond: number, senderIds: string[], now: number): boolean {
+    if (!this.isWarmingUp(endpoint) || perSecond <= 0) return true;
+    // a sender that has just started doesn't know yet how many others share the rate
+    if (now - this.startedAt < Constants.sendersSettleMs) return false;
+    const share = perSecond / Math.max(1, senderIds.length);
+    const interval = Math.max(Constants.coldIntervalMs, 1000 / Math.max(share, minWarmUpRate));
+    // below one request a second each, only as many senders take part as the rate allows
+    const takesPart = share >= 1 || Hash.rendezvous(endpoint.key, senderIds).indexOf(this.self) < Math.floor(perSecond);
+    if (!takesPart) return false;
+    return now - this.states.of(endpoint).lastWarmUpStartAt >= Math.min(interval, maxWarmUpIntervalMs);
+  }
+
+  /** Whether a young endpoint may get one more request now; all senders together keep its rate small. */
+  allowsStart(endpoint: Endpoint, senderCount: number, now: number): boolean {
+    const weight = this.weight(endpoint);
+    if (weight >= 1) return true;
+    const intervalMs = (1000 * senderCount) / (endpoint.capacity * weight * Constants.slowStartPerSecond);
+    return now - this.states.of(endpoint).lastStartAt >= intervalMs;
+  }
+}
--- a/src/storage/itemExecution.ts
+++ b/src/storage/itemExecution.ts
@@ -1,10 +1,12 @@
 import { Constants } from "../common/constants";
 import { Chan, Csp, Task } from "../runtime/csp";
 import { Env, EnvTools, HttpResponse } from "../runtime/env";
-import { DirectHttp, DirectResponse } from "../adapters/directHttp";
-import { EventStreamReader } from "../adapters/eventStreamReader";
-import { HeaderNames } from "../adapters/headerNames";
+import { DirectHttp, DirectResponse } from "../forwarding/directHttp";
+import { EventStreamReader } from "../forwarding/eventStreamReader";
+import { HeaderNames } from "../forwarding/headerNames";
+import { EndpointEligibility } from "../routing/endpointEligibility";
 import { EndpointSelector } from "../routing/endpointSelector";
+import { PoolCriteria } from "../routing/selectionCriteria";
 import { ClusterSnapshot, Endpoint } from "../node/clusterSnapshot";
 import { Node } from "../node/node";
 import { Route } from "../control/controlState";
@@ -241,8 +243,8 @@
     let left = this.env.random() * route.split.reduce((sum, { weight }) => sum + weight, 0);
     return route.split.find(({ weight }) => (left -= weight) < 0)?.pool ?? route.pool;
   }
-  private endpointsOf(turn: Turn, criteria: Parameters<typeof EndpointSelector.inPool>[0]): Endpoint[] {
-    const known = turn.replicas.get(`${criteria.pool} ${criteria.route}`) ?? EndpointSelector.inPool(criteria);
+  private endpointsOf(turn: Turn, criteria: PoolCriteria): Endpoint[] {
+    const known = turn.replicas.get(`${criteria.pool} ${criteria.route}`) ?? EndpointEligibility.inPool(criteria);
     turn.replicas.set(`${criteria.pool} ${criteria.route}`, known);
     return known;
   }
@@ -269,7 +271,7 @@
       const [part, tokens] = (job.requests![item].headers[this.names.promptParts] ?? "").split(",")[0].split(":");
       const prefix = Number(tokens) >= Constants.jobAffinityTokens ? part.trim() : "";
       const choose = (but: Set<string>): Endpoint | undefined =>
-        this.endpointSelector.choose({ ...criteria, pool, prefix, lane: "lot", exclude: but });
+        this.endpointSelector.choose({ ...criteria, pool, prefix, workClass: "batch", exclude: but });
       const chosen = choose(this.farOnes(endpoints, exclude)) ?? choose(exclude);
       if (!chosen) {
         open.ready.unshift(item);
@@ -294,7 +296,7 @@
     else counts.delete(key);
   }
   private begin(open: OpenLot, job: BatchJob, item: number, route: Route, pool: string, endpoint: Endpoint): void {
-    this.endpointSelector.begin(endpoint);
+    this.endpointSelector.requestStarted(endpoint);
     this.count(this.inFlight, pool, 1);
     this.count(this.atEndpoint, endpoint.key, 1);
     open.running.set(item, undefined);
@@ -332,41 +334,41 @@
         body: Buffer.from(job.bodies[item], "base64"),
         id: request.id,
         remainingMs: Math.min(remainingMs, 600_000),
-        after,
-        order: 9,
+        lastEventId: after,
+        priority: 9,
       },
       Constants.jobHeadMs,
     );
     if (!opened.ok) {
-      this.endpointSelector.end(endpoint, opened.fault.tag === "refused" && opened.fault.step === "deliver");
+      this.endpointSelector.requestEnded(endpoint, opened.fault.tag === "refused" && opened.fault.step === "deliver");
       return this.goesOn(open) ? { tag: "again", why: opened.fault.detail } : { tag: "over" };
     }
     if (!this.goesOn(open)) {
-      opened.value.reply.abort();
-      this.endpointSelector.end(endpoint, true);
+      opened.value.response.abort();
+      this.endpointSelector.requestEnded(endpoint, true);
       return { tag: "over" };
     }
     if (after > 0) this.counts.resumed += 1;
-    open.running.set(item, opened.value.reply);
+    open.running.set(item, opened.value.response);
     const attempt = yield* this.read(open, item, endpoint, opened.value);
     this.env.point(58);
-    this.endpointSelector.end(endpoint, attempt.tag !== "again" || !this.goesOn(open));
+    this.endpointSelector.requestEnded(endpoint, attempt.tag !== "again" || !this.goesOn(open));
     return this.goesOn(open) || attempt.tag === "done" ? attempt : { tag: "over" };
   }
   private *read(open: OpenLot, item: number, endpoint: Endpoint, opened: DirectResponse): Task<Round> {
-    const { status, headers, reply: response } = opened;
+    const { status, headers, response: response } = opened;
     if (status < 200 || status >= 300) {
       response.finish();
       const why = `replica ${endpoint.id} replied ${status}`;
       return status === 422 ? { tag: "never", why } : status === 500 ? { tag: "failed", why } : { tag: "again", why };
     }
-    if (this.names.mark !== "" && headers[this.names.mark] === undefined) {
+    if (this.names.endpointSignature !== "" && headers[this.names.endpointSignature] === undefined) {
       response.abort();
       return { tag: "again", why: "a success without the replica's mark" };
     }
     const progress = this.progressOf(open, item);
     if (!(headers["content-type"] ?? "").includes("event-stream")) {
-      const body = yield* DirectHttp.whole(this.env, opened, Constants.pieceGapMs);
+      const body = yield* DirectHttp.readBody(this.env, opened, Constants.pieceGapMs);
       if (body === undefined || progress.after > 0)
         return { tag: "again", why: "reply cut, or no events to go on with" };
       return { tag: "done", result: body.toString("utf8") };
--- a/src/storage/storageNode.ts
+++ b/src/storage/storageNode.ts
@@ -7,7 +7,7 @@
 import { Settings } from "../common/settings";
 import { LatencySummary } from "../common/latencySummary";
 import { Stamp } from "../common/stamp";
-import { HeaderNames, ownHeaderNames } from "../adapters/headerNames";
+import { HeaderNames, ownHeaderNames } from "../forwarding/headerNames";
 import { OperatorHttp } from "../adapters/operatorHttp";
 import { ShardReplica } from "../shard/shardReplica";
 import { LedgerEntry, ShardState } from "../shard/shardState";
@@ -75,7 +75,7 @@
     store.work.start();
     store.itemRuns.start();
     const http = yield* OperatorHttp.serve(env, settings.http, store.node, {
-      ready: () =>
+      unreadyReason: () =>
         store.node.stopping ? "stopping" : !store.node.vouches() ? "clock or frame not vouched for" : undefined,
       metrics: () => store.metrics(),
       ledgerSource: store.shardClient,
@@ -409,8 +409,8 @@
       skew_ms: +(this.node.membership.skew()?.offset ?? 0).toFixed(2),
       disk_syncs: sum((replica) => replica.syncedWrites()),
       restamped_puts: this.shardClient.restampedPuts,
-      affinity_hits: this.endpointSelector.hits,
-      affinity_misses: this.endpointSelector.misses,
+      affinity_hits: this.endpointSelector.affinityHits,
+      affinity_misses: this.endpointSelector.affinityMisses,
       ...this.work.metrics(),
       ...this.itemRuns.metrics(),
       ...this.quota.metrics(),
--- a/src/storage/workExecutor.ts
+++ b/src/storage/workExecutor.ts
@@ -1,8 +1,10 @@
 import { Constants } from "../common/constants";
 import { Chan, Csp, Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
-import { ForwardedRequest, EndpointHttp, EndpointStream } from "../adapters/endpointHttp";
-import { EndpointSelector, SelectionCriteria } from "../routing/endpointSelector";
+import { ForwardedRequest, EndpointHttp, EndpointStream } from "../forwarding/endpointHttp";
+import { EndpointEligibility } from "../routing/endpointEligibility";
+import { EndpointSelector } from "../routing/endpointSelector";
+import { SelectionCriteria, WorkClass } from "../routing/selectionCriteria";
 import { Fault, Result } from "../common/fault";
 import { Endpoint } from "../node/clusterSnapshot";
 import { AdmissionQueue } from "../routing/admissionQueue";
@@ -60,7 +62,7 @@
     private readonly replicas: Map<number, ShardReplica>,
   ) {
     this.room = new AdmissionQueue(env, endpointSelector, (pool) => this.overload(pool));
-    node.gossip.watch(() => this.room.changed());
+    node.gossip.watch(() => this.room.endpointsChanged());
   }
   /** @example work.start(); */
   start(): void {
@@ -86,7 +88,7 @@
     kind: string,
     caller: string,
     body: string,
-    lane: SelectionCriteria["lane"],
+    workClass: WorkClass,
     exclude: Set<string>,
   ): SelectionCriteria {
     return {
@@ -96,7 +98,7 @@
       caller,
       kind,
       prefix: route.kind === "stream" ? body.slice(0, route.prefixBytes) : "",
-      lane,
+      workClass,
       exclude,
     };
   }
@@ -137,7 +139,7 @@
       const exclude = new Set<string>();
       const make = (): SelectionCriteria =>
         this.criteria(route, body.work.binding, route.kind, body.caller, body.work.body, "live", exclude);
-      const endpoint = yield* this.room.take(
+      const endpoint = yield* this.room.acquire(
         make,
         body.work.order,
         body.stamp.time,
@@ -182,7 +184,7 @@
       this.env.point(51);
       if (!put.ok || put.value.tag !== "done") {
         this.running.delete(id);
-        this.room.leave(endpoint, true);
+        this.room.release(endpoint, true);
         if (!put.ok) return put;
         return Fault.ok(put.value.tag === "exists" ? put.value : { tag: "exists", same: false, state: "refused" });
       }
@@ -272,7 +274,7 @@
     return yield* this.shardClient.put(shard, putId, ops, cause, withinMs);
   }
   private stillEligible(endpoint: Endpoint, route: string, kind: string, caller: string, pool: string): boolean {
-    return EndpointSelector.inPool({ snapshot: this.node.snapshot(), pool, route, caller, kind }).some(
+    return EndpointEligibility.inPool({ snapshot: this.node.snapshot(), pool, route, caller, kind }).some(
       (eligible) => eligible.key === endpoint.key,
     );
   }
@@ -354,7 +356,7 @@
           this.criteria(route, work.binding, route.kind, caller, work.body, "live", exclude);
         const next: Endpoint | undefined =
           live() > 0
-            ? yield* this.room.take(
+            ? yield* this.room.acquire(
                 make,
                 work.order,
                 this.env.wall(),
@@ -400,7 +402,7 @@
           10_000,
         );
         if (!claimed.ok || claimed.value.tag !== "done") {
-          this.room.leave(next, true);
+          this.room.release(next, true);
           return;
         }
       }
@@ -423,7 +425,7 @@
     claimedAt: number,
     leftMs: number,
   ): Task<Result<{ final: boolean; why: string; unsent: boolean }>> {
-    const end = (lively: boolean): void => this.room.leave(endpoint, lively);
+    const end = (lively: boolean): void => this.room.release(endpoint, lively);
     const sorry = (why: string, unsent: boolean): Result<{ final: boolean; why: string; unsent: boolean }> =>
       Fault.ok({ final: false, why, unsent });
     // a claim that grew old (a freeze) is given back: by now the duty may be another's
@@ -438,11 +440,11 @@
     const delivery: ForwardedRequest = {
       path: route.path,
       id,
-      round: attempt,
+      attempt: attempt,
       body: work.body,
-      pieces,
+      receivedChunks: pieces,
       deadlineMs: leftMs,
-      safe: work.safe,
+      idempotent: work.safe,
     };
     this.env.point(52);
     if (route.kind !== "stream") {
@@ -789,10 +791,10 @@
           const name = `${job.id}/${at}`;
           if (job.items[at].state !== "waiting" || this.running.has(name) || (backOff.get(name) ?? 0) > now) continue;
           const endpoint = this.endpointSelector.choose(
-            this.criteria(route, job.binding, "item", "", "", "lot", new Set()),
+            this.criteria(route, job.binding, "item", "", "", "batch", new Set()),
           );
           if (!endpoint) break;
-          this.endpointSelector.begin(endpoint);
+          this.endpointSelector.requestStarted(endpoint);
           this.running.set(name, true);
           this.jobsInFlight.set(route.pool, inFlight + 1);
           const work = this;
@@ -842,7 +844,7 @@
       2500,
     );
     if (!claimed.ok || claimed.value.tag !== "done") {
-      this.room.leave(endpoint, true);
+      this.room.release(endpoint, true);
       // its fate may be unknown; nothing was delivered, so giving it back is right either way
       if (!claimed.ok)
         yield* this.put(
@@ -864,7 +866,7 @@
       job.ended ||
       !this.stillEligible(endpoint, routeName, "item", "", route.pool);
     if (stale) {
-      this.room.leave(endpoint, true);
+      this.room.release(endpoint, true);
       yield* this.put(
         shard,
         `release-${name}-${attempt}`,
@@ -886,14 +888,14 @@
     const response = yield* EndpointHttp.single(this.env, endpoint, {
       path: route.path,
       id: name,
-      round: attempt,
+      attempt: attempt,
       body,
-      pieces: [],
+      receivedChunks: [],
       deadlineMs: route.deadlineMs,
-      safe: route.safe,
+      idempotent: route.safe,
     });
     this.env.point(56);
-    this.room.leave(endpoint, response.ok || response.fault.step === "deliver");
+    this.room.release(endpoint, response.ok || response.fault.step === "deliver");
     let op: ShardOperation;
     if (response.ok)
       op = {
--- a/src/tools/deployment.ts
+++ b/src/tools/deployment.ts
@@ -103,7 +103,7 @@
         ),
       );
     const deployment = candidate as Deployment;
-    const configuration = OperatorSchemas.manifest(deployment.manifest);
+    const configuration = OperatorSchemas.configuration(deployment.manifest);
     if (!configuration.ok) return configuration;
     const policies = OperatorSchemas.policies(deployment.policies);
     if (!policies.ok) return policies;
--- a/src/tools/eventStandIn.ts
+++ b/src/tools/eventStandIn.ts
@@ -1,6 +1,6 @@
 import { Csp, Task } from "../runtime/csp";
 import { Env, EnvTools, HttpExchange } from "../runtime/env";
-import { HeaderNames, ownHeaderNames } from "../adapters/headerNames";
+import { HeaderNames, ownHeaderNames } from "../forwarding/headerNames";
 
 export type EventRun = {
   id: string;
@@ -57,15 +57,18 @@
     const id = incoming.headers[names.requestId] ?? "";
     const read = yield* incoming.body(4_000_000);
     if (!read.ok) return;
-    const told = { [names.requestId]: id, ...(names.mark ? { [names.mark]: `mark-${this.instance}` } : {}) };
+    const told = {
+      [names.requestId]: id,
+      ...(names.endpointSignature ? { [names.endpointSignature]: `mark-${this.instance}` } : {}),
+    };
     const turn = (this.turns.get(id) ?? 0) + 1;
     this.turns.set(id, turn);
     const mood = this.mood(id, turn);
-    if (incoming.headers[names.target] !== this.instance)
-      return incoming.send(421, { ...told, [names.notRun]: "1" }, "");
+    if (incoming.headers[names.targetInstance] !== this.instance)
+      return incoming.send(421, { ...told, [names.notExecuted]: "1" }, "");
     if (mood.tag === "notRun" || this.active >= this.size.slots)
-      return incoming.send(503, { ...told, [names.notRun]: "1" }, "");
-    const after = +(incoming.headers[names.lastPiece] ?? 0);
+      return incoming.send(503, { ...told, [names.notExecuted]: "1" }, "");
+    const after = +(incoming.headers[names.lastEventId] ?? 0);
     const run: EventRun = {
       id,
       at: this.env.wall(),
--- a/src/tools/scale/choiceScale.ts
+++ b/src/tools/scale/choiceScale.ts
@@ -1,4 +1,5 @@
-import { EndpointSelector, SelectionCriteria } from "../../routing/endpointSelector";
+import { EndpointSelector } from "../../routing/endpointSelector";
+import { SelectionCriteria } from "../../routing/selectionCriteria";
 import { Endpoint } from "../../node/clusterSnapshot";
 import { Scope } from "../../runtime/csp";
 import { NodeEnv } from "../../runtime/nodeEnv";
@@ -40,7 +41,7 @@
         caller: "",
         kind: "stream",
         prefix: prefix ? `prompt-${round}-${chosen}` : "",
-        lane: "live",
+        workClass: "live",
         exclude: new Set(),
       };
       if (!endpointSelector.choose(criteria)) throw new Error("no replica was chosen");
--- a/test/controlFleet.ts
+++ b/test/controlFleet.ts
@@ -1,6 +1,6 @@
 import { Daemon, RunningDaemon } from "../src/daemon/daemon";
 import { Settings } from "../src/common/settings";
-import { ProtocolAdapters } from "../src/daemon/protocolAdapters";
+import { ProtocolAdapters } from "../src/adapters/protocolAdapters";
 import { ControlNode } from "../src/control/controlNode";
 import { Csp } from "../src/runtime/csp";
 import { EnvTools } from "../src/runtime/env";
--- a/test/direct.test.ts
+++ b/test/direct.test.ts
@@ -1,5 +1,5 @@
-import { EndpointHttp } from "../src/adapters/endpointHttp";
-import { HeaderNames, ownHeaderNames } from "../src/adapters/headerNames";
+import { EndpointHttp } from "../src/forwarding/endpointHttp";
+import { HeaderNames, ownHeaderNames } from "../src/forwarding/headerNames";
 import { Route, ControlState } from "../src/control/controlState";
 import { EndpointSelector } from "../src/routing/endpointSelector";
 import { ClusterSnapshot, Endpoint } from "../src/node/clusterSnapshot";
@@ -77,13 +77,13 @@
       names,
       stopping: false,
       snapshot: () => snapshot,
-      held: () => undefined,
-      bodyLimit: () => 100_000,
+      rejectReason: () => undefined,
+      bodyLimitBytes: () => 100_000,
       note: () => undefined,
       counts: { lookups: 0, busies: 0, failures: 0 },
       endpointSelector,
-      room: new AdmissionQueue(env, endpointSelector, () => undefined),
-      counted: (_name: string, body: () => Task<void>) => body(),
+      admissionQueue: new AdmissionQueue(env, endpointSelector, () => undefined),
+      countLive: (_name: string, body: () => Task<void>) => body(),
     } as unknown as IngressNode;
     const direct = new DirectRequestHandler(ingress);
     Csp.go(env.scope, "serve", () => env.serveHttp("10.0.0.1:80", (incoming) => direct.serve(incoming)));
@@ -224,7 +224,7 @@
   expect(bench.seen.filter((seen) => seen.headers["x-target-instance"] === "i0").length).toBeLessThanOrEqual(2);
 });
 
-const signed: HeaderNames = { ...ownHeaderNames, mark: "x-signature" };
+const signed: HeaderNames = { ...ownHeaderNames, endpointSignature: "x-signature" };
 const failing = (status: number, more: Record<string, string> = {}): Behaviour =>
   function* (incoming) {
     incoming.send(status, { ...echo(incoming), "x-signature": "s1", ...more }, "no");
@@ -281,7 +281,15 @@
   );
   const caller = world.start("caller", new SimDisk(world));
   for (status of [408, 421, 429, 503]) {
-    const delivery = { path: "/", id: "q", round: 1, body: "{}", pieces: [], deadlineMs: 1000, safe: false };
+    const delivery = {
+      path: "/",
+      id: "q",
+      attempt: 1,
+      body: "{}",
+      receivedChunks: [],
+      deadlineMs: 1000,
+      idempotent: false,
+    };
     const response = await world.finish(caller, () => EndpointHttp.single(caller.env, endpoint(0), delivery), 2000);
     expect(response).toMatchObject({ ok: false, fault: { tag: "broken" } });
   }
@@ -337,7 +345,7 @@
     id: "i",
     fed: { ...fed, fresh: true, vouched: true },
     endpointSelector,
-    room,
+    admissionQueue: room,
     requestTable,
     counts,
   } as object);
--- a/test/fuzz.test.ts
+++ b/test/fuzz.test.ts
@@ -1,6 +1,6 @@
 import * as fc from "fast-check";
 import * as net from "net";
-import { EventStreamReader } from "../src/adapters/eventStreamReader";
+import { EventStreamReader } from "../src/forwarding/eventStreamReader";
 import { Csp } from "../src/runtime/csp";
 import { HttpResponse } from "../src/runtime/env";
 import { SimDisk } from "../src/simulation/simDisk";
--- a/test/kept.test.ts
+++ b/test/kept.test.ts
@@ -232,10 +232,10 @@
   [{ years: 1 }, "/retention/years: must NOT have additional properties"],
 ])("a retention of %j is refused with its path, in a manifest and in the calendar", (retention, path) => {
   const doc = { bindings: { b: { ...route, continues: undefined, prefixBytes: undefined } }, retention };
-  const checked = OperatorSchemas.manifest(JSON.parse(JSON.stringify(doc)));
+  const checked = OperatorSchemas.configuration(JSON.parse(JSON.stringify(doc)));
   expect(!checked.ok && checked.fault.tag === "invalid" && checked.fault.paths).toContain(path);
   expect(
-    OperatorSchemas.calendar(
+    OperatorSchemas.calendarEntry(
       { due: "now", move: { kind: "manifest", ifVersion: 0, doc: JSON.parse(JSON.stringify(doc)) } },
       0,
     ).ok,
--- a/test/lotDays.test.ts
+++ b/test/lotDays.test.ts
@@ -110,7 +110,7 @@
     const route = { ...LotWorld.route, maxWaitingTokens: bounds.maxTokens };
     for (let round = 0; round < 8; round += 1) {
       const host = this.host();
-      const handed = yield* BatchSubmission.handIn(
+      const handed = yield* BatchSubmission.submit(
         host,
         job,
         "b",
--- a/test/lotWorld.ts
+++ b/test/lotWorld.ts
@@ -208,7 +208,7 @@
     }));
   handIn = (job: string, count: number, tokens = 100, withinMs = 3000) =>
     this.ask((host) =>
-      BatchSubmission.handIn(
+      BatchSubmission.submit(
         host,
         job,
         "b",
@@ -225,7 +225,7 @@
       const route = { ...LotWorld.route, ...this.host.snapshot().control?.manifest.doc.bindings.b };
       const jobs = this;
       Csp.go(this.caller.scope, `hand in ${id}`, function* () {
-        const handed = yield* BatchSubmission.handIn(jobs.host, id, "b", route, jobs.items(id, count), 3000);
+        const handed = yield* BatchSubmission.submit(jobs.host, id, "b", route, jobs.items(id, count), 3000);
         took.set(id, handed.ok ? jobs.world.now - startedAt : Infinity);
       });
     }
--- a/test/lots.test.ts
+++ b/test/lots.test.ts
@@ -149,7 +149,7 @@
   );
   expect(refuse).toMatchObject({ ok: false, fault: { tag: "busy" } });
   const early = { time: Math.floor(jobs.caller.env.wall()) - 1000, node: "early", seq: 0 };
-  const { lot: job, cause } = BatchSubmission.order(jobs.host, "S", "b", LotWorld.route, jobs.items("S", 2));
+  const { lot: job, cause } = BatchSubmission.toJob(jobs.host, "S", "b", LotWorld.route, jobs.items("S", 2));
   const life = `${early.time}~early~0`;
   const late = await jobs.ask((host) =>
     host.shardClient.callLeader(
--- a/test/replicaSockets.test.ts
+++ b/test/replicaSockets.test.ts
@@ -1,5 +1,5 @@
 import * as net from "net";
-import { ownHeaderNames } from "../src/adapters/headerNames";
+import { ownHeaderNames } from "../src/forwarding/headerNames";
 import { Route, ControlState } from "../src/control/controlState";
 import { EndpointSelector } from "../src/routing/endpointSelector";
 import { Endpoint } from "../src/node/clusterSnapshot";
@@ -102,13 +102,13 @@
     names: ownHeaderNames,
     stopping: false,
     snapshot: () => snapshot,
-    held: () => undefined,
-    bodyLimit: () => 100_000,
+    rejectReason: () => undefined,
+    bodyLimitBytes: () => 100_000,
     note: () => undefined,
     counts: { lookups: 0, busies: 0, failures: 0 },
     endpointSelector,
-    room: new AdmissionQueue(env, endpointSelector, () => undefined),
-    counted: (_name: string, body: () => Task<void>) => body(),
+    admissionQueue: new AdmissionQueue(env, endpointSelector, () => undefined),
+    countLive: (_name: string, body: () => Task<void>) => body(),
   } as unknown as IngressNode;
   const direct = new DirectRequestHandler(ingress);
   port = await world.serve((incoming) => direct.serve(incoming));
--- a/test/surface.test.ts
+++ b/test/surface.test.ts
@@ -121,13 +121,13 @@
   const got: string[] = [];
   const first = requestTable.open((outcome) => got.push(`first ${outcome}`))!;
   expect(requestTable.open(() => undefined)).toBeUndefined();
-  requestTable.drop(first);
+  requestTable.cancel(first);
   const second = requestTable.open((outcome) => got.push(`second ${outcome}`))!;
   expect(requestTable.resume(first, "late")).toBe(false);
   expect(requestTable.resume(second, "mine")).toBe(true);
   expect(requestTable.resume(second, "again")).toBe(false);
   expect(got).toEqual(["second mine"]);
-  expect(requestTable.late).toBe(2);
+  expect(requestTable.lateOutcomes).toBe(2);
 });
 test("a long body is deflated, written once for several members, and comes back as it was; a cut one is not decoded", () => {
   const message = { kind: "request" as const, correlationId: 7, cluster: "a", method: "v", sender: "s" };
