--- a/test/golden/goldenFleet.ts
+++ b/test/golden/goldenFleet.ts
@@ -1,5 +1,5 @@
 import { Csp, Task } from "../../src/runtime/csp";
-import { HeaderNames, ownHeaderNames } from "../../src/adapters/headerNames";
+import { HeaderNames, ownHeaderNames } from "../../src/forwarding/headerNames";
 import { Result } from "../../src/common/fault";
 import { Disk } from "../../src/runtime/env";
 import { SimDisk } from "../../src/simulation/simDisk";
