--- /dev/null
+++ b/scripts/guardMutations/mutations.js
@@ -0,0 +1,292 @@
+// The guards that scripts/guardMutations.js takes out, one mutation each.
+
+/**
+ * A piece of built code to be replaced. `find` must occur exactly once in the file.
+ * @typedef {object} Edit
+ * @property {string} file below dist/src
+ * @property {string} find
+ * @property {string} replacement
+ */
+
+/**
+ * One guard taken out of the built code, and what must go wrong without it.
+ * @typedef {object} Mutation
+ * @property {string} name
+ * @property {string} scenario the scenarios to run, separated by commas
+ * @property {string[]} expectedInvariants at least one of these must be broken
+ * @property {Edit[]} edits
+ */
+
+/** @type {Mutation[]} */
+const MUTATIONS = [
+  {
+    name: "all-of-view",
+    scenario: "disk-loss-two",
+    expectedInvariants: ["lot-kept", "no-task-error", "one-position", "never-twice", "stream-exact"],
+    edits: [
+      {
+        file: "shard/shardReplica.js",
+        find: "heard < members.length; heard += 1)\n                if",
+        replacement: "heard < members.length - 2; heard += 1)\n                if",
+      },
+    ],
+  },
+  {
+    name: "level-before-view",
+    scenario: "join-and-lose",
+    expectedInvariants: ["acknowledged-on-every-member"],
+    edits: [
+      {
+        file: "control/shardPlacement.js",
+        find: "this.choose(view, level.ids, joiners)",
+        replacement: "this.choose(view, [...new Set([...sealed.map((copy) => copy.id), ...joiners])], joiners)",
+      },
+      {
+        file: "shard/shardReplica.js",
+        find: "if (yield* replica.levelOne(address, body.epoch, until))",
+        replacement: "if (true)",
+      },
+    ],
+  },
+  {
+    name: "disk-taken-up-again",
+    scenario: "disks-full",
+    expectedInvariants: ["exercised", "service-returns"],
+    edits: [
+      {
+        file: "shard/shardReplica.js",
+        find: "if (!this.slots.broken || this.retryingDisk)",
+        replacement: "if (true)",
+      },
+    ],
+  },
+  {
+    name: "refusal-in-time",
+    scenario: "overload",
+    expectedInvariants: ["exercised"],
+    edits: [
+      {
+        file: "storage/workExecutor.js",
+        find: "this.patience(work.life)",
+        replacement: "constants_1.Constants.liveWaitMs",
+      },
+    ],
+  },
+  {
+    name: "unknown-is-never-rerun",
+    scenario: "replicas-dark",
+    expectedInvariants: ["never-twice"],
+    edits: [
+      {
+        file: "storage/workExecutor.js",
+        find: "if (!work.safe) {\n                            this.counts.unknowns",
+        replacement: "if (false) {\n                            this.counts.unknowns",
+      },
+      {
+        file: "storage/workExecutor.js",
+        find: "const mayGoOn = work.safe &&",
+        replacement: "const mayGoOn =",
+      },
+    ],
+  },
+  {
+    name: "items-are-never-rerun",
+    scenario: "replicas-dark",
+    expectedInvariants: ["never-twice"],
+    edits: [
+      {
+        file: "storage/workExecutor.js",
+        find: 'response.fault.tag === "refused" || route.safe',
+        replacement: "true",
+      },
+    ],
+  },
+  {
+    name: "lost-items-are-unknown",
+    scenario: "kill-store",
+    expectedInvariants: ["never-twice"],
+    edits: [
+      {
+        file: "storage/workExecutor.js",
+        find: "replica.data.jobs.get(jobId).safe\n",
+        replacement: "true\n",
+      },
+    ],
+  },
+  {
+    name: "busy-only-after-refusal",
+    scenario: "ingress-deaf",
+    expectedInvariants: ["busy-never-ran"],
+    edits: [
+      {
+        file: "ingress/ingressNode.js",
+        find: 'if (opened.fault.tag === "unknown") {',
+        replacement: 'if (opened.fault.tag === "unknown") return this.busy("open", "x", 1000); else if (false) {',
+      },
+    ],
+  },
+  {
+    name: "late-puts-are-refused",
+    scenario: "skew-within,kill-store",
+    expectedInvariants: ["one-position", "one-ledger-order"],
+    edits: [
+      {
+        file: "shard/shardReplica.js",
+        find: "if (put.stamp.time <= this.published) {",
+        replacement: "if (false) {",
+      },
+      {
+        file: "common/stamp.js",
+        find: "bounds.bigDeltaMs + 2 * bounds.deltaMs + bounds.epsilonMs",
+        replacement: "-20",
+      },
+    ],
+  },
+  {
+    name: "frontier-held-back",
+    scenario: "slow-puts",
+    expectedInvariants: ["one-position", "one-ledger-order", "lot-kept"],
+    edits: [
+      {
+        file: "shard/shardReplica.js",
+        find: "candidate = Math.min(candidate, pending.put.stamp.time - 0.001);",
+        replacement: "",
+      },
+    ],
+  },
+  {
+    name: "goodbye-tombstones",
+    scenario: "replicas-replaced",
+    expectedInvariants: ["goodbye-respected"],
+    edits: [
+      {
+        file: "membership/gossip.js",
+        find: "!fact.gone && now",
+        replacement: "now",
+      },
+    ],
+  },
+  {
+    name: "drain",
+    scenario: "drain-in-crowd",
+    expectedInvariants: ["drain-respected"],
+    edits: [
+      {
+        file: "routing/endpointEligibility.js",
+        find: "!control?.drained.includes(endpoint.district) &&",
+        replacement: "",
+      },
+    ],
+  },
+  {
+    name: "slow-start",
+    scenario: "replicas-crash",
+    expectedInvariants: ["not-flooded"],
+    edits: [
+      {
+        file: "routing/slowStart.js",
+        find: "return Math.min(1, Math.max(constants_1.Constants.slowStartFloor, age / constants_1.Constants.slowStartMs));",
+        replacement: "return 1;",
+      },
+    ],
+  },
+  {
+    name: "stale-ingress-holds",
+    scenario: "freeze-edge",
+    expectedInvariants: ["config-in-force"],
+    edits: [
+      {
+        file: "common/constants.js",
+        find: "frameStaleMs: 1500",
+        replacement: "frameStaleMs: 60000",
+      },
+    ],
+  },
+  {
+    name: "compare-and-set",
+    scenario: "operators-race",
+    expectedInvariants: ["exercised", "config-at-day-end"],
+    edits: [
+      {
+        file: "control/controlState.js",
+        find: "if (command.ifVersion !== current) {",
+        replacement: "if (false) {",
+      },
+    ],
+  },
+  {
+    name: "majority-before-reply",
+    scenario: "change-races-lead,control-cut-in-two",
+    expectedInvariants: ["config-at-day-end", "config-never-back", "config-in-force"],
+    edits: [
+      {
+        file: "consensus/replication.js",
+        find: "const majorityIndex = matches[this.replica.majority() - 1];",
+        replacement: "const majorityIndex = matches[0];",
+      },
+    ],
+  },
+  {
+    name: "ended-lots-stop",
+    scenario: "overload",
+    // Items that still run take the room of live work, which the scenario finds before the checker runs.
+    expectedInvariants: ["ended-stops", "exercised"],
+    edits: [
+      {
+        file: "shard/batchJobOperations.js",
+        find: 'if (job.ended)\n        return { tag: "no", why: "lot is ended" };',
+        replacement: "",
+      },
+      { file: "storage/workExecutor.js", find: "job.open === 0 || job.ended", replacement: "job.open === 0" },
+      {
+        file: "shard/batchJobOperations.js",
+        find: 'if (item.state !== "waiting")\n            return;\n        item.state = "ended";',
+        replacement: 'return;\n        item.state = "ended";',
+      },
+      { file: "storage/workExecutor.js", find: "!job ||\n            job.ended ||", replacement: "!job ||" },
+    ],
+  },
+  {
+    name: "sigterm-finishes",
+    scenario: "planned-stops",
+    expectedInvariants: ["planned-moves-answer"],
+    edits: [
+      {
+        file: "ingress/ingressNode.js",
+        find: "this.stopping = true;",
+        replacement: "this.stopping = true; return;",
+      },
+    ],
+  },
+  {
+    name: "suspicion-removes",
+    scenario: "store-cut-off",
+    expectedInvariants: ["service-returns"],
+    edits: [
+      {
+        file: "common/constants.js",
+        find: "suspicionMs: 1500",
+        replacement: "suspicionMs: 30000",
+      },
+      {
+        file: "control/shardPlacement.js",
+        find: "else if (failing.length > 0)",
+        replacement: "else if (false)",
+      },
+    ],
+  },
+  {
+    name: "stream-resumes-at-its-piece",
+    scenario: "replicas-crash",
+    expectedInvariants: ["stream-exact"],
+    edits: [
+      {
+        file: "forwarding/endpointHttp.js",
+        find: "continueFrom: delivery.receivedChunks",
+        replacement: "continueFrom: delivery.receivedChunks.slice(1)",
+      },
+    ],
+  },
+];
+
+module.exports = { MUTATIONS };
