--- a/test/goldenMessages.test.ts
+++ b/test/goldenMessages.test.ts
@@ -32,7 +32,7 @@
   for (const { bytes, kind: _kind, ...golden } of readGolden<GoldenFrame[]>("frames.json")) {
     const recorded = Buffer.from(bytes, "base64");
     const envelope = EnvelopeCodec.decode(recorded, golden.cluster)!;
-    const { correlation, cluster, verb: method, sender, body } = envelope;
+    const { correlationId: correlation, cluster, method, sender, body } = envelope;
     expect({ correlation, cluster, method, sender, body }).toEqual(golden);
     expect([golden.method, EnvelopeCodec.encode(envelope).toString("base64")]).toEqual([golden.method, bytes]);
   }
