--- a/scripts/scale.js
+++ b/scripts/scale.js
@@ -46,7 +46,7 @@
       .flatMap((name) => fleet.running.get(name)?.node ?? []);
   const sum = (pick) => nodes().reduce((total, node) => total + pick(node), 0);
   const before = {
-    probes: sum((node) => node.membership.probes),
+    probes: sum((node) => node.membership.probeCount),
     asks: sum((node) => node.rpc.callCount),
     cpu: process.cpuUsage().user,
   };
@@ -54,7 +54,7 @@
   await fleet.run(10_000);
   calm = false;
   const found = {
-    probes: (sum((node) => node.membership.probes) - before.probes) / nodes().length / 10,
+    probes: (sum((node) => node.membership.probeCount) - before.probes) / nodes().length / 10,
     asks: (sum((node) => node.rpc.callCount) - before.asks) / nodes().length / 10,
     cpu: (process.cpuUsage().user - before.cpu) / 1000 / nodes().length / 10,
     suspicions,
--- a/src/adapters/operatorHttp.ts
+++ b/src/adapters/operatorHttp.ts
@@ -268,7 +268,7 @@
             http,
             state,
           })),
-          replicas: snapshot.replicas,
+          replicas: snapshot.endpoints,
           group: snapshot.control?.group ?? null,
           frame: snapshot.control?.index ?? 0,
           manifest: snapshot.control?.manifest.version ?? 0,
--- a/src/agent/agentNode.ts
+++ b/src/agent/agentNode.ts
@@ -4,6 +4,7 @@
 import { Fault, Result } from "../common/fault";
 import { NodeContext } from "../node/nodeContext";
 import { Node } from "../node/node";
+import { FeedRequest, FeedResponse, SnapshotFeed } from "../node/snapshotFeed";
 import { Settings } from "../common/settings";
 import { OperatorHttp } from "../adapters/operatorHttp";
 import { ShardClient } from "../storage/shardClient";
@@ -16,7 +17,7 @@
  * const started = yield* AgentNode.start(env, settings);
  */
 export class AgentNode {
-  private feeds = 0;
+  private feedCount = 0;
   private constructor(
     readonly env: Env,
     readonly settings: Settings,
@@ -33,7 +34,7 @@
     rpc.handle("agent.announce", (body) => host.announce(body));
     rpc.handle("agent.goodbye", (body) => host.goodbye(body.id));
     rpc.handle("agent.tell", function* (body) {
-      agent.node.gossip.tell(body.key, body.value, body.grantMs, true);
+      agent.node.gossip.publish(body.key, body.value, body.grantMs, true);
       return Fault.ok(true);
     });
     const http = yield* OperatorHttp.serve(env, settings.http, agent.node, {
@@ -41,33 +42,27 @@
         agent.node.stopping ? "stopping" : agent.node.gossip.snapshot ? undefined : "no control frame yet",
       metrics: () => ({
         members: agent.node.membership.alive().length,
-        replicas: agent.node.snapshot().replicas.length,
-        feeds: agent.feeds,
+        replicas: agent.node.snapshot().endpoints.length,
+        feeds: agent.feedCount,
         frame_index: agent.node.gossip.snapshot?.index ?? 0,
-        probes: agent.node.membership.probes,
-        dropped_datagrams: agent.node.membership.dropped,
+        probes: agent.node.membership.probeCount,
+        dropped_datagrams: agent.node.membership.droppedDatagramCount,
       }),
       ledgerSource: new ShardClient(env, rpc, agent.node.self.id, () => agent.node.snapshot()),
     });
     if (!http.ok) return http;
     return Fault.ok(agent);
   }
-  /** A whole frame as soon as there is a newer one; the control part is left out if the ingress has it. */
-  private *feed(body: { seen: number; controlIndex: number }): Task<Result<any>> {
-    this.feeds += 1;
-    const until = this.env.mono() + Constants.feedWaitMs;
-    while (this.node.snapshot().number === body.seen && this.env.mono() < until)
+  /** Long poll: the snapshot as soon as it is newer than the caller's, or as it is once the wait has ended. */
+  private *feed(request: FeedRequest): Task<Result<FeedResponse>> {
+    this.feedCount += 1;
+    const deadline = this.env.mono() + Constants.feedWaitMs;
+    while (this.node.snapshot().revision === request.seen && this.env.mono() < deadline)
       yield* EnvTools.sleep(this.env, Constants.feedTickMs);
-    const snapshot = this.node.snapshot();
-    return Fault.ok({
-      ...snapshot,
-      controlIndex: snapshot.control?.index ?? 0,
-      control: snapshot.control?.index === body.controlIndex ? undefined : snapshot.control,
-      stopping: this.node.stopping,
-    });
+    return Fault.ok(SnapshotFeed.encode(this.node.snapshot(), request.controlIndex, this.node.stopping));
   }
   /** SIGTERM. @example yield* agent.stop(); */
   stop(): Task<void> {
-    return this.node.depart();
+    return this.node.shutDown();
   }
 }
--- a/src/control/calendar.ts
+++ b/src/control/calendar.ts
@@ -80,7 +80,7 @@
           if (move.until !== undefined && this.env.wall() < move.until) return;
           const left = this.node
             .snapshot()
-            .replicas.filter((endpoint) => endpoint.district === move.district && endpoint.active > 0);
+            .endpoints.filter((endpoint) => endpoint.district === move.district && endpoint.active > 0);
           if (move.until === undefined && left.length === 0)
             yield* this.mark(entry, "finished", "no work left in the district");
           else if (move.until !== undefined) yield* this.mark(entry, "finished", "time is up");
@@ -91,7 +91,7 @@
         if (pencilled) {
           const there = this.node
             .snapshot()
-            .replicas.some((endpoint) => endpoint.pool === move.pool && endpoint.version === move.version);
+            .endpoints.some((endpoint) => endpoint.pool === move.pool && endpoint.version === move.version);
           yield* this.mark(
             entry,
             there ? "started" : "failed",
--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -244,7 +244,7 @@
     if (id === node.self.id) return false;
     const member = node.membership.find(id);
     if (!member) return this.unheardFor() > Constants.voterUnknownMs;
-    const silentFor = node.membership.stateAge(id);
+    const silentFor = node.membership.stateAgeMs(id);
     switch (member.state) {
       case "alive":
       case "suspect":
@@ -507,7 +507,7 @@
   /** SIGTERM: a lead hands over to another voter before it goes. @example yield* control.stop(); */
   stop(): Task<void> {
     const control = this;
-    return this.node.depart(function* () {
+    return this.node.shutDown(function* () {
       yield* control.group.transferLeadership();
       yield* EnvTools.sleep(control.env, Constants.handOverWaitMs);
     });
--- a/src/ingress/ingressNode.ts
+++ b/src/ingress/ingressNode.ts
@@ -25,6 +25,7 @@
 import { Cause } from "../shard/shardState";
 import { ShardClient } from "../storage/shardClient";
 import { Rpc } from "../rpc/rpc";
+import { SnapshotFeed } from "../node/snapshotFeed";
 import { WarmUpRequests } from "./warmUpRequests";
 import { RequestTable, RequestHandle } from "./requestTable";
 
@@ -48,13 +49,13 @@
  */
 export class IngressNode {
   private fed: ClusterSnapshot = {
-    number: 0,
+    revision: 0,
     control: undefined,
     members: [],
-    replicas: [],
-    crowded: {},
-    fresh: false,
-    vouched: false,
+    endpoints: [],
+    overloadedPools: {},
+    isCurrent: false,
+    clockTrusted: false,
   };
   private fedAt = -Infinity;
   private notes: Note[] = [];
@@ -191,8 +192,8 @@
       if (index > told) this.env.log(1601, { index, manifest: node.gossip.snapshot?.manifest.version });
       told = Math.max(told, index);
     };
-    node.gossip.watch(changed);
-    node.membership.watch(changed);
+    node.gossip.onChange(changed);
+    node.membership.onChange(changed);
   }
   /** Why direct work cannot be taken, if so; while stopping, what still comes is served. @example const why = ingress.held(); */
   rejectReason(): string | undefined {
@@ -205,10 +206,10 @@
     if (this.stopping) return "stopping";
     if (!this.current.control) return "no manifest yet";
     if (!this.warmedUp) return "rehearsing";
-    if (!this.confirmation.confirmed()) return "configuration not confirmed by the control lead";
-    if ((!this.node && this.env.mono() - this.fedAt > Constants.frameStaleMs) || !this.current.fresh)
+    if (!this.confirmation.isConfirmed()) return "configuration not confirmed by the control lead";
+    if ((!this.node && this.env.mono() - this.fedAt > Constants.frameStaleMs) || !this.current.isCurrent)
       return "no fresh frame";
-    if (!this.current.vouched) return "clock not vouched for";
+    if (!this.current.clockTrusted) return "clock not vouched for";
     return undefined;
   }
   /** @example ingress.metrics().lookups */
@@ -220,7 +221,7 @@
       in_flight: this.inFlight,
       frame_index: this.current.control?.index ?? 0,
       manifest_version: this.current.control?.manifest.version ?? 0,
-      replicas: this.current.replicas.length,
+      replicas: this.current.endpoints.length,
       affinity_hits: this.endpointSelector.affinityHits,
       affinity_misses: this.endpointSelector.affinityMisses,
     };
@@ -228,23 +229,23 @@
   private *feedLoop(): Task<void> {
     for (;;) {
       const askedAt = this.env.mono();
-      const fed = yield* this.rpc.call<any>(
+      const fed = yield* this.rpc.call(
         this.settings.agent!,
         "agent.feed",
-        { seen: this.current.number, controlIndex: this.current.control?.index ?? 0 },
+        { seen: this.current.revision, controlIndex: this.current.control?.index ?? 0 },
         Constants.feedWaitMs + 500,
       );
       if (!fed.ok) {
         yield* EnvTools.sleep(this.env, 100);
         continue;
       }
-      const { control, controlIndex, ...rest } = fed.value;
+      const { control, controlIndex, ...rest } = SnapshotFeed.decode(fed.value);
       const kept = this.current.control;
       // the control part only ever grows
       const newest = control && (!kept || control.index > kept.index) ? control : kept;
-      if (newest !== kept) this.env.log(1601, { index: newest.index, manifest: newest.manifest.version });
+      if (newest !== kept) this.env.log(1601, { index: newest?.index, manifest: newest?.manifest.version });
       // an agent that was started again may know less than we do: its word counts once it has caught up
-      this.fed = { ...rest, control: newest, fresh: rest.fresh && controlIndex >= (newest?.index ?? 0) };
+      this.fed = { ...rest, control: newest, isCurrent: rest.isCurrent && controlIndex >= (newest?.index ?? 0) };
       this.fedAt = askedAt;
       this.admissionQueue.endpointsChanged();
     }
@@ -258,7 +259,7 @@
       if (now - last > Constants.clockJumpMs + Constants.clockWatchMs) {
         this.env.log(1005, { forMs: Math.round(now - last) });
         this.fedAt = -Infinity;
-        if (!this.node) this.confirmation.require(); // an agent in this process sees to its own
+        if (!this.node) this.confirmation.invalidate(); // an agent in this process sees to its own
       }
       const stale = !this.node && now - this.fedAt > Constants.frameStaleMs;
       if (stale && !told) {
@@ -347,7 +348,7 @@
   }
   /** News of ours, by the agent. @example ingress.tell("crowd/i1/model", { pool: "model" }, 600); */
   tell(key: string, value: unknown, leaseMs: number): void {
-    if (this.node) return this.node.gossip.tell(key, value, leaseMs, true);
+    if (this.node) return this.node.gossip.publish(key, value, leaseMs, true);
     const ingress = this;
     Csp.go(this.env.scope, "tell news", () =>
       ingress.rpc.call(ingress.settings.agent!, "agent.tell", { key, value, grantMs: leaseMs }, 500),
@@ -553,7 +554,7 @@
       yield* EnvTools.sleep(this.env, 50);
     yield* EnvTools.sleep(this.env, Constants.ledgerFlushMs + 100);
     if (this.node)
-      yield* this.node.depart(function* () {
+      yield* this.node.shutDown(function* () {
         /* nothing is left to finish */
       });
     else this.env.log(1003);
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -7,7 +7,7 @@
 import { ControlSnapshot, ControlState } from "../control/controlState";
 import { ConfigurationPatch, Configurations } from "../control/configurations";
 import { Member } from "./member";
-import { Membership, MemberStanding } from "./membership";
+import { Membership, MemberVersion } from "./membership";
 
 /** One fact with an owner and a version; no value means it has ended for good. */
 export type GossipFact = { key: string; owner: string; version: number; value: unknown; gone: boolean };
@@ -53,10 +53,10 @@
   private fetching = false;
   private turn: string[] = [];
   private steps: Step[] = [];
-  private watchers: (() => void)[] = [];
+  private listeners: (() => void)[] = [];
   snapshot: ControlSnapshot | undefined;
   /** When digests were last compared with anybody, by either side. */
-  comparedAt = -Infinity;
+  lastExchangeAt = -Infinity;
   snapshotAt = 0;
 
   constructor(
@@ -71,14 +71,11 @@
     this.rpc.handle("news.digest", (body, sender) => this.compared(body, sender));
     this.rpc.handle("news.differ", (body) => this.differed(body));
     const { membership } = this;
-    this.rpc.handle(
-      "members.differ",
-      function* (body: { buckets: number[]; standing: Record<string, MemberStanding> }) {
-        return Fault.ok(membership.differ(body.buckets, body.standing));
-      },
-    );
+    this.rpc.handle("members.differ", function* (body: { buckets: number[]; standing: Record<string, MemberVersion> }) {
+      return Fault.ok(membership.diff(body.buckets, body.standing));
+    });
     this.rpc.handle("members.told", function* (body: { updates: Member[] }) {
-      membership.told(body.updates);
+      membership.merge(body.updates);
       return Fault.ok(true);
     });
     this.rpc.handle("frame.fetch", (body) => this.fetched(body));
@@ -86,11 +83,11 @@
     EnvTools.keep(this.env, this.env.scope, "news digest", () => this.digestLoop());
   }
   /** @example news.watch(() => rebuild()); */
-  watch(watcher: () => void): void {
-    this.watchers.push(watcher);
+  onChange(watcher: () => void): void {
+    this.listeners.push(watcher);
   }
-  private notify(): void {
-    for (const watcher of this.watchers) watcher();
+  private notifyListeners(): void {
+    for (const watcher of this.listeners) watcher();
   }
 
   /**
@@ -98,7 +95,7 @@
    * it good; an urgent one goes whole, and digests mend what is lost of it.
    * @example news.tell("load/n1", { live: 3 }, 5000, false);
    */
-  tell(key: string, value: unknown, leaseMs: number, urgent: boolean): void {
+  publish(key: string, value: unknown, leaseMs: number, urgent: boolean): void {
     const known = this.facts.get(key);
     const version = this.nextVersion(known);
     const standing =
@@ -125,7 +122,7 @@
     return Object.fromEntries(otherwise.map((name) => [name, value[name]]));
   }
   /** Ends a fact for good. @example news.end("replica/r1/x"); */
-  end(key: string, value = this.facts.get(key)?.value ?? null): void {
+  remove(key: string, value = this.facts.get(key)?.value ?? null): void {
     const version = this.nextVersion(this.facts.get(key));
     this.keep(
       { key, owner: this.membership.self.id, version, gone: true, base: version, whole: value, patch: {} },
@@ -134,8 +131,8 @@
     Csp.offer(this.wake, true);
   }
   /** Ends facts, and returns once another member knows it too, or soon: our word should outlive us. @example yield* news.endKept([key]); */
-  *endKept(keys: string[], value?: unknown): Task<void> {
-    for (const key of keys) this.end(key, value);
+  *removeAndReplicate(keys: string[], value?: unknown): Task<void> {
+    for (const key of keys) this.remove(key, value);
     const facts = keys
       .map((key) => this.facts.get(key))
       .filter((held): held is Held => !!held)
@@ -157,7 +154,7 @@
     yield* EnvTools.takeWithin(this.env, heard, Constants.goodbyeToldMs);
   }
   /** Facts under a grant, by key prefix. @example news.current("replica/") */
-  current(prefix: string): GossipFact[] {
+  live(prefix: string): GossipFact[] {
     const now = this.env.mono();
     const found: GossipFact[] = [];
     for (const key of (this.order ??= [...this.facts.keys()].sort())) {
@@ -172,11 +169,11 @@
     return this.facts.get(key);
   }
   /** @example news.isGone("replica/r1/x") */
-  isGone(key: string): boolean {
+  isRemoved(key: string): boolean {
     return this.facts.get(key)?.gone ?? false;
   }
   /** @example news.versionAge("replica/r1/x") // ms since it was last renewed */
-  versionAge(key: string): number {
+  ageMs(key: string): number {
     const known = this.facts.get(key);
     return known ? this.env.mono() - known.heardAt : Infinity;
   }
@@ -195,7 +192,7 @@
     this.env.point(21);
     Csp.offer(this.stirred, true);
     Csp.offer(this.wake, true);
-    this.notify();
+    this.notifyListeners();
     return true;
   }
 
@@ -236,7 +233,7 @@
     const rebased = known?.mark !== held.mark || this.fresh.get(told.key) === "whole";
     this.fresh.set(told.key, rebased ? "whole" : "renewed");
     Csp.offer(this.stirred, true);
-    this.notify();
+    this.notifyListeners();
     return true;
   }
   private forget(held: Held): void {
@@ -329,7 +326,7 @@
     for (;;) {
       yield* EnvTools.sleep(
         this.env,
-        this.membership.period(Constants.digestPeriodMs) * (0.8 + 0.4 * this.env.random()),
+        this.membership.periodMs(Constants.digestPeriodMs) * (0.8 + 0.4 * this.env.random()),
       );
       const now = this.env.mono();
       for (const [key, held] of this.facts) {
@@ -340,11 +337,11 @@
             if (key.startsWith("replica/")) this.env.log(1203, { replica: key });
             // remembered as it was, so that an older copy elsewhere is not taken for news
             if (now - held.heardAt > Constants.tombstoneMs) this.forget(held);
-            this.notify();
+            this.notifyListeners();
           }
         }
       }
-      yield* this.compareWithOne();
+      yield* this.exchangeDigests();
     }
   }
   /**
@@ -352,13 +349,13 @@
    * whether anything differs, sums by bucket tell where, and only the facts of those buckets are gone through.
    * @example yield* news.compareWithOne()
    */
-  *compareWithOne(): Task<boolean> {
+  *exchangeDigests(): Task<boolean> {
     const [address] = this.some(1);
     if (!address) return false;
     const askedAt = this.env.mono();
     const digest: Digest = {
       sum: Gossip.sum(this.sums),
-      memberSum: Gossip.sum(this.membership.sums()),
+      memberSum: Gossip.sum(this.membership.bucketChecksums()),
       stale: this.stale(),
       frameIndex: this.snapshot?.index ?? 0,
       group: this.snapshot?.group,
@@ -368,8 +365,8 @@
     for (const renewed of response.value.renewed) this.renew(renewed);
     if (response.value.memberSums) yield* this.mendMembers(address, response.value.memberSums);
     if (response.value.sums) yield* this.mend(address, response.value.sums);
-    yield* this.fetchIfNewer(address, response.value.frameIndex);
-    this.comparedAt = askedAt;
+    yield* this.fetchSnapshotIfNewer(address, response.value.frameIndex);
+    this.lastExchangeAt = askedAt;
     return true;
   }
   /** Facts whose renewals have not come for long: they are asked after before their grant ends. */
@@ -389,12 +386,14 @@
     sums.reduce((sum, each, bucket) => (sum ^ Math.imul(each, 2 * bucket + 1)) >>> 0, 0);
   /** Who is there, passed on by datagrams a few times only: what was lost of it is found here. */
   private *mendMembers(address: string, theirs: number[]): Task<void> {
-    const buckets = this.membership.sums().flatMap((sum, bucket) => (sum === theirs[bucket] ? [] : [bucket]));
-    const body = { buckets, standing: this.membership.standing(buckets) };
+    const buckets = this.membership
+      .bucketChecksums()
+      .flatMap((sum, bucket) => (sum === theirs[bucket] ? [] : [bucket]));
+    const body = { buckets, standing: this.membership.versions(buckets) };
     const response = yield* this.rpc.call<{ updates: Member[]; want: string[] }>(address, "members.differ", body, 600);
     if (!response.ok) return;
-    this.membership.told(response.value.updates);
-    const updates = this.membership.infos(response.value.want);
+    this.membership.merge(response.value.updates);
+    const updates = this.membership.membersById(response.value.want);
     if (updates.length > 0) this.rpc.notify([address], "members.told", { updates });
   }
   private *mend(address: string, theirs: number[]): Task<void> {
@@ -430,7 +429,7 @@
     return [...this.facts.values()].filter((held) => wanted.has(Gossip.bucketOf(held.key)));
   }
   /** Fetches the frame of a member that says it has one of this index. @example yield* news.fetchIfNewer(address, 17) */
-  *fetchIfNewer(address: string, index: number): Task<void> {
+  *fetchSnapshotIfNewer(address: string, index: number): Task<void> {
     if (index <= (this.snapshot?.index ?? 0) || this.fetching) return;
     this.fetching = true;
     try {
@@ -459,7 +458,7 @@
     for (const renewed of body.renewed) this.renew(renewed);
     if (urgent) Csp.offer(this.wake, true);
     const address = this.membership.find(sender)?.address;
-    if (address) yield* this.fetchIfNewer(address, body.frameIndex);
+    if (address) yield* this.fetchSnapshotIfNewer(address, body.frameIndex);
     return Fault.ok(true);
   }
   private renew([key, owner, version, base, patch, ageMs]: Renewed): void {
@@ -469,13 +468,13 @@
       this.keep({ key, owner, version, gone: false, base, whole: known.whole, patch }, known.grantMs, ageMs);
   }
   private *compared(body: Digest, sender: string): Task<Result<Compared>> {
-    this.comparedAt = this.env.mono();
+    this.lastExchangeAt = this.env.mono();
     const address = this.membership.find(sender)?.address;
     if (address && body.frameIndex > (this.snapshot?.index ?? 0)) {
       const gossip = this;
-      Csp.go(this.env.scope, "fetch", () => gossip.fetchIfNewer(address, body.frameIndex));
+      Csp.go(this.env.scope, "fetch", () => gossip.fetchSnapshotIfNewer(address, body.frameIndex));
     }
-    const memberSums = this.membership.sums();
+    const memberSums = this.membership.bucketChecksums();
     const newer = Object.entries(body.stale)
       .flatMap(([key]) => this.facts.get(key) ?? [])
       .filter((held) => !held.gone && held.version > body.stale[held.key]);
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -12,7 +12,7 @@
   | { tag: "vouch"; n: number; from: Member; updates: Member[] };
 
 /** Where a member stands, as two others compare it. */
-export type MemberStanding = [incarnation: number, rank: number];
+export type MemberVersion = [incarnation: number, rank: number];
 
 const rank = { alive: 0, suspect: 1, dead: 2, left: 3 };
 
@@ -32,15 +32,15 @@
   private socket!: DatagramSocket;
   private n = 0;
   private turn: string[] = [];
-  private vouches = true;
+  private clockTrusted = true;
   private mustSample = false;
-  private watchers: ((changed?: Member) => void)[] = [];
+  private listeners: ((changed?: Member) => void)[] = [];
   private living: Member[] | undefined; // by id, until anything changes
   private livingSums: number[] | undefined; // of those, by range, until anything changes
-  dropped = 0;
-  probes = 0;
+  droppedDatagramCount = 0;
+  probeCount = 0;
   changed = 0;
-  ownLate = 0; // probes that judged nobody since we were late ourselves
+  inconclusiveProbeCount = 0; // probes that judged nobody since we were late ourselves
   private readonly startedAt: number;
 
   constructor(
@@ -70,8 +70,8 @@
   }
 
   /** Called after every change, with the member it is about. @example membership.watch((changed) => rebuild(changed)); */
-  watch(watcher: (changed?: Member) => void): void {
-    this.watchers.push(watcher);
+  onChange(watcher: (changed?: Member) => void): void {
+    this.listeners.push(watcher);
   }
   /** Members that may be worked with, suspects among them. @example membership.alive("store") */
   alive(program?: Member["program"]): Member[] {
@@ -82,7 +82,7 @@
     return program ? this.living.filter((info) => info.program === program) : this.living.slice();
   }
   /** One sum a range of ids, over the members that live: equal where two hold the same for alive. @example membership.sums()[3] */
-  sums(): number[] {
+  bucketChecksums(): number[] {
     if (this.livingSums) return this.livingSums;
     const sums: number[] = Array(Constants.memberBuckets).fill(0);
     for (const { info } of this.members.values())
@@ -91,27 +91,27 @@
   }
   private static bucketOf = (id: string): number => Hash.number(id) % Constants.memberBuckets;
   /** Where the members of some ranges stand, the dead that are remembered among them. @example membership.standing([3]) */
-  standing(buckets: number[]): Record<string, MemberStanding> {
+  versions(buckets: number[]): Record<string, MemberVersion> {
     const within = this.all().filter((info) => buckets.includes(Membership.bucketOf(info.id)));
     return Object.fromEntries(
-      within.map((info): [string, MemberStanding] => [info.id, [info.incarnation, rank[info.state]]]),
+      within.map((info): [string, MemberVersion] => [info.id, [info.incarnation, rank[info.state]]]),
     );
   }
   /** What another lacks of those ranges, and what we lack of it. @example membership.differ([3], standing).want */
-  differ(buckets: number[], theirs: Record<string, MemberStanding>): { updates: Member[]; want: string[] } {
-    const ours = this.standing(buckets);
-    const newer = (left: MemberStanding, right: MemberStanding): boolean =>
+  diff(buckets: number[], theirs: Record<string, MemberVersion>): { updates: Member[]; want: string[] } {
+    const ours = this.versions(buckets);
+    const newer = (left: MemberVersion, right: MemberVersion): boolean =>
       left[0] > right[0] || (left[0] === right[0] && left[1] > right[1]);
     const updates = Object.keys(ours).filter((id) => (theirs[id] ? newer(ours[id], theirs[id]) : ours[id][1] < 2));
     const want = Object.keys(theirs).filter((id) => (ours[id] ? newer(theirs[id], ours[id]) : theirs[id][1] < 2));
-    return { updates: this.infos(updates), want };
+    return { updates: this.membersById(updates), want };
   }
   /** @example membership.infos(["agent-7"]) */
-  infos(ids: string[]): Member[] {
+  membersById(ids: string[]): Member[] {
     return ids.flatMap((id) => this.members.get(id)?.info ?? []);
   }
   /** Takes in what another tells of members. @example membership.told(updates); */
-  told(updates: Member[]): void {
+  merge(updates: Member[]): void {
     for (const update of updates) this.learn(update, false);
   }
   /** @example membership.all().filter((member) => member.state === "dead") */
@@ -123,12 +123,12 @@
     return this.members.get(id)?.info;
   }
   /** How long the member has been in its state, ms. @example membership.stateAge("node-17") */
-  stateAge(id: string): number {
+  stateAgeMs(id: string): number {
     const known = this.members.get(id);
     return known ? this.env.mono() - known.since : Infinity;
   }
   /** Estimated skew of our clock against the others', ms; undefined while too few were heard. @example membership.skew() */
-  skew(): { offset: number; error: number } | undefined {
+  clockSkew(): { offset: number; error: number } | undefined {
     const latest = [...new Map(this.offsets.map((sample) => [sample.member, sample])).values()];
     if (latest.length < 2) return undefined;
     const sorted = latest.sort((left, right) => left.offset - right.offset);
@@ -137,21 +137,21 @@
     return { offset: (middle.offset + second.offset) / 2, error: Math.max(middle.error, second.error) };
   }
   /** The wall clock jumped against the monotonic one: old samples are worth nothing. @example membership.clockStepped(); */
-  clockStepped(): void {
+  discardClockSamples(): void {
     this.offsets = [];
     this.mustSample = this.alive().length > 2;
   }
   /** Whether this node may stamp. @example if (!membership.vouchesForClock(25)) return busy; */
-  vouchesForClock(deltaMs: number): boolean {
-    const skew = this.skew();
+  isClockTrusted(deltaMs: number): boolean {
+    const skew = this.clockSkew();
     if (skew) this.mustSample = false;
     const vouches = skew ? Math.abs(skew.offset) - skew.error <= deltaMs : !this.mustSample;
-    if (vouches !== this.vouches)
+    if (vouches !== this.clockTrusted)
       this.env.log(
         vouches ? 1008 : 1007,
         skew && { offsetMs: Math.round(skew.offset), errorMs: Math.round(skew.error) },
       );
-    this.vouches = vouches;
+    this.clockTrusted = vouches;
     return vouches;
   }
   /** Tells the others that we leave. @example membership.leave(); */
@@ -172,7 +172,7 @@
     }
     this.changed += 1;
     this.living = this.livingSums = undefined;
-    for (const watcher of this.watchers) watcher(known?.info);
+    for (const watcher of this.listeners) watcher(known?.info);
   }
   private updates(): Member[] {
     const fresh = [...this.members.values()]
@@ -250,8 +250,9 @@
       const envelope = EnvelopeCodec.decode(got.data, this.cluster);
       const datagram = envelope?.body as Datagram | undefined;
       if (!envelope || envelope.kind !== "datagram" || !datagram?.from || !Array.isArray(datagram.updates)) {
-        this.dropped += 1;
-        if (this.dropped % 100 === 1) this.env.log(1105, { from: got.from, dropped: this.dropped });
+        this.droppedDatagramCount += 1;
+        if (this.droppedDatagramCount % 100 === 1)
+          this.env.log(1105, { from: got.from, dropped: this.droppedDatagramCount });
         continue;
       }
       this.learn(datagram.from, true);
@@ -310,7 +311,7 @@
         default: {
           const never: never = datagram;
           void never;
-          this.dropped += 1;
+          this.droppedDatagramCount += 1;
         }
       }
     }
@@ -320,7 +321,7 @@
     const n = (this.n += 1);
     const heard = Csp.chan<true>(1);
     this.waiting.set(n, heard);
-    this.probes += 1;
+    this.probeCount += 1;
     this.send(target.address, {
       tag: "ping",
       n,
@@ -336,7 +337,7 @@
   }
 
   /** A usual period, or what it is for a member that has just started. @example membership.period(Constants.digestPeriodMs) */
-  period = (usualMs: number): number =>
+  periodMs = (usualMs: number): number =>
     this.env.mono() - this.startedAt < Constants.youthMs ? usualMs * Constants.youthFactor : usualMs;
   private *probeLoop(): Task<void> {
     for (;;) {
@@ -356,7 +357,7 @@
         for (const known of this.members.values()) if (known.info.state === "suspect") known.since = this.env.mono();
       yield* EnvTools.sleep(
         this.env,
-        Math.max(20, this.period(Constants.probePeriodMs) * (0.9 + 0.2 * this.env.random()) - spent),
+        Math.max(20, this.periodMs(Constants.probePeriodMs) * (0.9 + 0.2 * this.env.random()) - spent),
       );
     }
   }
@@ -391,7 +392,7 @@
     if (heard === true) return this.clear(probed.id);
     // whose own timers come late was not listening either
     if (this.env.mono() - askedAt > Constants.probeTimeoutMs + Constants.indirectTimeoutMs + Constants.ownLateMs) {
-      this.ownLate += 1;
+      this.inconclusiveProbeCount += 1;
       return;
     }
     const known = this.members.get(probed.id);
@@ -419,7 +420,7 @@
       if (address !== undefined) yield* this.ping({ address }, Constants.probeTimeoutMs, true);
       // now and then the lost and the missing seeds are asked again, so that a healed cut is noticed
       const known = this.alive().length - 1 >= 2;
-      yield* EnvTools.sleep(this.env, this.period(known ? Constants.rejoinMs : Constants.joinRetryMs));
+      yield* EnvTools.sleep(this.env, this.periodMs(known ? Constants.rejoinMs : Constants.joinRetryMs));
     }
   }
 }
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -25,7 +25,7 @@
   private number = 0;
   fresh = true;
   stopping = false;
-  frozenCount = 0;
+  freezeCount = 0;
   private unfreezers: (() => void)[] = [];
   private lookedAt: number;
   /** Whether the control lead has confirmed our configuration since our start or last thaw. */
@@ -46,7 +46,7 @@
       own: () => this.readIndex(),
       source: (attempt) => this.readIndexSource(attempt),
       configuration: () => gossip.snapshot,
-      fetch: (address, index) => gossip.fetchIfNewer(address, index),
+      fetch: (address, index) => gossip.fetchSnapshotIfNewer(address, index),
     });
   }
 
@@ -83,12 +83,12 @@
     if (!(yield* membership.start()))
       return Fault.fail("internal", "bind", settings.address, "datagram socket not to be had");
     gossip.start();
-    membership.watch((changed) => {
+    membership.onChange((changed) => {
       node.cached = undefined;
       // a connection to who does not answer may carry nothing: a new one tells, and is made once it is there again
       if (changed && changed.state !== "alive" && changed.id !== id) rpc.closeIfIdle(changed.address);
     });
-    gossip.watch(() => (node.cached = undefined));
+    gossip.onChange(() => (node.cached = undefined));
     node.confirmation.serve();
     node.confirmation.start();
     EnvTools.keep(env, env.scope, "clock watch", () => node.watchClock());
@@ -107,7 +107,7 @@
     return [...byAddress.values()];
   }
   /** SIGTERM: unready, what is in flight (else a moment for the news of it), goodbye. @example yield* node.depart(); */
-  *depart(finish: () => Task<void> = () => EnvTools.sleep(this.env, 300)): Task<void> {
+  *shutDown(finish: () => Task<void> = () => EnvTools.sleep(this.env, 300)): Task<void> {
     this.env.log(1002);
     this.stopping = true;
     yield* finish();
@@ -116,7 +116,7 @@
     this.env.log(1003);
   }
   /** Called when the process finds that it was frozen. @example node.whenFrozen(() => copy.stopLead("frozen")); */
-  whenFrozen(ender: () => void): void {
+  onFreeze(ender: () => void): void {
     this.unfreezers.push(ender);
   }
   /** Whether the watch of the clock is so late that we must have been frozen. */
@@ -133,21 +133,21 @@
         sweptAt = now;
       }
       const offset = this.env.wall() - now;
-      if (Math.abs(offset - base) > this.bounds().deltaMs) this.membership.clockStepped();
+      if (Math.abs(offset - base) > this.clockBounds().deltaMs) this.membership.discardClockSamples();
       // a machine that was suspended may have had its monotonic clock stopped: then only the wall clock tells
       const suspended = offset - base > Constants.clockJumpMs;
       base = offset;
       if (this.frozenSinceLook(now)) this.thawed(now - this.lookedAt);
-      else if (suspended) this.confirmation.require();
+      else if (suspended) this.confirmation.invalidate();
       this.lookedAt = this.env.mono();
     }
   }
   /** What we knew may be old by now, and what others knew of us too. */
   private thawed(forMs: number): void {
-    this.frozenCount += 1;
+    this.freezeCount += 1;
     this.fresh = false;
     this.cached = undefined;
-    this.confirmation.require();
+    this.confirmation.invalidate();
     this.env.log(1005, { forMs: Math.round(forMs) });
     for (const ender of this.unfreezers) ender();
     const node = this;
@@ -156,7 +156,7 @@
   /** Two different members are compared with: one alone may have been frozen with us. */
   private *freshen(): Task<void> {
     for (let compared = 0; compared < 2 && this.membership.alive().length > 1;) {
-      if (yield* this.gossip.compareWithOne()) compared += 1;
+      if (yield* this.gossip.exchangeDigests()) compared += 1;
       else yield* EnvTools.sleep(this.env, 50);
     }
     this.fresh = true;
@@ -172,20 +172,20 @@
     return asked[Math.floor(this.env.random() * asked.length)]?.address;
   }
   /** The bounds in force. @example Stamp.delay(node.bounds()) */
-  bounds(): Bounds {
+  clockBounds(): Bounds {
     return this.gossip.snapshot?.manifest.doc.clock ?? Stamp.defaults;
   }
   /** Whether what we hold may be acted on: not frozen since it came, and confirmed by the control lead since our start. */
   private current(): boolean {
-    return this.fresh && !this.frozenSinceLook(this.env.mono()) && this.confirmation.confirmed();
+    return this.fresh && !this.frozenSinceLook(this.env.mono()) && this.confirmation.isConfirmed();
   }
   /** Whether our configuration is current as far as we can know, and we heard from others lately. @example node.inTouch() */
-  inTouch(): boolean {
-    return this.current() && this.env.mono() - this.gossip.comparedAt < Constants.frameStaleMs;
+  isCurrent(): boolean {
+    return this.current() && this.env.mono() - this.gossip.lastExchangeAt < Constants.frameStaleMs;
   }
   /** Whether we may stamp and hold duties. @example if (!node.vouches()) return busy; */
-  vouches(): boolean {
-    return this.current() && this.membership.vouchesForClock(this.bounds().deltaMs);
+  mayHoldLeases(): boolean {
+    return this.current() && this.membership.isClockTrusted(this.clockBounds().deltaMs);
   }
   /** @example node.addressOf("store-17") */
   addressOf(id: string): string | undefined {
@@ -195,34 +195,34 @@
   /** The newest frame; the same object until something changed. @example node.frame().replicas */
   snapshot(): ClusterSnapshot {
     const now = this.env.mono();
-    const vouched = this.membership.vouchesForClock(this.bounds().deltaMs);
+    const vouched = this.membership.isClockTrusted(this.clockBounds().deltaMs);
     if (
       this.cached &&
       now - this.cachedAt < 250 &&
-      this.cached.vouched === vouched &&
-      this.cached.fresh === this.inTouch()
+      this.cached.clockTrusted === vouched &&
+      this.cached.isCurrent === this.isCurrent()
     )
       return this.cached;
     const overloaded: Record<string, boolean> = {};
-    for (const fact of this.gossip.current("crowd/")) {
-      if (this.gossip.versionAge(fact.key) < Constants.jobOverloadHoldMs)
+    for (const fact of this.gossip.live("crowd/")) {
+      if (this.gossip.ageMs(fact.key) < Constants.jobOverloadHoldMs)
         overloaded[(fact.value as { pool: string }).pool] = true;
     }
     this.cachedAt = now;
     this.cached = {
-      number: (this.number += 1),
+      revision: (this.number += 1),
       control: this.gossip.snapshot,
       members: this.membership.alive(),
-      replicas: Node.newest(
-        this.gossip.current("replica/").map((fact) => ({
+      endpoints: Node.newest(
+        this.gossip.live("replica/").map((fact) => ({
           key: fact.key,
           ...(fact.value as Omit<Endpoint, "key">),
-          ...(this.gossip.versionAge(fact.key) > Constants.endpointQuietMs ? { quiet: true } : {}),
+          ...(this.gossip.ageMs(fact.key) > Constants.endpointQuietMs ? { quiet: true } : {}),
         })),
       ),
-      crowded: overloaded,
-      fresh: this.inTouch(),
-      vouched,
+      overloadedPools: overloaded,
+      isCurrent: this.isCurrent(),
+      clockTrusted: vouched,
     };
     return this.cached;
   }
--- a/src/node/nodeContext.ts
+++ b/src/node/nodeContext.ts
@@ -55,24 +55,24 @@
 function* announce(node: Node, announcement: Announcement): Task<Result<unknown>> {
   const { gossip: news, env } = node;
   const { leaving, warmLeftMs, ...told } = announcement;
-  const known = news.current(`replica/${announcement.id}/`)[0];
+  const known = news.live(`replica/${announcement.id}/`)[0];
   let instance = announcement.instance ?? (known?.value as Endpoint | undefined)?.instance ?? "0";
   let key = `replica/${announcement.id}/${instance}`;
-  if (news.isGone(key)) {
+  if (news.isRemoved(key)) {
     const gone = news.find(key)?.value as Endpoint | undefined;
-    if (announcement.instance !== undefined || leaving || news.versionAge(key) < Constants.goodbyeHoldMs)
+    if (announcement.instance !== undefined || leaving || news.ageMs(key) < Constants.goodbyeHoldMs)
       return yield* announceGone(node, announcement, key, gone);
     instance = `i${Math.floor(env.wall())}`;
     key = `replica/${announcement.id}/${instance}`;
   }
-  const before = news.current(key)[0]?.value as Endpoint | undefined;
+  const before = news.live(key)[0]?.value as Endpoint | undefined;
   if (before?.sequence !== undefined && announcement.sequence !== undefined && announcement.sequence < before.sequence)
     return Fault.ok({ instance, late: true });
   const warmAt = warmLeftMs === undefined ? {} : { warmAt: warmLeftMs > 0 ? env.wall() + warmLeftMs : 0 };
   const value: Omit<Endpoint, "key"> = { ...told, instance, bornAt: before?.bornAt ?? env.wall(), ...warmAt };
   if (leaving) {
     env.log(1202, { replica: key });
-    yield* news.endKept([key], value);
+    yield* news.removeAndReplicate([key], value);
     return Fault.ok({ instance, gone: true });
   }
   if (!before) env.log(1201, { replica: key, pool: announcement.pool });
@@ -81,8 +81,8 @@
     before &&
     !colder &&
     JSON.stringify({ ...before, warmAt: 0, sequence: 0 }) === JSON.stringify({ ...value, warmAt: 0, sequence: 0 });
-  if (unchanged && news.versionAge(key) < Constants.endpointRenewMs) return Fault.ok({ instance });
-  news.tell(key, value, Constants.endpointLeaseMs, !before || colder);
+  if (unchanged && news.ageMs(key) < Constants.endpointRenewMs) return Fault.ok({ instance });
+  news.publish(key, value, Constants.endpointLeaseMs, !before || colder);
   return Fault.ok({ instance });
 }
 
@@ -117,10 +117,10 @@
       snapshot: () => node.snapshot(),
       announce: (announcement) => announce(node, announcement),
       *goodbye(id) {
-        const facts = node.gossip.current(`replica/${id}/`);
+        const facts = node.gossip.live(`replica/${id}/`);
         const keys = facts.length > 0 ? facts.map((fact) => fact.key) : [`replica/${id}/0`];
         if (facts.length > 0) node.env.log(1202, { replica: id });
-        yield* node.gossip.endKept(keys);
+        yield* node.gossip.removeAndReplicate(keys);
         return Fault.ok(true);
       },
     };
--- a/src/node/readIndexConfirmation.ts
+++ b/src/node/readIndexConfirmation.ts
@@ -41,7 +41,7 @@
  */
 export class ReadIndexConfirmation {
   private requiredAfter: number;
-  private isConfirmed = false;
+  private wasConfirmed = false;
   private latest: ReadIndex | undefined;
   private readonly asking = new Set<string>();
   private refreshing: Chan<true> | undefined;
@@ -65,21 +65,21 @@
     this.rpc.handle(verb, (request) => this.respond(request));
   }
   /** From now on only a read index taken later than this counts. @example confirmation.require(); */
-  require(): void {
+  invalidate(): void {
     this.requiredAfter = this.env.mono();
-    this.isConfirmed = false;
+    this.wasConfirmed = false;
     Csp.offer(this.required, true);
   }
   /** @example if (!confirmation.confirmed()) return busy; */
-  confirmed(): boolean {
-    if (this.isConfirmed) return true;
+  isConfirmed(): boolean {
+    if (this.wasConfirmed) return true;
     const own = this.hooks.own();
     if (own) this.note(own);
     const { latest } = this;
     const configuration = this.hooks.configuration();
     if (!latest || !configuration || latest.at <= this.requiredAfter) return false;
     if (latest.group !== configuration.group || latest.index > configuration.index) return false;
-    this.isConfirmed = true;
+    this.wasConfirmed = true;
     this.env.log(1603, { index: configuration.index, afterMs: Math.round(this.env.mono() - this.requiredAfter) });
     return true;
   }
@@ -92,7 +92,7 @@
   private *confirmLoop(): Task<void> {
     for (;;) {
       yield* Csp.take(this.required);
-      for (let attempt = 0; !this.confirmed(); attempt += 1) {
+      for (let attempt = 0; !this.isConfirmed(); attempt += 1) {
         const address = this.hooks.source(attempt);
         const confirmation = this;
         if (address !== undefined && !this.asking.has(address))
@@ -108,7 +108,7 @@
       const readIndex = yield* this.request(address, { maxAgeMs, hops: Constants.confirmHops });
       if (readIndex && readIndex.index > (this.hooks.configuration()?.index ?? 0))
         yield* this.hooks.fetch(address, readIndex.index);
-      this.confirmed();
+      this.isConfirmed();
     } finally {
       this.asking.delete(address);
     }
--- a/src/routing/endpointEligibility.ts
+++ b/src/routing/endpointEligibility.ts
@@ -14,7 +14,7 @@
   inPool(criteria: PoolCriteria): Endpoint[] {
     const control = criteria.snapshot.control;
     const placement = firstMatchingRule(criteria, control?.policies.doc ?? [], (rule) => !!rule.land)?.land;
-    return criteria.snapshot.replicas.filter(
+    return criteria.snapshot.endpoints.filter(
       (endpoint) =>
         endpoint.pool === criteria.pool &&
         !control?.drained.includes(endpoint.district) &&
--- a/src/routing/endpointSelector.ts
+++ b/src/routing/endpointSelector.ts
@@ -55,7 +55,7 @@
 
   /** The endpoint to send the request to; undefined when none has capacity. */
   choose(criteria: SelectionCriteria): Endpoint | undefined {
-    this.states.sweep(criteria.snapshot.replicas);
+    this.states.sweep(criteria.snapshot.endpoints);
     const eligible = this.eligible(criteria);
     const available = this.available(criteria, eligible);
     if (available.length === 0) return undefined;
--- a/src/rpc/methods.ts
+++ b/src/rpc/methods.ts
@@ -14,6 +14,8 @@
  * docs/notes/calls.md). Types are a promise of the sender: a handler still checks what it reads, and one that throws at
  * a malformed body responds with the fault "internal".
  *
+ * Inside the declaration the names of this module are in scope without an import.
+ *
  * @example
  * declare module "../rpc/methods" {
  *   interface RpcMethods {
@@ -26,7 +28,7 @@
 export interface RpcMethods {}
 
 /** Names of the methods that have an entry. */
-export type TypedMethod = keyof RpcMethods & string;
+export type TypedMethod = keyof RpcMethods;
 
 /** Body of a request, by method name. */
 export type RequestOf<Method extends TypedMethod> =
--- a/src/storage/batchJobs.ts
+++ b/src/storage/batchJobs.ts
@@ -49,14 +49,15 @@
   *submit(replica: ShardReplica, body: SubmitJobRequest): Task<Result<SubmitJobResponse>> {
     const { id } = body.lot;
     for (let busy = this.submitting.get(id); busy; busy = this.submitting.get(id)) yield* Csp.take(busy);
-    if (!replica.holdsLease() || this.node.stopping || !this.node.vouches()) return this.notLeader(replica, "hand in");
+    if (!replica.holdsLease() || this.node.stopping || !this.node.mayHoldLeases())
+      return this.notLeader(replica, "hand in");
     const known = this.known(replica, id, body.lot.bodyHash);
     if (known) {
       this.counts.again += 1;
       this.itemExecution.opened(replica, id);
       return Fault.ok(known);
     }
-    if (!Stamp.admits(body.stamp.time, this.env.wall(), this.node.bounds()))
+    if (!Stamp.admits(body.stamp.time, this.env.wall(), this.node.clockBounds()))
       return Fault.fail("late", "hand in", this.node.self.id, "stamp outside the bounds");
     if (replica.view!.members.length < Constants.minReplicasForJobs) return this.busy("too few copies");
     const done = Csp.chan<true>(1);
@@ -134,7 +135,7 @@
     const until = this.env.mono() + Math.min(body.waitMs, Constants.readWaitMs);
     for (;;) {
       if (!this.isMember(replica)) return Fault.fail("notLead", "list", this.node.self.id, "no member of the view");
-      const oldest = this.env.wall() - Stamp.delay(this.node.bounds()) - Constants.jobListLagMs;
+      const oldest = this.env.wall() - Stamp.delay(this.node.clockBounds()) - Constants.jobListLagMs;
       if (replica.frontier() < oldest && !replica.holdsLease() && !body.anyAge)
         return Fault.fail("notLead", "list", this.node.self.id, "our frontier lags");
       const held = yield* replica.job(body.id);
--- a/src/storage/itemExecution.ts
+++ b/src/storage/itemExecution.ts
@@ -150,7 +150,7 @@
         // a lot whose put outran its handler's patience was accepted all the same
         for (const replica of this.replicas.values()) if (replica.holdsLease()) this.leaderStarted(replica);
       }
-      if (this.open.size === 0 || this.node.stopping || !this.node.vouches()) continue;
+      if (this.open.size === 0 || this.node.stopping || !this.node.mayHoldLeases()) continue;
       this.dispatch(this.node.snapshot());
     }
   }
@@ -187,7 +187,7 @@
     const configuration = snapshot.control?.manifest;
     return (
       configuration?.doc.bindings[job.binding] ??
-      (!configuration || !snapshot.fresh || configuration.version < (job.since ?? 0) ? job.kept : undefined)
+      (!configuration || !snapshot.isCurrent || configuration.version < (job.since ?? 0) ? job.kept : undefined)
     );
   }
   private dueInMs = (job: BatchJob): number =>
@@ -209,7 +209,7 @@
   /** How many items of a pool we may hold: our part of the lots' share of its slots, less while live work has to wait. */
   private window(turn: Turn, endpoints: Endpoint[], pool: string, urgent: boolean): number {
     const slots = endpoints.reduce((sum, endpoint) => sum + endpoint.capacity, 0);
-    const share = Constants.jobShare * (turn.frame.crowded[pool] && !urgent ? Constants.jobOverloadedShare : 1);
+    const share = Constants.jobShare * (turn.frame.overloadedPools[pool] && !urgent ? Constants.jobOverloadedShare : 1);
     return Math.max(Constants.jobWindowMin, Math.ceil(slots * share * turn.part));
   }
   /** Our part of what waits in all stores, by what those tell whose lots wait for room; at least our part of the leads. */
@@ -218,7 +218,7 @@
     const led = views.filter((view) => view.lead === this.node.self.id).length / Math.max(1, views.length);
     const ours = `lots/${this.node.self.id}`;
     let others = 0;
-    for (const { key, value } of this.node.gossip.current("lots/"))
+    for (const { key, value } of this.node.gossip.live("lots/"))
       if (key !== ours) others += (value as { items: number }).items;
     const own = this.demand();
     return Math.max(led, own === 0 ? 0 : own / (own + others));
@@ -236,7 +236,7 @@
       Math.abs(items - this.told.items) > this.told.items / 4 || now - this.told.at > Constants.jobDemandLeaseMs / 2;
     if (items < Constants.jobDemandItems || !changed || now - this.told.at < Constants.jobDemandMs) return;
     this.told = { items, at: now };
-    this.node.gossip.tell(`lots/${this.node.self.id}`, { items }, Constants.jobDemandLeaseMs, true);
+    this.node.gossip.publish(`lots/${this.node.self.id}`, { items }, Constants.jobDemandLeaseMs, true);
   }
   private poolOf(route: Route): string {
     if (!route.split || route.split.length === 0) return route.pool;
--- a/src/storage/storageNode.ts
+++ b/src/storage/storageNode.ts
@@ -65,8 +65,8 @@
       }
     }
     store.handle();
-    store.node.gossip.watch(() => store.snapshotChanged());
-    store.node.whenFrozen(() => {
+    store.node.gossip.onChange(() => store.snapshotChanged());
+    store.node.onFreeze(() => {
       for (const replica of store.replicas.values()) replica.stopLeader("frozen");
     });
     EnvTools.keep(env, env.scope, "disk watch", () => store.watchDisk());
@@ -76,7 +76,7 @@
     store.itemRuns.start();
     const http = yield* OperatorHttp.serve(env, settings.http, store.node, {
       unreadyReason: () =>
-        store.node.stopping ? "stopping" : !store.node.vouches() ? "clock or frame not vouched for" : undefined,
+        store.node.stopping ? "stopping" : !store.node.mayHoldLeases() ? "clock or frame not vouched for" : undefined,
       metrics: () => store.metrics(),
       ledgerSource: store.shardClient,
     });
@@ -95,8 +95,8 @@
         `${this.settings.data}/shard-${shard}`,
         {
           addressOf: (id) => this.node.addressOf(id),
-          bounds: () => this.node.bounds(),
-          isClockTrusted: () => this.node.vouches(),
+          bounds: () => this.node.clockBounds(),
+          isClockTrusted: () => this.node.mayHoldLeases(),
           putCompleted: (ms) => this.puts.add(ms),
           viewChangeNeeded: () => void Csp.offer(this.trouble, true),
           leadershipStarted: (started) => {
@@ -217,7 +217,7 @@
       return Fault.ok({
         shards: [...store.replicas.values()].filter((replica) => replica.exists).map((replica) => replica.status()),
         stopping: store.node.stopping,
-        vouches: store.node.vouches(),
+        vouches: store.node.mayHoldLeases(),
       });
     });
     on("shard.put", (replica, body) => this.put(replica, body));
@@ -276,8 +276,8 @@
   /** @example const refused = store.admit(copy, stamp); if (refused) return refused; */
   admit(replica: ShardReplica, stamp: Stamp): Result<never> | undefined {
     if (!replica.holdsLease()) return Fault.fail("notLead", "admit", this.node.self.id, replica.view?.lead ?? "");
-    if (!this.node.vouches()) return Fault.fail("notLead", "admit", this.node.self.id, "our clock is not vouched for");
-    if (!Stamp.admits(stamp.time, this.env.wall(), this.node.bounds()))
+    if (!this.node.mayHoldLeases()) return Fault.fail("notLead", "admit", this.node.self.id, "our clock is not vouched for");
+    if (!Stamp.admits(stamp.time, this.env.wall(), this.node.clockBounds()))
       return Fault.fail("late", "admit", this.node.self.id, `stamp ${Stamp.text(stamp)} outside the bounds`);
     return undefined;
   }
@@ -406,7 +406,7 @@
       mended_objects: sum((replica) => replica.counts.mended),
       ...this.puts.metrics("put_ms"),
       ...this.relays.metrics("relay_ms"),
-      skew_ms: +(this.node.membership.skew()?.offset ?? 0).toFixed(2),
+      skew_ms: +(this.node.membership.clockSkew()?.offset ?? 0).toFixed(2),
       disk_syncs: sum((replica) => replica.syncedWrites()),
       restamped_puts: this.shardClient.restampedPuts,
       affinity_hits: this.endpointSelector.affinityHits,
@@ -419,7 +419,7 @@
   /** SIGTERM: leads are handed on, work in flight ends or is taken over, goodbye. @example yield* store.stop(); */
   stop(): Task<void> {
     const store = this;
-    return this.node.depart(function* () {
+    return this.node.shutDown(function* () {
       const until = store.env.mono() + Constants.stopGraceMs;
       while (
         store.env.mono() < until &&
--- a/src/storage/workExecutor.ts
+++ b/src/storage/workExecutor.ts
@@ -62,7 +62,7 @@
     private readonly replicas: Map<number, ShardReplica>,
   ) {
     this.room = new AdmissionQueue(env, endpointSelector, (pool) => this.overload(pool));
-    node.gossip.watch(() => this.room.endpointsChanged());
+    node.gossip.onChange(() => this.room.endpointsChanged());
   }
   /** @example work.start(); */
   start(): void {
@@ -107,7 +107,7 @@
   private overload(pool: string): void {
     const now = this.env.mono();
     if (now - (this.overloadedAt.get(pool) ?? -Infinity) > 200)
-      this.node.gossip.tell(`crowd/${this.node.self.id}/${pool}`, { pool }, Constants.jobOverloadHoldMs, true);
+      this.node.gossip.publish(`crowd/${this.node.self.id}/${pool}`, { pool }, Constants.jobOverloadHoldMs, true);
     this.overloadedAt.set(pool, now);
     this.window.set(pool, 0);
   }
@@ -115,7 +115,7 @@
   *open(copy: ShardReplica, body: OpenBody): Task<Result<any>> {
     const id = body.work.id;
     for (let busy = this.opening.get(id); busy; busy = this.opening.get(id)) yield* Csp.take(busy);
-    if (!copy.holdsLease() || this.node.stopping || !this.node.vouches())
+    if (!copy.holdsLease() || this.node.stopping || !this.node.mayHoldLeases())
       return Fault.fail("notLead", "open", this.node.self.id, copy.view?.lead ?? "");
     const kept = copy.segments.find("works", id);
     if (kept)
@@ -129,7 +129,7 @@
       known?.state === "refused" && known.closedAt !== null && Stamp.compare(body.stamp, known.closedAt) > 0;
     if (known && !again)
       return Fault.ok({ tag: "exists", same: known.bodyHash === body.work.bodyHash, state: known.state });
-    if (!Stamp.admits(body.stamp.time, this.env.wall(), this.node.bounds()))
+    if (!Stamp.admits(body.stamp.time, this.env.wall(), this.node.clockBounds()))
       return Fault.fail("late", "open", this.node.self.id, `stamp ${Stamp.text(body.stamp)} outside the bounds`);
     const route = this.route(body.work.binding);
     if (!route) return Fault.fail("notFound", "open", this.node.self.id, `no binding ${body.work.binding}`);
@@ -533,7 +533,7 @@
   // ---------- lots ----------
   /** @example yield* work.acceptLot(copy, { stamp, lot, cause }) */
   *acceptJob(replica: ShardReplica, body: { stamp: Stamp; lot: BatchJobSpec; cause: Cause }): Task<Result<any>> {
-    if (!replica.holdsLease() || !this.node.vouches())
+    if (!replica.holdsLease() || !this.node.mayHoldLeases())
       return Fault.fail("notLead", "accept lot", this.node.self.id, replica.view?.lead ?? "");
     const kept = replica.segments.find("lots", body.lot.id);
     if (kept)
@@ -544,7 +544,7 @@
       });
     const known = replica.data.jobs.get(body.lot.id);
     if (known) return Fault.ok({ tag: "exists", same: known.bodyHash === body.lot.bodyHash, state: "" });
-    if (!Stamp.admits(body.stamp.time, this.env.wall(), this.node.bounds()))
+    if (!Stamp.admits(body.stamp.time, this.env.wall(), this.node.clockBounds()))
       return Fault.fail("late", "accept lot", this.node.self.id, "stamp outside the bounds");
     if (replica.view!.members.length < Constants.minReplicasForJobs)
       return Fault.busy("accept lot", this.node.self.id, "too few copies", 3 * Constants.retryAfterMs);
@@ -760,7 +760,7 @@
     for (;;) {
       if (this.openJobs.size === 0) yield* Csp.take(this.jobOpened);
       yield* EnvTools.sleep(this.env, Constants.jobTickMs);
-      if (this.node.stopping || !this.node.vouches()) continue;
+      if (this.node.stopping || !this.node.mayHoldLeases()) continue;
       const snapshot = this.node.snapshot();
       const now = this.env.mono();
       const jobs: { lot: BatchJob; copy: ShardReplica }[] = [];
@@ -777,7 +777,7 @@
       for (const pool of new Set(jobs.map(({ lot: job }) => this.routeOf(job).pool))) {
         // opens by one a tick while live work leaves room, shuts at once when it does not
         const overloaded =
-          snapshot.crowded[pool] || now - (this.overloadedAt.get(pool) ?? -Infinity) < Constants.jobOverloadHoldMs;
+          snapshot.overloadedPools[pool] || now - (this.overloadedAt.get(pool) ?? -Infinity) < Constants.jobOverloadHoldMs;
         const window = overloaded
           ? Constants.jobWindowMin
           : Math.min(Constants.jobWindowMax, (this.window.get(pool) ?? 0) + 1);
--- a/src/tools/scale/choiceScale.ts
+++ b/src/tools/scale/choiceScale.ts
@@ -1,6 +1,6 @@
 import { EndpointSelector } from "../../routing/endpointSelector";
 import { SelectionCriteria } from "../../routing/selectionCriteria";
-import { Endpoint } from "../../node/clusterSnapshot";
+import { ClusterSnapshot, Endpoint } from "../../node/clusterSnapshot";
 import { Scope } from "../../runtime/csp";
 import { NodeEnv } from "../../runtime/nodeEnv";
 import { Experiment } from "./experiment";
@@ -71,14 +71,14 @@
       plainUs: { what: "µs a choice without a prefix, median of seven", counted: false },
     },
     measure(count) {
-      const snapshot = {
-        number: 1,
+      const snapshot: ClusterSnapshot = {
+        revision: 1,
         control: HollowWorld.snapshot(1, 1),
         members: [],
-        replicas: candidates(count),
-        crowded: {},
-        fresh: true,
-        vouched: true,
+        endpoints: candidates(count),
+        overloadedPools: {},
+        isCurrent: true,
+        clockTrusted: true,
       };
       return Promise.resolve({ prefixUs: perChoice(true, snapshot), plainUs: perChoice(false, snapshot) });
     },
--- a/src/tools/scale/hollowMember.ts
+++ b/src/tools/scale/hollowMember.ts
@@ -67,7 +67,7 @@
   }
   /** How many replicas it may choose from. @example member.replicas() */
   endpoints(): number {
-    return this.node.gossip.current("replica/").length;
+    return this.node.gossip.live("replica/").length;
   }
   /** Starts members in a scope of each one's own, one after the other. @example yield* HollowMember.all(envs, settings) */
   static *all(envs: Env[], settings: HollowSettings[]): Task<HollowMember[]> {
--- a/src/tools/scale/wholeWorker.ts
+++ b/src/tools/scale/wholeWorker.ts
@@ -110,7 +110,7 @@
       cpuMs: (used.user + used.system) / 1000,
       rss: process.memoryUsage().rss,
       stallMs,
-      dropped: this.members.reduce((sum, member) => sum + member.node.membership.dropped, 0),
+      dropped: this.members.reduce((sum, member) => sum + member.node.membership.droppedDatagramCount, 0),
     };
   }
   /** What a forked process does: obeys its parent and ends with it. @example WholeWorker.serve(); */
--- a/test/confirmation.test.ts
+++ b/test/confirmation.test.ts
@@ -26,43 +26,43 @@
   const bench = new Bench();
   const { confirmation } = bench;
   bench.readIndex = { group: "g", index: 5, at: bench.now() };
-  expect(confirmation.confirmed()).toBe(false); // taken at the start, not after it
+  expect(confirmation.isConfirmed()).toBe(false); // taken at the start, not after it
   await bench.world.run(10);
   bench.readIndex = { group: "g", index: 9, at: bench.now() };
-  expect(confirmation.confirmed()).toBe(false);
+  expect(confirmation.isConfirmed()).toBe(false);
   bench.hold("g", 8);
-  expect(confirmation.confirmed()).toBe(false);
+  expect(confirmation.isConfirmed()).toBe(false);
   bench.hold("other", 9);
-  expect(confirmation.confirmed()).toBe(false);
+  expect(confirmation.isConfirmed()).toBe(false);
   bench.hold("g", 9);
-  expect(confirmation.confirmed()).toBe(true);
+  expect(confirmation.isConfirmed()).toBe(true);
 });
 test("it stays confirmed without the lead's word, until that is required anew", async () => {
   const bench = new Bench();
   const { confirmation } = bench;
   await bench.world.run(10);
   bench.readIndex = { group: "g", index: 5, at: bench.now() };
-  expect(confirmation.confirmed()).toBe(true);
+  expect(confirmation.isConfirmed()).toBe(true);
   bench.readIndex = undefined;
   await bench.world.run(60_000);
-  expect(confirmation.confirmed()).toBe(true);
-  confirmation.require();
-  expect(confirmation.confirmed()).toBe(false);
+  expect(confirmation.isConfirmed()).toBe(true);
+  confirmation.invalidate();
+  expect(confirmation.isConfirmed()).toBe(false);
   await bench.world.run(10);
   bench.readIndex = { group: "g", index: 6, at: bench.now() };
-  expect(confirmation.confirmed()).toBe(false);
+  expect(confirmation.isConfirmed()).toBe(false);
   bench.hold("g", 6);
-  expect(confirmation.confirmed()).toBe(true);
+  expect(confirmation.isConfirmed()).toBe(true);
 });
 test("a group recovered by an operator counts, its former self no longer does", async () => {
   const bench = new Bench();
   const { confirmation } = bench;
   await bench.world.run(10);
   bench.readIndex = { group: "g+1", index: 1_000_005, at: bench.now() };
-  expect(confirmation.confirmed()).toBe(false);
+  expect(confirmation.isConfirmed()).toBe(false);
   await bench.world.run(10);
   bench.readIndex = { group: "g", index: 5, at: bench.now() };
-  expect(confirmation.confirmed()).toBe(false);
+  expect(confirmation.isConfirmed()).toBe(false);
   bench.hold("g+1", 1_000_005);
-  expect(confirmation.confirmed()).toBe(true);
+  expect(confirmation.isConfirmed()).toBe(true);
 });
--- a/test/cutOff.test.ts
+++ b/test/cutOff.test.ts
@@ -164,7 +164,7 @@
   const fleet = new ControlFleet(51, { controls: 4, stores: 3, ingresses: 1 });
   const vouches = (name: string): boolean => {
     const store = fleet.running.get(name) as unknown as StorageNode | undefined;
-    return store?.node.vouches() ?? false;
+    return store?.node.mayHoldLeases() ?? false;
   };
   expect(await fleet.until(() => fleet.leader() !== undefined, 5000)).toBeDefined();
   expect(await fleet.until(() => fleet.names("store").every(vouches), 5000)).toBeDefined();
--- a/test/direct.test.ts
+++ b/test/direct.test.ts
@@ -62,13 +62,13 @@
     const { env } = process;
     const state = ControlState.empty();
     const snapshot: ClusterSnapshot = {
-      number: 1,
+      revision: 1,
       control: ControlState.frame({ ...state, manifest: { version: 1, doc: { bindings: routes } } }, 1),
       members: [],
-      replicas: behaviours.map((_, at) => endpoint(at)),
-      crowded: {},
-      fresh: true,
-      vouched: true,
+      endpoints: behaviours.map((_, at) => endpoint(at)),
+      overloadedPools: {},
+      isCurrent: true,
+      clockTrusted: true,
     };
     const endpointSelector = new EndpointSelector(env, "i");
     const ingress = {
@@ -335,7 +335,15 @@
   }
   const pool = [0, 1, 2].map(endpoint);
   const state = ControlState.empty();
-  const fed = { number: 1, control: ControlState.frame(state, 1), members: [], replicas: pool, crowded: {} };
+  const fed: ClusterSnapshot = {
+    revision: 1,
+    control: ControlState.frame(state, 1),
+    members: [],
+    endpoints: pool,
+    overloadedPools: {},
+    isCurrent: true,
+    clockTrusted: true,
+  };
   const endpointSelector = new EndpointSelector(env, "i");
   const room = new AdmissionQueue(env, endpointSelector, () => undefined);
   const requestTable = new RequestTable<Result<CallerResponse>>(4);
@@ -343,7 +351,7 @@
   const ingress = Object.assign(Object.create(IngressNode.prototype) as IngressNode, { note: () => undefined }, {
     env,
     id: "i",
-    fed: { ...fed, fresh: true, vouched: true },
+    fed,
     endpointSelector,
     admissionQueue: room,
     requestTable,
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -31,7 +31,7 @@
     await hollow.world.run(4000);
   }
   expect(accusations).toEqual([]);
-  expect(hollow.placed[4].member!.node.membership.ownLate).toBeGreaterThan(3);
+  expect(hollow.placed[4].member!.node.membership.inconclusiveProbeCount).toBeGreaterThan(3);
   hollow.end();
 }, 60_000);
 test("members that missed each other's news find it by comparing: who joined, and who died", async () => {
@@ -39,15 +39,15 @@
   // for half a minute one hears of nobody else's probes: datagrams to it are lost, connections stay
   const { membership } = hollow.placed[11].member!.node;
   const learned: string[] = [];
-  membership.watch((changed) => changed && learned.push(`${changed.id} ${changed.state}`));
+  membership.onChange((changed) => changed && learned.push(`${changed.id} ${changed.state}`));
   const dead = hollow.placed[3].member!.node.self.id;
-  const standing = membership.standing(Array.from({ length: 64 }, (_none, at) => at));
+  const standing = membership.versions(Array.from({ length: 64 }, (_none, at) => at));
   expect(Object.keys(standing).length).toBe(12);
   const other = hollow.placed[0].member!.node.membership;
-  other.told([{ ...membership.find(dead)!, state: "dead" }]);
-  const lacking = membership.differ([...Array(64).keys()], other.standing([...Array(64).keys()]));
+  other.merge([{ ...membership.find(dead)!, state: "dead" }]);
+  const lacking = membership.diff([...Array(64).keys()], other.versions([...Array(64).keys()]));
   expect(lacking).toEqual({ updates: [], want: [dead] });
-  expect(other.sums()).not.toEqual(membership.sums());
+  expect(other.bucketChecksums()).not.toEqual(membership.bucketChecksums());
   hollow.end();
 }, 60_000);
 test("a living seed is not asked for its list again, a lost one is, and a healed cut is noticed", async () => {
--- a/test/news.test.ts
+++ b/test/news.test.ts
@@ -23,17 +23,17 @@
 
 test("a renewal carries what is otherwise, and is taken wherever its base is known", async () => {
   const { hollow, news: gossip } = await fleet(12, 1);
-  gossip[0].tell("replica/r1/1", endpoint(0), leaseMs, true);
+  gossip[0].publish("replica/r1/1", endpoint(0), leaseMs, true);
   expect(await hollow.until(3000, () => gossip.every((each) => each.find("replica/r1/1")))).toBeDefined();
   await hollow.world.run(1000);
   const idle = await hollow.over(4000);
   // four renewals a second for four seconds, told in turn by different members
   let turn = 0;
   for (const at of Array(16).keys())
-    hollow.world.at(at * 250, () => gossip[at % 3].tell("replica/r1/1", endpoint((turn += 1)), leaseMs, false));
+    hollow.world.at(at * 250, () => gossip[at % 3].publish("replica/r1/1", endpoint((turn += 1)), leaseMs, false));
   const renewing = await hollow.over(4000);
   await hollow.world.run(1500);
-  gossip[0].tell("replica/r1/1", endpoint(99), leaseMs, false);
+  gossip[0].publish("replica/r1/1", endpoint(99), leaseMs, false);
   await hollow.world.run(2500);
   const held = values(gossip, "replica/r1/1");
   expect(held.filter((value) => JSON.stringify(value) === JSON.stringify(endpoint(99))).length).toBeGreaterThanOrEqual(
@@ -45,35 +45,35 @@
 }, 60_000);
 test("what was told behind a cut is known everywhere soon after it healed, and a goodbye stays a goodbye", async () => {
   const { hollow, news: gossip } = await fleet(12, 2);
-  gossip[0].tell("replica/gone/1", endpoint(0, { id: "gone" }), leaseMs, true);
+  gossip[0].publish("replica/gone/1", endpoint(0, { id: "gone" }), leaseMs, true);
   await hollow.world.run(2000);
   hollow.world.cutOff(["hollow-12"], "both");
-  gossip[11].tell("replica/r1/1", endpoint(1), leaseMs, true);
-  gossip[0].tell("replica/r2/1", endpoint(2, { id: "r2" }), leaseMs, true);
-  gossip[0].end("replica/gone/1");
-  gossip[11].tell("replica/gone/1", endpoint(7, { id: "gone" }), leaseMs, true);
+  gossip[11].publish("replica/r1/1", endpoint(1), leaseMs, true);
+  gossip[0].publish("replica/r2/1", endpoint(2, { id: "r2" }), leaseMs, true);
+  gossip[0].remove("replica/gone/1");
+  gossip[11].publish("replica/gone/1", endpoint(7, { id: "gone" }), leaseMs, true);
   await hollow.world.run(1000);
   hollow.world.heal();
   const all = (): boolean =>
-    gossip.every((each) => each.find("replica/r1/1") && each.find("replica/r2/1") && each.isGone("replica/gone/1"));
+    gossip.every((each) => each.find("replica/r1/1") && each.find("replica/r2/1") && each.isRemoved("replica/gone/1"));
   expect(await hollow.until(4000, all)).toBeDefined();
   hollow.end();
 }, 60_000);
 test("two tell the same fact anew on both sides of a cut: one of the two holds everywhere, and renewals go on from it", async () => {
   const { hollow, news: gossip } = await fleet(10, 3);
   hollow.world.cutOff(["hollow-9", "hollow-10"], "both");
-  gossip[0].tell("replica/r1/1", endpoint(1), leaseMs, true);
+  gossip[0].publish("replica/r1/1", endpoint(1), leaseMs, true);
   await hollow.world.run(700);
-  gossip[9].tell("replica/r1/1", endpoint(2), leaseMs, true);
+  gossip[9].publish("replica/r1/1", endpoint(2), leaseMs, true);
   await hollow.world.run(700);
   hollow.world.heal();
   const same = (): boolean => new Set(values(gossip, "replica/r1/1").map((value) => JSON.stringify(value))).size === 1;
   expect(await hollow.until(6000, same)).toBeDefined();
   expect(values(gossip, "replica/r1/1")[0]).toEqual(endpoint(2));
   // both members that told it may renew it now, and every base is the same
-  gossip[0].tell("replica/r1/1", endpoint(3), leaseMs, false);
+  gossip[0].publish("replica/r1/1", endpoint(3), leaseMs, false);
   await hollow.world.run(800);
-  gossip[9].tell("replica/r1/1", endpoint(4), leaseMs, false);
+  gossip[9].publish("replica/r1/1", endpoint(4), leaseMs, false);
   await hollow.world.run(2000);
   expect(
     values(gossip, "replica/r1/1").filter((value) => JSON.stringify(value) === JSON.stringify(endpoint(4))).length,
@@ -84,9 +84,9 @@
   const idleWith = async (facts: number): Promise<number> => {
     const { hollow, news: gossip } = await fleet(10, 4);
     for (let at = 0; at < facts; at += 1)
-      gossip[at % 10].tell(`replica/r${at}/1`, endpoint(0, { id: `r${at}` }), 600_000, true);
+      gossip[at % 10].publish(`replica/r${at}/1`, endpoint(0, { id: `r${at}` }), 600_000, true);
     expect(
-      await hollow.until(20_000, () => gossip.every((each) => each.current("replica/").length === facts)),
+      await hollow.until(20_000, () => gossip.every((each) => each.live("replica/").length === facts)),
     ).toBeDefined();
     await hollow.world.run(3000);
     const spent = await hollow.over(4000);
@@ -98,14 +98,15 @@
 }, 120_000);
 test("one of many facts that differs is found and mended, and only facts of its range are gone through", async () => {
   const { hollow, news: gossip } = await fleet(10, 5);
-  for (let at = 0; at < 300; at += 1) gossip[0].tell(`replica/r${at}/1`, endpoint(0, { id: `r${at}` }), 600_000, true);
-  const all = (facts: number): boolean => gossip.every((each) => each.current("replica/").length === facts);
+  for (let at = 0; at < 300; at += 1)
+    gossip[0].publish(`replica/r${at}/1`, endpoint(0, { id: `r${at}` }), 600_000, true);
+  const all = (facts: number): boolean => gossip.every((each) => each.live("replica/").length === facts);
   expect(await hollow.until(20_000, () => all(300))).toBeDefined();
   await hollow.world.run(3000);
   const idle = await hollow.over(4000);
   // told while nobody hears it
   hollow.world.cutOff(["hollow-1"], "both");
-  gossip[0].tell("replica/late/1", endpoint(0, { id: "late" }), 600_000, true);
+  gossip[0].publish("replica/late/1", endpoint(0, { id: "late" }), 600_000, true);
   await hollow.world.run(600);
   hollow.world.heal();
   const mending = await hollow.over(4000);
--- a/test/replicaSockets.test.ts
+++ b/test/replicaSockets.test.ts
@@ -2,7 +2,7 @@
 import { ownHeaderNames } from "../src/forwarding/headerNames";
 import { Route, ControlState } from "../src/control/controlState";
 import { EndpointSelector } from "../src/routing/endpointSelector";
-import { Endpoint } from "../src/node/clusterSnapshot";
+import { ClusterSnapshot, Endpoint } from "../src/node/clusterSnapshot";
 import { AdmissionQueue } from "../src/routing/admissionQueue";
 import { Task } from "../src/runtime/csp";
 import { DirectRequestHandler } from "../src/ingress/directRequestHandler";
@@ -85,14 +85,14 @@
     });
   const state = ControlState.empty();
   const configuration = { version: 1, doc: { bindings: { desk: route(more) } } };
-  const snapshot = {
-    number: 1,
+  const snapshot: ClusterSnapshot = {
+    revision: 1,
     control: ControlState.frame({ ...state, manifest: configuration }, 1),
     members: [],
-    replicas: endpoints,
-    crowded: {},
-    fresh: true,
-    vouched: true,
+    endpoints,
+    overloadedPools: {},
+    isCurrent: true,
+    clockTrusted: true,
   };
   const { env } = world;
   const endpointSelector = new EndpointSelector(env, "i");
