--- a/scripts/guardMutations/mutations.js
+++ b/scripts/guardMutations/mutations.js
@@ -208,9 +208,9 @@
     expectedInvariants: ["exercised", "config-at-day-end"],
     edits: [
       {
-        file: "control/controlState.js",
-        find: "if (command.ifVersion !== current) {",
-        replacement: "if (false) {",
+        file: "controlState/compareAndSet.js",
+        find: "if (change.ifVersion !== current)",
+        replacement: "if (false)",
       },
     ],
   },
--- a/src/adapters/operatorHttp.ts
+++ b/src/adapters/operatorHttp.ts
@@ -1,7 +1,8 @@
 import { Constants } from "../common/constants";
 import { Task } from "../runtime/csp";
 import { Env, EnvTools, HttpExchange } from "../runtime/env";
-import { Command, PolicyLine } from "../control/controlState";
+import { Command } from "../controlState/command";
+import { PolicyRule } from "../controlState/policy";
 import { Fault, Result } from "../common/fault";
 import { NodeContext } from "../node/nodeContext";
 import { Hash } from "../common/hash";
@@ -96,7 +97,7 @@
         *run(incoming) {
           const body = yield* Http.body(incoming, limit);
           if (!body) return;
-          const policies = (): Result<{ doc: PolicyLine[] }> => {
+          const policies = (): Result<{ doc: PolicyRule[] }> => {
             const checked = OperatorSchemas.policies(body.value);
             return checked.ok ? Fault.ok({ doc: checked.value }) : checked;
           };
--- a/src/adapters/operatorSchemas.ts
+++ b/src/adapters/operatorSchemas.ts
@@ -1,7 +1,10 @@
 import Ajv, { ValidateFunction } from "ajv";
 import { Constants } from "../common/constants";
-import { Configuration, Move, PolicyLine } from "../control/controlState";
-import { ConfigurationPatch, Configurations } from "../control/configurations";
+import { PlannedOperation } from "../controlState/calendarEntry";
+import { Configuration } from "../controlState/configuration";
+import { ConfigurationPatch } from "../controlState/configurationPatch";
+import { configurationProblems } from "../controlState/configurationValidation";
+import { PolicyRule } from "../controlState/policy";
 import { Fault, Result } from "../common/fault";
 import { Announcement } from "../node/nodeContext";
 import type { SubmittedItem } from "../ingress/batchSubmission";
@@ -289,7 +292,7 @@
   configuration(candidate: unknown): Result<Configuration> {
     const checked = run<Configuration>(compiled.manifest, "manifest", candidate);
     if (!checked.ok) return checked;
-    const faults = Configurations.faults(checked.value);
+    const faults = configurationProblems(checked.value);
     if (faults.length > 0) return configurationWrong(faults);
     const longest = Math.max(0, ...Object.values(checked.value.bindings).map((route) => route.deadlineMs));
     const short = Object.entries(checked.value.retention ?? {}).filter(([, keepMs]) => keepMs < longest);
@@ -313,10 +316,10 @@
     const { version: given, ...patch } = checked.value;
     return Fault.ok({ ...(given === undefined ? {} : { version: given }), patch });
   },
-  policies: (candidate: unknown): Result<PolicyLine[]> => run(compiled.policies, "policies", candidate),
+  policies: (candidate: unknown): Result<PolicyRule[]> => run(compiled.policies, "policies", candidate),
   /** Due becomes milliseconds; "now" is now. @example OperatorSchemas.calendar({ due: "now", move }, Date.now()) */
-  calendarEntry(candidate: unknown, now: number): Result<{ due: number; move: Move }> {
-    const checked = run<{ due: string; move: Move }>(compiled.calendar, "calendar entry", candidate);
+  calendarEntry(candidate: unknown, now: number): Result<{ due: number; move: PlannedOperation }> {
+    const checked = run<{ due: string; move: PlannedOperation }>(compiled.calendar, "calendar entry", candidate);
     if (!checked.ok) return checked;
     const { move: planned } = checked.value;
     const configuration = planned.kind === "manifest" ? OperatorSchemas.configuration(planned.doc) : checked;
--- a/src/consensus/appendReceiver.ts
+++ b/src/consensus/appendReceiver.ts
@@ -1,7 +1,7 @@
 import { Csp, Task } from "../runtime/csp";
 import { Env } from "../runtime/env";
 import { Fault, Result } from "../common/fault";
-import { ControlState } from "../control/controlState";
+import { GroupRecovery } from "../controlState/groupRecovery";
 import { ReplicatedLog } from "./log";
 import { AppendRequest, AppendResponse, Messages, Snapshot } from "./messages";
 import { ConsensusReplica } from "./replica";
@@ -35,7 +35,7 @@
     const malformed = Messages.appendFault(body);
     if (malformed !== undefined) return this.replica.drop(1321, "append", body.lead, malformed);
     // a group recovered by an operator's word takes in whoever belonged to what it was
-    const superseded = this.log.founded() && ControlState.supersedes(body.group, this.replica.groupId());
+    const superseded = this.log.founded() && GroupRecovery.supersedes(body.group, this.replica.groupId());
     if (this.log.founded() && body.group !== this.replica.groupId() && !superseded)
       return this.replica.drop(1321, "append", body.lead, "another group's append");
     if (this.log.broken()) return Fault.fail("disk", "append", this.self, "disk failed");
--- a/src/consensus/consensusGroup.ts
+++ b/src/consensus/consensusGroup.ts
@@ -4,7 +4,11 @@
 import { TwoSlots } from "../runtime/twoSlots";
 import { Fault, Result } from "../common/fault";
 import { Rpc } from "../rpc/rpc";
-import { Command, ControlState, Outcome, ShardView } from "../control/controlState";
+import { Command, Outcome } from "../controlState/command";
+import { ControlState } from "../controlState/controlState";
+import { ControlStateMachine } from "../controlState/controlStateMachine";
+import { GroupRecovery } from "../controlState/groupRecovery";
+import { ShardView } from "../controlState/shardView";
 import { AppendReceiver } from "./appendReceiver";
 import { Election } from "./election";
 import { ReplicatedLog, Saved } from "./log";
@@ -179,7 +183,7 @@
       for (const entry of this.log.entries.filter(
         (each) => each.index > this.replica.applied && each.index <= this.log.synced,
       ))
-        ControlState.apply(state, entry.index, entry.command);
+        ControlStateMachine.apply(state, entry.index, entry.command);
       const [term, baseIndex] = [
         this.log.term + Constants.recoveredIndexes,
         this.log.synced + Constants.recoveredIndexes,
@@ -190,7 +194,7 @@
         votedFor: "",
         baseIndex,
         baseTerm: term,
-        base: ControlState.recovered(state, baseIndex, this.self, views, asked.by),
+        base: GroupRecovery.recoveredState(state, baseIndex, this.self, views, asked.by),
         entries: [],
       };
       const done = yield* this.replica.install(saved);
--- a/src/consensus/log.ts
+++ b/src/consensus/log.ts
@@ -2,7 +2,7 @@
 import { Chan, Csp, Task } from "../runtime/csp";
 import { TwoSlots } from "../runtime/twoSlots";
 import { Fault, Result } from "../common/fault";
-import { ControlState } from "../control/controlState";
+import { ControlState } from "../controlState/controlState";
 import { LogEntry } from "./messages";
 
 /** What a slot on disk holds: term and vote, a snapshot, and the synced entries past it. */
--- a/src/consensus/membershipChange.ts
+++ b/src/consensus/membershipChange.ts
@@ -1,4 +1,4 @@
-import { Command } from "../control/controlState";
+import { Command } from "../controlState/command";
 import { ReplicatedLog } from "./log";
 
 /** What the group checks before a change of its voters enters the log. */
--- a/src/consensus/messages.ts
+++ b/src/consensus/messages.ts
@@ -1,4 +1,5 @@
-import { Command, ControlState } from "../control/controlState";
+import { Command } from "../controlState/command";
+import { ControlState } from "../controlState/controlState";
 import type { TransferChunk } from "./transfer";
 
 /** One entry of the replicated log. */
--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -3,7 +3,9 @@
 import { Chan, Csp, Task } from "../runtime/csp";
 import { Env } from "../runtime/env";
 import { Fault, Result } from "../common/fault";
-import { ControlState, Outcome } from "../control/controlState";
+import { Outcome } from "../controlState/command";
+import { ControlState } from "../controlState/controlState";
+import { ControlStateMachine } from "../controlState/controlStateMachine";
 import { ReplicatedLog, Saved } from "./log";
 import { RaftRole } from "./role";
 
@@ -120,7 +122,7 @@
     while (this.applied < this.commit) {
       const entry = this.log.entries[this.applied - this.log.startIndex];
       invariant(entry?.index === this.applied + 1, "entries are applied one after the other, none left out");
-      const outcome = ControlState.apply(this.state, entry.index, entry.command);
+      const outcome = ControlStateMachine.apply(this.state, entry.index, entry.command);
       this.applied = entry.index;
       const waiting = this.waiting.get(entry.index);
       this.waiting.delete(entry.index);
--- a/src/control/calendar.ts
+++ b/src/control/calendar.ts
@@ -2,7 +2,7 @@
 import { Csp, Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
 import { Node } from "../node/node";
-import { CalendarEntry, CalendarEntryState } from "./controlState";
+import { CalendarEntry, CalendarEntryState } from "../controlState/calendarEntry";
 import { ConsensusGroup } from "../consensus/consensusGroup";
 import { ShardPlacement } from "./shardPlacement";
 
--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -12,7 +12,11 @@
 import { OperatorHttp } from "../adapters/operatorHttp";
 import { ShardClient } from "../storage/shardClient";
 import { Calendar } from "./calendar";
-import { CalendarEntry, Command, ControlState, Outcome, ShardView } from "./controlState";
+import { CalendarEntry } from "../controlState/calendarEntry";
+import { Command, Outcome } from "../controlState/command";
+import { ControlSnapshot } from "../controlState/controlSnapshot";
+import { ControlState } from "../controlState/controlState";
+import { ShardView } from "../controlState/shardView";
 import { ConsensusGroup } from "../consensus/consensusGroup";
 import { roleOnWire } from "../consensus/role";
 import { VoterSelection, VoterSituation } from "./voterSelection";
@@ -132,7 +136,7 @@
     };
   }
   private applied(state: ControlState, index: number): void {
-    if (state.group) this.node.gossip.offerSnapshot(ControlState.frame(state, index));
+    if (state.group) this.node.gossip.offerSnapshot(ControlSnapshot.of(state, index));
   }
 
   /** Founding: every founder empty, all agreed, and nobody in reach knows a group. */
--- a/src/control/shardPlacement.ts
+++ b/src/control/shardPlacement.ts
@@ -5,7 +5,7 @@
 import { Node } from "../node/node";
 import { Member } from "../membership/member";
 import { ShardReplicaStatus } from "../shard/shardReplica";
-import { ShardView } from "./controlState";
+import { ShardView } from "../controlState/shardView";
 import { ConsensusGroup } from "../consensus/consensusGroup";
 
 type Sealed =
--- a/src/ingress/batchSubmission.ts
+++ b/src/ingress/batchSubmission.ts
@@ -7,7 +7,7 @@
 import { ClusterSnapshot } from "../node/clusterSnapshot";
 import { Hash } from "../common/hash";
 import { Stamp } from "../common/stamp";
-import { Route } from "../control/controlState";
+import { Route } from "../controlState/configuration";
 import { Cause, ItemRequest, BatchJobSpec } from "../shard/shardState";
 import type { SubmitJobResponse, JobResultPage } from "../storage/batchJobs";
 import { ShardClient } from "../storage/shardClient";
--- a/src/ingress/directRequestHandler.ts
+++ b/src/ingress/directRequestHandler.ts
@@ -4,7 +4,7 @@
 import { DirectRequest, DirectHttp, DirectResponse } from "../forwarding/directHttp";
 import { EventStreamReader } from "../forwarding/eventStreamReader";
 import { Http } from "../adapters/http";
-import { Route } from "../control/controlState";
+import { Route } from "../controlState/configuration";
 import { EndpointEligibility } from "../routing/endpointEligibility";
 import { SelectionCriteria } from "../routing/selectionCriteria";
 import { Fault, Result } from "../common/fault";
--- a/src/ingress/ingressNode.ts
+++ b/src/ingress/ingressNode.ts
@@ -21,7 +21,7 @@
 import { CallerHttp } from "../adapters/callerHttp";
 import { OperatorHttp } from "../adapters/operatorHttp";
 import { EndpointHttp } from "../forwarding/endpointHttp";
-import { Route, Limits } from "../control/controlState";
+import { Route, Limits } from "../controlState/configuration";
 import { Cause } from "../shard/shardState";
 import { ShardClient } from "../storage/shardClient";
 import { Rpc } from "../rpc/rpc";
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -4,8 +4,9 @@
 import { Fault, Result } from "../common/fault";
 import { Hash } from "../common/hash";
 import { Rpc } from "../rpc/rpc";
-import { ControlSnapshot, ControlState } from "../control/controlState";
-import { ConfigurationPatch, Configurations } from "../control/configurations";
+import { ConfigurationPatch } from "../controlState/configurationPatch";
+import { ControlSnapshot } from "../controlState/controlSnapshot";
+import { GroupRecovery } from "../controlState/groupRecovery";
 import { Member } from "./member";
 import { Membership, MemberVersion } from "./membership";
 
@@ -183,7 +184,7 @@
     if (
       known &&
       (snapshot.index <= known.index ||
-        (snapshot.group !== known.group && !ControlState.supersedes(snapshot.group, known.group)))
+        (snapshot.group !== known.group && !GroupRecovery.supersedes(snapshot.group, known.group)))
     )
       return false;
     this.keepSteps(known, snapshot, steps);
@@ -202,7 +203,7 @@
     if (!known || known.group !== snapshot.group) this.steps = [];
     else if (steps) this.steps.push(...steps);
     else {
-      const patch = Configurations.between(known.manifest.doc, snapshot.manifest.doc);
+      const patch = ConfigurationPatch.between(known.manifest.doc, snapshot.manifest.doc);
       if (patch) this.steps.push({ from: known.manifest.version, to: snapshot.manifest.version, patch });
       else this.steps = [];
     }
@@ -512,7 +513,7 @@
   private static stepped(configuration: ControlSnapshot["manifest"], steps: Step[]): ControlSnapshot["manifest"] {
     return {
       version: steps[steps.length - 1].to,
-      doc: steps.reduce((doc, step) => Configurations.patched(doc, step.patch), configuration.doc),
+      doc: steps.reduce((doc, step) => ConfigurationPatch.apply(doc, step.patch), configuration.doc),
     };
   }
   /** The frame, if ours is newer; without its manifest, by far the largest part, where the asker has that. */
--- a/src/model/groupUnderTest.ts
+++ b/src/model/groupUnderTest.ts
@@ -1,4 +1,4 @@
-import type { Command, Outcome } from "../control/controlState";
+import { Command, Outcome } from "../controlState/command";
 import { ConsensusGroup } from "../consensus/consensusGroup";
 import { Constants } from "../common/constants";
 import { Fault, Result } from "../common/fault";
--- a/src/model/invariants.ts
+++ b/src/model/invariants.ts
@@ -1,5 +1,6 @@
 import type { ConsensusGroup, ConsensusGroupInspection } from "../consensus/consensusGroup";
-import type { ControlState, Outcome } from "../control/controlState";
+import { Outcome } from "../controlState/command";
+import { ControlState } from "../controlState/controlState";
 import { Reference } from "./reference";
 
 type Entry = ConsensusGroupInspection["entries"][number];
--- a/src/model/reference.ts
+++ b/src/model/reference.ts
@@ -1,4 +1,5 @@
-import type { Command, ControlState, Outcome } from "../control/controlState";
+import { Command, Outcome } from "../controlState/command";
+import { ControlState } from "../controlState/controlState";
 
 type Register = { version: number; changeId: string };
 
--- a/src/node/clusterSnapshot.ts
+++ b/src/node/clusterSnapshot.ts
@@ -1,4 +1,4 @@
-import { ControlSnapshot } from "../control/controlState";
+import { ControlSnapshot } from "../controlState/controlSnapshot";
 import { Member } from "../membership/member";
 
 /**
--- a/src/node/readIndexConfirmation.ts
+++ b/src/node/readIndexConfirmation.ts
@@ -1,5 +1,6 @@
 import { Constants } from "../common/constants";
-import { ControlSnapshot, ControlState } from "../control/controlState";
+import { ControlSnapshot } from "../controlState/controlSnapshot";
+import { GroupRecovery } from "../controlState/groupRecovery";
 import { Chan, Csp, Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
 import { Rpc } from "../rpc/rpc";
@@ -86,7 +87,7 @@
 
   private note(readIndex: ReadIndex): void {
     const { latest } = this;
-    if (latest && latest.group !== readIndex.group && ControlState.supersedes(latest.group, readIndex.group)) return;
+    if (latest && latest.group !== readIndex.group && GroupRecovery.supersedes(latest.group, readIndex.group)) return;
     if (!latest || latest.group !== readIndex.group || readIndex.at > latest.at) this.latest = readIndex;
   }
   private *confirmLoop(): Task<void> {
--- a/src/routing/policyRules.ts
+++ b/src/routing/policyRules.ts
@@ -1,4 +1,4 @@
-import { PolicyLine } from "../control/controlState";
+import { PolicyRule } from "../controlState/policy";
 
 /** What a policy rule is matched against. */
 export interface PolicySubject {
@@ -15,9 +15,9 @@
  */
 export function firstMatchingRule(
   subject: PolicySubject,
-  rules: PolicyLine[],
-  hasEffect: (rule: PolicyLine) => boolean,
-): PolicyLine | undefined {
+  rules: PolicyRule[],
+  hasEffect: (rule: PolicyRule) => boolean,
+): PolicyRule | undefined {
   return rules.find(
     (rule) =>
       hasEffect(rule) &&
--- a/src/routing/routeTable.ts
+++ b/src/routing/routeTable.ts
@@ -1,4 +1,4 @@
-import { Route, Configuration } from "../control/controlState";
+import { Route, Configuration } from "../controlState/configuration";
 
 /** A route that a request's host and path lead to. */
 export interface MatchedRoute {
--- a/src/shard/shardReplica.ts
+++ b/src/shard/shardReplica.ts
@@ -7,7 +7,7 @@
 import { Bounds, Stamp } from "../common/stamp";
 import { Rpc } from "../rpc/rpc";
 import { EnvelopeCodec } from "../rpc/envelopeCodec";
-import { ShardView } from "../control/controlState";
+import { ShardView } from "../controlState/shardView";
 import { SegmentCounts, SegmentKind, Segments } from "./segments";
 import { SerializedShard, BatchJob, Put, PutOutcome, ShardData, ShardState, LiveRequest } from "./shardState";
 
--- a/src/shard/shardTypes.ts
+++ b/src/shard/shardTypes.ts
@@ -1,5 +1,5 @@
 /** What a shard holds, and the operations that change it. */
-import type { Route } from "../control/controlState";
+import { Route } from "../controlState/configuration";
 import type { Stamp } from "../common/stamp";
 import type { SealedObjectLocation, PendingSegment, SegmentCounts } from "./segments";
 
--- a/src/simulation/simFleet.ts
+++ b/src/simulation/simFleet.ts
@@ -5,7 +5,7 @@
 import { TwoSlots } from "../runtime/twoSlots";
 import { ControlNode } from "../control/controlNode";
 import { StorageNode } from "../storage/storageNode";
-import { ShardView } from "../control/controlState";
+import { ShardView } from "../controlState/shardView";
 import { ShardReplica } from "../shard/shardReplica";
 import { Callers } from "../tools/callers";
 import { CheckOptions, Checker, Violation } from "../tools/checker";
--- a/src/storage/itemExecution.ts
+++ b/src/storage/itemExecution.ts
@@ -9,7 +9,7 @@
 import { PoolCriteria } from "../routing/selectionCriteria";
 import { ClusterSnapshot, Endpoint } from "../node/clusterSnapshot";
 import { Node } from "../node/node";
-import { Route } from "../control/controlState";
+import { Route } from "../controlState/configuration";
 import { ShardReplica } from "../shard/shardReplica";
 import { ItemOutcome, BatchJob, ShardOperation } from "../shard/shardState";
 import { ShardClient } from "./shardClient";
--- a/src/storage/workExecutor.ts
+++ b/src/storage/workExecutor.ts
@@ -10,7 +10,7 @@
 import { AdmissionQueue } from "../routing/admissionQueue";
 import { Node } from "../node/node";
 import { Stamp } from "../common/stamp";
-import { Route } from "../control/controlState";
+import { Route } from "../controlState/configuration";
 import { ShardReplica } from "../shard/shardReplica";
 import {
   Cause,
--- a/src/tools/deployment.ts
+++ b/src/tools/deployment.ts
@@ -1,6 +1,7 @@
 import Ajv from "ajv";
 import { OperatorSchemas } from "../adapters/operatorSchemas";
-import { Configuration, PolicyLine } from "../control/controlState";
+import { Configuration } from "../controlState/configuration";
+import { PolicyRule } from "../controlState/policy";
 import { Fault, Result } from "../common/fault";
 import { Settings } from "../common/settings";
 import { Proxied } from "./linkProxies";
@@ -21,7 +22,7 @@
   controls: number;
   pools: Pool[];
   manifest: Configuration;
-  policies: PolicyLine[];
+  policies: PolicyRule[];
   mix: Mix;
 };
 export type ProcessPlan = { name: string; settings: Settings };
--- a/src/tools/scale/controlScale.ts
+++ b/src/tools/scale/controlScale.ts
@@ -1,4 +1,4 @@
-import { Command } from "../../control/controlState";
+import { Command } from "../../controlState/command";
 import { Experiment, Processor } from "./experiment";
 import { GroupWorld } from "./groupWorld";
 import { HollowWorld } from "./hollowWorld";
--- a/src/tools/scale/groupWorld.ts
+++ b/src/tools/scale/groupWorld.ts
@@ -1,4 +1,4 @@
-import { Command } from "../../control/controlState";
+import { Command } from "../../controlState/command";
 import { ConsensusGroup } from "../../consensus/consensusGroup";
 import { Csp } from "../../runtime/csp";
 import { TwoSlots } from "../../runtime/twoSlots";
--- a/src/tools/scale/hollowWorld.ts
+++ b/src/tools/scale/hollowWorld.ts
@@ -1,5 +1,6 @@
-import { ControlSnapshot, ControlState } from "../../control/controlState";
-import { Configurations } from "../../control/configurations";
+import { ConfigurationPatch } from "../../controlState/configurationPatch";
+import { ControlSnapshot } from "../../controlState/controlSnapshot";
+import { ControlState } from "../../controlState/controlState";
 import { Csp } from "../../runtime/csp";
 import { SimDisk } from "../../simulation/simDisk";
 import { SimWorld } from "../../simulation/simWorld";
@@ -123,7 +124,7 @@
     const { gossip: news } = this.alive()[0].node;
     const snapshot = news.snapshot!;
     const changed = { ...HollowWorld.route(0), deadlineMs: 10_000 + index };
-    const doc = Configurations.patched(snapshot.manifest.doc, {
+    const doc = ConfigurationPatch.apply(snapshot.manifest.doc, {
       upsert: { bindings: { "tenant-0": changed } },
       remove: {},
     });
@@ -145,7 +146,7 @@
       ),
     };
     state.manifest = { version: index, doc };
-    return ControlState.frame(state, index);
+    return ControlSnapshot.of(state, index);
   }
   /** @example HollowWorld.binding(7).pool */
   static route(at: number): ControlSnapshot["manifest"]["doc"]["bindings"][string] {
--- a/test/confirmation.test.ts
+++ b/test/confirmation.test.ts
@@ -1,5 +1,6 @@
 import { ReadIndexConfirmation, ReadIndex } from "../src/node/readIndexConfirmation";
-import { ControlState } from "../src/control/controlState";
+import { ControlSnapshot } from "../src/controlState/controlSnapshot";
+import { ControlState } from "../src/controlState/controlState";
 import { SimDisk } from "../src/simulation/simDisk";
 import { SimWorld } from "../src/simulation/simWorld";
 import { Rpc } from "../src/rpc/rpc";
@@ -9,7 +10,7 @@
   readonly world = new SimWorld(1);
   private readonly env = this.world.start("node", new SimDisk(this.world)).env;
   readIndex: ReadIndex | undefined;
-  private configuration = ControlState.frame({ ...ControlState.empty(), group: "g" }, 5);
+  private configuration = ControlSnapshot.of({ ...ControlState.empty(), group: "g" }, 5);
   readonly confirmation = new ReadIndexConfirmation(this.env, new Rpc(this.env, "test", "node"), {
     own: () => this.readIndex,
     source: () => undefined,
@@ -17,7 +18,7 @@
     *fetch() {},
   });
   hold(group: string, index: number): void {
-    this.configuration = ControlState.frame({ ...ControlState.empty(), group }, index);
+    this.configuration = ControlSnapshot.of({ ...ControlState.empty(), group }, index);
   }
   now = (): number => this.env.mono();
 }
--- a/test/control.test.ts
+++ b/test/control.test.ts
@@ -1,7 +1,11 @@
 import { Constants } from "../src/common/constants";
-import { ControlState } from "../src/control/controlState";
+import { withoutOrigin } from "../src/controlState/configurationOrigin";
+import { ConfigurationPatch } from "../src/controlState/configurationPatch";
+import { configurationProblems } from "../src/controlState/configurationValidation";
+import { ControlSnapshot } from "../src/controlState/controlSnapshot";
+import { ControlState } from "../src/controlState/controlState";
+import { ControlStateMachine } from "../src/controlState/controlStateMachine";
 import { ConsensusGroup } from "../src/consensus/consensusGroup";
-import { Configurations } from "../src/control/configurations";
 import { Rpc } from "../src/rpc/rpc";
 import { ControlFleet } from "./controlFleet";
 import { ControlHunt } from "./controlHunt";
@@ -203,14 +207,14 @@
       pools: { p: { origin: 1 }, q: {} },
       origin: { rest: 1 },
     };
-    const next = Configurations.patched(doc, {
+    const next = ConfigurationPatch.apply(doc, {
       upsert: { bindings: { c: route(), a: route({ pool: "q" }) } },
       remove: { pools: ["nobody"] },
     });
     expect(Object.keys(next.bindings)).toEqual(["a", "b", "c"]);
-    expect([next.bindings.a.pool, next.origin, Configurations.faults(next)]).toEqual(["q", { rest: 1 }, []]);
+    expect([next.bindings.a.pool, next.origin, configurationProblems(next)]).toEqual(["q", { rest: 1 }, []]);
     const faults = (upsert: Record<string, unknown>, remove = {}): string[] =>
-      Configurations.faults(Configurations.patched(doc, { upsert: { bindings: upsert as any }, remove }));
+      configurationProblems(ConfigurationPatch.apply(doc, { upsert: { bindings: upsert as any }, remove }));
     expect(faults({}, { pools: ["p"] })).toHaveLength(2);
     expect(faults({ z: route({ host: "H", prefix: "/b/" }) })).toEqual([
       expect.stringContaining("host and prefix are those of b"),
@@ -229,19 +233,19 @@
     expect(faults({ z: route({ deadlineMs: 0 }) })).toEqual([expect.stringContaining("deadline")]);
     expect(faults({ z: route({ host: "h" }) })).toEqual([expect.stringContaining("go together")]);
     // a manifest that names no pools at all is as well as it always was
-    expect(Configurations.faults({ bindings: { a: route({ pool: "anything" }) } })).toEqual([]);
-    const bare = Configurations.bare(doc);
-    expect([
-      JSON.stringify(bare).includes("origin"),
-      Object.keys(bare.bindings),
-      Configurations.bare(doc) === bare,
-    ]).toEqual([false, ["a", "b"], true]);
+    expect(configurationProblems({ bindings: { a: route({ pool: "anything" }) } })).toEqual([]);
+    const bare = withoutOrigin(doc);
+    expect([JSON.stringify(bare).includes("origin"), Object.keys(bare.bindings), withoutOrigin(doc) === bare]).toEqual([
+      false,
+      ["a", "b"],
+      true,
+    ]);
   });
   test("what a node is told has a new index only where it changed", () => {
     const state = ControlState.empty();
-    ControlState.apply(state, 1, { tag: "found", group: "g", voters: ["a"] });
-    ControlState.apply(state, 2, { tag: "noop" });
-    expect(ControlState.frame(state, 2).index).toBe(1);
+    ControlStateMachine.apply(state, 1, { tag: "found", group: "g", voters: ["a"] });
+    ControlStateMachine.apply(state, 2, { tag: "noop" });
+    expect(ControlSnapshot.of(state, 2).index).toBe(1);
     const change = {
       tag: "manifest",
       changeId: "c",
@@ -250,22 +254,24 @@
       doc: { bindings: {} },
       by: "ann",
     } as const;
-    expect(ControlState.apply(state, 3, change)).toEqual({ tag: "done", version: 4 });
-    ControlState.apply(state, 4, { tag: "told", upTo: 3 });
-    expect(ControlState.apply(state, 5, change)).toEqual({ tag: "done", version: 4 });
-    expect(ControlState.apply(state, 6, { ...change, changeId: "d" })).toEqual({ tag: "conflict", version: 4 });
-    expect(ControlState.apply(state, 7, { ...change, changeId: "e", ifVersion: 4 })).toMatchObject({ tag: "refused" });
+    expect(ControlStateMachine.apply(state, 3, change)).toEqual({ tag: "done", version: 4 });
+    ControlStateMachine.apply(state, 4, { tag: "told", upTo: 3 });
+    expect(ControlStateMachine.apply(state, 5, change)).toEqual({ tag: "done", version: 4 });
+    expect(ControlStateMachine.apply(state, 6, { ...change, changeId: "d" })).toEqual({ tag: "conflict", version: 4 });
+    expect(ControlStateMachine.apply(state, 7, { ...change, changeId: "e", ifVersion: 4 })).toMatchObject({
+      tag: "refused",
+    });
     // against a version still to come: not refused, for it may be taken once that version is there
-    expect(ControlState.apply(state, 8, { ...change, changeId: "f", ifVersion: 6, version: 7 })).toEqual({
+    expect(ControlStateMachine.apply(state, 8, { ...change, changeId: "f", ifVersion: 6, version: 7 })).toEqual({
       tag: "undecided",
       detail: "made against version 6, current is 4",
     });
-    expect(ControlState.frame(state, 8)).toMatchObject({ index: 3, manifest: { version: 4 } });
-    expect(ControlState.apply(state, 9, { ...change, changeId: "g", ifVersion: 4, version: 6 })).toEqual({
+    expect(ControlSnapshot.of(state, 8)).toMatchObject({ index: 3, manifest: { version: 4 } });
+    expect(ControlStateMachine.apply(state, 9, { ...change, changeId: "g", ifVersion: 4, version: 6 })).toEqual({
       tag: "done",
       version: 6,
     });
-    expect(ControlState.apply(state, 10, { ...change, changeId: "f", ifVersion: 6, version: 7 })).toEqual({
+    expect(ControlStateMachine.apply(state, 10, { ...change, changeId: "f", ifVersion: 6, version: 7 })).toEqual({
       tag: "done",
       version: 7,
     });
--- a/test/copyRecovery.ts
+++ b/test/copyRecovery.ts
@@ -1,4 +1,4 @@
-import { ShardView } from "../src/control/controlState";
+import { ShardView } from "../src/controlState/shardView";
 import { StorageNode } from "../src/storage/storageNode";
 import { ControlFleet } from "./controlFleet";
 
--- a/test/direct.test.ts
+++ b/test/direct.test.ts
@@ -1,6 +1,8 @@
 import { EndpointHttp } from "../src/forwarding/endpointHttp";
 import { HeaderNames, ownHeaderNames } from "../src/forwarding/headerNames";
-import { Route, ControlState } from "../src/control/controlState";
+import { Route } from "../src/controlState/configuration";
+import { ControlSnapshot } from "../src/controlState/controlSnapshot";
+import { ControlState } from "../src/controlState/controlState";
 import { EndpointSelector } from "../src/routing/endpointSelector";
 import { ClusterSnapshot, Endpoint } from "../src/node/clusterSnapshot";
 import { AdmissionQueue } from "../src/routing/admissionQueue";
@@ -63,7 +65,7 @@
     const state = ControlState.empty();
     const snapshot: ClusterSnapshot = {
       revision: 1,
-      control: ControlState.frame({ ...state, manifest: { version: 1, doc: { bindings: routes } } }, 1),
+      control: ControlSnapshot.of({ ...state, manifest: { version: 1, doc: { bindings: routes } } }, 1),
       members: [],
       endpoints: behaviours.map((_, at) => endpoint(at)),
       overloadedPools: {},
@@ -337,7 +339,7 @@
   const state = ControlState.empty();
   const fed: ClusterSnapshot = {
     revision: 1,
-    control: ControlState.frame(state, 1),
+    control: ControlSnapshot.of(state, 1),
     members: [],
     endpoints: pool,
     overloadedPools: {},
--- a/test/group.test.ts
+++ b/test/group.test.ts
@@ -1,5 +1,5 @@
 import { Constants } from "../src/common/constants";
-import { Command, Outcome } from "../src/control/controlState";
+import { Command, Outcome } from "../src/controlState/command";
 import { TransferChunk, Transfer, TransferReceiver } from "../src/consensus/transfer";
 import { Result } from "../src/common/fault";
 import { Csp } from "../src/runtime/csp";
--- a/test/lotWorld.ts
+++ b/test/lotWorld.ts
@@ -1,4 +1,4 @@
-import { Route } from "../src/control/controlState";
+import { Route } from "../src/controlState/configuration";
 import { Constants } from "../src/common/constants";
 import { Daemon, RunningDaemon } from "../src/daemon/daemon";
 import { Fault, Result } from "../src/common/fault";
--- a/test/manifestSteps.test.ts
+++ b/test/manifestSteps.test.ts
@@ -1,5 +1,6 @@
-import { Configuration } from "../src/control/controlState";
-import { Configurations } from "../src/control/configurations";
+import { Configuration } from "../src/controlState/configuration";
+import { withoutOrigin } from "../src/controlState/configurationOrigin";
+import { ConfigurationPatch } from "../src/controlState/configurationPatch";
 import { HollowWorld } from "../src/tools/scale/hollowWorld";
 
 const doc = (count: number): Configuration => HollowWorld.snapshot(count, 1).manifest.doc;
@@ -14,28 +15,29 @@
     upsert: { bindings: { "tenant-3": HollowWorld.route(99), more: HollowWorld.route(7) } },
     remove: { bindings: ["tenant-5"] },
   };
-  const to = Configurations.patched(from, patch);
-  const found = Configurations.between(from, to)!;
+  const to = ConfigurationPatch.apply(from, patch);
+  const found = ConfigurationPatch.between(from, to)!;
   expect(Object.keys(found.upsert.bindings!)).toEqual(["tenant-3", "more"]);
-  expect(JSON.stringify(Configurations.patched(from, found))).toBe(JSON.stringify(to));
+  expect(JSON.stringify(ConfigurationPatch.apply(from, found))).toBe(JSON.stringify(to));
   // the same by an operator's own form: what only control keeps is taken off, and items stay the same objects
-  const told = Configurations.patched(
+  const told = ConfigurationPatch.apply(
     { ...from, origin: "x" },
     { upsert: { bindings: { more: { ...HollowWorld.route(7), origin: "y" } } }, remove: {} },
   );
   expect(
     Object.keys(
-      Configurations.between(Configurations.bare({ ...from, origin: "x" }), Configurations.bare(told))!.upsert
-        .bindings!,
+      ConfigurationPatch.between(withoutOrigin({ ...from, origin: "x" }), withoutOrigin(told))!.upsert.bindings!,
     ),
   ).toEqual(["more"]);
   // another order, other settings beside the items, or most of it otherwise: whole
   const turned: Configuration = { bindings: Object.fromEntries(Object.entries(from.bindings).reverse()) };
-  expect(Configurations.between(from, turned)).toBeUndefined();
-  expect(Configurations.between(from, { ...from, clock: { deltaMs: 1, epsilonMs: 1, bigDeltaMs: 1 } })).toBeUndefined();
-  expect(Configurations.between(from, doc(40))).toBeUndefined();
-  expect(Configurations.between({ ...from, limits: { bodyBytes: 1 } }, from)).toBeUndefined();
-  expect(Configurations.between(from, { ...from, pools: {} })).toBeUndefined();
+  expect(ConfigurationPatch.between(from, turned)).toBeUndefined();
+  expect(
+    ConfigurationPatch.between(from, { ...from, clock: { deltaMs: 1, epsilonMs: 1, bigDeltaMs: 1 } }),
+  ).toBeUndefined();
+  expect(ConfigurationPatch.between(from, doc(40))).toBeUndefined();
+  expect(ConfigurationPatch.between({ ...from, limits: { bodyBytes: 1 } }, from)).toBeUndefined();
+  expect(ConfigurationPatch.between(from, { ...from, pools: {} })).toBeUndefined();
 });
 test("members take changes step by step, and end with the same manifest as its source, whoever missed some", async () => {
   const hollow = new HollowWorld({ members: 10, replicas: 0, zones: 5, regions: 2, seed: 6 });
@@ -53,7 +55,7 @@
     news.offerSnapshot({
       ...news.snapshot!,
       index: version,
-      manifest: { version, doc: Configurations.patched(news.snapshot!.manifest.doc, patch) },
+      manifest: { version, doc: ConfigurationPatch.apply(news.snapshot!.manifest.doc, patch) },
     });
     await hollow.world.run(400);
   }
--- a/test/model.test.ts
+++ b/test/model.test.ts
@@ -1,5 +1,5 @@
 import { Constants } from "../src/common/constants";
-import { ControlState } from "../src/control/controlState";
+import { ControlStateMachine } from "../src/controlState/controlStateMachine";
 import { ConsensusGroup } from "../src/consensus/consensusGroup";
 import { MembershipChange } from "../src/consensus/membershipChange";
 import { Fault } from "../src/common/fault";
@@ -82,13 +82,13 @@
 }
 
 describe("each planted fault is found", () => {
-  const properApply = ControlState.apply;
+  const properApply = ControlStateMachine.apply;
   const properRefusal = MembershipChange.refusal;
   const properHoldsLeader = ConsensusGroup.prototype.hasLeaderLease;
   const properLease = Constants.controlLeaseMs;
   const setLease = (ms: number): void => void Object.assign(Constants, { controlLeaseMs: ms });
   afterEach(() => {
-    ControlState.apply = properApply;
+    ControlStateMachine.apply = properApply;
     MembershipChange.refusal = properRefusal;
     ConsensusGroup.prototype.hasLeaderLease = properHoldsLeader;
     setLease(properLease);
@@ -154,7 +154,7 @@
   });
   test("the memory of outcomes left out", async () => {
     const prepare = (): void => {
-      ControlState.apply = (state, index, command) => {
+      ControlStateMachine.apply = (state, index, command) => {
         if ("changeId" in command) delete state.changes[command.changeId];
         return properApply(state, index, command);
       };
@@ -163,7 +163,7 @@
   });
   test("the version check left out", async () => {
     const prepare = (): void => {
-      ControlState.apply = (state, index, command) =>
+      ControlStateMachine.apply = (state, index, command) =>
         properApply(state, index, "ifVersion" in command ? { ...command, ifVersion: state.policies.version } : command);
     };
     expect(await found({}, within, prepare)).toEqual(
--- a/test/orders.test.ts
+++ b/test/orders.test.ts
@@ -1,5 +1,7 @@
 import { Constants } from "../src/common/constants";
-import { Command, ControlState, Outcome } from "../src/control/controlState";
+import { Command, Outcome } from "../src/controlState/command";
+import { ControlState } from "../src/controlState/controlState";
+import { ControlStateMachine } from "../src/controlState/controlStateMachine";
 import { Fault } from "../src/common/fault";
 import { Csp, Task } from "../src/runtime/csp";
 import { EnvTools } from "../src/runtime/env";
@@ -12,7 +14,7 @@
 });
 const founded = (): ControlState => {
   const state = ControlState.empty();
-  ControlState.apply(state, 1, { tag: "found", group: "g", voters: ["a"] });
+  ControlStateMachine.apply(state, 1, { tag: "found", group: "g", voters: ["a"] });
   return state;
 };
 
@@ -148,7 +150,8 @@
   test("the age of an order that was taken is counted by the lead's clock; one stepped back holds nothing up", () => {
     const state = founded();
     const drain = (index: number, tag: "drain" | "undrain", atMs: number): unknown =>
-      ControlState.apply(state, index, { tag, changeId: `c${index}`, district: "north", by: "ann", at: atMs }).tag;
+      ControlStateMachine.apply(state, index, { tag, changeId: `c${index}`, district: "north", by: "ann", at: atMs })
+        .tag;
     expect([drain(2, "drain", 1000), drain(3, "drain", 1100), drain(4, "undrain", 1200)]).toEqual([
       "done",
       "done",
@@ -217,7 +220,7 @@
   test("who won a version is known long after the outcomes kept by id are forgotten, also after a snapshot", () => {
     let state = founded();
     let index = 1;
-    const apply = (command: Command): Outcome => ControlState.apply(state, (index += 1), command);
+    const apply = (command: Command): Outcome => ControlStateMachine.apply(state, (index += 1), command);
     const grow = (upTo: number): void => {
       for (let base = state.manifest.version; base < upTo; base += 1) {
         expect(apply(change(base, `winner-${base}`)).tag).toBe("done");
@@ -241,10 +244,10 @@
     const state = founded();
     const move = { kind: "manifest", ifVersion: 0, doc: { bindings: {} } } as const;
     const pencil = { tag: "pencil", changeId: "p", ifVersion: 0, id: "m", due: 5, move, by: "ann" } as const;
-    ControlState.apply(state, 2, pencil);
-    ControlState.apply(state, 3, { tag: "move", id: "m", from: "pencilled", to: "finished", detail: "", at: 5 });
+    ControlStateMachine.apply(state, 2, pencil);
+    ControlStateMachine.apply(state, 3, { tag: "move", id: "m", from: "pencilled", to: "finished", detail: "", at: 5 });
     expect(state.manifest.version).toBe(1);
-    expect(ControlState.apply(state, 4, change(0, "c")).tag).toBe("conflict");
+    expect(ControlStateMachine.apply(state, 4, change(0, "c")).tag).toBe("conflict");
   });
   test("two at once under one number, the lead lost between append and commit: one is acknowledged, then and later", async () => {
     for (let seed = 1; seed <= 8; seed += 1) {
--- a/test/replicaSockets.test.ts
+++ b/test/replicaSockets.test.ts
@@ -1,6 +1,8 @@
 import * as net from "net";
 import { ownHeaderNames } from "../src/forwarding/headerNames";
-import { Route, ControlState } from "../src/control/controlState";
+import { Route } from "../src/controlState/configuration";
+import { ControlSnapshot } from "../src/controlState/controlSnapshot";
+import { ControlState } from "../src/controlState/controlState";
 import { EndpointSelector } from "../src/routing/endpointSelector";
 import { ClusterSnapshot, Endpoint } from "../src/node/clusterSnapshot";
 import { AdmissionQueue } from "../src/routing/admissionQueue";
@@ -87,7 +89,7 @@
   const configuration = { version: 1, doc: { bindings: { desk: route(more) } } };
   const snapshot: ClusterSnapshot = {
     revision: 1,
-    control: ControlState.frame({ ...state, manifest: configuration }, 1),
+    control: ControlSnapshot.of({ ...state, manifest: configuration }, 1),
     members: [],
     endpoints,
     overloadedPools: {},
