--- a/test/golden/goldenFleet.ts
+++ b/test/golden/goldenFleet.ts
@@ -10,7 +10,7 @@
 import { Answer, ControlFleet } from "../controlFleet";
 import { Exchange } from "./exchange";
 
-type CallOptions = { body?: unknown; headers?: Record<string, string>; at?: string; address?: string };
+type CallOptions = { body?: unknown; headers?: Record<string, string>; at?: string; address?: string; label?: string };
 type FleetOptions = NonNullable<ConstructorParameters<typeof ControlFleet>[1]>;
 
 /**
@@ -26,6 +26,8 @@
   readonly fleet: ControlFleet;
   readonly exchanges: Exchange[] = [];
   readonly logLines: string[] = [];
+  /** The event replicas, in the order of their start. */
+  readonly replicas: EventStandIn[] = [];
   private readonly rpc: Rpc;
 
   constructor(seed: number, options: FleetOptions) {
@@ -40,8 +42,8 @@
   call = async (method: string, target: string, options: CallOptions = {}): Promise<Exchange> => {
     const address = options.address ?? this.http(options.at ?? "control-1");
     const answer = await this.fleet.ask(method, target, options.body, options.headers ?? {}, address);
-    const program = (options.at ?? "control-1").split("-")[0];
-    const exchange: Exchange = { request: `${method} ${target} ${program}`, ...answer };
+    const label = options.label ?? (options.at ?? "control-1").split("-")[0];
+    const exchange: Exchange = { request: `${method} ${target} ${label}`, ...answer };
     this.exchanges.push(exchange);
     return exchange;
   };
@@ -97,7 +99,7 @@
 
   private startProcess = (name: string): SimProcess => this.fleet.world.start(name, new SimDisk(this.fleet.world));
   /** A replica that speaks the product's own form and announces itself. @example golden.startReplica("model-1", "model", 10, ["ingress-1"]) */
-  startReplica(id: string, pool: string, port: number, announceTo: string[]): StandInReplica {
+  startReplica(id: string, pool: string, port: number, announceTo: string[]): void {
     const settings: ReplicaSettings = {
       id,
       pool,
@@ -115,15 +117,14 @@
     const process = this.startProcess(`replica-${id}`);
     const replica = new StandInReplica(process.env, settings);
     Csp.go(process.scope, "main", () => replica.start());
-    return replica;
   }
   /** A replica that takes requests as they are; it is announced by whoever starts it. @example golden.startEventReplica("e1", 9001) */
-  startEventReplica(id: string, port: number, names: HeaderNames = ownHeaderNames): EventStandIn {
+  startEventReplica(id: string, port: number, names: HeaderNames = ownHeaderNames): void {
     const address = `127.0.0.1:${port}`;
     const process = this.startProcess(`replica-${id}`);
     const replica = new EventStandIn(process.env, address, id, { events: 3, eventMs: 20, slots: 8 }, names);
+    this.replicas.push(replica);
     Csp.go(process.scope, "main", () => replica.start());
-    return replica;
   }
   /** Repeats a request every 900 ms, as a replica renews its announcement. @example golden.renew("PUT", "/v1/replicas/e1", body, address) */
   renew(method: string, path: string, body: unknown, address: string): void {
--- a/test/golden/shape.ts
+++ b/test/golden/shape.ts
@@ -1,7 +1,11 @@
-/** A value's fields: each path with the JSON types that stood there, joined by "|". */
+/**
+ * A value's fields: each path with the JSON types that stood there, joined by "|"; where a field says which of several
+ * cases it is, with the values themselves.
+ */
 export type Shape = Record<string, string>;
 
 const generatedKey = /^\d+$|~|^[a-z]+-[0-9a-z]{9,}|^crowd\/|^demand\/|^replica\//;
+const caseKey = /\.(tag|op|kind|state|fate|role|code|title|program)$/;
 const typeOf = (value: unknown): string =>
   value === null ? "null" : Array.isArray(value) ? "array" : typeof value === "object" ? "object" : typeof value;
 /** A key that a run makes up, such as a number or a node's id, stands as "*". */
@@ -9,7 +13,8 @@
 
 function collect(path: string, value: unknown, found: Map<string, Set<string>>): void {
   const types = found.get(path) ?? new Set<string>();
-  found.set(path, types.add(typeOf(value)));
+  const isCase = typeof value === "string" && caseKey.test(path);
+  found.set(path, types.add(isCase ? `'${value}'` : typeOf(value)));
   if (Array.isArray(value)) for (const item of value) collect(`${path}[]`, item, found);
   else if (typeof value === "object" && value !== null)
     for (const [key, child] of Object.entries(value)) {
