--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -2,8 +2,8 @@
 import { DaemonCommand } from "./daemonCommand";
 import { FleetCommand } from "./fleetCommand";
 import { ModelCommand } from "./modelCommand";
-import { OperatorCommands } from "./operatorCommands";
-import { Query } from "./queryCommand";
+import { addOperatorCommands } from "./operatorCommands";
+import { addQueryCommand } from "./queryCommand";
 import { ScaleCommand } from "./scaleCommand";
 import { SimCommand } from "./simCommand";
 
@@ -18,12 +18,12 @@
     const program = sade("petrelbeam");
     program.version("0.1.0").describe("A serving tier with a batch interface: calendar, policies, ledger.");
     DaemonCommand.add(program);
-    OperatorCommands.add(program);
+    addOperatorCommands(program);
     FleetCommand.add(program);
     SimCommand.add(program);
     ModelCommand.add(program);
     ScaleCommand.add(program);
-    Query.add(program);
+    addQueryCommand(program);
     const fail = (text: string): never => {
       process.stderr.write(`${text}\n`);
       process.exit(2);
--- /dev/null
+++ b/src/cli/eventsCommand.ts
@@ -0,0 +1,16 @@
+import type { Sade } from "sade";
+import { LogEvents } from "../common/logEvents";
+import { printLine } from "./operator/commandRunner";
+
+function printCatalogue(): void {
+  printLine(
+    "# Log events\n\nWritten by `petrelbeam events`.\n\n| number | level | event | what to do |\n|---|---|---|---|",
+  );
+  for (const [number, event] of Object.entries(LogEvents))
+    printLine(`| PB${number} | ${event.level} | ${event.text} | ${event.act} |`);
+}
+
+/** The command that writes the catalogue of log events as Markdown. @example addEventsCommand(program); */
+export function addEventsCommand(program: Sade): void {
+  program.command("events").describe("The catalogue of log events, as Markdown.").action(printCatalogue);
+}
--- /dev/null
+++ b/src/cli/operator/inspectionCommands.ts
@@ -0,0 +1,78 @@
+import type { Sade } from "sade";
+import { CommandOptions, nodeCommand, printLine, readResource } from "./commandRunner";
+import { LedgerEntryBody, MembersBody, ShardsBody, WhyBody } from "./responses";
+
+interface LedgerOptions extends CommandOptions {
+  after: string;
+  limit: string | number;
+}
+
+function causeText(cause: Record<string, unknown>): string {
+  const parts = Object.entries(cause).map(([key, value]) => `${key} ${String(value)}`);
+  return parts.length > 0 ? `  [${parts.join(", ")}]` : "";
+}
+function printLedgerEntries(entries: LedgerEntryBody[]): void {
+  for (const entry of entries)
+    printLine(`${entry.stamp}  ${entry.subject}: ${entry.decision}${causeText(entry.cause)}`);
+}
+function printWhy(body: WhyBody): void {
+  printLedgerEntries(body.entries);
+  if (body.because.length > 0) printLine("because of:");
+  printLedgerEntries(body.because);
+}
+function printMembers(body: MembersBody): void {
+  for (const member of body.members)
+    printLine(`${member.program}  ${member.id}  ${member.district}  ${member.address}  ${member.state}`);
+  for (const endpoint of body.replicas)
+    printLine(
+      `replica  ${endpoint.id}  ${endpoint.pool}  ${endpoint.district}  ${endpoint.address}  ${endpoint.active}/${endpoint.capacity}  ${endpoint.version}`,
+    );
+  const drained = body.drained.join(" ") || "none";
+  const retiring = body.retiring.join(" ") || "none";
+  printLine(
+    `group ${body.group}, frame ${body.frame}, manifest ${body.manifest}, drained: ${drained}, retiring: ${retiring}`,
+  );
+}
+function printShards(body: ShardsBody): void {
+  for (const { store, shards } of body.stores)
+    for (const replica of shards)
+      printLine(
+        `${store}  shard ${replica.shard}  epoch ${replica.epoch}  ${replica.role}  seq ${replica.seq}  lots ${replica.lots}`,
+      );
+}
+function addLedgerCommands(program: Sade): void {
+  nodeCommand(program, "change <id>", "What became of a change.").action((id: string, options: CommandOptions) =>
+    readResource(options, `/v1/changes/${id}`, (body) => printLine(JSON.stringify(body))),
+  );
+  nodeCommand(program, "ledger", "Reads the ledger in its one order.")
+    .option("--after", "Stamp to go on from", "")
+    .option("--limit", "Entries", 100)
+    .action((options: LedgerOptions) =>
+      readResource<{ entries: LedgerEntryBody[] }>(
+        options,
+        `/v1/ledger?after=${encodeURIComponent(options.after)}&limit=${options.limit}`,
+        (body) => printLedgerEntries(body.entries),
+      ),
+    );
+  nodeCommand(program, "why <id>", "Everything that bears on a request, lot, item, move, change, shard.").action(
+    (id: string, options: CommandOptions) =>
+      readResource<WhyBody>(options, `/v1/why/${encodeURIComponent(id)}`, printWhy),
+  );
+}
+
+/** Commands that only read: the ledger, members, shards, batch jobs and metrics. @example addInspectionCommands(program); */
+export function addInspectionCommands(program: Sade): void {
+  addLedgerCommands(program);
+  nodeCommand(program, "members", "Who is there.").action((options: CommandOptions) =>
+    readResource<MembersBody>(options, "/v1/members", printMembers),
+  );
+  nodeCommand(program, "shards", "Views and copies of every shard.").action((options: CommandOptions) =>
+    readResource<ShardsBody>(options, "/v1/shards", printShards),
+  );
+  nodeCommand(program, "lot <id>", "State of a lot (ask an ingress).").action((id: string, options: CommandOptions) =>
+    readResource(options, `/v1/lots/${id}`, (body) => printLine(JSON.stringify(body, null, 2))),
+  );
+  nodeCommand(program, "metrics", "Metrics of the node.").action((options: CommandOptions) =>
+    readResource(options, "/metrics", () => undefined),
+  );
+}
--- /dev/null
+++ b/src/cli/operator/responses.ts
@@ -0,0 +1,81 @@
+/** Bodies of a node's responses to operators, as docs/http.md gives them: the field names are those on the wire. */
+
+/** An error response (`application/problem+json`). */
+export interface ProblemBody {
+  code?: string;
+  detail?: string;
+  step?: string;
+  member?: string;
+  /** Where the input is wrong, as JSON pointers. */
+  paths?: string[];
+  changeId?: string;
+}
+/** The outcome of a change. */
+export interface ChangeBody {
+  version: number;
+  changeId: string;
+}
+/** A calendar entry: a planned operation and how far it has come. */
+export interface CalendarEntryBody {
+  id: string;
+  /** Milliseconds since 1970. */
+  due: number;
+  move: { kind: string };
+  /** Its state: `pencilled` (scheduled), `started`, `finished`, `failed` or `removed`. */
+  fate: string;
+  detail?: string;
+}
+/** One entry of the ledger. */
+export interface LedgerEntryBody {
+  stamp: string;
+  subject: string;
+  decision: string;
+  cause: Record<string, unknown>;
+}
+/** Ledger entries that bear on one subject, and those that caused them. */
+export interface WhyBody {
+  entries: LedgerEntryBody[];
+  because: LedgerEntryBody[];
+}
+/** A shard view: its members, and which of them leads. */
+export interface ShardViewBody {
+  shard: number;
+  epoch: number;
+  members: string[];
+  lead: string;
+}
+/** The cluster as one node knows it. */
+export interface MembersBody {
+  members: { id: string; program: string; district: string; address: string; state: string }[];
+  /** Endpoints: the back-end processes that requests are forwarded to. */
+  replicas: {
+    id: string;
+    pool: string;
+    district: string;
+    address: string;
+    active: number;
+    capacity: number;
+    version: string;
+  }[];
+  group: string | null;
+  /** Log index of the node's control snapshot. */
+  frame: number;
+  /** Version of its configuration. */
+  manifest: number;
+  views: ShardViewBody[];
+  drained: string[];
+  retiring: string[];
+}
+/** The state of one shard replica. */
+export interface ShardReplicaBody {
+  shard: number;
+  epoch: number;
+  role: string;
+  seq: number;
+  lots: number;
+  failing: string[];
+}
+/** The shard replicas and batch jobs of every store. */
+export interface ShardsBody {
+  stores: { store: string; shards: ShardReplicaBody[]; lots: Record<string, unknown>[] }[];
+}
--- a/test/query.test.ts
+++ b/test/query.test.ts
@@ -1,4 +1,4 @@
-import { Query } from "../src/cli/queryCommand";
+import { runSelect } from "../src/cli/selectQuery";
 
 const rows = {
   members: [
@@ -15,14 +15,14 @@
   lots: [{ id: "L", open: 0 }],
 };
 test("questions over one table and over two", () => {
-  expect(Query.run("SELECT program, COUNT(*) AS n FROM members GROUP BY program ORDER BY program", rows)).toEqual([
+  expect(runSelect("SELECT program, COUNT(*) AS n FROM members GROUP BY program ORDER BY program", rows)).toEqual([
     { program: "agent", n: 1 },
     { program: "store", n: 2 },
   ]);
-  expect(Query.run("SELECT members.id FROM views JOIN members ON views.lead = members.id", rows)).toEqual([
+  expect(runSelect("SELECT members.id FROM views JOIN members ON views.lead = members.id", rows)).toEqual([
     { id: "a" },
   ]);
-  expect(Query.run("SELECT id FROM replicas WHERE active > 3", rows)).toEqual([{ id: "r2" }]);
+  expect(runSelect("SELECT id FROM replicas WHERE active > 3", rows)).toEqual([{ id: "r2" }]);
 });
 test.each([
   "DELETE FROM members",
@@ -33,5 +33,5 @@
   "CREATE TABLE x",
   "not sql",
 ])("anything but one SELECT over the known tables is refused: %s", (text) => {
-  expect(() => Query.run(text, rows)).toThrow();
+  expect(() => runSelect(text, rows)).toThrow();
 });
