--- /dev/null
+++ b/test/golden/controlLog.ts
@@ -0,0 +1,50 @@
+import { LogStore } from "../../src/consensus/logStore";
+import { ReplicatedLog } from "../../src/consensus/replicatedLog";
+import { TwoSlots } from "../../src/runtime/twoSlots";
+import { SimDisk } from "../../src/simulation/simDisk";
+import { SimWorld } from "../../src/simulation/simWorld";
+
+/** What a control log holds after a start. */
+export type ControlLogContent = {
+  term: number;
+  votedFor: string;
+  lastIndex: number;
+  voters: string[];
+  snapshotIndex: number;
+  snapshotTerm: number;
+  /** Index and term of each entry after the snapshot. */
+  entries: [index: number, term: number][];
+};
+const folder = "data/group";
+
+/** Opens a control log from the files of its folder. @example (await openControlLog(files)).term */
+export async function openControlLog(files: Record<string, Buffer>): Promise<ControlLogContent> {
+  const world = new SimWorld(1);
+  const process = world.start("control-1", new SimDisk(world));
+  const log = new ReplicatedLog(new LogStore(new TwoSlots(process.env, folder)));
+  const opened = await world.finish(
+    process,
+    function* () {
+      for (const [file, content] of Object.entries(files)) yield* process.env.disk.write(`${folder}/${file}`, content);
+      return yield* log.open();
+    },
+    60_000,
+  );
+  if (!opened?.ok) throw new Error(JSON.stringify(opened));
+  return {
+    term: log.currentTerm,
+    votedFor: log.votedFor,
+    lastIndex: log.lastIndex(),
+    voters: log.voters(),
+    snapshotIndex: log.snapshotIndex,
+    snapshotTerm: log.snapshotTerm,
+    entries: log.entries.map(({ index, term }) => [index, term]),
+  };
+}
+/** A control member's log files, with its snapshot or without. @example groupFiles(folders["control-1"], false) */
+export const groupFiles = (files: Record<string, Buffer>, withSnapshot: boolean): Record<string, Buffer> =>
+  Object.fromEntries(
+    Object.entries(files)
+      .filter(([file]) => file.startsWith("group/") && (withSnapshot || !file.startsWith("group/slot-")))
+      .map(([file, content]) => [file.slice("group/".length), content]),
+  );
--- a/test/golden/record.ts
+++ b/test/golden/record.ts
@@ -2,6 +2,7 @@
  * Records the golden files of the product anew: `node dist/test/golden/record.js messages|folders`, then prettier.
  * Only a change that is meant to change what is sent, answered, logged or stored may do so, and its commit says why.
  */
+import { groupFiles, openControlLog } from "./controlLog";
 import { productRun } from "./productRun";
 import {
   goldenResponses,
@@ -13,6 +14,7 @@
   writeDataFolders,
   writeGolden,
 } from "./recordings";
+import { rareEventRun } from "./rareEventRun";
 import { readFolders, writeFolders } from "./storageRun";
 
 async function recordMessages(): Promise<void> {
@@ -25,7 +27,13 @@
 }
 async function recordFolders(): Promise<void> {
   writeDataFolders(await writeFolders());
-  writeGolden("readBack.json", await readFolders(readDataFolders()));
+  const folders = readDataFolders();
+  writeGolden("controlLog.json", {
+    fromSnapshot: await openControlLog(groupFiles(folders["control-1"], true)),
+    fromLogs: await openControlLog(groupFiles(folders["control-1"], false)),
+  });
+  writeGolden("rareLogEvents.json", logEventShapes(await rareEventRun(folders)));
+  writeGolden("readBack.json", await readFolders(folders));
 }
 
 const recorders: Record<string, () => Promise<void>> = { messages: recordMessages, folders: recordFolders };
--- a/test/goldenFolders.test.ts
+++ b/test/goldenFolders.test.ts
@@ -2,8 +2,10 @@
 import * as os from "os";
 import * as path from "path";
 import { DataFolder } from "../src/runtime/dataFolder";
+import { groupFiles, openControlLog } from "./golden/controlLog";
 import { Exchange } from "./golden/exchange";
-import { readDataFolders, readGolden } from "./golden/recordings";
+import { rareEventRun } from "./golden/rareEventRun";
+import { logEventShapes, readDataFolders, readGolden } from "./golden/recordings";
 import { DataFolders, readFolders, writeFolders } from "./golden/storageRun";
 import { TestTools } from "./tools";
 
@@ -30,6 +32,16 @@
   );
   expect(exchanges).toEqual(recorded);
 });
+test("a control log gives term, vote, voters and entries, from the snapshot and from the logs alone", async () => {
+  const files = readDataFolders()["control-1"];
+  expect({
+    fromSnapshot: await openControlLog(groupFiles(files, true)),
+    fromLogs: await openControlLog(groupFiles(files, false)),
+  }).toEqual(readGolden("controlLog.json"));
+});
+test("a damaged snapshot, a foreign folder, a mended replica and a move that starts are logged as recorded", async () => {
+  expect(logEventShapes(await rareEventRun(readDataFolders()))).toEqual(readGolden("rareLogEvents.json"));
+});
 test("a fixed run writes the recorded bytes into every file of its data folders", async () => {
   const recorded = readDataFolders();
   expect(Object.keys(recorded)).toEqual(["control-1", "store-1", "store-2"]);
--- a/test/goldenMessages.test.ts
+++ b/test/goldenMessages.test.ts
@@ -1,3 +1,5 @@
+import * as fs from "fs";
+import * as path from "path";
 import { EnvelopeCodec } from "../src/rpc/envelopeCodec";
 import { ProductRecording, productRun } from "./golden/productRun";
 import {
@@ -37,6 +39,15 @@
     expect([golden.method, EnvelopeCodec.encode(envelope).toString("base64")]).toEqual([golden.method, bytes]);
   }
 });
+test("the fields of every log event that the operators' pages name are recorded", () => {
+  const docs = path.join(__dirname, "../../docs");
+  const pages = ["operators.md", ...fs.readdirSync(path.join(docs, "operators")).map((page) => `operators/${page}`)];
+  const text = pages.map((page) => fs.readFileSync(path.join(docs, page), "utf8")).join("\n");
+  const named = [...new Set([...text.matchAll(/PB(\d{4})/g)].map(([, event]) => event))].sort();
+  const recorded = { ...readGolden<object>("logEvents.json"), ...readGolden<object>("rareLogEvents.json") };
+  expect(named.length).toBeGreaterThan(20);
+  expect(named.filter((event) => !(event in recorded))).toEqual([]);
+});
 test("the catalogue of log events has the recorded numbers, levels and texts", () => {
   expect(logCatalogue()).toEqual(readGolden("logCatalogue.json"));
 });
