--- a/scripts/guardMutations/mutations.js
+++ b/scripts/guardMutations/mutations.js
@@ -37,9 +37,10 @@
     expectedInvariants: ["acknowledged-on-every-member"],
     edits: [
       {
-        file: "control/shardPlacement.js",
-        find: "this.choose(view, level.ids, joiners)",
-        replacement: "this.choose(view, [...new Set([...sealed.map((copy) => copy.id), ...joiners])], joiners)",
+        file: "control/viewChange.js",
+        find: "this.chooseMembers(view, levelled, joiners)",
+        replacement:
+          "this.chooseMembers(view, [...new Set([...sealed.map((replica) => replica.id), ...joiners])], joiners)",
       },
       {
         file: "shard/shardReplica.js",
@@ -269,9 +270,9 @@
         replacement: "suspicionMs: 30000",
       },
       {
-        file: "control/shardPlacement.js",
-        find: "else if (failing.length > 0)",
-        replacement: "else if (false)",
+        file: "control/viewChangeTrigger.js",
+        find: "if (failing.length > 0)",
+        replacement: "if (false)",
       },
     ],
   },
--- /dev/null
+++ b/src/control/controlRequestHandler.ts
@@ -0,0 +1,90 @@
+import { Fault, Result } from "../common/fault";
+import { ConsensusGroup } from "../consensus/consensusGroup";
+import type { ControlState } from "../controlState/controlState";
+import { ControlRequest, ReadRequest } from "../node/controlRequest";
+import { Node } from "../node/node";
+import { LeaderClock, OrderDeadline } from "../node/orderDeadline";
+import { Task } from "../runtime/csp";
+import { Env } from "../runtime/env";
+import { ChangeProposals } from "./changeProposals";
+import { Leadership } from "./leadership";
+import { RetirementOrders } from "./retirementOrders";
+
+/** A part of the control state; null where there is none of that name or id. */
+function readState(state: ControlState, { what, id }: ReadRequest): unknown {
+  switch (what) {
+    case "manifest":
+      return state.manifest;
+    case "policies":
+      return state.policies;
+    case "calendar":
+      if (id) return state.calendar[id] ?? null;
+      return { entries: Object.values(state.calendar).sort((left, right) => left.due - right.due) };
+    case "change":
+      return state.changes[id] ?? null;
+    case "views":
+      return state.views;
+    default:
+      return null;
+  }
+}
+
+/** Serves "control.op": operators' reads and orders, from any node, to the leader of the consensus group. */
+export class ControlRequestHandler {
+  /** Names this process's clock: a reading means nothing to another process, nor to this one's next start. */
+  private readonly clockId: string;
+
+  constructor(
+    private readonly env: Env,
+    private readonly node: Node,
+    private readonly group: ConsensusGroup,
+    private readonly leadership: Leadership,
+    private readonly proposals: ChangeProposals,
+    private readonly retirementOrders: RetirementOrders,
+  ) {
+    this.clockId = `${node.self.id}@${env.wall()}/${env.mono()}`;
+  }
+
+  /** @example requestHandler.serve(); */
+  serve(): void {
+    this.node.rpc.handle("control.op", (body: unknown) => this.onRequest(body));
+  }
+
+  /**
+   * Only a leader with its lease responds. What it responds from memory alone holds only if the lease still stands
+   * afterwards; an outcome that went through the log is final whatever became of the lease.
+   */
+  private *onRequest(body: unknown): Task<Result<unknown>> {
+    if (!this.group.hasLeaderLease()) return this.leadership.notLeader();
+    const request = ControlRequest.parse(body, this.node.self.id);
+    const response = request.ok ? yield* this.respond(request.value) : request;
+    const isRead = request.ok && request.value.op === "read";
+    const isFromMemory = isRead || (!response.ok && response.fault.tag !== "unknown");
+    return isFromMemory && !this.group.hasLeaderLease() ? this.leadership.notLeader() : response;
+  }
+
+  private *respond(request: ControlRequest): Task<Result<unknown>> {
+    const late = this.lateFault(request.deadline);
+    if (late) return late;
+    switch (request.op) {
+      case "clock":
+        return Fault.ok<LeaderClock>({ clockId: this.clockId, now: this.env.mono() });
+      case "read":
+        if (request.what === "retirement") return Fault.ok(yield* this.retirementOrders.read(request.id));
+        return Fault.ok(readState(this.group.state, request));
+      case "change":
+        return yield* this.proposals.propose(request.command);
+      case "retire":
+        return yield* this.retirementOrders.retire(request);
+    }
+  }
+
+  /** An order is appended only while its caller waits for the response; its lateness is measured on our own clock. */
+  private lateFault(deadline: OrderDeadline | undefined): Result<never> | undefined {
+    if (!deadline) return undefined;
+    const { id } = this.node.self;
+    if (deadline.clockId !== this.clockId) return Fault.fail("late", "control op", id, OrderDeadline.otherClock);
+    if (this.env.mono() <= deadline.at) return undefined;
+    return Fault.fail("late", "control op", id, "its caller no longer waits");
+  }
+}
--- /dev/null
+++ b/src/control/ledgerDelivery.ts
@@ -0,0 +1,61 @@
+import { Constants } from "../common/constants";
+import { ConsensusGroup } from "../consensus/consensusGroup";
+import type { Decision } from "../controlState/controlState";
+import { Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
+import { ShardClient } from "../storage/shardClient";
+
+/** Pause between deliveries of the leader, ms. */
+const DELIVERY_INTERVAL_MS = 200;
+/** Most decisions delivered before the progress is logged. */
+const MAX_BATCH = 50;
+/** A decision's put is retried for so long, ms. */
+const PUT_TIMEOUT_MS = 5000;
+
+/**
+ * Delivers the decisions of the control group to the ledger, while this node leads the group. Each is keyed by its log
+ * index, so that a repeated delivery adds nothing.
+ */
+export class LedgerDelivery {
+  constructor(
+    private readonly env: Env,
+    private readonly group: ConsensusGroup,
+    private readonly shards: ShardClient,
+  ) {}
+
+  /** @example EnvTools.keep(env, env.scope, "ledger delivery", () => delivery.run()); */
+  *run(): Task<void> {
+    for (;;) {
+      const isLeader = this.group.role === "leader";
+      yield* EnvTools.sleep(this.env, isLeader ? DELIVERY_INTERVAL_MS : Constants.dutyPeriodMs);
+      if (!this.group.hasLeaderLease()) continue;
+      const undelivered = this.group.state.untold.slice(0, MAX_BATCH);
+      const hasAllShards = Object.keys(this.group.state.views).length >= Constants.shardCount;
+      if (undelivered.length > 0 && hasAllShards) yield* this.deliver(undelivered);
+    }
+  }
+
+  /** Delivers in order up to the first failure, and logs how far it came. */
+  private *deliver(decisions: Decision[]): Task<void> {
+    let upTo = 0;
+    for (const decision of decisions) {
+      const isDelivered = yield* this.put(decision);
+      if (!isDelivered) break;
+      upTo = decision.index;
+    }
+    this.env.point(37);
+    if (upTo > 0) yield* this.group.propose({ tag: "told", upTo }, Constants.proposeTimeoutMs);
+  }
+
+  private *put({ index, subject, decision, cause }: Decision): Task<boolean> {
+    const entries = [{ subject, decision, cause: { note: cause } }];
+    const stored = yield* this.shards.put(
+      this.shards.shardOf(subject),
+      `control-${index}`,
+      [{ op: "note", entries, once: { source: "control", index } }],
+      {},
+      PUT_TIMEOUT_MS,
+    );
+    return stored.ok;
+  }
+}
--- /dev/null
+++ b/src/control/replicaJoin.ts
@@ -0,0 +1,45 @@
+import { Constants } from "../common/constants";
+import { ConsensusGroup } from "../consensus/consensusGroup";
+import { Member } from "../membership/member";
+import { Node } from "../node/node";
+import { Task } from "../runtime/csp";
+import { Env } from "../runtime/env";
+import { StoreStatuses } from "./storeStatuses";
+import { ViewChange } from "./viewChange";
+
+/** Response to "shard.fill"; "ok": the replica holds the shard's state. */
+interface FillResponse {
+  tag: string;
+}
+
+/** Adds a replica to a shard: it copies the state from the leader, then joins by a view change. */
+export class ReplicaJoin {
+  constructor(
+    private readonly env: Env,
+    private readonly node: Node,
+    private readonly group: ConsensusGroup,
+    private readonly statuses: StoreStatuses,
+    private readonly viewChange: ViewChange,
+  ) {}
+
+  /**
+   * The state transfer may take longer than the call: it goes on by itself, and the next call asks whether it is done.
+   * @example yield* replicaJoin.run(3, member, "too few copies");
+   */
+  *run(shard: number, target: Member, reason: string): Task<void> {
+    const { epoch, lead: leader } = this.group.state.views[shard];
+    const source = this.node.addressOf(leader);
+    if (!source) return;
+    const filled = yield* this.node.rpc.call<FillResponse>(
+      target.address,
+      "shard.fill",
+      { shard, from: source },
+      Constants.fillAskMs,
+      () => !this.statuses.isResponsive(target.id),
+    );
+    if (!filled.ok || filled.value.tag !== "ok") return;
+    if (!this.group.hasLeaderLease() || this.group.state.views[shard].epoch !== epoch) return;
+    this.env.point(40, { shard, joiners: [target.id] });
+    yield* this.viewChange.run(shard, `${reason}: ${target.id} filled`, [target.id]);
+  }
+}
--- /dev/null
+++ b/src/control/storeStatuses.ts
@@ -0,0 +1,129 @@
+import { Constants } from "../common/constants";
+import { Node } from "../node/node";
+import { Csp, Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
+import { ShardReplicaStatus } from "../shard/shardReplica";
+import type { ShardView } from "../controlState/shardView";
+
+/** Response to "store.status". */
+interface StoreStatusResponse {
+  /** Replicas that the storage node holds. */
+  shards: ShardReplicaStatus[];
+  /** Whether it is shutting down. */
+  stopping: boolean;
+  /** Whether its clock is within bounds and its configuration current, so that it may lead. */
+  vouches: boolean;
+}
+
+/** The last status that a storage node reported. */
+export interface StoreStatus {
+  replicas: ShardReplicaStatus[];
+  isStopping: boolean;
+  /** Whether its clock is within bounds and its configuration current, so that it may lead. */
+  mayLead: boolean;
+  /** Arrival of the response, our monotonic clock, ms. */
+  receivedAt: number;
+}
+
+/** A poll gives up on a storage node after this, ms. */
+const STATUS_TIMEOUT_MS = 350;
+
+/**
+ * Polls the storage nodes for the status of their replicas.
+ *
+ * @example
+ * yield* statuses.poll();
+ * if (statuses.isUp("store-17")) statuses.replica("store-17", 3)?.epoch;
+ */
+export class StoreStatuses {
+  private readonly byId = new Map<string, StoreStatus>();
+  /** When the last poll began that has ended, our monotonic clock, ms. */
+  private lastPollAt = -Infinity;
+  /** When a poll first found a storage node; Infinity: none has. */
+  firstStoreAt = Infinity;
+
+  constructor(
+    private readonly env: Env,
+    private readonly node: Node,
+  ) {}
+
+  /** Asks every live storage node, and waits a little for the slowest; a later response counts for the next poll. @example yield* statuses.poll(); */
+  *poll(): Task<void> {
+    const startedAt = this.env.mono();
+    const stores = this.node.membership.alive("store");
+    const done = Csp.chan<true>(Math.max(1, stores.length));
+    const statuses = this;
+    for (const { id, address } of stores)
+      Csp.go(this.env.scope, `status of ${id}`, function* () {
+        const response = yield* statuses.node.rpc.call<StoreStatusResponse>(
+          address,
+          "store.status",
+          {},
+          STATUS_TIMEOUT_MS,
+        );
+        if (response.ok) statuses.store(id, response.value);
+        Csp.offer(done, true);
+      });
+    const deadline = this.env.mono() + Constants.lookWaitMs;
+    for (let received = 0; received < stores.length && this.env.mono() < deadline; received += 1)
+      yield* EnvTools.takeWithin(this.env, done, deadline - this.env.mono());
+    this.lastPollAt = startedAt;
+    if (stores.length > 0 && this.firstStoreAt === Infinity) this.firstStoreAt = this.env.mono();
+  }
+
+  private store(id: string, { shards: replicas, stopping: isStopping, vouches: mayLead }: StoreStatusResponse): void {
+    this.byId.set(id, { replicas, isStopping, mayLead, receivedAt: this.env.mono() });
+  }
+
+  /** Forgets everything: this node leads no more. @example statuses.clear(); */
+  clear(): void {
+    this.byId.clear();
+    this.firstStoreAt = Infinity;
+  }
+
+  /** The last status of a storage node. @example statuses.find("store-17")?.isStopping */
+  find(id: string): StoreStatus | undefined {
+    return this.byId.get(id);
+  }
+
+  /** The last status of a replica. @example statuses.replica("store-17", 3)?.epoch */
+  replica(id: string, shard: number): ShardReplicaStatus | undefined {
+    return this.byId.get(id)?.replicas.find((replica) => replica.shard === shard);
+  }
+
+  /** Time since the last status of a storage node, ms; 0 where there is none. @example statuses.silentMs("store-17") */
+  silentMs(id: string): number {
+    const now = this.env.mono();
+    return now - (this.byId.get(id)?.receivedAt ?? now);
+  }
+
+  /** Whether a storage node is a live member and reported lately. @example statuses.isUp("store-17") */
+  isUp(id: string): boolean {
+    const member = this.node.membership.find(id);
+    const status = this.byId.get(id);
+    return (
+      (member?.state === "alive" || member?.state === "suspect") &&
+      status !== undefined &&
+      this.env.mono() - status.receivedAt < Constants.statusFreshMs
+    );
+  }
+
+  /** Whether a storage node has responded to the last poll, or since; only such nodes are waited for. */
+  readonly isResponsive = (id: string): boolean => (this.byId.get(id)?.receivedAt ?? -Infinity) >= this.lastPollAt;
+
+  /**
+   * Whether neither this node nor any other member of the view has received anything from the view's leader for three
+   * lease renewals.
+   * @example statuses.isLeaderSilent(view)
+   */
+  isLeaderSilent(view: ShardView): boolean {
+    if (this.silentMs(view.lead) < Constants.leaderSilentMs) return false;
+    const followers = view.members.filter((id) => id !== view.lead);
+    return followers.length > 0 && followers.every((id) => this.reportsSilentLeader(id, view));
+  }
+
+  private reportsSilentLeader(id: string, view: ShardView): boolean {
+    const replica = this.isResponsive(id) ? this.replica(id, view.shard) : undefined;
+    return replica !== undefined && replica.epoch === view.epoch && replica.leadSilentMs > Constants.leaderSilentMs;
+  }
+}
--- /dev/null
+++ b/src/control/voterManager.ts
@@ -0,0 +1,97 @@
+import { Constants } from "../common/constants";
+import { ConsensusGroup } from "../consensus/consensusGroup";
+import { Node } from "../node/node";
+import { Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
+import { VoterSelection, VoterSituation } from "./voterSelection";
+
+/** Replaces lost voters of the consensus group by standbys, while this node leads it. */
+export class VoterManager {
+  private readonly startedAt: number;
+
+  /** @param voterCount voters that the group should have: a majority remains when as many are lost at once as the settings tolerate */
+  constructor(
+    private readonly env: Env,
+    private readonly node: Node,
+    private readonly group: ConsensusGroup,
+    readonly voterCount: number,
+  ) {
+    this.startedAt = env.mono();
+  }
+
+  /** @example EnvTools.keep(env, env.scope, "voters", () => voterManager.run()); */
+  *run(): Task<void> {
+    for (;;) {
+      yield* EnvTools.sleep(this.env, Constants.dutyPeriodMs);
+      if (!this.group.hasLeaderLease()) continue;
+      const voters = VoterSelection.next(this.situation());
+      if (!voters) continue;
+      const outcome = yield* this.group.propose({ tag: "voters", voters }, Constants.proposeTimeoutMs);
+      if (outcome.ok) this.env.log(1305, { voters });
+    }
+  }
+
+  /**
+   * Whether the group is to take no change yet: it was bootstrapped with too few voters, and has neither grown nor waited
+   * long enough for that.
+   * @example if (voterManager.isGrowing()) return busy;
+   */
+  isGrowing(): boolean {
+    const { manifest: configuration, policies, calendar, voters } = this.group.state;
+    const isUnchanged = configuration.version === 0 && policies.version === 0 && Object.keys(calendar).length === 0;
+    if (!isUnchanged || voters.length >= this.voterCount) return false;
+    const isWaiting = this.env.mono() - this.group.leaderSince < Constants.groupGrowMs;
+    if (!isWaiting) this.env.log(1309, { voters: voters.length, wanted: this.voterCount });
+    return isWaiting;
+  }
+
+  private situation(): VoterSituation {
+    const { group, node } = this;
+    const committed = group.state.voters;
+    const standbys = node.membership
+      .alive("control")
+      .map((member) => member.id)
+      .filter((id) => id !== node.self.id && !committed.includes(id) && group.isCaughtUp(id));
+    return {
+      self: node.self.id,
+      wanted: this.voterCount,
+      committed,
+      newest: group.voters(),
+      emptied: committed.filter((id) => this.hasLostDisk(id)),
+      gone: committed.filter((id) => this.isGone(id)),
+      standbys,
+      lag: (id) => group.lag(id),
+    };
+  }
+
+  /** Another member answers at the voter's address: the voter can neither acknowledge nor vote again. */
+  private hasLostDisk(id: string): boolean {
+    const member = this.node.membership.find(id);
+    if (id === this.node.self.id || !member || (member.state !== "dead" && member.state !== "left")) return false;
+    return this.node.membership.alive("control").some((other) => other.address === member.address);
+  }
+
+  /** The voter has been silent, or has left, for so long that another should replace it. */
+  private isGone(id: string): boolean {
+    if (id === this.node.self.id) return false;
+    const member = this.node.membership.find(id);
+    if (!member) return this.undiscoveredMs() > Constants.voterUnknownMs;
+    const stateAgeMs = this.node.membership.stateAgeMs(id);
+    switch (member.state) {
+      case "alive":
+      case "suspect":
+        return false;
+      case "dead":
+        return stateAgeMs > Constants.voterDeadMs;
+      case "left":
+        return stateAgeMs > Constants.voterLeftMs;
+    }
+  }
+
+  /** How long a node that this leader never received anything from had time to be discovered, ms. */
+  private undiscoveredMs(): number {
+    const now = this.env.mono();
+    const hasLedLongEnough = now - this.group.leaderSince > Constants.voterUnknownLeadMs;
+    return hasLedLongEnough ? now - this.startedAt : 0;
+  }
+}
--- /dev/null
+++ b/src/node/controlRequest.ts
@@ -0,0 +1,85 @@
+import type { Command } from "../controlState/command";
+import { Fault, Result } from "../common/fault";
+import type { OrderDeadline } from "./orderDeadline";
+
+/** Asks for a reading of the leader's clock. */
+export interface ClockRequest {
+  op: "clock";
+  deadline?: OrderDeadline;
+}
+
+/** Reads a part of the control state. */
+export interface ReadRequest {
+  op: "read";
+  /** Which part: "manifest", "policies", "calendar", "change", "views" or "retirement"; any other reads as null. */
+  what: string;
+  /** Of the calendar entry, change or storage node; "" where there is none. */
+  id: string;
+  deadline?: OrderDeadline;
+}
+
+/** Proposes a command to the consensus group. */
+export interface ChangeRequest {
+  op: "change";
+  command: Command;
+  deadline?: OrderDeadline;
+}
+
+/** Starts the retirement of a storage node. */
+export interface RetireRequest {
+  op: "retire";
+  /** Identifies the order, so that a retry gets the first outcome. */
+  changeId: string;
+  /** Id of the storage node, or the name of its machine. */
+  store: string;
+  /** The operator, for the ledger. */
+  by: string;
+  deadline?: OrderDeadline;
+}
+
+/** Body of the remote method "control.op", which only the leader of the consensus group serves. */
+export type ControlRequest = ClockRequest | ReadRequest | ChangeRequest | RetireRequest;
+
+type Fields = Record<string, unknown>;
+const isObject = (value: unknown): value is Fields => typeof value === "object" && value !== null;
+const areTexts = (values: unknown[]): values is string[] => values.every((value) => typeof value === "string");
+
+const isDeadline = (value: unknown): value is OrderDeadline =>
+  isObject(value) && typeof value.clockId === "string" && typeof value.at === "number";
+
+/** A command is checked for its tag only: the state machine rejects what it cannot apply, the same on every voter. */
+const isCommand = (value: unknown): value is Command => isObject(value) && typeof value.tag === "string";
+
+/** Requests as they arrive from other processes. */
+export const ControlRequest = {
+  /**
+   * Checks a body on arrival; the fault "invalid" says what is wrong.
+   * @example ControlRequest.parse({ op: "read", what: "calendar" }, "control-1")
+   */
+  parse(body: unknown, member: string): Result<ControlRequest> {
+    const invalid = (detail: string): Result<never> => Fault.fail("invalid", "control op", member, detail);
+    if (!isObject(body)) return invalid("no object");
+    if (body.deadline !== undefined && !isDeadline(body.deadline)) return invalid("malformed deadline");
+    const deadline = body.deadline ? { deadline: body.deadline } : {};
+    switch (body.op) {
+      case "clock":
+        return Fault.ok({ op: "clock", ...deadline });
+      case "read": {
+        const { what, id = "" } = body;
+        if (typeof what !== "string" || typeof id !== "string") return invalid("malformed read");
+        return Fault.ok({ op: "read", what, id, ...deadline });
+      }
+      case "change":
+        if (!isCommand(body.command)) return invalid("malformed command");
+        return Fault.ok({ op: "change", command: body.command, ...deadline });
+      case "retire": {
+        const texts = [body.changeId, body.store, body.by];
+        if (!areTexts(texts)) return invalid("malformed retirement");
+        const [changeId, store, by] = texts;
+        return Fault.ok({ op: "retire", changeId, store, by, ...deadline });
+      }
+      default:
+        return invalid(`unknown op ${String(body.op)}`);
+    }
+  },
+};
