--- a/src/simulation/scenarios/networkScenarios.ts
+++ b/src/simulation/scenarios/networkScenarios.ts
@@ -1,3 +1,4 @@
+import { NodeResponse } from "../simOperator";
 import { UnnumberedScenario } from "./scenario";
 
 /** Cuts of the network, between control machines, stores and ingresses. */
@@ -35,7 +36,7 @@
       const left = voters.find((each) => each.name !== leader)!;
       const lost = voters.filter((each) => each !== left).map((each) => each.name);
       const standby = fleet.names("control").filter((name) => !voters.some((each) => each.name === name));
-      const recover = (body: Record<string, unknown>): Promise<{ status: number; body: any } | undefined> =>
+      const recover = (body: Record<string, unknown>): Promise<NodeResponse | undefined> =>
         fleet.operate(
           "POST",
           "/v1/control/recover",
--- a/src/simulation/scenarios/operatorScenarios.ts
+++ b/src/simulation/scenarios/operatorScenarios.ts
@@ -1,3 +1,4 @@
+import { ConfigurationBody } from "../simOperator";
 import { joining, others, pick, points, UnnumberedScenario } from "./scenario";
 
 /** Operators' changes and moves: races, retirements, drains. */
@@ -12,8 +13,8 @@
         if (read?.status !== 200) continue;
         const nodes = [...fleet.plan.controlHttp, ...fleet.plan.ingressHttp];
         const both = await Promise.all([
-          fleet.changeFrom(read.body, 1, pick(fleet, nodes)),
-          fleet.changeFrom(read.body, 1, pick(fleet, nodes)),
+          fleet.changeFrom(read.body as ConfigurationBody, 1, pick(fleet, nodes)),
+          fleet.changeFrom(read.body as ConfigurationBody, 1, pick(fleet, nodes)),
         ]);
         lost += both.filter((each) => each.outcome === "refused").length;
         await fleet.run(300);
@@ -59,10 +60,8 @@
     name: "retire",
     about: "a store is retired under load, and leaves",
     run: async (fleet) => {
-      const members = await fleet.operate("GET", "/v1/members");
       const name = fleet.busiestStore();
-      const address = fleet.plan.processes.find((each) => each.name === name)!.settings.address;
-      const id = members?.body.members.find((member: { address: string }) => member.address === address).id;
+      const id = await fleet.memberIdOf(name);
       const fate = await fleet.move({ kind: "retire", store: id }, 40_000);
       fleet.notes.push(`retire: ${fate}`);
       if (fleet.names("store").length > 3 && !fate.startsWith("finished"))
@@ -77,10 +76,8 @@
     name: "retire-and-lose",
     about: "a store is retired while another is lost",
     run: async (fleet) => {
-      const members = await fleet.operate("GET", "/v1/members");
       const name = fleet.names("store")[0];
-      const address = fleet.plan.processes.find((each) => each.name === name)!.settings.address;
-      const id = members?.body.members.find((member: { address: string }) => member.address === address).id;
+      const id = await fleet.memberIdOf(name);
       const second = pick(fleet, others(fleet, "store", name));
       fleet.world.arm("store-", 48, 1, () => undefined);
       fleet.notes.push(`retire: ${await fleet.move({ kind: "retire", store: id }, 700)}`);
--- a/src/simulation/simFleet.ts
+++ b/src/simulation/simFleet.ts
@@ -2,7 +2,6 @@
 import { Daemon, RunningDaemon } from "../daemon/daemon";
 import { Csp, Task } from "../runtime/csp";
 import { EnvTools } from "../runtime/env";
-import { TwoSlots } from "../runtime/twoSlots";
 import { ControlNode } from "../control/controlNode";
 import { StorageNode } from "../storage/storageNode";
 import { ShardView } from "../controlState/shardView";
@@ -10,13 +9,41 @@
 import { Callers } from "../tools/callers";
 import { CheckOptions, Checker, Violation } from "../tools/checker";
 import { Deployment, Plan, ProcessPlan } from "../tools/deployment";
-import { History, Place } from "../tools/history";
+import { History } from "../tools/history";
 import { ReplicaSettings, StandInReplica } from "../tools/standIns";
+import { MembersBody } from "../cli/operator/responses";
+import { DiskAudit } from "./diskAudit";
 import { SimDisk } from "./simDisk";
+import { WALL_CLOCK_START_MS } from "./simEnvironment";
+import { ChangeOutcome, ConfigurationBody, LedgerPage, markersOf, NodeResponse, SimOperator } from "./simOperator";
 import { SimProcess, SimWorld } from "./simWorld";
+import { UnreachableWindows } from "./unreachableWindows";
 
-type Said = { status: number; body: any; headers: Record<string, string> } | undefined;
-type Window = { node: string; from: number; to: number };
+const ACKNOWLEDGED_POINT = 47; // fault point: an entry is on every member of the view, just acknowledged
+const VIEW_COMMITTED_POINT = 38; // fault point: a shard view was committed, not yet installed
+const READY_PERIOD_MS = 200; // ms; between looks at whether the fleet is ready
+const CONFIGURE_ATTEMPTS = 60;
+const READY_ATTEMPTS = 100;
+const SAMPLE_PERIOD_MS = 400; // ms; between samples of the configuration in force
+const SAMPLE_TIMEOUT_MS = 400; // ms; of one such sample
+const LEDGER_PERIOD_MS = 700; // ms; between reads of the ledger's new entries
+const LEDGER_TIMEOUT_MS = 1500; // ms; of one such read
+const TERMINATION_MS = 15_000; // ms; a process may take to end after SIGTERM
+const IN_TOUCH_AGAIN_MS = 4000; // ms; after a start or the end of a partition, a node is in touch again
+const AWAKE_AGAIN_MS = 2500; // ms; the same after a freeze
+const CLOSING_LEDGER_PAGE = 1500; // entries; of one page, when the ledger is read back
+const CLOSING_LEDGER_PAGES = 30;
+
+/** How a machine comes back: with an empty disk, at a new address. */
+export interface RestartOptions {
+  empty?: boolean;
+  moved?: boolean;
+}
+/** A stand-in endpoint and the process that it runs in. */
+export interface FleetEndpoint {
+  process: SimProcess;
+  replica: StandInReplica;
+}
 
 /**
  * A whole deployment in the simulator, with stand-in replicas, callers and operators.
@@ -34,14 +61,14 @@
   readonly history = new History();
   readonly disks = new Map<string, SimDisk>();
   readonly running = new Map<string, RunningDaemon>();
-  readonly endpoints = new Map<string, { process: SimProcess; replica: StandInReplica }>();
+  readonly endpoints = new Map<string, FleetEndpoint>();
   readonly pastEndpoints: StandInReplica[] = [];
   readonly errors: string[] = [];
   callers!: Callers;
-  private operator!: SimProcess;
-  private windows: Window[] = [];
+  private operator!: SimOperator;
+  private readonly unreachable = new UnreachableWindows();
+  private readonly audit = new DiskAudit(this);
   private settledAt = 0;
-  private marks = 0;
   private nextPort = 60_000;
   plannedOnly = false;
   /** What the scenario did, to show that it did something. */
@@ -58,14 +85,13 @@
     this.world = new SimWorld(seed, log);
     this.plan = Deployment.plan(deployment, 30_000, "data");
     this.world.watch = (process, point) => {
-      if (point === 47) this.noteAcknowledged(process.name);
-      if (point === 38) this.lookAtDisks();
+      if (point === ACKNOWLEDGED_POINT) this.audit.noteAcknowledged(process.name);
+      if (point === VIEW_COMMITTED_POINT) this.audit.recordDisks(this.history);
     };
   }
   /** Store members by id, as long as they hold the disk they were born on. */
   readonly storeOf = new Map<string, string>();
-  private acknowledged = new Map<number, Place>();
-  wall = (): number => 1_790_000_000_000 + this.world.now;
+  wall = (): number => WALL_CLOCK_START_MS + this.world.now;
   /** @example await fleet.run(5000); */
   run = (ms: number): Promise<void> => this.world.run(ms);
   names = (program: string): string[] =>
@@ -73,38 +99,41 @@
 
   /** Starts everything, configures it, and starts the callers. @example await fleet.boot(); */
   async boot(load = 1): Promise<void> {
-    this.operator = this.world.start("operator", new SimDisk(this.world));
+    this.operator = new SimOperator(this, this.world.start("operator", new SimDisk(this.world)), this.history);
     for (const each of this.plan.processes) this.start(each.name);
     for (const settings of this.plan.replicas) this.startEndpoint(settings);
     await this.run(1500);
-    for (const [what, doc] of [
-      ["manifest", this.deployment.manifest],
-      ["policies", this.deployment.policies],
-    ] as const) {
-      let done = false;
-      for (let round = 0; round < 60 && !done; round += 1) {
-        const put = await this.operate("PUT", `/v1/${what}`, doc, { "if-match": '"0"' });
-        done = put?.status === 200 || put?.status === 412;
-        if (!done) await this.run(200);
-      }
-      if (!done) throw new Error(`${what} was not taken; ${this.tail()}`);
-    }
-    for (let round = 0; round < 100; round += 1) {
-      if (await this.everyReady()) break;
-      await this.run(200);
-      if (round === 99) throw new Error(`fleet not ready; ${this.tail()}`);
-    }
+    await this.configure("manifest", this.deployment.manifest);
+    await this.configure("policies", this.deployment.policies);
+    await this.untilReady();
     const caller = this.world.start("callers", new SimDisk(this.world));
     this.callers = new Callers(caller.env, this.deployment.mix, this.plan.ingressHttp, this.history);
     this.callers.start(load);
     this.settledAt = this.wall();
-    this.sample();
+    this.observe();
     await this.run(2000);
   }
-  private async everyReady(): Promise<boolean> {
-    for (const address of this.plan.ingressHttp)
-      if ((await this.operate("GET", "/readyz", undefined, {}, address))?.status !== 200) return false;
-    return (await this.operate("GET", "/v1/ledger?limit=1", undefined, {}, this.plan.ingressHttp[0]))?.status === 200;
+  /** Sends a versioned document, by its name on the wire, until it is taken. */
+  private async configure(document: string, content: unknown): Promise<void> {
+    for (let attempt = 0; attempt < CONFIGURE_ATTEMPTS; attempt += 1) {
+      const response = await this.operate("PUT", `/v1/${document}`, content, { "if-match": '"0"' });
+      if (response?.status === 200 || response?.status === 412) return;
+      await this.run(READY_PERIOD_MS);
+    }
+    throw new Error(`${document} was not taken; ${this.tail()}`);
+  }
+  private async untilReady(): Promise<void> {
+    for (let attempt = 0; attempt < READY_ATTEMPTS; attempt += 1) {
+      if (await this.everyIngressReady()) return;
+      await this.run(READY_PERIOD_MS);
+    }
+    throw new Error(`fleet not ready; ${this.tail()}`);
+  }
+  private async everyIngressReady(): Promise<boolean> {
+    const answers200 = async (path: string, address: string): Promise<boolean> =>
+      (await this.operate("GET", path, undefined, {}, address))?.status === 200;
+    for (const address of this.plan.ingressHttp) if (!(await answers200("/readyz", address))) return false;
+    return answers200("/v1/ledger?limit=1", this.plan.ingressHttp[0]);
   }
   private tail(): string {
     return [...this.world.processes.values()]
@@ -112,50 +141,45 @@
       .slice(-40)
       .join("\n");
   }
-  /** Which configuration is in force where, twice a second. */
-  private sample(): void {
-    const fleet = this;
-    Csp.go(this.operator.scope, "sample", function* () {
-      for (;;) {
-        for (const address of fleet.plan.ingressHttp) {
-          const said = yield* fleet.ask(fleet.operator, "GET", "/v1/inforce", undefined, {}, address, 400);
-          if (said?.status === 200)
-            fleet.history.add({
-              tag: "inForce",
-              at: fleet.wall(),
-              node: address,
-              version: said.body.manifest.version,
-              mark: Object.keys(said.body.manifest.doc.bindings)
-                .filter((name) => name.startsWith("mark-"))
-                .join(","),
-            });
-        }
-        yield* EnvTools.sleep(fleet.operator.env, 400);
+  /** Records for the checker which configuration is in force where, and the ledger as it grows. */
+  private observe(): void {
+    const { scope } = this.operator.process;
+    Csp.go(scope, "sample configurations", () => this.sampleConfigurations());
+    Csp.go(scope, "follow the ledger", () => this.followLedger());
+  }
+  private *sampleConfigurations(): Task<void> {
+    for (;;) {
+      for (const address of this.plan.ingressHttp) {
+        const request = { method: "GET", path: "/v1/inforce", address, timeoutMs: SAMPLE_TIMEOUT_MS };
+        const response = yield* this.operator.request(request);
+        if (response?.status !== 200) continue;
+        const { manifest } = response.body as { manifest: ConfigurationBody };
+        const mark = markersOf(manifest.doc);
+        this.history.add({ tag: "inForce", at: this.wall(), node: address, version: manifest.version, mark });
       }
-    });
-    // and the ledger is followed as it grows: what was read once must stand so at day's end
-    Csp.go(this.operator.scope, "follow the ledger", function* () {
-      let after = "";
-      for (let turn = 0; ; turn += 1) {
-        const address = fleet.plan.ingressHttp[turn % fleet.plan.ingressHttp.length];
-        const said = yield* fleet.ask(
-          fleet.operator,
-          "GET",
-          `/v1/ledger?limit=1000&after=${encodeURIComponent(after)}`,
-          undefined,
-          {},
-          address,
-          1500,
-        );
-        if (said?.status === 200 && said.body.entries.length > 0) {
-          fleet.followed.push(...said.body.entries.map((entry: { stamp: string }) => entry.stamp));
-          after = said.body.next;
+      yield* EnvTools.sleep(this.operator.process.env, SAMPLE_PERIOD_MS);
+    }
+  }
+  /** What was read once must stand so at the end of the day. */
+  private *followLedger(): Task<void> {
+    const addresses = this.plan.ingressHttp;
+    let after = "";
+    for (let turn = 0; ; turn += 1) {
+      const path = `/v1/ledger?limit=1000&after=${encodeURIComponent(after)}`;
+      const address = addresses[turn % addresses.length];
+      const response = yield* this.operator.request({ method: "GET", path, address, timeoutMs: LEDGER_TIMEOUT_MS });
+      if (response?.status === 200) {
+        const { entries, next } = response.body as LedgerPage;
+        if (entries.length > 0) {
+          this.followed.push(...entries.map((entry) => entry.stamp));
+          after = next;
         }
-        yield* EnvTools.sleep(fleet.operator.env, 700);
       }
-    });
+      yield* EnvTools.sleep(this.operator.process.env, LEDGER_PERIOD_MS);
+    }
   }
 
+  // ---------- what runs, and the views ----------
   /** The running storage node of that name, if it runs. @example fleet.storageNode("store-1")?.replicas.size */
   private storageNode = (name: string): StorageNode | undefined =>
     this.names("store").includes(name) ? (this.running.get(name) as StorageNode | undefined) : undefined;
@@ -163,20 +187,10 @@
   private controlNode = (name: string): ControlNode | undefined =>
     this.names("control").includes(name) ? (this.running.get(name) as ControlNode | undefined) : undefined;
 
-  // ---------- what is on the disks ----------
-  private replicasOf(name: string): ShardReplica[] {
+  /** The shard replicas of a running store. @example fleet.replicasOf("store-1").length */
+  replicasOf(name: string): ShardReplica[] {
     return [...(this.storageNode(name)?.replicas.values() ?? [])];
   }
-  /** What a lead has answered stands on every copy: its last applied entry. */
-  private noteAcknowledged(name: string): void {
-    for (const replica of this.replicasOf(name)) {
-      if (replica.role !== "lead") continue;
-      const known = this.acknowledged.get(replica.shard);
-      const place = { epoch: replica.appliedEpoch, seq: replica.appliedSeq };
-      if (!known || place.epoch > known.epoch || (place.epoch === known.epoch && place.seq > known.seq))
-        this.acknowledged.set(replica.shard, place);
-    }
-  }
   /** The views that the control log holds, by the member that has applied most of it. @example fleet.views()["3"].members */
   views(): Record<string, ShardView> {
     const groups = this.names("control").flatMap((name) => this.controlNode(name)?.group ?? []);
@@ -236,39 +250,7 @@
     };
   }
   /** A change read and made at one node. @example await fleet.changeAt(fleet.httpOf("control-1")); */
-  async changeAt(address: string): Promise<{ outcome: string; version: number }> {
-    const read = await this.operate("GET", "/v1/manifest", undefined, {}, address);
-    return read?.status === 200 ? this.changeFrom(read.body, 1, address) : { outcome: "unread", version: 0 };
-  }
-  /** How far the synced log of a copy goes. */
-  private lastOnDisk(name: string, shard: number): Place {
-    const files = this.disks.get(name)!.under(`data/${name}/shard-${shard}`);
-    const { state, records } = TwoSlots.peek((each) => files.get(each), [...files.keys()], 2);
-    for (const record of records.reverse()) {
-      const read = JSON.parse(record.toString("utf8"));
-      if (read.tag === "entry") return { epoch: read.entry.epoch, seq: read.entry.seq };
-    }
-    const saved = state ? JSON.parse(state.toString("utf8")) : { lastEpoch: 0, seq: 0 };
-    return { epoch: saved.lastEpoch, seq: saved.seq };
-  }
-  /** Every member of every committed view holds what was acknowledged, as far as its disk was not taken from it. */
-  private lookAtDisks(): void {
-    for (const view of Object.values(this.views()))
-      for (const id of view.members) {
-        const name = this.storeOf.get(id);
-        const acknowledged = this.acknowledged.get(view.shard);
-        if (name && acknowledged)
-          this.history.add({
-            tag: "onDisk",
-            at: this.wall(),
-            shard: view.shard,
-            epoch: view.epoch,
-            member: name,
-            stands: this.lastOnDisk(name, view.shard),
-            acknowledged,
-          });
-      }
-  }
+  changeAt = (address: string): Promise<ChangeOutcome> => this.operator.changeConfigurationAt(address);
 
   // ---------- processes ----------
   private planOf(name: string): ProcessPlan {
@@ -283,8 +265,7 @@
     this.disks.set(name, disk);
     const process = this.world.start(name, disk);
     const fleet = this;
-    for (const window of this.windows)
-      if (window.node === plan.settings.http && window.to === Infinity) window.to = this.wall() + 4000;
+    this.unreachable.close(plan.settings.http, this.wall() + IN_TOUCH_AGAIN_MS);
     Csp.go(process.scope, "main", function* () {
       const started = yield* Daemon.start(process.env, plan.settings);
       if (started.ok) {
@@ -307,14 +288,14 @@
     this.keepErrors(name);
     this.world.kill(name, powerLost);
     this.running.delete(name);
-    this.windows.push({ node: this.httpOf(name), from: this.wall(), to: Infinity });
+    this.unreachable.open(this.httpOf(name), this.wall());
   }
   /** A machine comes back with its disk, or with an empty one, perhaps at a new address. @example fleet.restart("store-1", { empty: true, moved: true }); */
-  restart(name: string, how: { empty?: boolean; moved?: boolean } = {}): void {
-    this.acts.push(`restart ${name} ${how.empty ? "empty" : ""}${how.moved ? " at a new address" : ""}`);
+  restart(name: string, options: RestartOptions = {}): void {
+    this.acts.push(`restart ${name} ${options.empty ? "empty" : ""}${options.moved ? " at a new address" : ""}`);
     this.restored(`${name} started again`);
-    if (how.empty) this.wipe(name);
-    if (how.moved) {
+    if (options.empty) this.wipe(name);
+    if (options.moved) {
       const plan = this.planOf(name);
       plan.settings = {
         ...plan.settings,
@@ -357,25 +338,24 @@
         yield* running.stop();
         return true;
       },
-      15_000,
+      TERMINATION_MS,
     );
     const unanswered = "inFlight" in running ? Number((running as { inFlight: unknown }).inFlight) || 0 : 0;
     this.history.add({ tag: "stopped", at: this.wall(), process: name, unanswered });
     this.keepErrors(name);
     this.world.kill(name);
     this.running.delete(name);
-    this.windows.push({ node: this.httpOf(name), from: this.wall() - 15_000, to: Infinity });
+    this.unreachable.open(this.httpOf(name), this.wall() - TERMINATION_MS);
     return ended === true;
   }
   /** @example fleet.freeze("store-1"); */
   freeze(name: string): void {
     this.acts.push(`freeze ${name}`);
-    this.windows.push({ node: this.httpOf(name), from: this.wall(), to: Infinity });
+    this.unreachable.open(this.httpOf(name), this.wall());
     this.world.processes.get(name)!.freeze();
   }
   wake(name: string): void {
-    const window = this.windows.find((each) => each.node === this.httpOf(name) && each.to === Infinity);
-    if (window) window.to = this.wall() + 2500;
+    this.unreachable.closeOldest(this.httpOf(name), this.wall() + AWAKE_AGAIN_MS);
     this.world.processes.get(name)!.wake();
     this.restored(`${name} woke`);
   }
@@ -385,19 +365,19 @@
   /** Cuts a set of processes off from all others. @example fleet.cutOff(["store-1"], "both"); */
   cutOff(names: string[], way: "in" | "out" | "both" = "both"): void {
     this.acts.push(`cut off ${names.join(" ")} ${way}`);
-    for (const name of names) this.windows.push({ node: this.httpOf(name), from: this.wall(), to: Infinity });
+    for (const name of names) this.unreachable.open(this.httpOf(name), this.wall());
     this.world.cutOff(names, way);
   }
   /** Nothing comes from some processes to another. @example fleet.deafen("ingress-1", ["store-1"]); */
   deafen(name: string, to: string[]): void {
     this.acts.push(`${name} hears nothing from ${to.join(" ")}`);
-    this.windows.push({ node: this.httpOf(name), from: this.wall(), to: Infinity });
+    this.unreachable.open(this.httpOf(name), this.wall());
     for (const other of to) this.world.cut(other, name);
   }
   heal(): void {
     this.world.heal();
     this.restored("cuts healed");
-    for (const window of this.windows) if (window.to === Infinity) window.to = this.wall() + 4000;
+    this.unreachable.closeAll(this.wall() + IN_TOUCH_AGAIN_MS);
   }
   /** @example fleet.httpOf("store-1") */
   httpOf = (name: string): string => this.plan.processes.find((each) => each.name === name)?.settings.http ?? name;
@@ -432,117 +412,30 @@
   }
 
   // ---------- operators ----------
-  private *ask(
-    process: SimProcess,
-    method: string,
-    path: string,
-    body: unknown,
-    headers: Record<string, string>,
-    address: string,
-    timeoutMs: number,
-  ): Task<Said> {
-    const response = yield* process.env.http(address, {
-      method,
-      path,
-      body: body === undefined ? undefined : JSON.stringify(body),
-      headers,
-      timeoutMs,
-    });
-    if (!response.ok) return undefined;
-    const text = yield* EnvTools.bodyOf(process.env, response.value, 32_000_000, timeoutMs);
-    if (text === undefined) return undefined;
-    try {
-      return { status: response.value.status, headers: response.value.headers, body: JSON.parse(text) };
-    } catch {
-      return { status: response.value.status, headers: response.value.headers, body: text };
-    }
-  }
-  private anyNode(): string {
-    const up = this.plan.processes.filter(
-      (each) => this.world.processes.get(each.name)?.alive && !this.world.processes.get(each.name)?.frozen,
-    );
-    return up[Math.floor(this.world.random() * up.length)].settings.http;
-  }
   /** Asks some node, as an operator would. @example await fleet.operate("GET", "/v1/members"); */
-  async operate(
+  operate = (
     method: string,
     path: string,
     body?: unknown,
-    headers: Record<string, string> = {},
-    address = this.anyNode(),
-  ): Promise<Said> {
-    return this.world.finish(
-      this.operator,
-      () => this.ask(this.operator, method, path, body, headers, address, 8000),
-      9000,
-    );
-  }
-  /** A manifest with one more marked binding, made against the version that is read first. @example await fleet.change(1); */
-  async change(routes = 1): Promise<{ outcome: string; version: number }> {
-    const read = await this.operate("GET", "/v1/manifest");
-    if (read?.status !== 200) return { outcome: "unread", version: 0 };
-    return this.changeFrom(read.body, routes);
-  }
-  async changeFrom(
-    base: { version: number; doc: { bindings: Record<string, unknown> } },
-    routes = 1,
+    headers?: Record<string, string>,
     address?: string,
-  ): Promise<{ outcome: string; version: number }> {
-    const n = (this.marks += 1);
-    const doc = { ...base.doc, bindings: { ...base.doc.bindings } };
-    const marks: string[] = [];
-    for (let at = 0; at < routes; at += 1) {
-      const mark = routes === 1 ? `mark-${n}` : `grown-${n}-${at}`;
-      if (routes === 1 || at === 0) marks.push(mark);
-      doc.bindings[mark] = { kind: "lookup", pool: "desk", path: "/mark", safe: true };
-    }
-    doc.bindings[`mark-${n}`] = { kind: "lookup", pool: "desk", path: "/mark", safe: true };
-    const changeId = `change-${this.seed}-${n}`;
-    const put = await this.operate(
-      "PUT",
-      "/v1/manifest",
-      doc,
-      { "if-match": `"${base.version}"`, "x-change-id": changeId },
-      address,
-    );
-    const outcome = put?.status === 200 ? "acknowledged" : put?.status === 412 ? "refused" : "unknown";
-    this.history.add({
-      tag: "change",
-      at: this.wall(),
-      what: "manifest",
-      changeId,
-      outcome,
-      version: put?.status === 200 ? put.body.version : 0,
-      mark: `mark-${n}`,
-    });
-    return { outcome, version: put?.status === 200 ? put.body.version : 0 };
-  }
-  /** A calendar entry due now; answers its end, or how far it came. @example await fleet.move({ kind: "drain", district: "north" }, 10_000); */
+  ): Promise<NodeResponse | undefined> => this.operator.operate(method, path, body, headers, address);
+  /** A configuration with one more marked route, made against the version that is read first. @example await fleet.change(1); */
+  change = (routes = 1): Promise<ChangeOutcome> => this.operator.changeConfiguration(routes);
+  /** The same, made against a configuration read before. @example await fleet.changeFrom(body, 400); */
+  changeFrom = (base: ConfigurationBody, routes = 1, address?: string): Promise<ChangeOutcome> =>
+    this.operator.changeConfigurationFrom(base, routes, address);
+  /** The id of the member that runs under a name, as some node knows it. @example await fleet.memberIdOf("store-1") */
+  async memberIdOf(name: string): Promise<string> {
+    const response = await this.operate("GET", "/v1/members");
+    const { members } = response!.body as MembersBody;
+    const { address } = this.planOf(name).settings;
+    return members.find((member) => member.address === address)!.id;
+  }
+  /** A calendar entry due now; its last known state. @example await fleet.move({ kind: "drain", district: "north" }, 10_000); */
   async move(move: Record<string, unknown>, withinMs: number): Promise<string> {
-    const id = `move-${(this.marks += 1)}`;
     this.acts.push(`move ${JSON.stringify(move).slice(0, 80)}`);
-    let put: Said;
-    for (let round = 0; round < 5 && put?.status !== 200; round += 1)
-      put = await this.operate(
-        "PUT",
-        `/v1/calendar/${id}`,
-        { due: "now", move },
-        { "if-match": '"0"', "x-change-id": id },
-      );
-    if (put?.status !== 200) return `not taken: ${put?.status}`;
-    const acknowledgedAt = this.wall();
-    if (move.kind === "drain")
-      this.history.add({ tag: "drained", at: acknowledgedAt, district: String(move.district) });
-    let fate = "";
-    for (const until = this.world.now + withinMs; this.world.now < until;) {
-      const read = await this.operate("GET", `/v1/calendar/${id}`);
-      fate = read?.status === 200 ? `${read.body.fate}${read.body.detail ? `: ${read.body.detail}` : ""}` : fate;
-      if (fate.startsWith("finished") || fate.startsWith("failed")) break;
-      await this.run(400);
-    }
-    if (move.kind === "undrain")
-      this.history.add({ tag: "undrained", at: acknowledgedAt, district: String(move.district) });
-    return fate;
+    return this.operator.runPlanned(move, withinMs);
   }
   /** The store that leads most shards now. @example fleet.busiestStore() */
   busiestStore(): string {
@@ -559,62 +452,46 @@
     );
   }
 
-  /** Day's end: callers finish, everything is read back, the history is judged. @example const violations = await fleet.close(); */
+  /** Ends the day: callers finish, everything is read back, the history is judged. @example const violations = await fleet.close(); */
   async close(): Promise<Violation[]> {
     this.world.heal();
     for (const process of this.world.processes.values()) process.wake();
+    await this.finishCallers();
+    await this.readBack();
+    for (const name of this.world.processes.keys()) this.keepErrors(name);
+    this.audit.recordDisks(this.history);
+    const violations = this.judge();
+    for (const name of [...this.world.processes.keys()]) this.world.kill(name);
+    return violations;
+  }
+  private async finishCallers(): Promise<void> {
     this.callers.stopNew();
     for (let waited = 0; this.callers.running > 0 && waited < 120; waited += 1) await this.run(1000);
-    const operator = this.operator;
-    const fleet = this;
     for (const address of this.plan.ingressHttp.slice(0, 3))
-      await this.world.finish(operator, () => fleet.callers.reread(address), 200_000);
-    const configuration = await this.operate("GET", "/v1/manifest");
-    if (configuration?.status === 200)
-      this.history.add({
-        tag: "dayEnd",
-        at: this.wall(),
-        version: configuration.body.version,
-        mark: Object.keys(configuration.body.doc.bindings)
-          .filter((name) => name.startsWith("mark-"))
-          .join(","),
-      });
-    else this.history.add({ tag: "dayEnd", at: this.wall(), version: 0, mark: "" });
+      await this.world.finish(this.operator.process, () => this.callers.reread(address), 200_000);
+  }
+  private async readBack(): Promise<void> {
+    const response = await this.operate("GET", "/v1/manifest");
+    const configuration = response?.status === 200 ? (response.body as ConfigurationBody) : undefined;
+    const mark = configuration ? markersOf(configuration.doc) : "";
+    this.history.add({ tag: "dayEnd", at: this.wall(), version: configuration?.version ?? 0, mark });
     this.history.add({ tag: "ledger", at: this.wall(), ingress: "the follower", stamps: this.followed });
     for (const address of this.plan.ingressHttp.slice(0, 2)) {
-      const stamps: string[] = [];
-      let after = "";
-      for (let page = 0; page < 30; page += 1) {
-        const read = await this.operate(
-          "GET",
-          `/v1/ledger?limit=1500&after=${encodeURIComponent(after)}`,
-          undefined,
-          {},
-          address,
-        );
-        if (read?.status !== 200 || read.body.entries.length === 0) break;
-        stamps.push(...read.body.entries.map((entry: { stamp: string }) => entry.stamp));
-        after = read.body.next;
-      }
+      const stamps = await this.operator.readLedger(address, CLOSING_LEDGER_PAGE, CLOSING_LEDGER_PAGES);
       this.history.add({ tag: "ledger", at: this.wall(), ingress: address, stamps });
     }
-    for (const name of this.world.processes.keys()) this.keepErrors(name);
-    this.lookAtDisks();
+  }
+  private judge(): Violation[] {
     const options: CheckOptions = {
       plannedOnly: this.plannedOnly,
       settledAt: this.settledAt,
-      unreachable: (node, from, to) =>
-        this.windows.some((window) => window.node === node && window.from <= to && window.to >= from),
+      unreachable: (node, from, to) => this.unreachable.covers(node, from, to),
     };
     const violations = Checker.check(this.history, this.pastEndpoints, options);
     for (const error of this.errors) violations.push({ invariant: "no-task-error", detail: error.slice(0, 600) });
-    if (
-      this.history.of("lookup").length === 0 ||
-      this.history.of("streamEnd").length === 0 ||
-      this.history.of("lotFinished").length === 0
-    )
+    const kinds = ["lookup", "streamEnd", "lotFinished"] as const;
+    if (kinds.some((kind) => this.history.of(kind).length === 0))
       violations.push({ invariant: "exercised", detail: "the run served nothing of some kind: it proves nothing" });
-    for (const name of [...this.world.processes.keys()]) this.world.kill(name);
     return violations;
   }
 }
--- a/src/tools/scale/storeScale.ts
+++ b/src/tools/scale/storeScale.ts
@@ -45,7 +45,7 @@
       {},
       quiet.fleet.plan.ingressHttp[0],
     );
-    finished = read?.body.finished === true;
+    finished = (read?.body as { finished?: boolean } | undefined)?.finished === true;
     await quiet.fleet.run(250);
   }
   const tookS = (quiet.fleet.world.now - from) / 1000;
