--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -5,7 +5,14 @@
 import tseslint from "typescript-eslint";
 
 /** Folders without a warning: there the rules that warn elsewhere are errors. */
-const strictFolders = ["scripts/", "src/consensus/", "src/control/", "src/controlState/"];
+const strictFolders = [
+  "scripts/",
+  "src/membership/",
+  "src/rpc/",
+  "src/consensus/",
+  "src/control/",
+  "src/controlState/",
+];
 
 const sizeLimits = (severity) => ({
   complexity: [severity, 20],
--- a/src/common/constants.ts
+++ b/src/common/constants.ts
@@ -16,7 +16,7 @@
   probeTimeoutMs: 150, // ms; direct acknowledgement; three times ε so that a busy member is not asked around for
   indirectTimeoutMs: 250, // ms; second opinions through third parties
   ownLateMs: 100, // ms; a probe whose timers came so late says nothing of who was probed
-  secondOpinions: 3, // members; third parties asked before suspicion
+  indirectProbes: 3, // members; third parties asked before suspicion
   suspicionMs: 1500, // ms; a suspect may refute; keeps detection under 2.5 s and takeover under 12 s
   deadKeepMs: 60_000, // ms; a dead or departed member is remembered so that old news can't raise it
   piggybackUpdates: 8, // updates a datagram; keeps a datagram under one 1500 byte frame... of loopback size
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -6,37 +6,36 @@
   await hollow.world.run(6000);
   return hollow;
 };
-/** Who is held for something other than alive by a member. */
+/** Ids that a member knows as anything but alive. */
 const accused = (hollow: HollowWorld, at: number): string[] =>
   hollow.placed[at]
     .member!.node.membership.all()
     .filter((member) => member.state !== "alive")
     .map((member) => member.id);
 
-test("a member that was itself late accuses nobody", async () => {
+test("a member whose own timers were late suspects nobody", async () => {
   const hollow = await fleet(8, 3);
   const process = hollow.world.processes.get("hollow-5")!;
   const accusations: string[] = [];
-  for (let round = 0; round < 40; round += 1) {
-    // nothing reaches it while it waits for second opinions, and then it stands still past their time
+  for (let attempt = 0; attempt < 40; attempt += 1) {
+    // nothing reaches it while it waits for indirect probes, and then it is frozen past their time-out
     hollow.world.cutOff(["hollow-5"], "in");
-    await hollow.world.run(160 + 3 * round);
-    const fairly = accused(hollow, 4);
+    await hollow.world.run(160 + 3 * attempt);
+    const rightly = accused(hollow, 4);
     process.freeze();
     await hollow.world.run(600);
     hollow.world.heal();
     process.wake();
-    await hollow.world.run(0.1); // what it says by itself, before anybody can have told it
-    accusations.push(...accused(hollow, 4).filter((id) => !fairly.includes(id)));
+    await hollow.world.run(0.1); // its own verdicts, before it can have learned others'
+    accusations.push(...accused(hollow, 4).filter((id) => !rightly.includes(id)));
     await hollow.world.run(4000);
   }
   expect(accusations).toEqual([]);
   expect(hollow.placed[4].member!.node.membership.inconclusiveProbeCount).toBeGreaterThan(3);
   hollow.end();
 }, 60_000);
-test("members that missed each other's news find it by comparing: who joined, and who died", async () => {
+test("members that missed each other's updates find by digests who joined and who died", async () => {
   const hollow = await fleet(12, 4);
-  // for half a minute one hears of nobody else's probes: datagrams to it are lost, connections stay
   const { membership } = hollow.placed[11].member!.node;
   const learned: string[] = [];
   membership.onChange((changed) => changed && learned.push(`${changed.id} ${changed.state}`));
@@ -50,10 +49,10 @@
   expect(other.bucketChecksums()).not.toEqual(membership.bucketChecksums());
   hollow.end();
 }, 60_000);
-test("a living seed is not asked for its list again, a lost one is, and a healed cut is noticed", async () => {
+test("an alive seed is not contacted again, a lost one is, and a healed partition is noticed", async () => {
   const hollow = await fleet(9, 5);
   const quiet = await hollow.over(10_000);
-  // two and a half probes and their replies a second, and little else
+  // two and a half probes and their acknowledgements a second, and little else
   expect(quiet.datagrams).toBeLessThan(6);
   hollow.world.cutOff(["hollow-1", "hollow-2", "hollow-3"], "both");
   await hollow.world.run(90_000); // longer than the dead are remembered
--- a/test/snapshotTransfer.test.ts
+++ b/test/snapshotTransfer.test.ts
@@ -26,7 +26,8 @@
   );
   expect(
     Object.keys(
-      ConfigurationPatch.between(withoutOrigin({ ...from, origin: "x" }), withoutOrigin(patchedWithOrigin))!.upsert.bindings!,
+      ConfigurationPatch.between(withoutOrigin({ ...from, origin: "x" }), withoutOrigin(patchedWithOrigin))!.upsert
+        .bindings!,
     ),
   ).toEqual(["more"]);
   // in another order, with other settings beside the items, or mostly changed: no patch
