--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -7,11 +7,12 @@
 /** Folders without a warning: there the rules that warn elsewhere are errors. */
 const strictFolders = [
   "scripts/",
-  "src/membership/",
-  "src/rpc/",
   "src/consensus/",
   "src/control/",
   "src/controlState/",
+  "src/membership/",
+  "src/model/",
+  "src/rpc/",
 ];
 
 const sizeLimits = (severity) => ({
--- a/src/cli/modelCommand.ts
+++ b/src/cli/modelCommand.ts
@@ -1,6 +1,6 @@
 import * as fs from "fs";
 import type { Sade } from "sade";
-import { Action } from "../model/actions";
+import { Action, parseActions } from "../model/actions";
 import { Failure, ModelCampaign } from "../model/campaign";
 import { Walk } from "../model/walk";
 
@@ -17,7 +17,7 @@
 }
 function readActions(file: string): Action[] {
   try {
-    return JSON.parse(fs.readFileSync(file, "utf8")) as Action[];
+    return parseActions(fs.readFileSync(file, "utf8"));
   } catch (error) {
     return wrong(`${file}: ${(error as Error).message}`);
   }
@@ -77,8 +77,8 @@
           firstSeed: seed,
           walks,
           voters,
-          progress,
-          failed: tell,
+          onProgress: progress,
+          onFailure: tell,
           stopAtFailure: options.all === undefined,
         });
         const seconds = ((Date.now() - startedAt) / 1000).toFixed(0);
--- /dev/null
+++ b/src/model/actionGenerator.ts
@@ -0,0 +1,142 @@
+import type { Arbitrary } from "fast-check";
+import type { Action, Target } from "./actions";
+
+type FastCheck = typeof import("fast-check");
+/** An action with its frequency relative to the others. */
+interface WeightedAction {
+  weight: number;
+  arbitrary: Arbitrary<Action>;
+}
+
+const MIN_ACTIONS = 4;
+const MAX_ACTIONS = 60;
+/** Numbers that pick one of the changes, voters or standbys there are. */
+const MAX_PICK = 30;
+const FREEZE_MS = [100, 500, 900, 1500, 4000];
+
+const weighted = (weight: number, arbitrary: Arbitrary<Action>): WeightedAction => ({ weight, arbitrary });
+
+/**
+ * Generates walks at random; actions that are hard on a group come up more often.
+ *
+ * @example
+ * const walk = fc.sample(new ActionGenerator(fc, 4).walk(), 1);
+ */
+export class ActionGenerator {
+  private readonly machine: Arbitrary<number>;
+  private readonly target: Arbitrary<Target>;
+  private readonly pick: Arbitrary<number>;
+
+  /** fast-check is passed in, as only model runs load it. */
+  constructor(
+    private readonly fc: FastCheck,
+    private readonly machines: number,
+  ) {
+    this.machine = fc.integer({ min: 0, max: machines - 1 });
+    this.target = fc.oneof(
+      { weight: 4, arbitrary: fc.constant("leaseholder" as const) },
+      { weight: 3, arbitrary: fc.constant("anyLeader" as const) },
+      { weight: 1, arbitrary: this.machine },
+    );
+    this.pick = fc.integer({ min: 0, max: MAX_PICK });
+  }
+
+  /** A list of actions. Their order in `oneof` decides what a seed gives: keep it. */
+  walk(): Arbitrary<Action[]> {
+    const action = this.fc.oneof(
+      ...this.proposals(),
+      ...this.networkFaults(),
+      ...this.machineFaults(),
+      ...this.passingTime(),
+    );
+    return this.fc.array(action, { minLength: MIN_ACTIONS, maxLength: MAX_ACTIONS, size: "max" });
+  }
+
+  private proposals(): WeightedAction[] {
+    const { fc, target: at, pick } = this;
+    const change = fc.record({
+      tag: fc.constant("change" as const),
+      at,
+      register: fc.constantFrom("policies" as const, "manifest" as const),
+      base: fc.constantFrom(
+        "current" as const,
+        "current" as const,
+        "current" as const,
+        "stale" as const,
+        "ahead" as const,
+      ),
+      count: fc.integer({ min: 1, max: 4 }),
+    });
+    const changeOfVoters = fc.record({
+      tag: fc.constantFrom("addVoter" as const, "removeVoter" as const),
+      at,
+      pick,
+      count: fc.integer({ min: 1, max: 2 }),
+    });
+    return [
+      weighted(14, change),
+      weighted(5, fc.record({ tag: fc.constant("resend" as const), at, pick })),
+      weighted(2, fc.record({ tag: fc.constant("burst" as const), at, count: fc.integer({ min: 10, max: 40 }) })),
+      weighted(5, changeOfVoters),
+      weighted(1, fc.record({ tag: fc.constant("jumpVoters" as const), at, pick })),
+    ];
+  }
+
+  private networkFaults(): WeightedAction[] {
+    const { fc, machine } = this;
+    const way = fc.constantFrom("in" as const, "out" as const, "both" as const);
+    const mask = fc.integer({ min: 1, max: 2 ** this.machines - 2 });
+    const network = fc.record({
+      tag: fc.constant("network" as const),
+      dropPercent: fc.constantFrom(0, 2, 10, 30),
+      duplicatePercent: fc.constantFrom(0, 5, 20),
+      delayPercent: fc.constantFrom(0, 5, 30),
+      delayMs: fc.constantFrom(50, 400, 2000),
+    });
+    return [
+      weighted(3, fc.record({ tag: fc.constant("isolate" as const), machine, way })),
+      weighted(4, fc.record({ tag: fc.constant("isolateLeader" as const), way })),
+      weighted(3, fc.record({ tag: fc.constant("split" as const), mask })),
+      weighted(2, fc.record({ tag: fc.constant("cutOneWay" as const), from: machine, to: machine })),
+      weighted(5, fc.record({ tag: fc.constant("heal" as const) })),
+      weighted(3, network),
+    ];
+  }
+
+  private machineFaults(): WeightedAction[] {
+    const { fc, machine } = this;
+    const forMs = fc.constantFrom(...FREEZE_MS);
+    const kill = fc.record({
+      tag: fc.constant("kill" as const),
+      machine,
+      powerLost: fc.boolean(),
+      backInMs: fc.constantFrom(5, 100, 600, 3000),
+    });
+    const wipe = fc.record({ tag: fc.constant("wipe" as const), machine, backInMs: fc.constantFrom(5, 300, 2000) });
+    const stallDisk = fc.record({
+      tag: fc.constant("stallDisk" as const),
+      machine,
+      forMs: fc.constantFrom(200, 1000, 4000),
+    });
+    const stepClock = fc.record({
+      tag: fc.constant("stepClock" as const),
+      machine,
+      byMs: fc.constantFrom(-3_600_000, -500, 500, 3_600_000),
+    });
+    return [
+      weighted(3, fc.record({ tag: fc.constant("freeze" as const), machine, forMs })),
+      weighted(3, fc.record({ tag: fc.constant("freezeLeader" as const), forMs })),
+      weighted(4, kill),
+      weighted(1, fc.record({ tag: fc.constant("killAll" as const), backInMs: fc.constantFrom(5, 100, 600) })),
+      weighted(3, wipe),
+      weighted(2, stallDisk),
+      weighted(1, stepClock),
+    ];
+  }
+
+  private passingTime(): WeightedAction[] {
+    const { fc } = this;
+    const ms = fc.constantFrom(1, 5, 20, 80, 250, 700, 1200, 2500);
+    return [weighted(32, fc.record({ tag: fc.constant("pass" as const), ms }))];
+  }
+}
--- a/src/model/actions.ts
+++ b/src/model/actions.ts
@@ -1,137 +1,68 @@
-import type { Arbitrary } from "fast-check";
+import type { VersionedDocument } from "./referenceModel";
 
-/** Which of the two versioned documents a change is for. */
-export type Register = "policies" | "manifest";
-/** Whom a change is put to: who holds the lease, whoever takes itself for the lead, or any machine by number. */
-export type Target = "leaseholder" | "anyLead" | number;
-/** One step of a walk, as plain data so that it can be shortened, printed and played again. */
-export type Action =
-  | { tag: "change"; at: Target; register: Register; base: "current" | "stale" | "ahead"; count: number }
+/** Where a change is sent: the lease holder, whoever takes itself for the leader, or a machine by number. */
+export type Target = "leaseholder" | "anyLeader" | number;
+
+/** The version that a change is made against, relative to the committed one. */
+export type BaseVersion = "current" | "stale" | "ahead";
+
+/** Which messages of an isolated machine are lost: those to it, those from it, or both. */
+export type IsolationDirection = "in" | "out" | "both";
+
+/** Proposals to the group. */
+export type ProposalAction =
+  /** Sends `count` changes of a document in the same instant. */
+  | { tag: "change"; at: Target; register: VersionedDocument; base: BaseVersion; count: number }
+  /** Retries an earlier change. */
   | { tag: "resend"; at: Target; pick: number }
+  /** Sends so many changes, each against the version that the one before should give. */
   | { tag: "burst"; at: Target; count: number }
+  /** Proposes one voter more or less, `count` times in a row. */
   | { tag: "addVoter" | "removeVoter"; at: Target; pick: number; count: number }
-  | { tag: "jumpVoters"; at: Target; pick: number }
-  | { tag: "isolate"; machine: number; way: "in" | "out" | "both" }
-  | { tag: "isolateLead"; way: "in" | "out" | "both" }
+  /** Proposes a change of two voters by one entry, which the group must refuse. */
+  | { tag: "jumpVoters"; at: Target; pick: number };
+
+/** Faults of the network, and their end. */
+export type NetworkAction =
+  | { tag: "isolate"; machine: number; way: IsolationDirection }
+  | { tag: "isolateLeader"; way: IsolationDirection }
+  /** Partitions the machines whose bits are set in `mask` from the others. */
   | { tag: "split"; mask: number }
+  /** Loses the messages from one machine to another. */
   | { tag: "cutOneWay"; from: number; to: number }
   | { tag: "heal" }
-  | { tag: "network"; dropPercent: number; duplicatePercent: number; delayPercent: number; delayMs: number }
+  /** Loses, duplicates and delays single messages. */
+  | { tag: "network"; dropPercent: number; duplicatePercent: number; delayPercent: number; delayMs: number };
+
+/** Faults of processes, disks and clocks. */
+export type MachineAction =
   | { tag: "freeze"; machine: number; forMs: number }
-  | { tag: "freezeLead"; forMs: number }
+  | { tag: "freezeLeader"; forMs: number }
+  /** Ends a process; unless power is lost, its unsynced writes survive. */
   | { tag: "kill"; machine: number; powerLost: boolean; backInMs: number }
   | { tag: "killAll"; backInMs: number }
+  /** Ends a process and empties its disk; it comes back under a new id. */
   | { tag: "wipe"; machine: number; backInMs: number }
+  /** Makes every sync of a disk take so long. */
   | { tag: "stallDisk"; machine: number; forMs: number }
-  | { tag: "stepClock"; machine: number; byMs: number }
-  | { tag: "pass"; ms: number };
+  /** Steps the wall clock. */
+  | { tag: "stepClock"; machine: number; byMs: number };
 
-type FastCheck = typeof import("fast-check");
+/** One step of a walk, as plain data: it can be shortened, printed and replayed. */
+export type Action = ProposalAction | NetworkAction | MachineAction | { tag: "pass"; ms: number };
 
-/**
- * How walks are drawn: every action at random, those that make a group's life hard more often.
- * @example fc.sample(Actions.walk(fc, 4), 1)
- */
-export const Actions = {
-  walk(fc: FastCheck, machines: number): Arbitrary<Action[]> {
-    const machine = fc.integer({ min: 0, max: machines - 1 });
-    const way = fc.constantFrom("in" as const, "out" as const, "both" as const);
-    const target: Arbitrary<Target> = fc.oneof(
-      { weight: 4, arbitrary: fc.constant("leaseholder" as const) },
-      { weight: 3, arbitrary: fc.constant("anyLead" as const) },
-      { weight: 1, arbitrary: machine },
-    );
-    const pick = fc.integer({ min: 0, max: 30 });
-    const action = (
-      weight: number,
-      arbitrary: Arbitrary<Action>,
-    ): { weight: number; arbitrary: Arbitrary<Action> } => ({
-      weight,
-      arbitrary,
-    });
-    const step: Arbitrary<Action> = fc.oneof(
-      action(
-        14,
-        fc.record({
-          tag: fc.constant("change" as const),
-          at: target,
-          register: fc.constantFrom("policies" as const, "manifest" as const),
-          base: fc.constantFrom(
-            "current" as const,
-            "current" as const,
-            "current" as const,
-            "stale" as const,
-            "ahead" as const,
-          ),
-          count: fc.integer({ min: 1, max: 4 }),
-        }),
-      ),
-      action(5, fc.record({ tag: fc.constant("resend" as const), at: target, pick })),
-      action(2, fc.record({ tag: fc.constant("burst" as const), at: target, count: fc.integer({ min: 10, max: 40 }) })),
-      action(
-        5,
-        fc.record({
-          tag: fc.constantFrom("addVoter" as const, "removeVoter" as const),
-          at: target,
-          pick,
-          count: fc.integer({ min: 1, max: 2 }),
-        }),
-      ),
-      action(1, fc.record({ tag: fc.constant("jumpVoters" as const), at: target, pick })),
-      action(3, fc.record({ tag: fc.constant("isolate" as const), machine, way })),
-      action(4, fc.record({ tag: fc.constant("isolateLead" as const), way })),
-      action(
-        3,
-        fc.record({ tag: fc.constant("split" as const), mask: fc.integer({ min: 1, max: 2 ** machines - 2 }) }),
-      ),
-      action(2, fc.record({ tag: fc.constant("cutOneWay" as const), from: machine, to: machine })),
-      action(5, fc.record({ tag: fc.constant("heal" as const) })),
-      action(
-        3,
-        fc.record({
-          tag: fc.constant("network" as const),
-          dropPercent: fc.constantFrom(0, 2, 10, 30),
-          duplicatePercent: fc.constantFrom(0, 5, 20),
-          delayPercent: fc.constantFrom(0, 5, 30),
-          delayMs: fc.constantFrom(50, 400, 2000),
-        }),
-      ),
-      action(
-        3,
-        fc.record({ tag: fc.constant("freeze" as const), machine, forMs: fc.constantFrom(100, 500, 900, 1500, 4000) }),
-      ),
-      action(
-        3,
-        fc.record({ tag: fc.constant("freezeLead" as const), forMs: fc.constantFrom(100, 500, 900, 1500, 4000) }),
-      ),
-      action(
-        4,
-        fc.record({
-          tag: fc.constant("kill" as const),
-          machine,
-          powerLost: fc.boolean(),
-          backInMs: fc.constantFrom(5, 100, 600, 3000),
-        }),
-      ),
-      action(1, fc.record({ tag: fc.constant("killAll" as const), backInMs: fc.constantFrom(5, 100, 600) })),
-      action(3, fc.record({ tag: fc.constant("wipe" as const), machine, backInMs: fc.constantFrom(5, 300, 2000) })),
-      action(
-        2,
-        fc.record({ tag: fc.constant("stallDisk" as const), machine, forMs: fc.constantFrom(200, 1000, 4000) }),
-      ),
-      action(
-        1,
-        fc.record({
-          tag: fc.constant("stepClock" as const),
-          machine,
-          byMs: fc.constantFrom(-3_600_000, -500, 500, 3_600_000),
-        }),
-      ),
-      action(
-        32,
-        fc.record({ tag: fc.constant("pass" as const), ms: fc.constantFrom(1, 5, 20, 80, 250, 700, 1200, 2500) }),
-      ),
-    );
-    return fc.array(step, { minLength: 4, maxLength: 60, size: "max" });
-  },
+/** Former names of actions and targets, in walks that earlier versions printed. */
+const FORMER_NAMES: Record<string, string> = {
+  isolateLead: "isolateLeader",
+  freezeLead: "freezeLeader",
+  anyLead: "anyLeader",
 };
+const currentName = <Value>(value: Value): Value | string =>
+  typeof value === "string" ? (FORMER_NAMES[value] ?? value) : value;
+
+/** Reads the actions of a walk as a run printed them, by this version or a former one. Throws a SyntaxError if it is no JSON. */
+export function parseActions(json: string): Action[] {
+  return JSON.parse(json, (key, value: unknown) =>
+    key === "tag" || key === "at" ? currentName(value) : value,
+  ) as Action[];
+}
--- a/src/model/campaign.ts
+++ b/src/model/campaign.ts
@@ -1,28 +1,53 @@
-import { Action, Actions } from "./actions";
-import { Violation } from "./invariants";
-import { Plants } from "./groupUnderTest";
-import { spareMachines, Walk, WalkReport } from "./walk";
+import { ActionGenerator } from "./actionGenerator";
+import { Action } from "./actions";
+import { FaultInjection } from "./groupUnderTest";
+import { Violation } from "./violation";
+import { SPARE_MACHINES, Walk, WalkReport } from "./walk";
 
 /** A walk that broke an invariant, with the fewest actions that still break one. */
-export type Failure = { seed: number; voters: 3 | 5; violation: string; actions: Action[]; shrinks: number };
-export type CampaignReport = { walks: number; failures: Failure[]; totals: WalkReport };
-export type CampaignOptions = {
+export interface Failure {
+  seed: number;
+  voters: 3 | 5;
+  violation: string;
+  actions: Action[];
+  /** How often the list of actions was shortened. */
+  shrinks: number;
+}
+
+export interface CampaignReport {
+  walks: number;
+  failures: Failure[];
+  /** Sums over all walks that broke no invariant. */
+  totals: WalkReport;
+}
+
+export interface CampaignOptions {
+  /** Seed of the first walk; the next one has the next seed. */
   firstSeed: number;
   walks: number;
   voters: 3 | 5;
-  plants?: Plants;
-  /** Attempts at shortening a failing walk, at most. */
+  /** Faults of the product itself, put in by tests of the invariants. */
+  faults?: FaultInjection;
+  /** Attempts at shortening a failing walk, at most; 400 if absent. */
   shrinkLimit?: number;
-  /** Called after each walk. */
-  progress?: (walks: number) => void;
+  /** Called after each walk with the number of walks so far. */
+  onProgress?: (walks: number) => void;
   /** Called with each failing walk as soon as it is shortened. */
-  failed?: (failure: Failure) => void;
+  onFailure?: (failure: Failure) => void;
   stopAtFailure?: boolean;
-};
+}
+
+const DEFAULT_SHRINK_LIMIT = 400;
 
-const usualShrinkLimit = 400;
 const noTotals = (): WalkReport => ({ virtualMs: 0, proposed: 0, acknowledged: 0, committed: 0, wipes: 0 });
 
+function addTo(totals: WalkReport, report: WalkReport): void {
+  for (const key of Object.keys(totals) as (keyof WalkReport)[]) totals[key] += report[key];
+}
+function describe(error: unknown): string {
+  return error instanceof Violation ? error.message : String((error as Error)?.stack ?? error);
+}
+
 /**
  * Plays random walks by seed. The seed draws the actions and the randomness of the simulated world, so it alone gives
  * the same walk again.
@@ -31,39 +56,43 @@
  * const report = await ModelCampaign.run({ firstSeed: 1, walks: 100, voters: 3 });
  */
 export const ModelCampaign = {
+  /** Plays the walks one after the other. */
   async run(options: CampaignOptions): Promise<CampaignReport> {
-    const fc = await import("fast-check"); // only here: nothing else of the program needs it
-    const totals = noTotals();
-    const failures: Failure[] = [];
-    let walks = 0;
+    const report: CampaignReport = { walks: 0, failures: [], totals: noTotals() };
     for (let seed = options.firstSeed; seed < options.firstSeed + options.walks; seed += 1) {
-      let attempts = 0;
-      let violation: unknown;
-      const limit = options.shrinkLimit ?? usualShrinkLimit;
-      const property = fc.asyncProperty(Actions.walk(fc, options.voters + spareMachines), async (actions) => {
-        attempts += 1;
-        if (attempts > 1 + limit) return; // shortened enough
-        try {
-          const report = await Walk.play({ seed, voters: options.voters, plants: options.plants }, actions);
-          for (const key of Object.keys(totals) as (keyof WalkReport)[]) totals[key] += report[key];
-        } catch (error) {
-          violation = error;
-          throw error;
-        }
-      });
-      const checked = await fc.check(property, { seed, numRuns: 1, unbiased: true });
-      walks += 1;
-      if (checked.failed) {
-        const actions = checked.counterexample?.[0] ?? [];
-        const detail =
-          violation instanceof Violation ? violation.message : String((violation as Error)?.stack ?? violation);
-        const failure = { seed, voters: options.voters, violation: detail, actions, shrinks: checked.numShrinks };
-        failures.push(failure);
-        options.failed?.(failure);
+      const failure = await ModelCampaign.runWalk(options, seed, report.totals);
+      report.walks += 1;
+      if (failure) {
+        report.failures.push(failure);
+        options.onFailure?.(failure);
         if (options.stopAtFailure) break;
       }
-      options.progress?.(walks);
+      options.onProgress?.(report.walks);
     }
-    return { walks, failures, totals };
+    return report;
+  },
+
+  /** Plays the walk of one seed, and shortens it if it fails. Adds its figures to `totals`. */
+  async runWalk(options: CampaignOptions, seed: number, totals: WalkReport): Promise<Failure | undefined> {
+    const fc = await import("fast-check"); // loaded here only: nothing else of the program needs it
+    const { voters, faults } = options;
+    const attemptLimit = 1 + (options.shrinkLimit ?? DEFAULT_SHRINK_LIMIT);
+    let attempts = 0;
+    let violation: unknown;
+    const walks = new ActionGenerator(fc, voters + SPARE_MACHINES).walk();
+    const property = fc.asyncProperty(walks, async (actions) => {
+      attempts += 1;
+      if (attempts > attemptLimit) return;
+      try {
+        addTo(totals, await Walk.play({ seed, voters, faults }, actions));
+      } catch (error) {
+        violation = error;
+        throw error;
+      }
+    });
+    const checked = await fc.check(property, { seed, numRuns: 1, unbiased: true });
+    if (!checked.failed) return undefined;
+    const actions = checked.counterexample?.[0] ?? [];
+    return { seed, voters, violation: describe(violation), actions, shrinks: checked.numShrinks };
   },
 };
--- /dev/null
+++ b/src/model/faultyNetwork.ts
@@ -0,0 +1,81 @@
+import { Fault, Result } from "../common/fault";
+import { Chan, Csp, Task } from "../runtime/csp";
+import { Env, Link } from "../runtime/env";
+import type { SimWorld } from "../simulation/simWorld";
+
+/** Accepted connections that wait to be taken, at most. */
+const ACCEPT_BACKLOG = 1024;
+
+/**
+ * Loses, duplicates and reorders messages between replicas: more than a connection would ever do, so that the group must
+ * not depend on the order of its messages.
+ *
+ * @example
+ * const network = new FaultyNetwork(world);
+ * world.around = (env) => network.wrap(env);
+ * network.dropShare = 0.1;
+ */
+export class FaultyNetwork {
+  /** Shares of the messages that are lost, duplicated and delayed, from 0 to 1. */
+  dropShare = 0;
+  duplicateShare = 0;
+  delayShare = 0;
+  /** Duplicates and delayed messages arrive up to so much later, ms. */
+  delayMs = 0;
+
+  constructor(private readonly world: SimWorld) {}
+
+  /** Ends all faults. */
+  heal(): void {
+    this.dropShare = this.duplicateShare = this.delayShare = 0;
+  }
+
+  /** The same environment, with its connections through this network. */
+  wrap(env: Env): Env {
+    const network = this;
+    return {
+      ...env,
+      *connect(address, timeoutMs): Task<Result<Link>> {
+        const connected = yield* env.connect(address, timeoutMs);
+        return connected.ok ? Fault.ok(network.wrapLink(connected.value)) : connected;
+      },
+      *listen(address): Task<Result<Chan<Link>>> {
+        const listening = yield* env.listen(address);
+        return listening.ok ? Fault.ok(network.wrapLinks(env, listening.value)) : listening;
+      },
+    };
+  }
+  private wrapLinks(env: Env, accepted: Chan<Link>): Chan<Link> {
+    const network = this;
+    const links = Csp.chan<Link>(ACCEPT_BACKLOG);
+    Csp.go(env.scope, "faulty links", function* () {
+      for (;;) {
+        const link = yield* Csp.take(accepted);
+        if (link === null) return links.close();
+        yield* Csp.put(links, network.wrapLink(link));
+      }
+    });
+    return links;
+  }
+  private wrapLink(link: Link): Link {
+    return {
+      member: link.member,
+      incoming: link.incoming,
+      send: (message) => this.send(link, message),
+      close: () => link.close(),
+    };
+  }
+  private send(link: Link, message: Buffer): boolean {
+    const { world } = this;
+    if (world.random() < this.dropShare) return !link.incoming.isClosed();
+    if (world.random() < this.duplicateShare) this.sendLater(link, message);
+    if (world.random() < this.delayShare) {
+      this.sendLater(link, message);
+      return !link.incoming.isClosed();
+    }
+    return link.send(message);
+  }
+  private sendLater(link: Link, message: Buffer): void {
+    this.world.at(this.world.random() * this.delayMs, () => void link.send(message));
+  }
+}
--- a/src/model/invariants.ts
+++ b/src/model/invariants.ts
@@ -1,70 +1,59 @@
 import type { ConsensusGroup, ConsensusGroupInspection } from "../consensus/consensusGroup";
 import { Outcome } from "../controlState/command";
 import { ControlState } from "../controlState/controlState";
-import { Reference } from "./reference";
-
-type Entry = ConsensusGroupInspection["entries"][number];
-/** One running replica, as the invariants see it. */
-export type Replica = { id: string; group: ConsensusGroup };
-/** Every invariant by the name that a failing walk prints. */
-export type InvariantName =
-  | "one-lead-a-term"
-  | "one-leaseholder"
-  | "logs-match"
-  | "committed-stays"
-  | "replicas-agree"
-  | "acknowledged-stays"
-  | "one-change-a-version"
-  | "same-outcome-again"
-  | "lease-read-current"
-  | "one-uncommitted-voter-change"
-  | "commit-never-falls"
-  | "lead-after-heal"
-  | "converged-after-heal"
-  | "no-task-error";
-
-/** A broken invariant ends the walk. */
-export class Violation extends Error {
-  constructor(
-    readonly invariant: InvariantName,
-    readonly detail: string,
-  ) {
-    super(`${invariant}: ${detail}`);
-  }
+import { ReferenceModel } from "./referenceModel";
+import { InvariantName, Violation } from "./violation";
+
+type LogEntry = ConsensusGroupInspection["entries"][number];
+
+/** One running replica. */
+export interface RunningReplica {
+  id: string;
+  group: ConsensusGroup;
 }
 
-type Committed = { term: number; command: string };
-type Acknowledged = { outcome: Outcome; index: number };
+/** A committed entry; the command is JSON. */
+interface CommittedEntry {
+  term: number;
+  command: string;
+}
 
 /**
- * The invariants of the group, kept over a whole walk: what was ever seen committed, acknowledged or led is remembered
- * here, and everything that comes later is compared with it.
+ * Checks the invariants of the group over a whole walk: remembers what was ever committed, acknowledged or elected, and
+ * compares all that comes later with it.
  *
  * @example
  * const invariants = new Invariants();
- * invariants.applied(replica, state, index); // from the group's hook
- * invariants.leases(running);
+ * invariants.onApplied(replica, state, index); // from the group's hook
+ * invariants.checkLeases(running);
  */
 export class Invariants {
-  /** The first violation; kept, since it may be found in the middle of a replica's own code. */
+  /** The first violation. It is thrown later, as it may be found in the middle of a replica's own code. */
   violation: Violation | undefined;
-  readonly reference = new Reference();
-  private readonly committed: Committed[] = [];
+  readonly reference = new ReferenceModel();
+  /** Committed entries; the one of index 1 is the first. */
+  private readonly committed: CommittedEntry[] = [];
+  /** The reference's digest and the voters after each index, from 0 on. */
   private readonly digests: string[] = [this.reference.digest()];
   private readonly committedVoters: string[][] = [[]];
   private readonly leaderOfTerm = new Map<number, string>();
-  /** Each entry ever seen by index and term, with the term before it: equal entries have equal logs before them. */
+  /** Each entry ever seen by index and term, with the term before it: equal entries must have equal logs before them. */
   private readonly seenEntries = new Map<string, string>();
-  private readonly checkedEntries = new WeakMap<Entry, number>();
-  private readonly commitOf = new WeakMap<ConsensusGroup, number>();
-  private readonly acknowledged = new Map<string, Acknowledged>();
+  /** Entries compared already, with the term of the entry before. */
+  private readonly checkedEntries = new WeakMap<LogEntry, number>();
+  private readonly commitIndexes = new WeakMap<ConsensusGroup, number>();
+  /** Outcomes of acknowledged changes by change id. */
+  private readonly acknowledged = new Map<string, Outcome>();
+  /** The acknowledged change that wrote a version of a document. */
   private readonly changeOfVersion = new Map<string, string>();
+  /** The highest index of an acknowledged change. */
   private acknowledgedIndex = 0;
 
-  private broken(invariant: InvariantName, detail: string): void {
+  private violate(invariant: InvariantName, detail: string): void {
     this.violation ??= new Violation(invariant, detail);
   }
-  /** The newest index that any replica ever took for committed. */
+
+  /** The highest index that any replica ever took for committed. */
   get committedIndex(): number {
     return this.committed.length;
   }
@@ -76,37 +65,40 @@
     return [...this.acknowledged.keys()];
   }
 
+  // ---------- events ----------
+
   /** A replica won an election. */
-  elected(id: string, term: number): void {
+  onElected(id: string, term: number): void {
     const known = this.leaderOfTerm.get(term);
     if (known !== undefined && known !== id)
-      this.broken("one-lead-a-term", `${known} and ${id} both lead term ${term}`);
+      this.violate("election-safety", `${known} and ${id} both lead term ${term}`);
     this.leaderOfTerm.set(term, id);
   }
 
   /** A replica has applied its log up to an index. */
-  applied(replica: Replica, state: ControlState, index: number): void {
+  onApplied(replica: RunningReplica, state: ControlState, index: number): void {
     const { entries } = replica.group.inspect();
     for (const entry of entries) {
       if (entry.index > index) break;
-      this.commit(replica.id, entry);
+      this.addCommitted(replica.id, entry);
     }
     this.compareState(replica.id, state, index);
   }
-  /** A replica has opened its disk, or applied something. */
+  /** Compares a replica that has applied something, or opened its disk, with the reference. */
   compareState(id: string, state: ControlState, index: number): void {
     const expected = this.digests[index];
     if (expected === undefined)
-      return this.broken("committed-stays", `${id} applied ${index}, which was never committed`);
-    const found = Reference.digestOf(state);
-    if (found !== expected) this.broken("replicas-agree", `${id} at index ${index} has ${found}, expected ${expected}`);
+      return this.violate("leader-completeness", `${id} applied ${index}, which was never committed`);
+    const actual = ReferenceModel.digestOf(state);
+    if (actual !== expected)
+      this.violate("state-machine-safety", `${id} at index ${index} has ${actual}, expected ${expected}`);
   }
-  private commit(id: string, entry: Entry): void {
+  private addCommitted(id: string, entry: LogEntry): void {
     const known = this.committed[entry.index - 1];
     if (known) {
       if (known.term === entry.term) return;
       const detail = `index ${entry.index} was committed as term ${known.term} ${known.command}`;
-      return this.broken("committed-stays", `${detail}, and is term ${entry.term} at ${id}`);
+      return this.violate("leader-completeness", `${detail}, and is term ${entry.term} at ${id}`);
     }
     if (entry.index !== this.committedIndex + 1) return;
     this.committed.push({ term: entry.term, command: JSON.stringify(entry.command) });
@@ -116,114 +108,120 @@
     this.committedVoters.push(voters);
   }
 
-  /** A caller has been told the outcome of its change. */
-  told(id: string, register: string, changeId: string, outcome: Outcome): void {
-    const earlier = this.acknowledged.get(changeId);
-    if (earlier && JSON.stringify(earlier.outcome) !== JSON.stringify(outcome))
-      return this.broken(
-        "same-outcome-again",
-        `${changeId} was told ${JSON.stringify(earlier.outcome)} and then ${JSON.stringify(outcome)} by ${id}`,
+  /** A caller got the outcome of its change. */
+  onOutcome(id: string, document: string, changeId: string, outcome: Outcome): void {
+    const text = JSON.stringify(outcome);
+    const earlier = JSON.stringify(this.acknowledged.get(changeId));
+    if (earlier !== undefined && earlier !== text)
+      return this.violate(
+        "outcome-repeatable",
+        `${changeId} was acknowledged with ${earlier} and then with ${text} by ${id}`,
       );
     if (outcome.tag !== "done") return;
-    const version = `${register} ${outcome.version}`;
+    const version = `${document} ${outcome.version}`;
     const other = this.changeOfVersion.get(version);
     if (other !== undefined && other !== changeId)
-      this.broken("one-change-a-version", `${other} and ${changeId} are both acknowledged as ${version}`);
+      this.violate("one-change-per-version", `${other} and ${changeId} are both acknowledged as ${version}`);
     this.changeOfVersion.set(version, changeId);
-    const committed = this.reference.outcomes.get(changeId);
-    if (JSON.stringify(committed) !== JSON.stringify(outcome))
-      this.broken(
-        "acknowledged-stays",
-        `${changeId} was told ${JSON.stringify(outcome)}, committed is ${JSON.stringify(committed)}`,
-      );
-    this.acknowledged.set(changeId, { outcome, index: this.committedIndex });
-    this.acknowledgedIndex = Math.max(this.acknowledgedIndex, this.indexOf(changeId));
+    const committed = JSON.stringify(this.reference.outcomes.get(changeId));
+    if (committed !== text)
+      this.violate("acknowledged-durable", `${changeId} was acknowledged with ${text}, committed is ${committed}`);
+    this.acknowledged.set(changeId, outcome);
+    this.acknowledgedIndex = Math.max(this.acknowledgedIndex, this.indexOfChange(changeId));
+  }
+  private indexOfChange(changeId: string): number {
+    const property = `"changeId":${JSON.stringify(changeId)}`;
+    return 1 + this.committed.findIndex(({ command }) => command.includes(property));
   }
-  private indexOf(changeId: string): number {
-    const marked = `"changeId":${JSON.stringify(changeId)}`;
-    return 1 + this.committed.findIndex(({ command }) => command.includes(marked));
+
+  /** A task of a replica has ended with an error. */
+  onTaskError(detail: string): void {
+    this.violate("no-task-error", detail);
   }
 
-  /** At this very instant: who could answer a read, and with what. Cheap, for every few milliseconds. */
-  leases(running: Replica[]): void {
+  // ---------- checks at an instant ----------
+
+  /** Who could answer a read now, and with what. Cheap enough for every few milliseconds. */
+  checkLeases(running: RunningReplica[]): void {
     const holders = running.filter(({ group }) => group.hasLeaderLease());
-    if (holders.length > 1)
-      this.broken(
-        "one-leaseholder",
-        `${holders.map(({ id, group }) => `${id} (term ${group.inspect().term})`).join(" and ")} hold the lease at once`,
-      );
+    if (holders.length > 1) {
+      const names = holders.map(({ id, group }) => `${id} (term ${group.inspect().term})`);
+      this.violate("one-lease-holder", `${names.join(" and ")} hold the lease at once`);
+    }
     for (const { id, group } of holders)
       if (group.lastApplied < this.acknowledgedIndex)
-        this.broken(
+        this.violate(
           "lease-read-current",
           `${id} holds the lease at ${group.lastApplied}, index ${this.acknowledgedIndex} is acknowledged`,
         );
-    for (const { id, group } of running) {
-      const before = this.commitOf.get(group) ?? 0;
-      if (group.commitIndex < before)
-        this.broken("commit-never-falls", `${id} fell from ${before} to ${group.commitIndex}`);
-      this.commitOf.set(group, group.commitIndex);
-    }
+    for (const replica of running) this.checkCommitIndex(replica);
+  }
+  private checkCommitIndex({ id, group }: RunningReplica): void {
+    const before = this.commitIndexes.get(group) ?? 0;
+    if (group.commitIndex < before)
+      this.violate("commit-index-monotonic", `${id} fell from ${before} to ${group.commitIndex}`);
+    this.commitIndexes.set(group, group.commitIndex);
   }
 
   /** All logs against each other and against what was committed. */
-  logs(running: Replica[]): void {
+  checkLogs(running: RunningReplica[]): void {
     for (const { id, group } of running) {
       const { entries } = group.inspect();
-      const pending = entries.filter(({ index, command }) => index > this.committedIndex && command.tag === "voters");
-      if (pending.length > 1)
-        this.broken(
-          "one-uncommitted-voter-change",
-          `${id} has ${pending.map(({ index, term }) => `index ${index} of term ${term}`).join(" and ")}, committed is ${this.committedIndex}`,
-        );
-      for (const [at, entry] of entries.entries()) {
-        const before = entries[at - 1];
-        if (!before) continue;
-        if (entry.index !== before.index + 1)
-          this.broken("logs-match", `${id} has index ${entry.index} after ${before.index}`);
-        this.match(id, entry, before.term);
+      this.checkPendingVoterChanges(id, entries);
+      for (const [position, entry] of entries.entries()) {
+        const previous = entries[position - 1];
+        if (!previous) continue;
+        if (entry.index !== previous.index + 1)
+          this.violate("log-matching", `${id} has index ${entry.index} after ${previous.index}`);
+        this.compareEntry(id, entry, previous.term);
       }
     }
   }
-  private match(id: string, entry: Entry, termBefore: number): void {
-    if (this.checkedEntries.get(entry) === termBefore) return;
-    this.checkedEntries.set(entry, termBefore);
+  private checkPendingVoterChanges(id: string, entries: readonly LogEntry[]): void {
+    const pending = entries.filter(({ index, command }) => index > this.committedIndex && command.tag === "voters");
+    if (pending.length <= 1) return;
+    const places = pending.map(({ index, term }) => `index ${index} of term ${term}`);
+    this.violate("one-pending-voter-change", `${id} has ${places.join(" and ")}, committed is ${this.committedIndex}`);
+  }
+  private compareEntry(id: string, entry: LogEntry, previousTerm: number): void {
+    if (this.checkedEntries.get(entry) === previousTerm) return;
+    this.checkedEntries.set(entry, previousTerm);
     const key = `${entry.index} of term ${entry.term}`;
-    const content = `after term ${termBefore}: ${JSON.stringify(entry.command)}`;
+    const content = `after term ${previousTerm}: ${JSON.stringify(entry.command)}`;
     const known = this.seenEntries.get(key);
     if (known !== undefined && known !== content)
-      this.broken("logs-match", `index ${key} is ${content} at ${id}, elsewhere ${known}`);
+      this.violate("log-matching", `index ${key} is ${content} at ${id}, elsewhere ${known}`);
     this.seenEntries.set(key, content);
   }
 
+  // ---------- checks at the end ----------
+
   /** Whether all replicas have applied everything that was ever committed. */
-  converged(running: Replica[]): boolean {
+  hasConverged(running: RunningReplica[]): boolean {
     return running.every(({ group }) => group.lastApplied === this.committedIndex);
   }
-  /** What the end of a walk has to show, after everything was healed. */
-  atEnd(running: Replica[], hasLeader: boolean): void {
+  /** What must be true at the end of a walk, after all faults were healed. */
+  checkEnd(running: RunningReplica[], hasLeader: boolean): void {
     if (!hasLeader)
-      return this.broken(
-        "lead-after-heal",
-        `nobody holds the lease, or no change goes through: ${Invariants.places(running)}`,
+      return this.violate(
+        "leader-after-heal",
+        `nobody holds the lease, or no change goes through: ${Invariants.describe(running)}`,
+      );
+    if (!this.hasConverged(running))
+      return this.violate(
+        "converged-after-heal",
+        `committed is ${this.committedIndex}: ${Invariants.describe(running)}`,
       );
-    if (!this.converged(running))
-      return this.broken("converged-after-heal", `committed is ${this.committedIndex}: ${Invariants.places(running)}`);
-    for (const [changeId, { outcome }] of this.acknowledged)
+    for (const [changeId, outcome] of this.acknowledged)
       for (const { id, group } of running)
         if (JSON.stringify(group.state.changes[changeId]) !== JSON.stringify(outcome))
-          this.broken("acknowledged-stays", `${id} does not have ${changeId} as ${JSON.stringify(outcome)}`);
-  }
-  private static places(running: Replica[]): string {
-    return running
-      .map(
-        ({ id, group }) =>
-          `${id} ${group.role} term ${group.inspect().term} applied ${group.lastApplied} voters ${group.voters().join(",")}`,
-      )
-      .join("; ");
-  }
-  /** A task of a replica has ended with an error. */
-  taskError(detail: string): void {
-    this.broken("no-task-error", detail);
+          this.violate("acknowledged-durable", `${id} does not have ${changeId} as ${JSON.stringify(outcome)}`);
+  }
+  private static describe(running: RunningReplica[]): string {
+    const lines = running.map(({ id, group }) => {
+      const { term } = group.inspect();
+      return `${id} ${group.role} term ${term} applied ${group.lastApplied} voters ${group.voters().join(",")}`;
+    });
+    return lines.join("; ");
   }
 }
--- /dev/null
+++ b/src/model/voterMaintenance.ts
@@ -0,0 +1,43 @@
+import { Constants } from "../common/constants";
+import { Task } from "../runtime/csp";
+import { EnvTools } from "../runtime/env";
+import type { DiskLossLimit } from "./diskLossLimit";
+import type { Incarnation, Machine } from "./machine";
+
+/**
+ * What the control node does about the voters, in a simpler form: as leader it removes voters with emptied disks, and
+ * brings their number back to what it should be.
+ */
+export class VoterMaintenance {
+  constructor(
+    private readonly machines: readonly Machine[],
+    private readonly diskLoss: DiskLossLimit,
+    private readonly votersWanted: number,
+  ) {}
+
+  /** Runs in the process of one replica until it ends. */
+  *run(incarnation: Incarnation): Task<void> {
+    const { process, group } = incarnation;
+    for (;;) {
+      yield* EnvTools.sleep(process.env, Constants.dutyPeriodMs);
+      if (!group.hasLeaderLease()) continue;
+      const voters = this.nextVoters(incarnation);
+      if (voters && this.diskLoss.allows(voters))
+        yield* group.propose({ tag: "voters", voters }, Constants.proposeTimeoutMs);
+    }
+  }
+  private nextVoters({ id: self, group }: Incarnation): string[] | undefined {
+    const voters = group.voters();
+    const wiped = voters.find((id) => this.diskLoss.isWiped(id));
+    if (wiped !== undefined) return voters.filter((id) => id !== wiped);
+    if (voters.length > this.votersWanted) {
+      const others = voters.filter((id) => id !== self);
+      const surplus = others.sort((left, right) => group.lag(right) - group.lag(left))[0];
+      return voters.filter((id) => id !== surplus);
+    }
+    if (voters.length === this.votersWanted) return undefined;
+    const ids = this.machines.map(({ incarnation }) => incarnation.id);
+    const standby = ids.find((id) => !voters.includes(id) && group.isCaughtUp(id));
+    return standby === undefined ? undefined : [...voters, standby];
+  }
+}
--- a/test/model.test.ts
+++ b/test/model.test.ts
@@ -7,8 +7,8 @@
 import { Env } from "../src/runtime/env";
 import { Action } from "../src/model/actions";
 import { ModelCampaign } from "../src/model/campaign";
-import { Plants } from "../src/model/groupUnderTest";
-import { InvariantName } from "../src/model/invariants";
+import { FaultInjection } from "../src/model/machine";
+import { InvariantName } from "../src/model/violation";
 import { Walk } from "../src/model/walk";
 import { UntypedHandler } from "../src/rpc/methods";
 import { Rpc } from "../src/rpc/rpc";
@@ -30,7 +30,7 @@
   test("gives the same walk", async () => {
     const actions: Action[] = [
       { tag: "change", at: "leaseholder", register: "policies", base: "current", count: 3 },
-      { tag: "isolateLead", way: "out" },
+      { tag: "isolateLeader", way: "out" },
       { tag: "pass", ms: 2500 },
       { tag: "wipe", machine: 1, backInMs: 300 },
       { tag: "pass", ms: 1200 },
@@ -47,7 +47,7 @@
 });
 
 /** Puts something else in place of a handler's response. */
-function answering(verb: string, respond: (body: any, proper: any) => any): Plants {
+function answering(verb: string, respond: (body: any, proper: any) => any): FaultInjection {
   return {
     rpc(rpc: Rpc): void {
       const handle = rpc.handle.bind(rpc);
@@ -94,9 +94,9 @@
     setLease(properLease);
   });
   /** Plays walks until one fails; which invariant it broke. */
-  async function found(plants: Plants, walks: number, prepare: () => void = () => undefined): Promise<string> {
+  async function found(faults: FaultInjection, walks: number, prepare: () => void = () => undefined): Promise<string> {
     prepare();
-    const options = { firstSeed: 1, walks, voters: 3 as const, plants, shrinkLimit: 0, stopAtFailure: true };
+    const options = { firstSeed: 1, walks, voters: 3 as const, faults, shrinkLimit: 0, stopAtFailure: true };
     const report = await ModelCampaign.run(options);
     process.stdout.write(
       `    ${report.walks} walks: ${report.failures[0]?.violation.slice(0, 150) ?? "nothing found"}\n`,
@@ -107,7 +107,7 @@
   const oneOf = (...names: InvariantName[]): unknown => expect.stringMatching(new RegExp(`^(${names.join("|")})$`));
 
   test("a lease longer than the silence before an election", async () => {
-    expect(await found({}, within, () => setLease(6000))).toEqual(oneOf("one-leaseholder", "lease-read-current"));
+    expect(await found({}, within, () => setLease(6000))).toEqual(oneOf("one-lease-holder", "lease-read-current"));
   });
   test("a lead that looks at no lease", async () => {
     const prepare = (): void => {
@@ -115,27 +115,27 @@
         return this.role === "leader";
       };
     };
-    expect(await found({}, within, prepare)).toEqual(oneOf("one-leaseholder", "lease-read-current"));
+    expect(await found({}, within, prepare)).toEqual(oneOf("one-lease-holder", "lease-read-current"));
   });
   test("a vote given to everybody who asks", async () => {
-    const plants = answering("group.vote", (body, proper) => ({ ...proper, granted: true, term: body.term }));
-    expect(await found(plants, within)).toEqual(
-      oneOf("one-lead-a-term", "logs-match", "committed-stays", "replicas-agree", "one-leaseholder"),
+    const faults = answering("group.vote", (body, proper) => ({ ...proper, granted: true, term: body.term }));
+    expect(await found(faults, within)).toEqual(
+      oneOf("election-safety", "log-matching", "leader-completeness", "state-machine-safety", "one-lease-holder"),
     );
   });
   test("an append called matched though it was refused", async () => {
-    const plants = answering("group.append", (body, proper) => ({
+    const faults = answering("group.append", (body, proper) => ({
       ...proper,
       matched: true,
       match: body.prevIndex + body.entries.length,
     }));
-    expect(await found(plants, within)).toEqual(
+    expect(await found(faults, within)).toEqual(
       oneOf(
-        "committed-stays",
-        "replicas-agree",
-        "acknowledged-stays",
+        "leader-completeness",
+        "state-machine-safety",
+        "acknowledged-durable",
         "converged-after-heal",
-        "lead-after-heal",
+        "leader-after-heal",
         "no-task-error",
       ),
     );
@@ -143,11 +143,11 @@
   test("a disk that says synced too early", async () => {
     expect(await found({ env: lyingDisk }, within)).toEqual(
       oneOf(
-        "one-lead-a-term",
-        "committed-stays",
-        "replicas-agree",
-        "logs-match",
-        "lead-after-heal",
+        "election-safety",
+        "leader-completeness",
+        "state-machine-safety",
+        "log-matching",
+        "leader-after-heal",
         "converged-after-heal",
       ),
     );
@@ -159,7 +159,7 @@
         return properApply(state, index, command);
       };
     };
-    expect(await found({}, within, prepare)).toEqual(oneOf("replicas-agree", "same-outcome-again"));
+    expect(await found({}, within, prepare)).toEqual(oneOf("state-machine-safety", "outcome-repeatable"));
   });
   test("the version check left out", async () => {
     const prepare = (): void => {
@@ -167,19 +167,19 @@
         properApply(state, index, "ifVersion" in command ? { ...command, ifVersion: state.policies.version } : command);
     };
     expect(await found({}, within, prepare)).toEqual(
-      oneOf("replicas-agree", "one-change-a-version", "acknowledged-stays"),
+      oneOf("state-machine-safety", "one-change-per-version", "acknowledged-durable"),
     );
   });
   test("two voters exchanged by one entry, and several such entries at once", async () => {
     const prepare = (): void => {
       MembershipChange.refusal = () => undefined;
     };
-    expect(await found({}, within, prepare)).toEqual(oneOf("one-uncommitted-voter-change"));
+    expect(await found({}, within, prepare)).toEqual(oneOf("one-pending-voter-change"));
   });
   test("other commands under the same index and term", async () => {
     const replaced = (entry: any): any =>
       entry.command.tag === "policies" ? { ...entry, command: { tag: "noop" } } : entry;
-    const plants: Plants = {
+    const faults: FaultInjection = {
       rpc(rpc, id) {
         const handle = rpc.handle.bind(rpc);
         rpc.handle = (verb: string, handler: UntypedHandler): void =>
@@ -190,10 +190,10 @@
           );
       },
     };
-    expect(await found(plants, within)).toEqual(oneOf("logs-match", "replicas-agree"));
+    expect(await found(faults, within)).toEqual(oneOf("log-matching", "state-machine-safety"));
   });
   test("a change that lost told as taken", async () => {
-    const plants: Plants = {
+    const faults: FaultInjection = {
       group(group) {
         const propose = group.propose.bind(group);
         group.propose = function* (command, withinMs) {
@@ -203,10 +203,10 @@
         };
       },
     };
-    expect(await found(plants, within)).toEqual(oneOf("one-change-a-version", "same-outcome-again"));
+    expect(await found(faults, within)).toEqual(oneOf("one-change-per-version", "outcome-repeatable"));
   });
   test("a change told as taken before it is committed", async () => {
-    const plants: Plants = {
+    const faults: FaultInjection = {
       group(group) {
         const propose = group.propose.bind(group);
         group.propose = function* (command, withinMs) {
@@ -216,10 +216,10 @@
         };
       },
     };
-    expect(await found(plants, within)).toEqual(oneOf("acknowledged-stays", "one-change-a-version"));
+    expect(await found(faults, within)).toEqual(oneOf("acknowledged-durable", "one-change-per-version"));
   });
   test("another outcome told when a change is sent again", async () => {
-    const plants: Plants = {
+    const faults: FaultInjection = {
       group(group) {
         const propose = group.propose.bind(group);
         const proposed = new Set<string>();
@@ -231,20 +231,20 @@
         };
       },
     };
-    expect(await found(plants, 4 * within)).toEqual(oneOf("same-outcome-again"));
+    expect(await found(faults, 4 * within)).toEqual(oneOf("outcome-repeatable"));
   });
   test("a commit index that falls", async () => {
-    const plants: Plants = {
+    const faults: FaultInjection = {
       group(group) {
         let commit = 0;
         const set = (index: number): void => void (commit = index > 0 && index % 4 === 0 ? index - 2 : index);
         Object.defineProperty((group as any).replica, "commitIndex", { get: () => commit, set });
       },
     };
-    expect(await found(plants, within)).toEqual(oneOf("commit-never-falls", "no-task-error"));
+    expect(await found(faults, within)).toEqual(oneOf("commit-index-monotonic", "no-task-error"));
   });
   test("a standby that refuses every append", async () => {
-    const plants: Plants = {
+    const faults: FaultInjection = {
       rpc(rpc, id) {
         const handle = rpc.handle.bind(rpc);
         const refusing: UntypedHandler = function* () {
@@ -254,10 +254,10 @@
           handle(verb, id === "c4" && verb === "group.append" ? refusing : handler);
       },
     };
-    expect(await found(plants, within)).toEqual(oneOf("converged-after-heal"));
+    expect(await found(faults, within)).toEqual(oneOf("converged-after-heal"));
   });
   test("a replica that takes nothing and says it does", async () => {
-    const plants: Plants = {
+    const faults: FaultInjection = {
       rpc(rpc, id) {
         const handle = rpc.handle.bind(rpc);
         const deaf: UntypedHandler = function* (body) {
@@ -267,14 +267,14 @@
           handle(verb, id === "c4" && verb === "group.append" ? deaf : handler);
       },
     };
-    expect(await found(plants, within)).toEqual(
-      oneOf("converged-after-heal", "lead-after-heal", "acknowledged-stays", "committed-stays"),
+    expect(await found(faults, within)).toEqual(
+      oneOf("converged-after-heal", "leader-after-heal", "acknowledged-durable", "leader-completeness"),
     );
   });
   test("voters that never grant a vote after the first", async () => {
-    const plants = answering("group.preVote", (body, proper) =>
+    const faults = answering("group.preVote", (body, proper) =>
       body.term > 2 ? { ...proper, granted: false } : proper,
     );
-    expect(await found(plants, within)).toEqual(oneOf("lead-after-heal"));
+    expect(await found(faults, within)).toEqual(oneOf("leader-after-heal"));
   });
 });
--- a/test/slowLeadDisk.test.ts
+++ b/test/slowLeadDisk.test.ts
@@ -5,21 +5,21 @@
 async function slowLeader(seed: number, changes: number, stallMs: number): Promise<[GroupUnderTest, Machine]> {
   const group = new GroupUnderTest({ seed, voters: 3, spares: 0 });
   await group.boot();
-  const leader = group.leaseholder()!;
+  const leader = group.leaseHolder()!;
   group.stallDisk(leader, stallMs);
   for (let version = 0; version < changes; version += 1) {
     group.propose(leader, "policies", version);
     if (version === 0) await group.pass(2); // the first is being synced, the others wait for that
   }
   await group.pass(60);
-  expect(leader.life.group.state.policies.version).toBe(changes);
+  expect(leader.incarnation.group.state.policies.version).toBe(changes);
   return [group, leader];
 }
 async function expectConverged(group: GroupUnderTest): Promise<void> {
   await group.pass(5000);
   group.check();
-  expect(group.leaseholder()).toBeDefined();
-  expect(group.invariants.converged(group.running())).toBe(true);
+  expect(group.leaseHolder()).toBeDefined();
+  expect(group.invariants.hasConverged(group.running())).toBe(true);
   group.end();
 }
 
