--- a/scripts/guardMutations/mutations.js
+++ b/scripts/guardMutations/mutations.js
@@ -67,8 +67,8 @@
     expectedInvariants: ["exercised"],
     edits: [
       {
-        file: "storage/workExecutor.js",
-        find: "this.patience(work.life)",
+        file: "storage/liveRequests/liveRequestExecution.js",
+        find: "(0, exports.remainingWaitMs)(this.env, request.spec)",
         replacement: "constants_1.Constants.liveWaitMs",
       },
     ],
@@ -79,14 +79,9 @@
     expectedInvariants: ["never-twice"],
     edits: [
       {
-        file: "storage/workExecutor.js",
-        find: "if (!work.safe) {\n                            this.counts.unknowns",
-        replacement: "if (false) {\n                            this.counts.unknowns",
-      },
-      {
-        file: "storage/workExecutor.js",
-        find: "const mayGoOn = work.safe &&",
-        replacement: "const mayGoOn =",
+        file: "storage/liveRequests/liveRequestExecution.js",
+        find: "if (!spec.safe) {\n            this.counters.unknowns",
+        replacement: "if (false) {\n            this.counters.unknowns",
       },
     ],
   },
@@ -96,8 +91,8 @@
     expectedInvariants: ["never-twice"],
     edits: [
       {
-        file: "storage/workExecutor.js",
-        find: 'response.fault.tag === "refused" || route.safe',
+        file: "storage/claimedItems/claimedItemExecution.js",
+        find: 'tag === "refused" || route.safe',
         replacement: "true",
       },
     ],
@@ -108,9 +103,9 @@
     expectedInvariants: ["never-twice"],
     edits: [
       {
-        file: "storage/workExecutor.js",
-        find: "replica.data.jobs.get(jobId).safe\n",
-        replacement: "true\n",
+        file: "storage/abandonedClaims.js",
+        find: "const operation = job.safe\n",
+        replacement: "const operation = true\n",
       },
     ],
   },
@@ -238,13 +233,21 @@
         find: 'if (job.ended)\n        return { tag: "no", why: "lot is ended" };',
         replacement: "",
       },
-      { file: "storage/workExecutor.js", find: "job.open === 0 || job.ended", replacement: "job.open === 0" },
+      {
+        file: "storage/claimedItems/claimedItemScheduler.js",
+        find: "job.open === 0 || job.ended",
+        replacement: "job.open === 0",
+      },
       {
         file: "shard/batchJobOperations.js",
         find: 'if (item.state !== "waiting")\n            return;\n        item.state = "ended";',
         replacement: 'return;\n        item.state = "ended";',
       },
-      { file: "storage/workExecutor.js", find: "!job ||\n            job.ended ||", replacement: "!job ||" },
+      {
+        file: "storage/claimedItems/claimedItemExecution.js",
+        find: "!job ||\n            job.ended ||",
+        replacement: "!job ||",
+      },
     ],
   },
   {
--- a/src/adapters/callerHttp.ts
+++ b/src/adapters/callerHttp.ts
@@ -1,3 +1,4 @@
+import { RequestOf, ResponseOf } from "../rpc/methods";
 import { Constants } from "../common/constants";
 import { Csp, Task } from "../runtime/csp";
 import { EnvTools, HttpExchange } from "../runtime/env";
@@ -371,11 +372,15 @@
         );
       Http.json(incoming, done.value.tag === "exists" ? 200 : 202, { id, items: bodies.length });
     };
-    const askJob = function* (verb: string, id: string, body: () => Record<string, unknown>): Task<Result<any>> {
-      const done: Result<any> = yield* ingress.shardClient.callLeader(
+    const askJob = function* <Method extends "lot.status" | "lot.end">(
+      verb: Method,
+      id: string,
+      body: () => Omit<RequestOf<Method>, "shard" | "id">,
+    ): Task<Result<ResponseOf<Method>>> {
+      const done = yield* ingress.shardClient.callLeader(
         ingress.shardClient.shardOf(id),
         verb,
-        () => ({ id, ...body() }),
+        () => ({ id, ...body() }) as RequestOf<Method>,
         5000,
       );
       if (
--- a/src/ingress/ingressNode.ts
+++ b/src/ingress/ingressNode.ts
@@ -464,7 +464,7 @@
       order: accepted.order,
     };
     let first = true;
-    const opened = yield* this.shardClient.callLeader<any>(
+    const opened = yield* this.shardClient.callLeader(
       shard,
       "work.open",
       () => {
@@ -484,7 +484,7 @@
     if (opened.ok || opened.fault.tag === "busy") return opened;
     if (opened.fault.tag === "unknown") {
       // it may be running: make sure that it never will, or say plainly that we don't know
-      const refused = yield* this.shardClient.callLeader<any>(
+      const refused = yield* this.shardClient.callLeader(
         shard,
         "work.refuse",
         () => ({ id, stamp: this.shardClient.stamp(this.env.wall()) }),
--- /dev/null
+++ b/src/storage/abandonedClaims.ts
@@ -0,0 +1,228 @@
+import { Constants } from "../common/constants";
+import { Result } from "../common/fault";
+import { Route } from "../controlState/configuration";
+import { Node } from "../node/node";
+import { Csp, Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
+import { ShardReplica } from "../shard/shardReplica";
+import { ShardState } from "../shard/shardState";
+import { LiveRequest, PutOutcome, ShardOperation } from "../shard/shardTypes";
+import { ClaimedItemScheduler } from "./claimedItems/claimedItemScheduler";
+import { ExecutionCounters } from "./executionCounters";
+import { specOf } from "./liveRequests/executingRequest";
+import { LiveRequestExecution } from "./liveRequests/liveRequestExecution";
+import { ShardWriter } from "./shardWriter";
+
+/** An owner is asked this often what it still executes, ms. */
+const OWNER_POLL_MS = 400;
+/** One such request's time-out, ms. */
+const OWNER_RESPONSE_MS = 500;
+/** An owner that doesn't respond for so long has lost its claims, ms: it gives up older ones itself. */
+const OWNER_SILENCE_MAX_MS = 2 * Constants.claimOldMs;
+/** For how long the put that closes an abandoned request is repeated, ms. */
+const CLOSE_WITHIN_MS = 10_000;
+/** For how long the put that releases an abandoned claim is repeated, ms. */
+const RELEASE_WITHIN_MS = 5000;
+
+/** Reason in the ledger for what a new leader decides. */
+const LEADER_CHANGED = "lead changed";
+const OWNER_LOST = "the store that ran it was lost";
+
+/** A claim in a shard's state, with the name by which its owner knows it. */
+type Claim =
+  { kind: "request"; name: string; id: string } | { kind: "item"; name: string; jobId: string; index: number };
+
+/** What an owner responded; undefined if it did not. */
+interface OwnerPoll {
+  isReachable: boolean;
+  running: string[] | undefined;
+}
+
+/**
+ * Recovers claims whose owner, a storage node, no longer executes them. A leader looks for them when it begins to lead
+ * and every now and then. What may have run is closed as "unknown"; what is safe to repeat runs again.
+ *
+ * @example
+ * recovery.start();
+ * recovery.recoverShard(replica);
+ */
+export class AbandonedClaims {
+  /** `SHARD/EPOCH/OWNER` of the owners that are being polled. */
+  private readonly polledOwners = new Set<string>();
+
+  /** @param running names of all that this node executes under a claim */
+  constructor(
+    private readonly env: Env,
+    private readonly node: Node,
+    private readonly writer: ShardWriter,
+    private readonly replicas: ReadonlyMap<number, ShardReplica>,
+    private readonly running: Set<string>,
+    private readonly execution: LiveRequestExecution,
+    private readonly scheduler: ClaimedItemScheduler,
+    private readonly counters: ExecutionCounters,
+  ) {}
+
+  start(): void {
+    EnvTools.keep(this.env, this.env.scope, "orphans", () => this.recoveryLoop());
+  }
+
+  /** Recovers, in tasks of their own, all claims of a shard that their owners have abandoned. */
+  recoverShard(replica: ShardReplica): void {
+    const { epoch } = replica.view!;
+    for (const [owner, claims] of claimsByOwner(replica)) {
+      const key = `${replica.shard}/${epoch}/${owner}`;
+      const others = claims.filter(({ name }) => !this.running.has(name));
+      if (others.length === 0 || this.polledOwners.has(key)) continue;
+      this.polledOwners.add(key);
+      const recovery = this;
+      Csp.go(this.env.scope, `orphans of ${owner}`, function* () {
+        try {
+          yield* recovery.recoverFrom(owner, replica, epoch, others);
+        } finally {
+          recovery.polledOwners.delete(key);
+        }
+      });
+    }
+  }
+
+  /** Finds also what was accepted or claimed by a put that took longer than its request waited. */
+  private *recoveryLoop(): Task<void> {
+    for (;;) {
+      yield* EnvTools.sleep(this.env, Constants.orphanPeriodMs);
+      for (const replica of this.replicas.values()) {
+        if (!replica.holdsLease()) continue;
+        this.scheduler.addJobsOf(replica);
+        this.recoverShard(replica);
+      }
+    }
+  }
+
+  /** Polls an owner until it executes none of the claims any more, and recovers each that it doesn't. */
+  private *recoverFrom(owner: string, replica: ShardReplica, epoch: number, claims: Claim[]): Task<void> {
+    let remaining = claims;
+    let respondedAt = this.env.mono();
+    while (remaining.length > 0 && replica.holdsLease() && replica.view?.epoch === epoch) {
+      const names = remaining.map(({ name }) => name);
+      const poll = yield* this.pollOwner(owner, names);
+      let executed = new Set<string>(poll.running);
+      if (poll.running !== undefined) respondedAt = this.env.mono();
+      else if (poll.isReachable && this.env.mono() - respondedAt < OWNER_SILENCE_MAX_MS) executed = new Set(names);
+      for (const claim of remaining) {
+        if (executed.has(claim.name) || this.running.has(claim.name)) continue;
+        if (claim.kind === "request") yield* this.recoverRequest(replica, claim.id);
+        else yield* this.recoverItem(replica, claim);
+      }
+      remaining = remaining.filter(({ name }) => executed.has(name));
+      if (remaining.length > 0) yield* EnvTools.sleep(this.env, OWNER_POLL_MS);
+    }
+  }
+
+  private *pollOwner(owner: string, names: string[]): Task<OwnerPoll> {
+    if (owner === this.node.self.id)
+      return { isReachable: true, running: names.filter((name) => this.running.has(name)) };
+    const state = this.node.membership.find(owner)?.state;
+    const address = state === "alive" || state === "suspect" ? this.node.addressOf(owner) : undefined;
+    if (!address) return { isReachable: false, running: undefined };
+    const response = yield* this.node.rpc.call(address, "work.running", { ids: names }, OWNER_RESPONSE_MS);
+    return { isReachable: true, running: response.ok ? response.value.running : undefined };
+  }
+
+  private *recoverRequest(replica: ShardReplica, id: string): Task<void> {
+    const request = replica.data.liveRequests.get(id);
+    if (!request || ShardState.isClosed(request)) return;
+    if (request.state === "claimed" && !request.safe) {
+      this.counters.unknowns += 1;
+      yield* this.closeRequest(replica, request, "unknown", `${OWNER_LOST}; it may have run`);
+      return;
+    }
+    const route = this.node.snapshot().control?.manifest.doc.bindings[request.binding];
+    const canContinue = request.pieces.length === 0 || request.exact;
+    if (!route || request.deadlineAt < this.env.wall() || !canContinue) {
+      const hasNotRun = request.state === "accepted" && request.pieces.length === 0;
+      yield* this.closeRequest(replica, request, hasNotRun ? "refused" : "failed", OWNER_LOST);
+      return;
+    }
+    yield* this.resumeRequest(replica, request, route);
+  }
+
+  /** Runs a request further from the chunks that are stored. */
+  private *resumeRequest(replica: ShardReplica, request: LiveRequest, route: Route): Task<void> {
+    const { id, round: attempt } = request;
+    this.counters.resumed += 1;
+    this.running.add(id);
+    if (request.state === "claimed") {
+      const release: ShardOperation = { op: "release", id, round: attempt, why: "its store was lost" };
+      const putId = recoveryPutId(request);
+      const released = yield* this.writer.put(replica.shard, putId, [release], {}, RELEASE_WITHIN_MS);
+      if (!released.ok || released.value.tag !== "done") {
+        this.running.delete(id);
+        return;
+      }
+    }
+    const spec = specOf(request);
+    const executing = {
+      spec,
+      shard: replica.shard,
+      route,
+      routeName: spec.binding,
+      caller: "",
+      body: spec.body,
+      attempt: request.round,
+      claimedAt: this.env.mono(),
+      chunks: request.pieces.map((chunk) => chunk.data),
+    };
+    Csp.go(this.env.scope, `run ${id}`, () => this.execution.run(executing, undefined));
+  }
+
+  private closeRequest(
+    replica: ShardReplica,
+    request: LiveRequest,
+    state: "failed" | "unknown" | "refused",
+    detail: string,
+  ): Task<Result<PutOutcome>> {
+    const outcome = JSON.stringify({ detail, retryAfterMs: Constants.retryAfterMs });
+    return this.writer.put(
+      replica.shard,
+      recoveryPutId(request),
+      [{ op: "close", id: request.id, round: request.round, state, outcome }],
+      { note: LEADER_CHANGED },
+      CLOSE_WITHIN_MS,
+    );
+  }
+
+  private *recoverItem(replica: ShardReplica, claim: Extract<Claim, { kind: "item" }>): Task<void> {
+    const { jobId, index, name } = claim;
+    const job = replica.data.jobs.get(jobId);
+    const item = job?.items[index];
+    if (!job || !item || item.state !== "claimed") return;
+    const { round: attempt } = item;
+    const operation: ShardOperation = job.safe
+      ? { op: "itemRelease", lot: jobId, item: index, round: attempt, why: "its store was lost" }
+      : {
+          op: "itemResult",
+          lot: jobId,
+          item: index,
+          round: attempt,
+          state: "unknown",
+          result: JSON.stringify({ detail: `${OWNER_LOST}; it may have run` }),
+        };
+    const putId = `recover-${name}-${attempt}`;
+    yield* this.writer.put(replica.shard, putId, [operation], { note: LEADER_CHANGED }, RELEASE_WITHIN_MS);
+  }
+}
+
+const recoveryPutId = ({ id, life, round }: LiveRequest): string => `recover-${id}-${life}-${round}`;
+
+/** All claims in a shard's state by their owner; requests that were accepted and not claimed have the owner "". */
+function claimsByOwner(replica: ShardReplica): Map<string, Claim[]> {
+  const claims = new Map<string, Claim[]>();
+  const add = (owner: string, claim: Claim): void => void claims.set(owner, [...(claims.get(owner) ?? []), claim]);
+  for (const request of replica.data.liveRequests.values())
+    if (!ShardState.isClosed(request)) add(request.owner, { kind: "request", name: request.id, id: request.id });
+  for (const job of replica.data.jobs.values()) {
+    if (job.open === 0) continue;
+    for (const [index, item] of job.items.entries())
+      if (item.state === "claimed") add(item.owner, { kind: "item", name: `${job.id}/${index}`, jobId: job.id, index });
+  }
+  return claims;
+}
--- /dev/null
+++ b/src/storage/batchJobs/itemExecution.ts
@@ -0,0 +1,137 @@
+import { DirectHttp, DirectResponse } from "../../forwarding/directHttp";
+import { EventStreamReader } from "../../forwarding/eventStreamReader";
+import { HeaderNames } from "../../forwarding/headerNames";
+import { Constants } from "../../common/constants";
+import { Endpoint } from "../../node/clusterSnapshot";
+import { EndpointSelector } from "../../routing/endpointSelector";
+import { Task } from "../../runtime/csp";
+import { Env } from "../../runtime/env";
+import { BatchJob } from "../../shard/shardTypes";
+import { ItemCounters } from "./itemCounters";
+import { giveUpAt } from "./jobDeadlines";
+import { OpenJob, progressOf } from "./openJob";
+import { OpenJobs } from "./openJobs";
+
+/** Least time that an endpoint is given for an item, ms. */
+const REMAINING_MIN_MS = 1000;
+/** Priority of batch items at an endpoint: behind all live requests, which begin at 0. */
+const ITEM_PRIORITY = 9;
+
+/** How one attempt of an item ended. */
+export type ItemAttemptOutcome =
+  | { tag: "done"; result: string }
+  /** No attempt can succeed. */
+  | { tag: "impossible"; why: string }
+  /** The endpoint ran it and failed. */
+  | { tag: "failed"; why: string }
+  /** It did not run, or its response broke off: it is tried at another endpoint. */
+  | { tag: "interrupted"; why: string }
+  /** The job has ended, or another node leads its shard. */
+  | { tag: "cancelled" };
+
+/**
+ * Runs one attempt of an item that is a whole request. A stream that broke off in an earlier attempt is continued after
+ * the last event that was received.
+ *
+ * @example
+ * const outcome = yield* execution.attempt(open, job, 3, endpoint);
+ */
+export class ItemExecution {
+  constructor(
+    private readonly env: Env,
+    private readonly endpointSelector: EndpointSelector,
+    private readonly openJobs: OpenJobs,
+    private readonly names: HeaderNames,
+    private readonly counters: ItemCounters,
+  ) {}
+
+  /** Forwards the item and reads its response; the endpoint's capacity is released at the end. */
+  *attempt(open: OpenJob, job: BatchJob, item: number, endpoint: Endpoint): Task<ItemAttemptOutcome> {
+    const after = open.progress.get(item)?.lastEventId ?? 0;
+    const request = this.requestFor(job, item, after);
+    this.env.point(57);
+    const opened = yield* DirectHttp.open(this.env, this.names, endpoint, request, Constants.jobHeadMs);
+    if (!opened.ok) {
+      const { tag, step, detail } = opened.fault;
+      this.endpointSelector.requestEnded(endpoint, tag === "refused" && step === "deliver");
+      return this.openJobs.mayContinue(open) ? { tag: "interrupted", why: detail } : { tag: "cancelled" };
+    }
+    if (!this.openJobs.mayContinue(open)) {
+      opened.value.response.abort();
+      this.endpointSelector.requestEnded(endpoint, true);
+      return { tag: "cancelled" };
+    }
+    if (after > 0) this.counters.resumed += 1;
+    open.running.set(item, opened.value.response);
+    const outcome = yield* this.readResponse(open, item, endpoint, opened.value);
+    this.env.point(58);
+    this.endpointSelector.requestEnded(endpoint, outcome.tag !== "interrupted" || !this.openJobs.mayContinue(open));
+    return this.openJobs.mayContinue(open) || outcome.tag === "done" ? outcome : { tag: "cancelled" };
+  }
+
+  private requestFor(job: BatchJob, item: number, after: number): Parameters<typeof DirectHttp.open>[3] {
+    const { id, target, headers } = job.requests![item];
+    const remainingMs = Math.max(REMAINING_MIN_MS, giveUpAt(job, job.kept) - this.env.wall());
+    return {
+      method: "POST",
+      target,
+      headers: { ...headers, ...(job.kept.host ? { host: job.kept.host } : {}) },
+      body: Buffer.from(job.bodies[item], "base64"),
+      id,
+      remainingMs: Math.min(remainingMs, Constants.deadlineMaxMs),
+      lastEventId: after,
+      priority: ITEM_PRIORITY,
+    };
+  }
+
+  private *readResponse(
+    open: OpenJob,
+    item: number,
+    endpoint: Endpoint,
+    opened: DirectResponse,
+  ): Task<ItemAttemptOutcome> {
+    const { status, headers, response } = opened;
+    if (status < 200 || status >= 300) {
+      response.finish();
+      return failureFor(status, `replica ${endpoint.id} replied ${status}`);
+    }
+    if (this.names.endpointSignature !== "" && headers[this.names.endpointSignature] === undefined) {
+      response.abort();
+      return { tag: "interrupted", why: "a success without the replica's mark" };
+    }
+    if ((headers["content-type"] ?? "").includes("event-stream"))
+      return yield* this.readEvents(open, item, endpoint, opened);
+    const progress = progressOf(open, item);
+    const body = yield* DirectHttp.readBody(this.env, opened, Constants.pieceGapMs);
+    if (body === undefined || progress.lastEventId > 0)
+      return { tag: "interrupted", why: "reply cut, or no events to go on with" };
+    return { tag: "done", result: body.toString("utf8") };
+  }
+
+  /** The result of a stream is the data of all its events, a line each. */
+  private *readEvents(
+    open: OpenJob,
+    item: number,
+    endpoint: Endpoint,
+    { response }: DirectResponse,
+  ): Task<ItemAttemptOutcome> {
+    const progress = progressOf(open, item);
+    const reader = new EventStreamReader(this.env, endpoint.id, response, progress.lastEventId);
+    for (;;) {
+      const received = yield* reader.next(Constants.pieceGapMs);
+      if (!received.ok) return { tag: "interrupted", why: received.fault.detail };
+      if (received.value === undefined) break;
+      for (const event of received.value) {
+        progress.events.push(event.data);
+        progress.lastEventId = event.id;
+      }
+    }
+    if (progress.events.length === 0) return { tag: "interrupted", why: "a stream without events" };
+    return { tag: "done", result: progress.events.join("\n") };
+  }
+}
+
+function failureFor(status: number, why: string): ItemAttemptOutcome {
+  if (status === 422) return { tag: "impossible", why };
+  return { tag: status === 500 ? "failed" : "interrupted", why };
+}
--- /dev/null
+++ b/src/storage/batchJobs/itemResults.ts
@@ -0,0 +1,90 @@
+import { Constants } from "../../common/constants";
+import { Node } from "../../node/node";
+import { Csp, Task } from "../../runtime/csp";
+import { Env, EnvTools } from "../../runtime/env";
+import { ItemOutcome, ShardOperation } from "../../shard/shardTypes";
+import { ShardWriter } from "../shardWriter";
+import { ItemCounters } from "./itemCounters";
+import { OpenJob } from "./openJob";
+import { OpenJobs } from "./openJobs";
+
+/** For how long the put of results is repeated, ms: past a takeover of the shard. */
+const PUT_WITHIN_MS = 12_000;
+
+interface PendingResult {
+  open: OpenJob;
+  outcome: ItemOutcome;
+}
+
+/**
+ * Stores the results of items. Results of one shard that come close together share a put; an item counts as running
+ * until its result is on every replica.
+ *
+ * @example
+ * results.add(open, { item: 3, state: "done", result: text }, "");
+ */
+export class ItemResults {
+  private readonly pendingByShard = new Map<number, PendingResult[]>();
+  private readonly flushingShards = new Set<number>();
+  private batchNumber = 0;
+
+  constructor(
+    private readonly env: Env,
+    private readonly node: Node,
+    private readonly writer: ShardWriter,
+    private readonly openJobs: OpenJobs,
+    private readonly counters: ItemCounters,
+  ) {}
+
+  /** @param why reason for the log, of an item that is abandoned */
+  add(open: OpenJob, outcome: ItemOutcome, why: string): void {
+    if (outcome.state === "done") this.counters.done += 1;
+    else {
+      this.counters.abandoned += 1;
+      this.env.log(1701, { lot: open.id, item: outcome.item, why });
+    }
+    open.running.set(outcome.item, undefined);
+    const { shard } = open.replica;
+    this.pendingByShard.set(shard, [...(this.pendingByShard.get(shard) ?? []), { open, outcome }]);
+    this.startFlushing(shard);
+  }
+
+  private startFlushing(shard: number): void {
+    if (this.flushingShards.has(shard)) return;
+    this.flushingShards.add(shard);
+    const results = this;
+    Csp.go(this.env.scope, `results of shard ${shard}`, function* () {
+      try {
+        yield* results.flush(shard);
+      } finally {
+        results.flushingShards.delete(shard);
+      }
+    });
+  }
+
+  /** Puts what is pending, until there is nothing more. */
+  private *flush(shard: number): Task<void> {
+    for (;;) {
+      yield* EnvTools.sleep(this.env, Constants.jobResultsMs);
+      const batch = this.pendingByShard.get(shard) ?? [];
+      this.pendingByShard.delete(shard);
+      if (batch.length === 0) return;
+      this.batchNumber += 1;
+      const putId = `results-${this.node.self.id}-${this.batchNumber}-${Math.floor(this.env.wall())}`;
+      const put = yield* this.writer.put(shard, putId, operationsOf(batch), {}, PUT_WITHIN_MS);
+      for (const { open, outcome } of batch) {
+        open.running.delete(outcome.item);
+        open.progress.delete(outcome.item);
+        // another leader has the results or runs the items anew; while this node leads, they are put again
+        if (!put.ok && this.openJobs.mayContinue(open)) this.add(open, outcome, "put again");
+      }
+    }
+  }
+}
+
+/** One operation for each job of the batch. */
+function operationsOf(batch: PendingResult[]): ShardOperation[] {
+  const byJob = new Map<string, ItemOutcome[]>();
+  for (const { open, outcome } of batch) byJob.set(open.id, [...(byJob.get(open.id) ?? []), outcome]);
+  return [...byJob].map(([lot, results]) => ({ op: "itemResults", lot, results }));
+}
--- /dev/null
+++ b/src/storage/batchJobs/itemScheduler.ts
@@ -0,0 +1,206 @@
+import { HeaderNames } from "../../forwarding/headerNames";
+import { Constants } from "../../common/constants";
+import { Route } from "../../controlState/configuration";
+import { ClusterSnapshot, Endpoint } from "../../node/clusterSnapshot";
+import { Node } from "../../node/node";
+import { EndpointSelector } from "../../routing/endpointSelector";
+import { Csp, Task } from "../../runtime/csp";
+import { Env, EnvTools } from "../../runtime/env";
+import { ShardReplica } from "../../shard/shardReplica";
+import { BatchJob } from "../../shard/shardTypes";
+import { EndpointUsage } from "./endpointUsage";
+import { ItemCounters } from "./itemCounters";
+import { ItemEndpointChoice, SchedulingPass } from "./itemEndpointChoice";
+import { ItemAttemptOutcome, ItemExecution } from "./itemExecution";
+import { ItemResults } from "./itemResults";
+import { dueInMs, giveUpAt, routeOf } from "./jobDeadlines";
+import { JobDemand } from "./jobDemand";
+import { OpenJob, progressOf } from "./openJob";
+import { OpenJobs } from "./openJobs";
+
+/** Without items to start, a pass comes after this long at the latest, ms. */
+const IDLE_PASS_MS = 1000;
+/** A backoff is drawn from this range of multiples, so that retries don't come all at once. */
+const BACKOFF_JITTER = { least: 0.7, spread: 0.6 };
+
+interface SchedulableJob {
+  open: OpenJob;
+  job: BatchJob;
+  /** Until its results are due, ms. */
+  dueInMs: number;
+}
+
+/**
+ * Starts the items of batch jobs whose items are whole requests. Jobs share the capacity that live requests leave, by
+ * their priority and then the one due soonest first.
+ *
+ * @example
+ * scheduler.start();
+ */
+export class ItemScheduler {
+  private readonly endpointUsage = new EndpointUsage();
+  private readonly choice: ItemEndpointChoice;
+
+  constructor(
+    private readonly env: Env,
+    private readonly node: Node,
+    private readonly endpointSelector: EndpointSelector,
+    private readonly replicas: ReadonlyMap<number, ShardReplica>,
+    private readonly openJobs: OpenJobs,
+    private readonly demand: JobDemand,
+    private readonly execution: ItemExecution,
+    private readonly results: ItemResults,
+    private readonly counters: ItemCounters,
+    names: HeaderNames,
+  ) {
+    this.choice = new ItemEndpointChoice(env, node.self.district, endpointSelector, this.endpointUsage, names);
+  }
+
+  start(): void {
+    EnvTools.keep(this.env, this.env.scope, "items of lots", () => this.scheduleLoop());
+  }
+
+  /** Items that run now. */
+  runningCount = (): number => this.endpointUsage.total();
+
+  private *scheduleLoop(): Task<void> {
+    for (let searchedAt = this.env.mono(); ;) {
+      const hasWaiting = this.openJobs.all().some((open) => open.ready.length + open.delayed.length > 0);
+      yield* EnvTools.takeWithin(this.env, this.openJobs.changed, hasWaiting ? Constants.jobTickMs : IDLE_PASS_MS);
+      if (this.env.mono() - searchedAt > Constants.orphanPeriodMs) {
+        searchedAt = this.env.mono();
+        // a job may have been accepted by a put that took longer than its request waited
+        for (const replica of this.replicas.values()) if (replica.holdsLease()) this.openJobs.addJobsOf(replica);
+      }
+      if (this.openJobs.size === 0 || this.node.stopping || !this.node.mayHoldLeases()) continue;
+      this.schedulingPass(this.node.snapshot());
+    }
+  }
+
+  private schedulingPass(snapshot: ClusterSnapshot): void {
+    const now = this.env.mono();
+    const schedulable = this.schedulableJobs();
+    this.demand.announce();
+    const pass: SchedulingPass = {
+      snapshot,
+      share: this.demand.share(snapshot),
+      endpoints: new Map(),
+      fullPools: new Set(),
+    };
+    for (const each of schedulable) {
+      const route = routeOf(snapshot, each.job);
+      if (!route) this.giveUp(each.open, "its binding was taken out of the manifest");
+      else if (this.env.wall() > giveUpAt(each.job, route))
+        this.giveUp(each.open, "not done in the time that its binding gives");
+      else {
+        makeDelayedReady(each.open, now);
+        this.startItems(each, route, pass);
+      }
+    }
+  }
+
+  /** Jobs whose items may start, in the order in which they are served. */
+  private schedulableJobs(): SchedulableJob[] {
+    const jobs: SchedulableJob[] = [];
+    for (const open of this.openJobs.all()) {
+      const job = this.openJobs.find(open);
+      if (!this.openJobs.mayContinue(open)) this.openJobs.abort(open);
+      else if (job) jobs.push({ open, job, dueInMs: dueInMs(job, this.env.wall()) });
+    }
+    // results that are late already have lost most of their value: they come last
+    const lateness = ({ dueInMs: remainingMs }: SchedulableJob): number => (remainingMs > 0 ? 0 : 1);
+    return jobs.sort(
+      (left, right) =>
+        left.job.order - right.job.order || lateness(left) - lateness(right) || left.dueInMs - right.dueInMs,
+    );
+  }
+
+  private giveUp(open: OpenJob, why: string): void {
+    for (const item of [...open.ready.splice(0), ...open.delayed.splice(0)])
+      this.results.add(open, { item, state: "abandoned", result: "" }, why);
+  }
+
+  /** Starts items of a job until none is ready or a pool is full. */
+  private startItems({ open, job, dueInMs: remainingMs }: SchedulableJob, route: Route, pass: SchedulingPass): void {
+    const isUrgent = remainingMs < Constants.jobUrgentMs;
+    for (let count = open.ready.length; count > 0; count -= 1) {
+      const pool = this.choice.poolOf(route);
+      if (!this.choice.hasCapacity(pass, pool, job.binding, isUrgent)) return;
+      const item = open.ready.shift()!;
+      if (job.items[item].state !== "waiting") continue; // it has a result from another leader
+      const avoid = open.progress.get(item)?.avoid;
+      const endpoint = this.choice.choose(pass, pool, job, item, isUrgent, avoid);
+      if (!endpoint) {
+        open.ready.unshift(item);
+        pass.fullPools.add(pool);
+        return;
+      }
+      this.startItem(open, job, item, route, pool, endpoint);
+    }
+  }
+
+  private startItem(open: OpenJob, job: BatchJob, item: number, route: Route, pool: string, endpoint: Endpoint): void {
+    this.endpointSelector.requestStarted(endpoint);
+    this.endpointUsage.add(endpoint, pool);
+    open.running.set(item, undefined);
+    this.counters.started += 1;
+    const scheduler = this;
+    Csp.go(this.env.scope, `item ${open.id}/${item}`, function* () {
+      let outcome: ItemAttemptOutcome = { tag: "interrupted", why: "its task failed" };
+      try {
+        outcome = yield* scheduler.execution.attempt(open, job, item, endpoint);
+      } finally {
+        scheduler.endpointUsage.remove(endpoint, pool);
+        scheduler.attemptEnded(open, item, route, endpoint, outcome);
+        Csp.offer(scheduler.openJobs.changed, true);
+      }
+    });
+  }
+
+  private attemptEnded(
+    open: OpenJob,
+    item: number,
+    route: Route,
+    endpoint: Endpoint,
+    outcome: ItemAttemptOutcome,
+  ): void {
+    const progress = progressOf(open, item);
+    switch (outcome.tag) {
+      case "done":
+        return this.results.add(open, { item, state: "done", result: outcome.result }, "");
+      case "impossible":
+        return this.results.add(open, { item, state: "abandoned", result: "" }, outcome.why);
+      case "failed":
+        this.counters.failed += 1;
+        progress.failures += 1;
+        if (progress.failures >= (route.rounds ?? Constants.lookupAttempts))
+          return this.results.add(open, { item, state: "abandoned", result: "" }, outcome.why);
+        return this.retryLater(open, item, endpoint, Constants.jobFailedMs);
+      case "interrupted":
+        this.counters.again += 1;
+        return this.retryLater(open, item, endpoint, Constants.jobAgainMs);
+      case "cancelled":
+        open.running.delete(item);
+        return;
+      default: {
+        const never: never = outcome;
+        return never;
+      }
+    }
+  }
+
+  private retryLater(open: OpenJob, item: number, endpoint: Endpoint, backoffMs: number): void {
+    const jitter = BACKOFF_JITTER.least + BACKOFF_JITTER.spread * this.env.random();
+    Object.assign(progressOf(open, item), { notBefore: this.env.mono() + backoffMs * jitter, avoid: endpoint.key });
+    open.running.delete(item);
+    open.delayed.push(item);
+  }
+}
+
+/** Items whose backoff has ended come before all others of their job. */
+function makeDelayedReady(open: OpenJob, now: number): void {
+  const due = open.delayed.filter((item) => open.progress.get(item)!.notBefore <= now);
+  if (due.length === 0) return;
+  open.delayed = open.delayed.filter((item) => !due.includes(item));
+  open.ready.unshift(...due);
+}
--- /dev/null
+++ b/src/storage/claimedItems/claimedItemExecution.ts
@@ -0,0 +1,143 @@
+import { EndpointHttp } from "../../forwarding/endpointHttp";
+import { Constants } from "../../common/constants";
+import { Result } from "../../common/fault";
+import { Route } from "../../controlState/configuration";
+import { Endpoint } from "../../node/clusterSnapshot";
+import { Node } from "../../node/node";
+import { AdmissionQueue } from "../../routing/admissionQueue";
+import { Task } from "../../runtime/csp";
+import { Env } from "../../runtime/env";
+import { ShardReplica } from "../../shard/shardReplica";
+import { PutOutcome, ShardOperation } from "../../shard/shardTypes";
+import { ExecutionCounters } from "../executionCounters";
+import { isStillEligible, itemCriteria } from "../selectionCriteria";
+import { ShardWriter } from "../shardWriter";
+
+/** For how long the put of a claim is repeated, ms. */
+const CLAIM_WITHIN_MS = 2500;
+/** For how long the put that releases a claim is repeated, ms. */
+const RELEASE_WITHIN_MS = 10_000;
+/** For how long the put of a result is repeated, ms. */
+const RESULT_WITHIN_MS = 20_000;
+/** Responses from this status on are failures. */
+const FIRST_ERROR_STATUS = 400;
+
+/** One attempt of a batch item, with its endpoint's capacity taken. */
+export interface ClaimedItemAttempt {
+  /** `JOB/INDEX`, which is also the id of the forwarded request. */
+  name: string;
+  shard: number;
+  jobId: string;
+  index: number;
+  /** Number of the attempt, from 1. */
+  number: number;
+  body: string;
+  routeName: string;
+  route: Route;
+  endpoint: Endpoint;
+}
+
+/**
+ * Executes one attempt of a batch item under a claim. An item that was forwarded and not answered gets the result
+ * "unknown" and never runs again, unless its route says that repeating it is safe.
+ *
+ * @example
+ * const hasResult = yield* execution.run(attempt);
+ */
+export class ClaimedItemExecution {
+  /** @param running names of all that this node executes under a claim: ids of live requests, and `JOB/INDEX` of items */
+  constructor(
+    private readonly env: Env,
+    private readonly node: Node,
+    private readonly writer: ShardWriter,
+    private readonly queue: AdmissionQueue,
+    private readonly replicas: ReadonlyMap<number, ShardReplica>,
+    readonly running: Set<string>,
+    private readonly counters: ExecutionCounters,
+  ) {}
+
+  /** Claims, forwards and reports the item; false if it has no result, so that it is tried again. */
+  *run(attempt: ClaimedItemAttempt): Task<boolean> {
+    const { name, endpoint, route, shard } = attempt;
+    const claimedAt = this.env.mono();
+    const claimed = yield* this.claim(attempt);
+    if (!claimed.ok || claimed.value.tag !== "done") {
+      this.queue.release(endpoint, true);
+      // the claim may have been put all the same; nothing was forwarded, so releasing it is right either way
+      if (!claimed.ok) yield* this.release(attempt, "claim not confirmed in time");
+      return false;
+    }
+    this.env.point(55);
+    if (this.isClaimStale(attempt, claimedAt)) {
+      this.queue.release(endpoint, true);
+      yield* this.release(attempt, "lot ended, replica left, or the claim was too old");
+      return false;
+    }
+    this.counters.items += 1;
+    const response = yield* EndpointHttp.single(this.env, endpoint, {
+      path: route.path,
+      id: name,
+      attempt: attempt.number,
+      body: attempt.body,
+      receivedChunks: [],
+      deadlineMs: route.deadlineMs,
+      idempotent: route.safe,
+    });
+    this.env.point(56);
+    this.queue.release(endpoint, response.ok || response.fault.step === "deliver");
+    const operation = this.operationFor(attempt, response);
+    yield* this.writer.put(shard, `result-${name}-${attempt.number}`, [operation], {}, RESULT_WITHIN_MS);
+    return operation.op === "itemResult";
+  }
+
+  private claim({ name, shard, jobId, index, number, endpoint }: ClaimedItemAttempt): Task<Result<PutOutcome>> {
+    const owner = this.node.self.id;
+    return this.writer.put(
+      shard,
+      `claim-${name}-${number}-${owner}`,
+      [{ op: "itemClaim", lot: jobId, item: index, round: number, replica: endpoint.key, owner }],
+      { manifest: this.node.snapshot().control?.manifest.version, view: this.replicas.get(shard)?.view?.epoch },
+      CLAIM_WITHIN_MS,
+    );
+  }
+
+  /** Whether the claim may be another node's by now, or the attempt has become pointless. */
+  private isClaimStale({ shard, jobId, route, routeName, endpoint }: ClaimedItemAttempt, claimedAt: number): boolean {
+    const replica = this.replicas.get(shard);
+    const job = replica?.data.jobs.get(jobId);
+    return (
+      this.env.mono() - claimedAt > Constants.claimOldMs ||
+      !replica?.holdsLease() ||
+      !job ||
+      job.ended ||
+      !isStillEligible(endpoint, itemCriteria(this.node.snapshot(), route, routeName))
+    );
+  }
+
+  private release({ name, shard, jobId, index, number }: ClaimedItemAttempt, why: string): Task<Result<PutOutcome>> {
+    return this.writer.put(
+      shard,
+      `release-${name}-${number}`,
+      [{ op: "itemRelease", lot: jobId, item: index, round: number, why }],
+      {},
+      RELEASE_WITHIN_MS,
+    );
+  }
+
+  /** What an attempt's response, or its fault, makes of the item. */
+  private operationFor(
+    { jobId, index, number, route, endpoint }: ClaimedItemAttempt,
+    response: Result<{ status: number; body: string }>,
+  ): ShardOperation {
+    const item = { lot: jobId, item: index, round: number };
+    if (response.ok) {
+      const { status, body } = response.value;
+      return { op: "itemResult", ...item, state: status < FIRST_ERROR_STATUS ? "done" : "failed", result: body };
+    }
+    const { tag, detail } = response.fault;
+    if (tag === "refused" || route.safe) return { op: "itemRelease", ...item, why: detail };
+    this.counters.unknowns += 1;
+    const result = JSON.stringify({ detail: `replica ${endpoint.id}: ${detail}; it may have run` });
+    return { op: "itemResult", ...item, state: "unknown", result };
+  }
+}
--- /dev/null
+++ b/src/storage/claimedItems/claimedItemScheduler.ts
@@ -0,0 +1,150 @@
+import { Constants } from "../../common/constants";
+import { Stamp } from "../../common/stamp";
+import { Route } from "../../controlState/configuration";
+import { Node } from "../../node/node";
+import { EndpointSelector } from "../../routing/endpointSelector";
+import { Chan, Csp, Task } from "../../runtime/csp";
+import { Env, EnvTools } from "../../runtime/env";
+import { ShardReplica } from "../../shard/shardReplica";
+import { BatchJob } from "../../shard/shardTypes";
+import { itemCriteria } from "../selectionCriteria";
+import { ClaimedItemExecution } from "./claimedItemExecution";
+import { ClaimedItemWindow } from "./claimedItemWindow";
+
+/** An item whose attempt gave no result waits this long for the next, ms. */
+const BACKOFF_MS = 300;
+/** Items in backoff that are remembered, at most. */
+const BACKOFF_ENTRIES_MAX = 5000;
+
+interface SchedulableJob {
+  job: BatchJob;
+  replica: ShardReplica;
+}
+
+/**
+ * Starts the items that run under a claim, of the jobs whose shards this node leads: by the jobs' priority, then in the
+ * order in which they came, as far as each pool's window allows.
+ *
+ * @example
+ * scheduler.start();
+ * scheduler.addJob("lot-17", 3);
+ */
+export class ClaimedItemScheduler {
+  /** Shard by job id, for the shards that this node leads. */
+  private readonly openJobs = new Map<string, number>();
+  private readonly jobAdded: Chan<true> = Csp.sliding(1);
+  private readonly inFlightByPool = new Map<string, number>();
+  /** By `JOB/INDEX`: monotonic time, ms, before which the item isn't tried again. */
+  private readonly backoffUntil = new Map<string, number>();
+
+  constructor(
+    private readonly env: Env,
+    private readonly node: Node,
+    private readonly endpointSelector: EndpointSelector,
+    private readonly replicas: ReadonlyMap<number, ShardReplica>,
+    private readonly window: ClaimedItemWindow,
+    private readonly execution: ClaimedItemExecution,
+  ) {}
+
+  start(): void {
+    EnvTools.keep(this.env, this.env.scope, "lot dispatch", () => this.scheduleLoop());
+  }
+
+  get openJobCount(): number {
+    return this.openJobs.size;
+  }
+
+  /** Schedules a job from now on. */
+  addJob(id: string, shard: number): void {
+    this.openJobs.set(id, shard);
+    Csp.offer(this.jobAdded, true);
+  }
+
+  /** Schedules the open jobs of a shard; among them may be one whose put took longer than its request waited. */
+  addJobsOf(replica: ShardReplica): void {
+    for (const job of replica.data.jobs.values())
+      if (job.open > 0 && !job.ended && !job.requests) this.addJob(job.id, replica.shard);
+  }
+
+  /** This node no longer leads the shard. */
+  removeJobsOf(replica: ShardReplica): void {
+    for (const [job, shard] of this.openJobs) if (shard === replica.shard) this.openJobs.delete(job);
+  }
+
+  private *scheduleLoop(): Task<void> {
+    for (;;) {
+      if (this.openJobs.size === 0) yield* Csp.take(this.jobAdded);
+      yield* EnvTools.sleep(this.env, Constants.jobTickMs);
+      if (this.node.stopping || !this.node.mayHoldLeases()) continue;
+      this.schedulingPass();
+    }
+  }
+
+  private schedulingPass(): void {
+    const snapshot = this.node.snapshot();
+    const now = this.env.mono();
+    const schedulable = this.schedulableJobs();
+    const pools = new Set(schedulable.map(({ job }) => this.routeOf(job).pool));
+    for (const pool of pools) this.window.update(pool, snapshot);
+    for (const each of schedulable) this.startItemsOf(each, now);
+    if (this.backoffUntil.size > BACKOFF_ENTRIES_MAX) this.backoffUntil.clear();
+  }
+
+  /** Jobs with items to run, in the order in which they are served. */
+  private schedulableJobs(): SchedulableJob[] {
+    const jobs: SchedulableJob[] = [];
+    for (const [id, shard] of this.openJobs) {
+      const replica = this.replicas.get(shard);
+      const job = replica?.data.jobs.get(id);
+      if (!replica || !job || job.open === 0 || job.ended) {
+        this.openJobs.delete(id);
+        continue;
+      }
+      if (replica.holdsLease()) jobs.push({ job, replica });
+    }
+    return jobs.sort(
+      (left, right) => left.job.order - right.job.order || Stamp.compare(left.job.stamp, right.job.stamp),
+    );
+  }
+
+  /** The route as it is now; as it was when the job was accepted, if the configuration has it no longer. */
+  private routeOf = (job: BatchJob): Route =>
+    this.node.snapshot().control?.manifest.doc.bindings[job.binding] ?? job.kept;
+
+  private startItemsOf({ job, replica }: SchedulableJob, now: number): void {
+    const route = this.routeOf(job);
+    for (const [index, item] of job.items.entries()) {
+      const inFlight = this.inFlightByPool.get(route.pool) ?? 0;
+      if (inFlight >= this.window.sizeOf(route.pool)) return;
+      const name = `${job.id}/${index}`;
+      const isWaiting = item.state === "waiting" && !this.execution.running.has(name);
+      if (!isWaiting || (this.backoffUntil.get(name) ?? 0) > now) continue;
+      const endpoint = this.endpointSelector.choose(itemCriteria(this.node.snapshot(), route, job.binding));
+      if (!endpoint) return;
+      this.endpointSelector.requestStarted(endpoint);
+      this.execution.running.add(name);
+      this.inFlightByPool.set(route.pool, inFlight + 1);
+      const attempt = {
+        name,
+        shard: replica.shard,
+        jobId: job.id,
+        index,
+        number: item.round + 1,
+        body: job.bodies[index],
+        routeName: job.binding,
+        route,
+        endpoint,
+      };
+      const scheduler = this;
+      Csp.go(this.env.scope, `item ${name}`, function* () {
+        try {
+          if (yield* scheduler.execution.run(attempt)) scheduler.backoffUntil.delete(name);
+          else scheduler.backoffUntil.set(name, scheduler.env.mono() + BACKOFF_MS);
+        } finally {
+          scheduler.execution.running.delete(name);
+          scheduler.inFlightByPool.set(route.pool, (scheduler.inFlightByPool.get(route.pool) ?? 1) - 1);
+        }
+      });
+    }
+  }
+}
--- /dev/null
+++ b/src/storage/handlers/liveRequestHandlers.ts
@@ -0,0 +1,28 @@
+/** Handlers of the methods of live requests (`work.*`). */
+import { Fault } from "../../common/fault";
+import { CheckedHandlers } from "../checkedHandlers";
+import { LiveRequestAdmission } from "../liveRequests/liveRequestAdmission";
+import { LiveRequestReader } from "../liveRequests/liveRequestReader";
+import { isOpenRequest, isReadRequest, isRefuseRequest, isRunningRequest } from "../messages/liveRequestMessages";
+
+/**
+ * @param running names of all that this node executes under a claim
+ * @param onArrival called with the time of the stamp of each request that arrives
+ */
+export function addLiveRequestHandlers(
+  handlers: CheckedHandlers,
+  admission: LiveRequestAdmission,
+  reader: LiveRequestReader,
+  running: ReadonlySet<string>,
+  onArrival: (stampTime: number) => void,
+): void {
+  handlers.forShard("work.open", isOpenRequest, (replica, body) => {
+    onArrival(body.stamp.time);
+    return admission.open(replica, body);
+  });
+  handlers.forShard("work.read", isReadRequest, (replica, body) => reader.read(replica, body));
+  handlers.forShard("work.refuse", isRefuseRequest, (replica, body) => admission.refuse(replica, body));
+  handlers.add("work.running", isRunningRequest, function* ({ ids }) {
+    return Fault.ok({ running: ids.filter((id) => running.has(id)) });
+  });
+}
--- /dev/null
+++ b/src/storage/handlers/statusHandlers.ts
@@ -0,0 +1,34 @@
+/** Handlers of the methods by which control and operators see a storage node. */
+import { Fault } from "../../common/fault";
+import { Node } from "../../node/node";
+import { ShardReplica } from "../../shard/shardReplica";
+import { CheckedHandlers } from "../checkedHandlers";
+import { isAnyRequest, StoreShardsResponse } from "../messages/shardMessages";
+
+export function addStatusHandlers(
+  node: Node,
+  replicas: ReadonlyMap<number, ShardReplica>,
+  handlers: CheckedHandlers,
+): void {
+  const statuses = (): StoreShardsResponse["shards"] =>
+    [...replicas.values()].filter((replica) => replica.exists).map((replica) => replica.status());
+  handlers.add("store.status", isAnyRequest, function* () {
+    return Fault.ok({ shards: statuses(), stopping: node.stopping, vouches: node.mayHoldLeases() });
+  });
+  handlers.add("store.shards", isAnyRequest, function* () {
+    return Fault.ok({ shards: statuses(), lots: [...replicas.values()].flatMap(jobsOf) });
+  });
+}
+
+/** The jobs of a shard that this node leads. */
+function jobsOf(replica: ShardReplica): StoreShardsResponse["lots"] {
+  if (replica.role !== "lead") return [];
+  return [...replica.data.jobs.values()].map((job) => ({
+    id: job.id,
+    shard: replica.shard,
+    items: job.items.length,
+    open: job.open,
+    ended: job.ended,
+    results: job.positions.length,
+  }));
+}
--- /dev/null
+++ b/src/storage/ledgerReads.ts
@@ -0,0 +1,90 @@
+import { Constants } from "../common/constants";
+import { Fault, Result } from "../common/fault";
+import { Stamp } from "../common/stamp";
+import { Node } from "../node/node";
+import { Task } from "../runtime/csp";
+import { Env } from "../runtime/env";
+import { ShardReplica } from "../shard/shardReplica";
+import { ShardState } from "../shard/shardState";
+import { LedgerEntry } from "../shard/shardTypes";
+import {
+  LedgerAboutRequest,
+  LedgerAboutResponse,
+  LedgerReadRequest,
+  LedgerReadResponse,
+  TemporalGetRequest,
+  TemporalGetResponse,
+} from "./messages/shardMessages";
+import { isInView, notInViewFault } from "./viewMembership";
+
+/** Before all stamps. */
+const BEGINNING: Stamp = { time: -1, node: "", seq: 0 };
+
+/**
+ * Temporal reads of a shard's ledger, at any member of its view: what lies behind the frontier, sealed or not.
+ *
+ * @example
+ * const page = yield* reads.read(replica, { shard: 3, after: "", limit: 100 });
+ */
+export class LedgerReads {
+  constructor(
+    private readonly env: Env,
+    private readonly node: Node,
+  ) {}
+
+  /** A page of entries in the order of their stamps; the entries of one put stay together. */
+  *read(replica: ShardReplica, body: LedgerReadRequest): Task<Result<LedgerReadResponse>> {
+    if (!isInView(this.node, replica)) return notInViewFault(this.node, "read");
+    const frontier = replica.frontier();
+    const after = Stamp.parse(body.after) ?? BEGINNING;
+    const sealed = yield* replica.readConsistently(() => replica.segments.ledgerAfter(after, body.limit));
+    if (!sealed.ok) return sealed;
+    // by position, not by stamp: the entries of a put may lie on both sides of the newest segment's end
+    const unsealed = sealed.value.all
+      ? replica.data.ledger.slice(ShardState.firstLedgerIndexAfter(replica.data, after))
+      : [];
+    const entries = [...sealed.value.entries, ...unsealed];
+    let end = Math.min(body.limit, entries.length);
+    while (end > 0 && end < entries.length && Stamp.compare(entries[end].stamp, entries[end - 1].stamp) === 0) end += 1;
+    const oldest = replica.segments.oldestLedgerStamp() ?? replica.data.ledger[0]?.stamp ?? null;
+    return Fault.ok({ frontier, entries: entries.slice(0, end), oldest });
+  }
+
+  /** All entries about some subjects; the leader adds those that aren't stable yet. */
+  *about(replica: ShardReplica, { subjects, change }: LedgerAboutRequest): Task<Result<LedgerAboutResponse>> {
+    if (!isInView(this.node, replica)) return notInViewFault(this.node, "read");
+    const isAbout = (entry: LedgerEntry): boolean =>
+      subjects.some((subject) => entry.subject === subject || entry.subject.startsWith(`${subject}/`)) ||
+      (change !== "" && !!entry.cause.note?.startsWith(`change ${change} `));
+    const sealed = yield* replica.readConsistently(() =>
+      replica.segments.ledgerAbout([...subjects, `change ${change}`], 0, isAbout, Constants.aboutEntriesMax),
+    );
+    if (!sealed.ok) return sealed;
+    const stable = replica.data.ledger.filter(isAbout);
+    const unstable = replica.holdsLease() ? replica.data.unstablePuts.flatMap((put) => put.ledger).filter(isAbout) : [];
+    return Fault.ok({ entries: [...sealed.value, ...stable, ...unstable], frontier: replica.frontier() });
+  }
+
+  /** The nearest version of a subject that isn't older than a time; "busy" if there is none behind the frontier in time. */
+  *nearestVersion(replica: ShardReplica, body: TemporalGetRequest): Task<Result<TemporalGetResponse>> {
+    if (!isInView(this.node, replica)) return notInViewFault(this.node, "read");
+    const { subject, time } = body;
+    const until = this.env.mono() + Math.min(body.waitMs, Constants.readWaitMs);
+    const isCandidate = (entry: LedgerEntry): boolean => entry.subject === subject && entry.stamp.time >= time;
+    for (;;) {
+      const frontier = replica.frontier();
+      const sealed = yield* replica.readConsistently(() =>
+        replica.segments.ledgerAbout([subject], time, isCandidate, 1),
+      );
+      if (!sealed.ok) return sealed;
+      const version = sealed.value[0] ?? ShardState.nearest(replica.data, subject, time);
+      if (version) return Fault.ok({ version, frontier });
+      if (this.env.mono() >= until) {
+        const retryAfterMs = Math.round(Math.max(Constants.retryAfterMs, time - frontier));
+        const detail = `no stable version not prior to ${time} yet`;
+        return Fault.busy("temporal get", this.node.self.id, detail, retryAfterMs);
+      }
+      yield* replica.waitForChange(until - this.env.mono());
+    }
+  }
+}
--- /dev/null
+++ b/src/storage/liveRequests/liveRequestAdmission.ts
@@ -0,0 +1,161 @@
+import { Constants } from "../../common/constants";
+import { Fault, Result } from "../../common/fault";
+import { Stamp } from "../../common/stamp";
+import { Route } from "../../controlState/configuration";
+import { Endpoint } from "../../node/clusterSnapshot";
+import { Node } from "../../node/node";
+import { AdmissionQueue } from "../../routing/admissionQueue";
+import { Csp, Task } from "../../runtime/csp";
+import { Env, EnvTools } from "../../runtime/env";
+import { ShardReplica } from "../../shard/shardReplica";
+import { PutOutcome, ShardOperation } from "../../shard/shardTypes";
+import { ExecutionCounters } from "../executionCounters";
+import { KeyedLock } from "../keyedLock";
+import {
+  ExistingObject,
+  OpenRequest,
+  OpenResponse,
+  RefuseRequest,
+  RefuseResponse,
+} from "../messages/liveRequestMessages";
+import { notLeaderFault } from "../notLeaderFault";
+import { liveRequestCriteria, RoutedRequest } from "../selectionCriteria";
+import { ShardClient } from "../shardClient";
+import { ShardWriter } from "../shardWriter";
+import { LiveRequestExecution, remainingWaitMs } from "./liveRequestExecution";
+
+/** How long the first put of a request may take at its leader, ms: longer than a view change. */
+const OPEN_PUT_MS = 1100;
+/** The same for a refusal, ms. */
+const REFUSE_PUT_MS = 1000;
+/** Pause before a put that came behind the stable prefix is stamped anew, ms. */
+const RESTAMP_PAUSE_MS = 10;
+/** For how long the outcome of the first put is at least asked after, ms. */
+const OUTCOME_MIN_MS = 1000;
+
+/**
+ * Accepts live requests at the leader of their shard. The first attempt is claimed in the very put that accepts the
+ * request, so nothing is forwarded that isn't on every replica.
+ *
+ * @example
+ * const response = yield* admission.open(replica, body);
+ */
+export class LiveRequestAdmission {
+  private readonly opening = new KeyedLock();
+
+  constructor(
+    private readonly env: Env,
+    private readonly node: Node,
+    private readonly shardClient: ShardClient,
+    private readonly writer: ShardWriter,
+    private readonly queue: AdmissionQueue,
+    private readonly execution: LiveRequestExecution,
+    private readonly counters: ExecutionCounters,
+  ) {}
+
+  /** Accepts a request. The fault "busy" means that nothing of it was put. */
+  *open(replica: ShardReplica, body: OpenRequest): Task<Result<OpenResponse>> {
+    const { id } = body.work;
+    yield* this.opening.whenFree(id);
+    if (!replica.holdsLease() || this.node.stopping || !this.node.mayHoldLeases())
+      return notLeaderFault(this.node, replica, "open");
+    const existing = findExisting(replica, body);
+    if (existing) return Fault.ok(existing);
+    if (!Stamp.admits(body.stamp.time, this.env.wall(), this.node.clockBounds()))
+      return Fault.fail("late", "open", this.node.self.id, `stamp ${Stamp.text(body.stamp)} outside the bounds`);
+    const route = this.node.snapshot().control?.manifest.doc.bindings[body.work.binding];
+    if (!route) return Fault.fail("notFound", "open", this.node.self.id, `no binding ${body.work.binding}`);
+    this.opening.acquire(id);
+    try {
+      return yield* this.openAtEndpoint(replica, body, route);
+    } finally {
+      this.opening.release(id);
+    }
+  }
+
+  private *openAtEndpoint(replica: ShardReplica, body: OpenRequest, route: Route): Task<Result<OpenResponse>> {
+    const { id, binding: routeName } = body.work;
+    const routed: RoutedRequest = { route, routeName, caller: body.caller, body: body.work.body };
+    const exclude = new Set<string>();
+    const endpoint = yield* this.queue.acquire(
+      () => liveRequestCriteria(this.node.snapshot(), routed, exclude),
+      body.work.order,
+      body.stamp.time,
+      Math.min(remainingWaitMs(this.env, body.work), body.work.deadlineAt - this.env.wall()),
+    );
+    if (!endpoint) {
+      this.counters.busies += 1;
+      const retryAfterMs = this.queue.retryAfterMs(route.pool);
+      return Fault.busy("open", this.node.self.id, `no room in pool ${route.pool}`, retryAfterMs);
+    }
+    const claimedAt = this.env.mono();
+    this.execution.running.add(id);
+    const put = yield* this.putOpening(replica, body, endpoint);
+    this.env.point(51);
+    if (!put.ok || put.value.tag !== "done") {
+      this.execution.running.delete(id);
+      this.queue.release(endpoint, true);
+      if (!put.ok) return put;
+      return Fault.ok(put.value.tag === "exists" ? put.value : { tag: "exists", same: false, state: "refused" });
+    }
+    const request = { ...routed, spec: { ...body.work }, shard: replica.shard, attempt: 1, claimedAt, chunks: [] };
+    Csp.go(this.env.scope, `run ${id}`, () => this.execution.run(request, endpoint));
+    return Fault.ok({ tag: "opened" });
+  }
+
+  /** Accepts the request and claims its first attempt in one put. */
+  private *putOpening(replica: ShardReplica, body: OpenRequest, endpoint: Endpoint): Task<Result<PutOutcome>> {
+    const { id, life, deadlineAt } = body.work;
+    const putId = `open-${id}-${life}`;
+    const ops: ShardOperation[] = [
+      { op: "open", work: body.work },
+      { op: "claim", id, round: 1, replica: endpoint.key, owner: this.node.self.id },
+    ];
+    // the stamp of the arrival, unless the stable prefix has passed it while the request was waiting
+    let stamp = body.stamp;
+    let put: Result<PutOutcome>;
+    for (let attempt = 0; ; attempt += 1) {
+      const cause = { ...body.cause, view: replica.view?.epoch };
+      put = yield* replica.put({ putId, stamp, ops, cause }, OPEN_PUT_MS);
+      if (put.ok || put.fault.tag !== "late" || attempt >= Constants.lateAttempts) break;
+      stamp = this.shardClient.stamp(this.env.wall());
+      yield* EnvTools.sleep(this.env, RESTAMP_PAUSE_MS);
+    }
+    if (put.ok || put.fault.tag !== "unknown") return put;
+    // a view change cut in: as nothing was forwarded yet, the same put is repeated until its outcome is known
+    const outcomeWithinMs = Math.max(OUTCOME_MIN_MS, deadlineAt - this.env.wall());
+    return yield* this.writer.put(replica.shard, putId, ops, body.cause, outcomeWithinMs);
+  }
+
+  /** Makes sure that a request that its ingress has given up never runs, unless it was accepted before. */
+  *refuse(replica: ShardReplica, { id, stamp }: RefuseRequest): Task<Result<RefuseResponse>> {
+    yield* this.opening.whenFree(id);
+    const put = yield* replica.put(
+      {
+        putId: `refuse-${id}-${Stamp.text(stamp)}`,
+        stamp,
+        ops: [{ op: "close", id, round: 0, state: "refused", outcome: "given up before it ran" }],
+        cause: {},
+      },
+      REFUSE_PUT_MS,
+    );
+    if (!put.ok) return put;
+    const wasRefused = put.value.tag === "exists" && put.value.state === "refused";
+    return Fault.ok({ refused: put.value.tag === "done" || wasRefused });
+  }
+}
+
+/** The request of the same id that was accepted earlier, unless it was refused before this arrival. */
+function findExisting(replica: ShardReplica, body: OpenRequest): ExistingObject | undefined {
+  const { id, bodyHash } = body.work;
+  const sealed = replica.segments.find("works", id);
+  if (sealed) {
+    const state = sealed.trimmed ? "trimmed" : sealed.state;
+    return { tag: "exists", same: replica.segments.hasSameBody(sealed, bodyHash), state };
+  }
+  const known = replica.data.liveRequests.get(id);
+  if (!known) return undefined;
+  const refusedEarlier =
+    known.state === "refused" && known.closedAt !== null && Stamp.compare(body.stamp, known.closedAt) > 0;
+  return refusedEarlier ? undefined : { tag: "exists", same: known.bodyHash === bodyHash, state: known.state };
+}
--- /dev/null
+++ b/src/storage/liveRequests/liveRequestForwarder.ts
@@ -0,0 +1,157 @@
+import { EndpointHttp, EndpointStream, ForwardedRequest } from "../../forwarding/endpointHttp";
+import { Constants } from "../../common/constants";
+import { Endpoint } from "../../node/clusterSnapshot";
+import { Node } from "../../node/node";
+import { AdmissionQueue } from "../../routing/admissionQueue";
+import { Task } from "../../runtime/csp";
+import { Env } from "../../runtime/env";
+import { ShardOperation } from "../../shard/shardTypes";
+import { ExecutionCounters } from "../executionCounters";
+import { isStillEligible, liveRequestCriteria } from "../selectionCriteria";
+import { ShardWriter } from "../shardWriter";
+import { AttemptOutcome, closePutId, ExecutingRequest } from "./executingRequest";
+
+/** For how long the put that closes a request is repeated, ms. */
+const CLOSE_WITHIN_MS = 20_000;
+/** For how long the put of further chunks is repeated, ms: past a takeover of the shard. */
+const CHUNKS_WITHIN_MS = 12_000;
+/** Characters of an error response that are stored as the detail of a failure. */
+const FAILURE_DETAIL_LENGTH = 500;
+/** Responses from this status on are failures. */
+const FIRST_ERROR_STATUS = 400;
+
+/**
+ * One attempt of a live request: forwards it to an endpoint, and stores the response in the request's shard.
+ *
+ * @example
+ * const outcome = yield* forwarder.forward(request, endpoint, 4000);
+ */
+export class LiveRequestForwarder {
+  constructor(
+    private readonly env: Env,
+    private readonly node: Node,
+    private readonly writer: ShardWriter,
+    private readonly queue: AdmissionQueue,
+    private readonly counters: ExecutionCounters,
+  ) {}
+
+  /** Forwards the request once; the endpoint's capacity is released at the end. */
+  *forward(request: ExecutingRequest, endpoint: Endpoint, remainingMs: number): Task<AttemptOutcome> {
+    if (this.isTooLate(request, endpoint, remainingMs)) {
+      this.queue.release(endpoint, true);
+      return { tag: "notRun", why: "claim was too old, or the replica has left" };
+    }
+    const { spec, route, attempt, chunks } = request;
+    const forwarded: ForwardedRequest = {
+      path: route.path,
+      id: spec.id,
+      attempt,
+      body: spec.body,
+      receivedChunks: chunks,
+      deadlineMs: remainingMs,
+      idempotent: spec.safe,
+    };
+    this.env.point(52);
+    return route.kind === "stream"
+      ? yield* this.forwardStream(request, endpoint, forwarded)
+      : yield* this.forwardSingle(request, endpoint, forwarded);
+  }
+
+  /** Whether the deadline has passed; or, after a freeze, the claim may be another node's and the endpoint may have left. */
+  private isTooLate(request: ExecutingRequest, endpoint: Endpoint, remainingMs: number): boolean {
+    if (this.env.mono() - request.claimedAt > Constants.claimOldMs || remainingMs <= 0) return true;
+    return !isStillEligible(endpoint, liveRequestCriteria(this.node.snapshot(), request, new Set()));
+  }
+
+  private *forwardSingle(
+    request: ExecutingRequest,
+    endpoint: Endpoint,
+    forwarded: ForwardedRequest,
+  ): Task<AttemptOutcome> {
+    this.counters.singles += 1;
+    const response = yield* EndpointHttp.single(this.env, endpoint, forwarded);
+    this.queue.release(endpoint, response.ok || response.fault.step === "deliver");
+    if (!response.ok)
+      return { tag: response.fault.tag === "refused" ? "notRun" : "mayHaveRun", why: response.fault.detail };
+    this.env.point(53);
+    const { status, body } = response.value;
+    const { spec, attempt } = request;
+    const isDone = status < FIRST_ERROR_STATUS;
+    const outcome = isDone ? { status } : { status, detail: body.slice(0, FAILURE_DETAIL_LENGTH) };
+    const close: ShardOperation = {
+      op: "close",
+      id: spec.id,
+      round: attempt,
+      state: isDone ? "done" : "failed",
+      outcome: JSON.stringify(outcome),
+    };
+    const operations = isDone ? [chunksOf(request, [body]), close] : [close];
+    const put = yield* this.writer.put(request.shard, closePutId(request), operations, {}, CLOSE_WITHIN_MS);
+    return put.ok && put.value.tag === "done" ? { tag: "closed" } : { tag: "takenOver" };
+  }
+
+  private *forwardStream(
+    request: ExecutingRequest,
+    endpoint: Endpoint,
+    forwarded: ForwardedRequest,
+  ): Task<AttemptOutcome> {
+    this.counters.streams += 1;
+    const opened = yield* EndpointHttp.stream(this.env, endpoint, forwarded);
+    if (!opened.ok) {
+      const { tag, step, detail } = opened.fault;
+      this.queue.release(endpoint, tag === "refused" && step === "deliver");
+      return { tag: tag === "refused" ? "notRun" : "mayHaveRun", why: detail };
+    }
+    const interruption = yield* this.relay(request, endpoint, opened.value, forwarded.deadlineMs);
+    if (interruption) return interruption;
+    this.queue.release(endpoint, true);
+    const { spec, attempt, chunks } = request;
+    const outcome = JSON.stringify({ pieces: chunks.length });
+    const close: ShardOperation = { op: "close", id: spec.id, round: attempt, state: "done", outcome };
+    yield* this.writer.put(request.shard, closePutId(request), [close], {}, CLOSE_WITHIN_MS);
+    return { tag: "closed" };
+  }
+
+  /** Stores the chunks of a stream as they come, each before the next is read; undefined at the proper end. */
+  private *relay(
+    request: ExecutingRequest,
+    endpoint: Endpoint,
+    stream: EndpointStream,
+    remainingMs: number,
+  ): Task<AttemptOutcome | undefined> {
+    const { spec, shard, attempt, chunks } = request;
+    const deadline = this.env.mono() + remainingMs;
+    let patienceMs: number = Constants.firstPieceMs;
+    for (;;) {
+      const received = yield* stream.next(Math.min(patienceMs, deadline - this.env.mono()));
+      if (!received.ok) {
+        this.queue.release(endpoint, false);
+        return { tag: "mayHaveRun", why: received.fault.detail };
+      }
+      if (received.value === undefined) return undefined;
+      this.env.point(53);
+      const put = yield* this.writer.put(
+        shard,
+        `pieces-${spec.id}-${spec.life}-${attempt}-${chunks.length + 1}`,
+        [chunksOf(request, received.value)],
+        {},
+        CHUNKS_WITHIN_MS,
+      );
+      if (!put.ok || put.value.tag !== "done") {
+        stream.abort();
+        this.queue.release(endpoint, true);
+        return { tag: "takenOver" };
+      }
+      chunks.push(...received.value);
+      patienceMs = Constants.pieceGapMs;
+    }
+  }
+}
+
+const chunksOf = ({ spec, attempt, chunks }: ExecutingRequest, data: string[]): ShardOperation => ({
+  op: "pieces",
+  id: spec.id,
+  round: attempt,
+  first: chunks.length + 1,
+  data,
+});
--- /dev/null
+++ b/src/storage/messages/batchJobMessages.ts
@@ -0,0 +1,209 @@
+/** Bodies of the methods of batch jobs (on the wire: lots), and the checks of those that arrive. */
+import { Stamp } from "../../common/stamp";
+import type { BatchItemState, BatchJobSpec, Cause, ItemRequest, PutOutcome } from "../../shard/shardTypes";
+import type { ExistingObject, RefuseRequest, RefuseResponse } from "./liveRequestMessages";
+import {
+  isCount,
+  isFlag,
+  isListOf,
+  isName,
+  isNumber,
+  isObject,
+  isOptional,
+  isShardIndex,
+  isStamp,
+  isText,
+} from "./checks";
+
+/** Submits a job whose items are whole HTTP requests. */
+export interface SubmitJobRequest {
+  shard: number;
+  /** When the job arrived at its ingress; later when the submission is repeated. */
+  stamp: Stamp;
+  /** Text of the stamp of the first submission: names this arrival of the job, so that it can be refused. */
+  life: string;
+  lot: BatchJobSpec;
+  /** Configuration and policy under which the ingress admitted it, for the ledger. */
+  cause: Cause;
+}
+
+export type SubmitJobResponse = { tag: "accepted" } | ExistingObject;
+
+/** Accepts a job whose items run under a claim. */
+export interface AcceptJobRequest {
+  shard: number;
+  stamp: Stamp;
+  lot: BatchJobSpec;
+  cause: Cause;
+}
+
+/** Reads a page of results in the order in which they became stable. */
+export interface ListJobRequest {
+  shard: number;
+  id: string;
+  /** Position of the first result, from 0. */
+  from: number;
+  /** How long to wait for a first result, ms. */
+  waitMs: number;
+  /** Whether a replica responds whose stable prefix lags behind. */
+  anyAge?: boolean;
+}
+
+export interface JobResultEntry {
+  /** Id of the item. */
+  id: string;
+  state: "complete" | "abandoned";
+  /** The response body; empty for an abandoned item. */
+  text: string;
+}
+
+export interface JobResultPage {
+  /** Number of items of the job. */
+  total: number;
+  results: JobResultEntry[];
+  ended: boolean;
+}
+
+/** Asks for the request body of one item. */
+export interface ItemBodyRequest {
+  shard: number;
+  id: string;
+  /** Id of the item. */
+  item: string;
+  /** Sent with every read of a job; not used here. */
+  anyAge?: boolean;
+}
+
+export interface ItemBodyResponse {
+  /** In base64. */
+  body: string;
+}
+
+export interface JobStatusRequest {
+  shard: number;
+  id: string;
+}
+
+export interface JobStatusResponse {
+  id: string;
+  /** Name of the route. */
+  binding: string;
+  items: number;
+  /** How many items are in each state. */
+  states: Partial<Record<BatchItemState, number>>;
+  ended: boolean;
+  /** Items without a result. */
+  open: number;
+  /** Text of the stamp of the job. */
+  accepted: string;
+  bodyHash: string;
+}
+
+/** Reads results with their positions and stamps. */
+export interface JobResultsRequest {
+  shard: number;
+  id: string;
+  /** How many results the reader has. */
+  after: number;
+  /** Results in the response, at most. */
+  limit: number;
+  /** How long to wait for a further result, ms. */
+  waitMs: number;
+}
+
+export interface PositionedResult {
+  /** Position among the results, from 1. */
+  position: number;
+  /** Index of the item in its job. */
+  item: number;
+  /** Id of the item, where its items are whole requests. */
+  id?: string;
+  state: BatchItemState;
+  result: string;
+  stamp: string;
+}
+
+export interface JobResultsResponse {
+  results: PositionedResult[];
+  /** Whether there will be no result after these. */
+  finished: boolean;
+  ended: boolean;
+  /** End of the replica's stable prefix: wall time, ms. */
+  frontier: number;
+}
+
+export interface EndJobRequest {
+  shard: number;
+  id: string;
+  stamp: Stamp;
+  /** Who ends the job, for the ledger. */
+  by: string;
+}
+
+export interface EndJobResponse {
+  ended: true;
+}
+
+declare module "../../rpc/methods" {
+  interface RpcMethods {
+    /** Faults: notLead, late, busy (step "quota" if it doesn't fit), unknown. Idempotent by the id of the job. */
+    "lot.handIn": RpcMethod<SubmitJobRequest, SubmitJobResponse>;
+    /** Faults: notLead, late, busy, unknown. Idempotent: an arrival refused once stays refused. */
+    "lot.refuse": RpcMethod<RefuseRequest, RefuseResponse>;
+    /** Faults: notLead, notFound, disk. A read. */
+    "lot.list": RpcMethod<ListJobRequest, JobResultPage>;
+    /** Faults: notLead, notFound, disk. A read. */
+    "lot.itemBody": RpcMethod<ItemBodyRequest, ItemBodyResponse>;
+    /** Faults: notLead, late, busy, unknown. Idempotent by the id of the job. */
+    "lot.accept": RpcMethod<AcceptJobRequest, PutOutcome>;
+    /** Faults: notLead, notFound, disk. A read. */
+    "lot.status": RpcMethod<JobStatusRequest, JobStatusResponse>;
+    /** Faults: notLead, notFound, disk. A read. */
+    "lot.results": RpcMethod<JobResultsRequest, JobResultsResponse>;
+    /** Faults: notLead, notFound, late, busy, unknown. Idempotent: an ended job stays ended. */
+    "lot.end": RpcMethod<EndJobRequest, EndJobResponse>;
+  }
+}
+
+const isItemRequest = (value: unknown): value is ItemRequest =>
+  isObject(value) &&
+  isText(value.id) &&
+  isText(value.target) &&
+  isNumber(value.tokens) &&
+  isObject(value.headers) &&
+  Object.values(value.headers).every(isText);
+
+const isJobSpec = (value: unknown): value is BatchJobSpec =>
+  isObject(value) &&
+  isName(value.id) &&
+  isText(value.binding) &&
+  isText(value.bodyHash) &&
+  isListOf(value.bodies, isText) &&
+  isFlag(value.safe) &&
+  isNumber(value.order) &&
+  isObject(value.kept) &&
+  isOptional(value.since, isNumber) &&
+  isOptional(value.requests, (requests) => isListOf(requests, isItemRequest));
+
+const hasShardAndJob = (body: unknown): body is { shard: number; id: string; [field: string]: unknown } =>
+  isObject(body) && isShardIndex(body.shard) && isName(body.id);
+
+export const isAcceptJobRequest = (body: unknown): body is AcceptJobRequest =>
+  isObject(body) && isShardIndex(body.shard) && isStamp(body.stamp) && isJobSpec(body.lot) && isObject(body.cause);
+
+export const isSubmitJobRequest = (body: unknown): body is SubmitJobRequest =>
+  isObject(body) && isText(body.life) && isAcceptJobRequest(body) && body.lot.requests !== undefined;
+
+export const isListJobRequest = (body: unknown): body is ListJobRequest =>
+  hasShardAndJob(body) && isCount(body.from) && isNumber(body.waitMs) && isOptional(body.anyAge, isFlag);
+
+export const isItemBodyRequest = (body: unknown): body is ItemBodyRequest =>
+  hasShardAndJob(body) && isText(body.item) && isOptional(body.anyAge, isFlag);
+
+export const isJobStatusRequest = (body: unknown): body is JobStatusRequest => hasShardAndJob(body);
+
+export const isJobResultsRequest = (body: unknown): body is JobResultsRequest =>
+  hasShardAndJob(body) && isCount(body.after) && isCount(body.limit) && isNumber(body.waitMs);
+
+export const isEndJobRequest = (body: unknown): body is EndJobRequest =>
+  hasShardAndJob(body) && isStamp(body.stamp) && isText(body.by);
--- /dev/null
+++ b/src/storage/messages/shardMessages.ts
@@ -0,0 +1,115 @@
+/** Bodies of the methods that write to a shard, read its ledger or report on it, and the checks of those that arrive. */
+import { Stamp } from "../../common/stamp";
+import type { ShardReplicaStatus } from "../../shard/shardReplica";
+import type { LedgerEntry, Put, PutOutcome } from "../../shard/shardTypes";
+import { isCount, isListOf, isName, isNumber, isObject, isShardIndex, isStamp, isText } from "./checks";
+
+/** Any request about one shard. */
+export interface ShardRequest {
+  shard: number;
+}
+
+/** Puts operations into the log of a shard. */
+export interface PutRequest extends ShardRequest {
+  put: Put;
+}
+
+/** Reads a page of a shard's ledger in the order of its stamps. */
+export interface LedgerReadRequest extends ShardRequest {
+  /** Text of the stamp after which the page begins; any other text for the beginning. */
+  after: string;
+  /** Entries in the response, at most; the entries of one put stay together all the same. */
+  limit: number;
+}
+
+export interface LedgerReadResponse {
+  /** End of the replica's stable prefix: wall time, ms. */
+  frontier: number;
+  entries: LedgerEntry[];
+  /** Stamp of the oldest entry that retention has left. */
+  oldest: Stamp | null;
+}
+
+/** Reads all entries about some subjects. */
+export interface LedgerAboutRequest extends ShardRequest {
+  subjects: string[];
+  /** Id of a change whose consequences are wanted too; empty for none. */
+  change: string;
+}
+
+export interface LedgerAboutResponse {
+  entries: LedgerEntry[];
+  /** End of the replica's stable prefix: wall time, ms. */
+  frontier: number;
+}
+
+/** Reads the nearest version of a subject that isn't older than a time. */
+export interface TemporalGetRequest extends ShardRequest {
+  subject: string;
+  /** Wall time, ms. */
+  time: number;
+  /** How long to wait for it to become stable, ms. */
+  waitMs: number;
+}
+
+export interface TemporalGetResponse {
+  version: LedgerEntry;
+  /** End of the replica's stable prefix: wall time, ms. */
+  frontier: number;
+}
+
+/** What a storage node reports to the leader of control. */
+export interface StoreStatusResponse {
+  shards: ShardReplicaStatus[];
+  stopping: boolean;
+  /** Whether its clock and its configuration may be relied on. */
+  vouches: boolean;
+}
+
+/** What operators see of a storage node: its replicas, and the jobs of the shards that it leads. */
+export interface StoreShardsResponse {
+  shards: ShardReplicaStatus[];
+  lots: { id: string; shard: number; items: number; open: number; ended: boolean; results: number }[];
+}
+
+declare module "../../rpc/methods" {
+  interface RpcMethods {
+    /** Faults: notLead, late, busy, unknown. Idempotent by put id. */
+    "shard.put": RpcMethod<PutRequest, PutOutcome>;
+    /** Faults: notLead, disk. A read. */
+    "ledger.read": RpcMethod<LedgerReadRequest, LedgerReadResponse>;
+    /** Faults: notLead, disk. A read. */
+    "ledger.about": RpcMethod<LedgerAboutRequest, LedgerAboutResponse>;
+    /** Faults: notLead, disk, busy (nothing stable yet). A read. */
+    "temporal.get": RpcMethod<TemporalGetRequest, TemporalGetResponse>;
+    /** No faults. A read. */
+    "store.status": RpcMethod<Record<string, never>, StoreStatusResponse>;
+    /** No faults. A read. */
+    "store.shards": RpcMethod<Record<string, never>, StoreShardsResponse>;
+  }
+}
+
+const isPut = (value: unknown): value is Put =>
+  isObject(value) &&
+  isName(value.putId) &&
+  isStamp(value.stamp) &&
+  isObject(value.cause) &&
+  Array.isArray(value.ops) &&
+  value.ops.every((operation) => isObject(operation) && isName(operation.op));
+
+export const isShardRequest = (body: unknown): body is ShardRequest => isObject(body) && isShardIndex(body.shard);
+
+export const isPutRequest = (body: unknown): body is PutRequest =>
+  isObject(body) && isShardIndex(body.shard) && isPut(body.put);
+
+export const isLedgerReadRequest = (body: unknown): body is LedgerReadRequest =>
+  isObject(body) && isShardIndex(body.shard) && isText(body.after) && isCount(body.limit);
+
+export const isLedgerAboutRequest = (body: unknown): body is LedgerAboutRequest =>
+  isObject(body) && isShardIndex(body.shard) && isListOf(body.subjects, isText) && isText(body.change);
+
+export const isTemporalGetRequest = (body: unknown): body is TemporalGetRequest =>
+  isObject(body) && isShardIndex(body.shard) && isText(body.subject) && isNumber(body.time) && isNumber(body.waitMs);
+
+/** For methods whose request has no content. */
+export const isAnyRequest = (_body: unknown): _body is Record<string, never> => true;
--- /dev/null
+++ b/src/storage/quota/routeUsage.ts
@@ -0,0 +1,52 @@
+import { Constants } from "../../common/constants";
+import { UsageReport } from "../messages/quotaMessages";
+
+/**
+ * An upper bound of the tokens that wait on one route in each shard, as the owner of the count knows it.
+ *
+ * @example
+ * usage.add(report);
+ * if (usage.total() + tokens <= limit) usage.reserve(report.shard, "lot-17", tokens);
+ */
+export class RouteUsage {
+  private readonly reports = new Map<number, UsageReport>();
+  /** `SHARD/JOB` of the reservations that reports may not contain yet, oldest first. */
+  private readonly reservations = new Set<string>();
+
+  /** Takes in a report, unless a later one of the same shard is known. */
+  add(report: UsageReport): void {
+    const known = this.reports.get(report.shard);
+    if (known && isLater(known, report)) return;
+    let { tokens } = report;
+    // jobs that ask for their reservation count once they have it
+    for (const [job, asked] of Object.entries(report.asking))
+      if (!this.reservations.has(`${report.shard}/${job}`)) tokens -= asked;
+    this.reports.set(report.shard, { ...report, tokens, asking: {} });
+  }
+
+  /** Adds the tokens of a job to those of its shard, of which there is a report. */
+  reserve(shard: number, job: string, tokens: number): void {
+    const report = this.reports.get(shard)!;
+    this.reports.set(shard, { ...report, tokens: report.tokens + tokens });
+    this.reservations.add(`${shard}/${job}`);
+    if (this.reservations.size > Constants.quotaLeasesKept)
+      this.reservations.delete(this.reservations.values().next().value!);
+  }
+
+  has = (shard: number): boolean => this.reports.has(shard);
+
+  /** Whether there is a report of every shard. */
+  isComplete = (): boolean => this.reports.size >= Constants.shardCount;
+
+  total(): number {
+    let tokens = 0;
+    for (const report of this.reports.values()) tokens += report.tokens;
+    return tokens;
+  }
+}
+
+/** Whether a known report is later than a new one; one without a sequence number replaces others of its epoch. */
+function isLater(known: UsageReport, report: UsageReport): boolean {
+  if (known.epoch !== report.epoch) return known.epoch > report.epoch;
+  return known.turn > report.turn && report.turn >= 0;
+}
--- a/test/lotWorld.ts
+++ b/test/lotWorld.ts
@@ -10,7 +10,7 @@
 import { SubmittedItem, BatchSubmissionHost, BatchSubmission } from "../src/ingress/batchSubmission";
 import { SimDisk } from "../src/simulation/simDisk";
 import { SimProcess, SimWorld } from "../src/simulation/simWorld";
-import { JobResultPage } from "../src/storage/batchJobs";
+import { JobResultPage } from "../src/storage/messages/batchJobMessages";
 import { ShardClient } from "../src/storage/shardClient";
 import { StorageNode } from "../src/storage/storageNode";
 import { EventStandIn } from "../src/tools/eventStandIn";
