--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -23,6 +23,29 @@
 import { ShardPlacement } from "./shardPlacement";
 import { VoterManager } from "./voterManager";
 
+/** Response to "control.status"; the names are those of the wire. */
+export interface ControlStatus {
+  id: string;
+  /** Role in the consensus group. */
+  role: string;
+  /** Id of the leader that this node knows, or "". */
+  lead: string;
+  voters: string[];
+  /** Log index of the last applied entry. */
+  applied: number;
+  /** Whether it leads and its lease stands. */
+  holds: boolean;
+}
+
+declare module "../rpc/methods" {
+  interface RpcMethods {
+    /** State of a control process. Idempotent: it only reads. */
+    "control.status": RpcMethod<Record<string, never>, ControlStatus>;
+    /** Asks for a check of all shards now. Idempotent: it only wakes the leader. */
+    "views.call": RpcMethod<Record<string, never>, true>;
+  }
+}
+
 /**
  * The control process: a member of the consensus group, and the tasks that its leader runs (voter management, shard
  * placement, the calendar, delivery of decisions to the ledger). This module only puts the parts together.
@@ -150,8 +173,7 @@
     return this.group.isBootstrapped() ? undefined : "no control group yet";
   }
 
-  /** Response to "control.status"; the names are those of the wire. */
-  private status(): Record<string, unknown> {
+  private status(): ControlStatus {
     const { group } = this;
     return {
       id: this.node.self.id,
--- a/src/control/groupBootstrap.ts
+++ b/src/control/groupBootstrap.ts
@@ -23,6 +23,18 @@
   voters: string[];
 }
 
+declare module "../rpc/methods" {
+  interface RpcMethods {
+    /** What a founder knows of a group. Idempotent: it only reads. */
+    "found.status": RpcMethod<Record<string, never>, FounderStatus>;
+    /**
+     * Makes a founder a member of a new group. Faults: "conflict" where it belongs to another group or knows one.
+     * Idempotent: the same group again changes nothing.
+     */
+    "found.commit": RpcMethod<BootstrapRequest, true>;
+  }
+}
+
 /** A founder is given so long to respond, ms. */
 const STATUS_TIMEOUT_MS = 500;
 const COMMIT_TIMEOUT_MS = 1000;
@@ -65,7 +77,7 @@
     this.node.rpc.handle("found.status", function* () {
       return Fault.ok(bootstrap.status());
     });
-    this.node.rpc.handle("found.commit", (body: unknown) => this.onCommit(body));
+    this.node.rpc.handle("found.commit", (body) => this.onCommit(body));
   }
 
   private status(): FounderStatus {
@@ -117,7 +129,7 @@
         ids.push(this.node.self.id);
         continue;
       }
-      const status = yield* this.node.rpc.call<FounderStatus>(address, "found.status", {}, STATUS_TIMEOUT_MS);
+      const status = yield* this.node.rpc.call(address, "found.status", {}, STATUS_TIMEOUT_MS);
       const obstacle = this.obstacleOf(address, status);
       if (obstacle !== undefined) this.postpone(obstacle);
       else if (status.ok) ids.push(status.value.id);
--- a/src/control/groupRecoveryHandler.ts
+++ b/src/control/groupRecoveryHandler.ts
@@ -22,6 +22,16 @@
   upTo: number;
 }
 
+declare module "../rpc/methods" {
+  interface RpcMethods {
+    /**
+     * Recovers the group from the voter that is called. Faults: "conflict" while a majority lives, or where the group or
+     * the voter is another one. A repeated request is rejected once the voter leads; before, it raises term and index again.
+     */
+    "control.recover": RpcMethod<RecoveryRequest, RecoveryResult>;
+  }
+}
+
 const VOTER_TIMEOUT_MS = 500;
 const STORE_TIMEOUT_MS = 800;
 
@@ -40,7 +50,7 @@
 
   /** @example recovery.serve(); */
   serve(): void {
-    this.node.rpc.handle("control.recover", (body: unknown) => this.onRecover(body));
+    this.node.rpc.handle("control.recover", (body) => this.onRecover(body));
   }
 
   /** Rejected with "conflict" while a majority of the voters lives, since it continues by itself. */
@@ -67,9 +77,7 @@
     const address = this.node.addressOf(id);
     const state = this.node.membership.find(id)?.state;
     const response =
-      address === undefined
-        ? undefined
-        : yield* this.node.rpc.call<{ id: string }>(address, "control.status", {}, VOTER_TIMEOUT_MS);
+      address === undefined ? undefined : yield* this.node.rpc.call(address, "control.status", {}, VOTER_TIMEOUT_MS);
     // another id at the same address: the voter has lost its disk
     if (response?.ok) return response.value.id === id;
     return state === "alive" || state === "suspect";
