--- a/src/adapters/operatorHttp.ts
+++ b/src/adapters/operatorHttp.ts
@@ -5,6 +5,7 @@
 import { PolicyRule } from "../controlState/policy";
 import { Fault, Result } from "../common/fault";
 import { NodeContext } from "../node/nodeContext";
+import { ControlRequest } from "../node/controlRequest";
 import { Hash } from "../common/hash";
 import { LedgerReader } from "../node/ledgerReader";
 import { Node } from "../node/node";
@@ -130,7 +131,7 @@
     /** An order of one word, with no version: said again, it stays as it is. */
     const ordered = function* (
       incoming: HttpExchange,
-      make: (base: { changeId: string; by: string; identified: boolean }) => Record<string, unknown>,
+      make: (base: { changeId: string; by: string; identified: boolean }) => ControlRequest,
     ): Task<void> {
       const given = incoming.headers["x-change-id"];
       const changeId = given || EnvTools.id(env, "change");
--- a/src/control/controlRequestHandler.ts
+++ b/src/control/controlRequestHandler.ts
@@ -11,7 +11,7 @@
 import { RetirementOrders } from "./retirementOrders";
 
 /** A part of the control state; null where there is none of that name or id. */
-function readState(state: ControlState, { what, id }: ReadRequest): unknown {
+function readState(state: ControlState, { what, id = "" }: ReadRequest): unknown {
   switch (what) {
     case "manifest":
       return state.manifest;
@@ -47,7 +47,7 @@
 
   /** @example requestHandler.serve(); */
   serve(): void {
-    this.node.rpc.handle("control.op", (body: unknown) => this.onRequest(body));
+    this.node.rpc.handle("control.op", (body) => this.onRequest(body));
   }
 
   /**
@@ -70,7 +70,7 @@
       case "clock":
         return Fault.ok<LeaderClock>({ clockId: this.clockId, now: this.env.mono() });
       case "read":
-        if (request.what === "retirement") return Fault.ok(yield* this.retirementOrders.read(request.id));
+        if (request.what === "retirement") return Fault.ok(yield* this.retirementOrders.read(request.id ?? ""));
         return Fault.ok(readState(this.group.state, request));
       case "change":
         return yield* this.proposals.propose(request.command);
--- a/src/node/controlRequest.ts
+++ b/src/node/controlRequest.ts
@@ -13,8 +13,8 @@
   op: "read";
   /** Which part: "manifest", "policies", "calendar", "change", "views" or "retirement"; any other reads as null. */
   what: string;
-  /** Of the calendar entry, change or storage node; "" where there is none. */
-  id: string;
+  /** Of the calendar entry, change or storage node. */
+  id?: string;
   deadline?: OrderDeadline;
 }
 
@@ -40,6 +40,17 @@
 /** Body of the remote method "control.op", which only the leader of the consensus group serves. */
 export type ControlRequest = ClockRequest | ReadRequest | ChangeRequest | RetireRequest;
 
+declare module "../rpc/methods" {
+  interface RpcMethods {
+    /**
+     * Reads the control state or changes it; the response depends on the request. Faults: "notLead" with the address of
+     * the leader as its detail, "late" past the request's deadline, "conflict", "invalid", "notFound", "busy", "unknown".
+     * Idempotent: a change is known by its id, and is not carried out past its deadline.
+     */
+    "control.op": RpcMethod<ControlRequest, unknown>;
+  }
+}
+
 type Fields = Record<string, unknown>;
 const isObject = (value: unknown): value is Fields => typeof value === "object" && value !== null;
 const areTexts = (values: unknown[]): values is string[] => values.every((value) => typeof value === "string");
@@ -65,9 +76,10 @@
       case "clock":
         return Fault.ok({ op: "clock", ...deadline });
       case "read": {
-        const { what, id = "" } = body;
-        if (typeof what !== "string" || typeof id !== "string") return invalid("malformed read");
-        return Fault.ok({ op: "read", what, id, ...deadline });
+        const { what, id } = body;
+        const isIdValid = id === undefined || typeof id === "string";
+        if (typeof what !== "string" || !isIdValid) return invalid("malformed read");
+        return Fault.ok({ op: "read", what, ...(id === undefined ? {} : { id }), ...deadline });
       }
       case "change":
         if (!isCommand(body.command)) return invalid("malformed command");
--- a/src/node/nodeContext.ts
+++ b/src/node/nodeContext.ts
@@ -4,6 +4,7 @@
 import { Rpc } from "../rpc/rpc";
 import { Fault, Result } from "../common/fault";
 import { ClusterSnapshot, Endpoint } from "./clusterSnapshot";
+import { ControlRequest } from "./controlRequest";
 import { Node } from "./node";
 import { OrderDeadline, OrderDeadlines } from "./orderDeadline";
 
@@ -22,7 +23,7 @@
   return kept;
 }
 /** One call to one control member; an order goes with its deadline, so that it isn't carried out late. */
-function* askOne(host: NodeContext, address: string, body: Record<string, unknown>, until: number): Task<Result<any>> {
+function* askOne(host: NodeContext, address: string, body: ControlRequest, until: number): Task<Result<any>> {
   const left = (): number => Math.min(Constants.controlAskMs, until - host.env.mono());
   if (body.op === "read") return yield* host.rpc.call(address, "control.op", body, left());
   const deadline = yield* deadlinesOf(host).at(address, until, left());
@@ -87,12 +88,7 @@
 }
 
 /** The same, given up when its caller stops waiting, though a connection may still be under way. */
-function* askInTime(
-  host: NodeContext,
-  address: string,
-  body: Record<string, unknown>,
-  until: number,
-): Task<Result<any>> {
+function* askInTime(host: NodeContext, address: string, body: ControlRequest, until: number): Task<Result<any>> {
   const response = Csp.chan<Result<any>>(1);
   Csp.go(host.env.scope, "ask control", function* () {
     Csp.offer(response, yield* askOne(host, address, body, until));
@@ -127,7 +123,7 @@
   },
 
   /** Asks the control lead, wherever it is; a change is asked again under its change id. @example yield* Host.askControl(host, body, 4000) */
-  *askControl(host: NodeContext, body: Record<string, unknown>, withinMs: number): Task<Result<any>> {
+  *askControl(host: NodeContext, body: ControlRequest, withinMs: number): Task<Result<any>> {
     const { env } = host;
     const until = env.mono() + withinMs;
     let hint = leaders.get(host) ?? "";
--- a/src/node/orderDeadline.ts
+++ b/src/node/orderDeadline.ts
@@ -54,9 +54,9 @@
     const known = this.reading;
     if (known?.address === address && this.env.mono() - known.localTime < Constants.leaderClockKeptMs)
       return { ok: true, value: { clockId: known.clockId, at: known.leaderTime + (until - known.localTime) } };
-    const read = yield* this.rpc.call<LeaderClock>(address, "control.op", { op: "clock" }, timeoutMs);
+    const read = yield* this.rpc.call(address, "control.op", { op: "clock" }, timeoutMs);
     if (!read.ok) return read;
-    const { clockId, now: leaderTime } = read.value;
+    const { clockId, now: leaderTime } = read.value as LeaderClock;
     const localTime = this.env.mono();
     this.reading = { address, clockId, leaderTime, localTime };
     return { ok: true, value: { clockId, at: leaderTime + (until - localTime) } };
--- a/test/orders.test.ts
+++ b/test/orders.test.ts
@@ -5,6 +5,7 @@
 import { Fault } from "../src/common/fault";
 import { Csp, Task } from "../src/runtime/csp";
 import { EnvTools } from "../src/runtime/env";
+import { ControlRequest } from "../src/node/controlRequest";
 import { Rpc } from "../src/rpc/rpc";
 import { Answer, ControlFleet } from "./controlFleet";
 
@@ -88,7 +89,7 @@
     const fleet = new ControlFleet(5, { controls: 4 });
     await fleet.run(3000);
     const [rpc, leader] = [new Rpc(fleet.operator.env, "test", "asker"), fleet.leader()!];
-    const ask = (body: Record<string, unknown>): Promise<any> =>
+    const ask = (body: ControlRequest): Promise<any> =>
       fleet.world.finish(
         fleet.operator,
         () => rpc.call(fleet.settings.get(leader)!.address, "control.op", body, 2000),
