--- a/scripts/guardMutations.js
+++ b/scripts/guardMutations.js
@@ -11,6 +11,7 @@
 const MOST_SEEDS = 4;
 const RUN_TIMEOUT_MS = 200_000;
 const DEPLOYMENT = path.join(ROOT, "deploy/sim.json");
+const LONGEST_OUTCOME = "unfinished";
 const EXIT_SURVIVED = 1;
 const EXIT_BAD_INPUT = 2;
 const VIOLATION_LINE = /^ {4}([a-z-]+): (.*)/;
@@ -18,10 +19,17 @@
 /** A line of the simulator's report that looks like a violation and is none: how to run it again. */
 const REPLAY_LABEL = "replay";
 
+/** The simulator ends with one of these when it ran to its end; anything else, or a timeout, says nothing of the guard. */
+const FINISHED_STATUSES = [0, 1];
+
+/** A run was broken off: by its timeout, a signal or an error of the simulator itself. */
+class UnfinishedRunError extends Error {}
+
 /** Runs a scenario of the mutated code; the invariants of the violations that it printed. */
 function brokenInvariants(copy, scenario, seed) {
   const command = ["dist/src/main.js", "sim", DEPLOYMENT, "--scenario", scenario, "--seed", String(seed)];
   const ended = spawnSync(process.execPath, command, { cwd: copy.folder, encoding: "utf8", timeout: RUN_TIMEOUT_MS });
+  if (!FINISHED_STATUSES.includes(ended.status)) throw new UnfinishedRunError(ended.error?.message ?? ended.stderr);
   return ended.stdout
     .split("\n")
     .map((line) => VIOLATION_LINE.exec(line)?.[1])
@@ -46,6 +54,11 @@
       if (mutation.expectedInvariants.some((invariant) => result.violations.has(invariant))) result.outcome = "killed";
     }
     return result;
+  } catch (error) {
+    if (!(error instanceof UnfinishedRunError)) throw error;
+    console.error(error.message);
+    result.outcome = "unfinished";
+    return result;
   } finally {
     copy.remove();
   }
@@ -53,7 +66,7 @@
 
 function printResult(mutation, { outcome, seeds, violations }) {
   const counts = [...violations].map(([invariant, count]) => `${invariant} ${count}`).join(", ");
-  const label = outcome.padEnd("not found".length);
+  const label = outcome.padEnd(LONGEST_OUTCOME.length);
   console.log(`${label} ${mutation.name}: ${mutation.scenario}, ${seeds} seed(s): ${counts || "nothing broken"}`);
 }
 
