--- a/src/cli/fleetCommand.ts
+++ b/src/cli/fleetCommand.ts
@@ -6,7 +6,7 @@
 import { Csp, Scope, Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
 import { NodeEnv } from "../runtime/nodeEnv";
-import { Callers } from "../tools/callers";
+import { Callers } from "../tools/callers/callers";
 import { Deployment, Plan, ProcessPlan } from "../tools/deployment";
 import { Checker } from "../tools/checker";
 import { History } from "../tools/history";
--- a/src/simulation/simFleet.ts
+++ b/src/simulation/simFleet.ts
@@ -6,7 +6,7 @@
 import { StorageNode } from "../storage/storageNode";
 import { ShardView } from "../controlState/shardView";
 import { ShardReplica } from "../shard/shardReplica";
-import { Callers } from "../tools/callers";
+import { Callers } from "../tools/callers/callers";
 import { CheckOptions, Checker, Violation } from "../tools/checker";
 import { Deployment, Plan, ProcessPlan } from "../tools/deployment";
 import { History } from "../tools/history";
--- /dev/null
+++ b/src/tools/callers/lookupCaller.ts
@@ -0,0 +1,71 @@
+import { Task } from "../../runtime/csp";
+import { EnvTools } from "../../runtime/env";
+import { Mix } from "../deployment";
+import { CallerClient, ProblemBody } from "./callerClient";
+
+const LOOKUP_TIMEOUT_MS = 5000;
+const CONFIRMATION_TIMEOUT_MS = 20_000;
+const CONFIRMATION_ATTEMPTS = 8;
+const CONFIRMATION_RETRY_MS = 1000;
+
+/** What a stand-in endpoint responds: the request's token, and an id of the run. */
+interface EchoBody extends ProblemBody {
+  echo?: { q?: string };
+  id?: string;
+}
+
+/** One idempotent lookup: sent once, and its response checked to be its own. @example yield* callLookup(client, mix.lookups, 17) */
+export function* callLookup(client: CallerClient, lookups: Mix["lookups"], n: number): Task<void> {
+  const { env, history } = client;
+  const token = `${client.salt}-${n}`;
+  const startedAt = env.mono();
+  const ingress = client.pickIngress();
+  const path = `/v1/requests/${lookups.binding}`;
+  const response = yield* client.post<EchoBody>(ingress, path, { q: token }, LOOKUP_TIMEOUT_MS);
+  if (response?.status !== 200) return client.recordFailure("lookup", startedAt, response);
+  const at = env.wall();
+  const mine = response.body?.echo?.q === token;
+  history.add({ tag: "lookup", at, tookMs: env.mono() - startedAt, status: 200, mine, ingress });
+  history.add({ tag: "served", at, kind: "lookup" });
+}
+
+/** One request that must not run twice: sent under one key until there is a definite response. @example yield* callConfirmation(client, mix.singles, 17) */
+export function* callConfirmation(client: CallerClient, singles: Mix["singles"], n: number): Task<void> {
+  const { env, history } = client;
+  const key = `${client.salt}-key-${n}`;
+  const token = `${client.salt}-${n}`;
+  const startedAt = env.mono();
+  const path = `/v1/requests/${singles.binding}`;
+  const headers = { "idempotency-key": key };
+  for (let attempt = 0; attempt < CONFIRMATION_ATTEMPTS; attempt += 1) {
+    const ingress = client.pickIngress();
+    const response = yield* client.post<EchoBody>(ingress, path, { q: token }, CONFIRMATION_TIMEOUT_MS, headers);
+    if (response?.status === 200) {
+      history.add({
+        tag: "single",
+        at: env.wall(),
+        key,
+        requestId: response.headers["x-request-id"],
+        status: 200,
+        mine: response.body?.echo?.q === token,
+        tookMs: env.mono() - startedAt,
+        ran: String(response.body?.id ?? ""),
+      });
+      return;
+    }
+    const outcomeUnknown = response?.body?.code === "unknown" && response.body.step === "run";
+    if (response && response.status !== 503 && outcomeUnknown)
+      return client.recordFailure("single", startedAt, response);
+    // busy or no response: the same key may be sent again
+    yield* EnvTools.sleep(env, CONFIRMATION_RETRY_MS);
+  }
+  history.add({
+    tag: "failed",
+    at: env.wall(),
+    tookMs: env.mono() - startedAt,
+    kind: "single",
+    requestId: "",
+    code: "noAnswer",
+    detail: key,
+  });
+}
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -3,7 +3,7 @@
 import * as path from "path";
 import { Fleet } from "../src/cli/fleetCommand";
 import { EnvTools } from "../src/runtime/env";
-import { Callers } from "../src/tools/callers";
+import { Callers } from "../src/tools/callers/callers";
 import { Checker } from "../src/tools/checker";
 import { Deployment } from "../src/tools/deployment";
 import { History } from "../src/tools/history";
