--- a/src/common/constants.ts
+++ b/src/common/constants.ts
@@ -61,25 +61,25 @@
   readIndexTickMs: 20, // ms; how often it looks
 
   // --- control group ---
-  electionMinMs: 900, // ms; shortest silence before a vote is asked for
-  electionAgainMs: 150, // ms; shortest pause after a pre-vote that found no majority: it binds nobody
-  newbornElectionMs: 120, // ms; voters that have all just started ask for votes about so soon
-  electionLookMs: 300, // ms; a follower looks at least so often whether its election is due
-  electionSpreadMs: 700, // ms; spread so that two seldom ask at once
-  heartbeatMs: 150, // ms; lead tells the others it is there
-  controlLeaseMs: 800, // ms; lead counts its majority as held for this long from before the asking; below electionMinMs
-  handOverWaitMs: 300, // ms; a lead that stops waits so long for a voter that holds its whole log, and for the word to reach it
-  appendBytes: 131_072, // bytes; of entries in one append, and of a piece of what is longer: 52 ms at 20 Mbit/s
-  pieceBytesMin: 8192, // bytes; pieces get smaller so far while they are not acknowledged in time
-  appendTimeoutMs: 600, // ms; an append or a piece not acknowledged by then is sent again
-  transferTries: 20, // failures in a row; then what is to be sent is looked up anew
-  transferBytes: 67_108_864, // bytes; packed, of a snapshot or an entry taken in
-  transferUnpackedBytes: 268_435_456, // bytes; the same unpacked
-  droppedLogMs: 5000, // ms; a cause for which messages of the group are dropped is logged at most this often
-  groupLogKeep: 400, // entries; log is folded into a slot past this length
-  groupLogBytes: 4_194_304, // bytes; or past this size, so that a start reads no more than two such logs
-  groupTailEntries: 500, // entries; kept past a fold for followers a little behind or still taking the snapshot before
-  groupTailBytes: 4_194_304, // bytes; of those, at most
+  electionTimeoutMinMs: 900, // ms; the shortest time without a leader before a vote is asked for
+  preVoteRetryMinMs: 150, // ms; the shortest pause after a pre-vote without a majority: a pre-vote binds nobody
+  restartElectionMs: 120, // ms; after a restart of all voters an election is due about so soon
+  electionCheckMaxMs: 300, // ms; the longest pause between two checks of the election timer
+  electionTimeoutSpreadMs: 700, // ms; random part of the election time-out, so that two servers seldom stand at once
+  heartbeatMs: 150, // ms; period of the leader's AppendEntries requests
+  controlLeaseMs: 800, // ms; lease of the control leader, counted from the sending of a request; below electionTimeoutMinMs
+  leadershipTransferTimeoutMs: 300, // ms; a leader that stops waits so long for a successor with the whole log, and for its response
+  appendEntriesMaxBytes: 131_072, // bytes; of the entries in one request, and of a chunk of a longer payload: 52 ms at 20 Mbit/s
+  payloadChunkMinBytes: 8192, // bytes; chunks shrink down to this while they are not acknowledged in time
+  appendEntriesTimeoutMs: 600, // ms; a request or a chunk not acknowledged by then is sent again
+  payloadChunkAttempts: 20, // failures in a row; then the payload is made anew from the follower's progress
+  packedPayloadMaxBytes: 67_108_864, // bytes; of a packed payload (snapshot or entry) that a follower accepts
+  unpackedPayloadMaxBytes: 268_435_456, // bytes; the same unpacked
+  rejectionLogPeriodMs: 5000, // ms; a reason for which messages of the group are rejected is logged at most this often
+  logEntriesUntilSnapshot: 400, // entries; the log is compacted into a snapshot past this length
+  logBytesUntilSnapshot: 4_194_304, // bytes; or past this size, so that a start reads no more than two such logs
+  trailingLogEntries: 500, // entries; stay in memory before a snapshot, for followers a little behind or still receiving the snapshot before
+  trailingLogBytes: 4_194_304, // bytes; of those, at most
   proposeTimeoutMs: 1800, // ms; an operator waits this long before fate is called unknown
   voterGoneMs: 4000, // ms; a lead that was just chosen may not have heard of every store for this long
   voterDeadMs: 200, // ms; a voter found dead is replaced this much later: inside the time that a loss counts, and before the next may come
@@ -87,8 +87,8 @@
   voterUnknownMs: 2000, // ms; a voter that a lead never heard of in so long since its own start is gone: after a loss of all power nobody remembers who is missing
   voterUnknownLeadMs: 400, // ms; and since it leads
   dutyPeriodMs: 150, // ms; the lead looks at its voters
-  recoveredIndexes: 1_000_000, // indexes; a recovered group begins so far above its voter's log, past all that the lost voters may have had
-  recoveredEpochs: 1_000_000, // epochs; the same for shard views
+  recoveryIndexGap: 1_000_000, // indexes and terms; a recovered group begins so far above its voter's log, past all that the lost voters may have had
+  recoveryEpochGap: 1_000_000, // epochs; the same for shard views
   losses: 1, // machines; lost at once, where settings don't say: three voters, so that a cut in two of four leaves two of three on one side
   groupGrowMs: 4000, // ms; a founded group that is short of voters takes no first change for so long
   foundRetryMs: 300, // ms; founders ask each other again
@@ -100,7 +100,7 @@
   acceptedKept: 10_000, // accepted changes of a document; 26 bytes each in a snapshot; a resend of an older one gets no clear answer
   changeDigestLength: 15, // hexadecimal digits of a change id's hash that are kept
   changesKept: 2000, // change outcomes; asked after by change id
-  standbyLagMax: 20, // entries; a standby this close may become a voter
+  standbyMaxLag: 20, // entries; a standby this close may become a voter
 
   // --- shards ---
   shardCount: 8, // shards; twice the store machines, so that a lost one spreads its work
--- a/src/consensus/catchUp.ts
+++ b/src/consensus/catchUp.ts
@@ -24,7 +24,7 @@
     if (!follower || follower.matchIndex === 0) return false;
     const sinceContact = this.replica.env.mono() - follower.lastContactAt;
     if (sinceContact > CONTACT_HEARTBEATS * Constants.heartbeatMs) return false;
-    return this.lag(id) <= Constants.standbyLagMax;
+    return this.lag(id) <= Constants.standbyMaxLag;
   }
   /** The voter with the longest log, as the next leader; undefined if no voter is caught up. */
   bestSuccessor(): string | undefined {
--- a/src/consensus/chunkReceiver.ts
+++ b/src/consensus/chunkReceiver.ts
@@ -32,7 +32,7 @@
 
   /** Takes one chunk in. */
   receive(chunk: PayloadChunk): ChunkResult {
-    const defect = MessageValidation.chunkDefect(chunk, Constants.transferBytes);
+    const defect = MessageValidation.chunkDefect(chunk, Constants.packedPayloadMaxBytes);
     if (defect !== undefined) return rejected(defect);
     const transfer = this.transferOf(chunk);
     if (chunk.offset !== transfer.receivedBytes) return { tag: "incomplete", receivedBytes: transfer.receivedBytes };
--- a/src/consensus/chunkedPayload.ts
+++ b/src/consensus/chunkedPayload.ts
@@ -40,7 +40,7 @@
   unpack(bytes: Buffer, expectedChecksum: number): Partial<AppendPayloadOnWire> | undefined {
     if (checksumOf(bytes) !== expectedChecksum) return undefined;
     try {
-      const json = inflateRawSync(bytes, { maxOutputLength: Constants.transferUnpackedBytes }).toString("utf8");
+      const json = inflateRawSync(bytes, { maxOutputLength: Constants.unpackedPayloadMaxBytes }).toString("utf8");
       const payload: unknown = JSON.parse(json);
       return typeof payload === "object" && payload !== null ? payload : undefined;
     } catch {
--- a/src/consensus/consensusReplica.ts
+++ b/src/consensus/consensusReplica.ts
@@ -30,7 +30,7 @@
   outcome: Chan<Result<Outcome>>;
 }
 
-/** The first election after a start is due after a random share of `newbornElectionMs` between these two. */
+/** The first election after a start is due after a random share of `restartElectionMs` between these two. */
 const RESTART_ELECTION_SHARE_MIN = 0.2;
 const RESTART_ELECTION_SHARE_SPREAD = 1.6;
 
@@ -156,17 +156,17 @@
   // ---------- timers ----------
 
   /** Sets the election timer anew, at random so that two servers seldom stand at once (Raft, section 5.2). */
-  resetElectionTimer(minMs: number = Constants.electionMinMs): void {
-    this.electionDueAt = this.env.mono() + minMs + this.env.random() * Constants.electionSpreadMs;
+  resetElectionTimer(minMs: number = Constants.electionTimeoutMinMs): void {
+    this.electionDueAt = this.env.mono() + minMs + this.env.random() * Constants.electionTimeoutSpreadMs;
   }
   /** Sets the timer of the election after a restart of all voters: much sooner, as no lease has to be waited for. */
   resetRestartElectionTimer(): void {
     const share = RESTART_ELECTION_SHARE_MIN + RESTART_ELECTION_SHARE_SPREAD * this.env.random();
-    this.electionDueAt = this.env.mono() + Constants.newbornElectionMs * share;
+    this.electionDueAt = this.env.mono() + Constants.restartElectionMs * share;
   }
   /** Whether no leader has been in contact for the shortest election time-out: a leader's lease has ended by then. */
   hasLeaderTimedOut(): boolean {
-    return this.role !== "leader" && this.env.mono() - this.lastLeaderContactAt >= Constants.electionMinMs;
+    return this.role !== "leader" && this.env.mono() - this.lastLeaderContactAt >= Constants.electionTimeoutMinMs;
   }
 
   // ---------- state machine ----------
@@ -203,7 +203,7 @@
   }
   /**
    * Rejects a message that is malformed, of another group or in conflict with committed entries. Each reason is logged at
-   * most once in `droppedLogMs`.
+   * most once in `rejectionLogPeriodMs`.
    */
   reject(
     event: typeof ConsensusEvent.committedEntryConflict | typeof ConsensusEvent.messageRejected,
@@ -212,7 +212,7 @@
     reason: string,
   ): Result<never> {
     const now = this.env.mono();
-    if (now - (this.rejectionLoggedAt.get(reason) ?? -Infinity) >= Constants.droppedLogMs) {
+    if (now - (this.rejectionLoggedAt.get(reason) ?? -Infinity) >= Constants.rejectionLogPeriodMs) {
       this.rejectionLoggedAt.set(reason, now);
       this.env.log(event, { step, from: senderId, cause: reason });
     }
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -58,11 +58,11 @@
     if (replica.role === "leader") return Constants.heartbeatMs;
     if (!replica.log.isBootstrapped()) return CHECK_BEFORE_BOOTSTRAP_MS;
     const untilDue = replica.electionDueAt - replica.env.mono();
-    return Math.min(Constants.electionLookMs, Math.max(MIN_CHECK_MS, untilDue));
+    return Math.min(Constants.electionCheckMaxMs, Math.max(MIN_CHECK_MS, untilDue));
   }
   private *stepDownWithoutMajority(): Task<void> {
     const { replica } = this;
-    const windowMs = MAJORITY_LOST_TIMEOUTS * Constants.electionMinMs;
+    const windowMs = MAJORITY_LOST_TIMEOUTS * Constants.electionTimeoutMinMs;
     const inContact = this.lease.votersInContactWithin(windowMs);
     if (inContact.length >= replica.majority()) return;
     if (replica.env.mono() - replica.leaderSince <= windowMs) return;
@@ -81,7 +81,7 @@
     const afterFullRestart = replica.startedRecently && !replica.hasLeaderTimedOut();
     const hasAskedForVotes = yield* this.campaign(afterFullRestart);
     if (afterFullRestart) replica.resetRestartElectionTimer();
-    else replica.resetElectionTimer(hasAskedForVotes ? Constants.electionMinMs : Constants.electionAgainMs);
+    else replica.resetElectionTimer(hasAskedForVotes ? Constants.electionTimeoutMinMs : Constants.preVoteRetryMinMs);
   }
 
   /** Stands for election at once, as the leader of that term has asked for (Ongaro's thesis, section 3.10). */
--- a/src/consensus/followerReplicator.ts
+++ b/src/consensus/followerReplicator.ts
@@ -111,7 +111,7 @@
     for (let index = follower.nextIndex; index <= lastIndex; index += 1) {
       const entry = log.entryAt(index)!;
       bytes += log.bytesOf(entry);
-      if (entries.length > 0 && bytes > Constants.appendBytes) break;
+      if (entries.length > 0 && bytes > Constants.appendEntriesMaxBytes) break;
       entries.push(entry);
     }
     return { prevLogIndex, prevLogTerm: log.termAt(prevLogIndex) ?? 0, entries };
@@ -127,7 +127,7 @@
   }
   private needsChunks({ snapshot, entries }: AppendPayload): boolean {
     if (snapshot) return true;
-    return entries.length === 1 && this.replica.log.bytesOf(entries[0]) > Constants.appendBytes;
+    return entries.length === 1 && this.replica.log.bytesOf(entries[0]) > Constants.appendEntriesMaxBytes;
   }
 
   // ---------- sending ----------
@@ -135,7 +135,12 @@
   /** One request. Faults: those of Rpc.call and of the follower; invalid if the response is malformed. */
   private *send(address: string, request: AppendEntriesRequest): Task<Result<AppendEntriesResponse>> {
     const body = MessageCodec.encodeAppendEntries(request);
-    const response = yield* this.rpc.call(address, ConsensusMethod.appendEntries, body, Constants.appendTimeoutMs);
+    const response = yield* this.rpc.call(
+      address,
+      ConsensusMethod.appendEntries,
+      body,
+      Constants.appendEntriesTimeoutMs,
+    );
     if (!response.ok) return response;
     const decoded = MessageCodec.decodeAppendEntriesResponse(response.value);
     return decoded.ok ? Fault.ok(decoded.message) : Fault.fail("invalid", "append", this.followerId, decoded.defect);
@@ -153,7 +158,7 @@
       ? { prevLogIndex: 0, prevLogTerm: 0 }
       : { prevLogIndex: payload.prevLogIndex, prevLogTerm: payload.prevLogTerm };
     const packed = context.packages.pack(payload);
-    let chunkBytes: number = Constants.appendBytes;
+    let chunkBytes: number = Constants.appendEntriesMaxBytes;
     let receivedBytes = 0;
     let failuresInARow = 0;
     for (;;) {
@@ -165,8 +170,8 @@
       if (!replica.isLeaderOf(this.term)) return response;
       if (!response.ok) {
         failuresInARow += 1;
-        if (response.fault.tag === "invalid" || failuresInARow >= Constants.transferTries) return response;
-        chunkBytes = Math.max(Constants.pieceBytesMin, chunkBytes / 2);
+        if (response.fault.tag === "invalid" || failuresInARow >= Constants.payloadChunkAttempts) return response;
+        chunkBytes = Math.max(Constants.payloadChunkMinBytes, chunkBytes / 2);
         yield* EnvTools.sleep(replica.env, Constants.heartbeatMs * RETRY_PAUSE_SHARE);
         continue;
       }
@@ -175,7 +180,7 @@
       if (response.value.success || response.value.receivedBytes === undefined) return response;
       failuresInARow = 0;
       receivedBytes = response.value.receivedBytes;
-      chunkBytes = Math.min(Constants.appendBytes, chunkBytes * 2);
+      chunkBytes = Math.min(Constants.appendEntriesMaxBytes, chunkBytes * 2);
     }
   }
 }
--- a/src/consensus/leaderLease.ts
+++ b/src/consensus/leaderLease.ts
@@ -4,7 +4,7 @@
 /**
  * The leader's lease: while a majority has acknowledged it recently, no other server can have been elected, so the leader
  * answers reads from its own state (Ongaro's thesis, section 6.4.1). The age of an acknowledgement counts from the sending
- * of the request; followers grant no vote for `electionMinMs` after an append, which is longer than the lease.
+ * of the request; followers grant no vote for `electionTimeoutMinMs` after an append, which is longer than the lease.
  *
  * @example
  * const lease = new LeaderLease(replica);
--- a/src/consensus/leadershipTransfer.ts
+++ b/src/consensus/leadershipTransfer.ts
@@ -34,11 +34,11 @@
     replica.becomeFollower();
     replica.resetElectionTimer();
     const request = MessageCodec.encodeTimeoutNow({ targetId: successor, groupId: replica.groupId(), term });
-    yield* this.rpc.call(address, ConsensusMethod.timeoutNow, request, Constants.handOverWaitMs);
+    yield* this.rpc.call(address, ConsensusMethod.timeoutNow, request, Constants.leadershipTransferTimeoutMs);
   }
   private *waitForSuccessor(): Task<void> {
     const { env } = this.replica;
-    const until = env.mono() + Constants.handOverWaitMs;
+    const until = env.mono() + Constants.leadershipTransferTimeoutMs;
     while (this.lease.isHeld() && !this.isSuccessorReady() && env.mono() < until)
       yield* EnvTools.sleep(env, CHECK_PERIOD_MS);
   }
--- a/src/consensus/replicatedLog.ts
+++ b/src/consensus/replicatedLog.ts
@@ -192,11 +192,11 @@
 
   /** Whether so much is applied past the snapshot, in entries or in bytes, that a new one is due. */
   needsCompaction(lastApplied: number): boolean {
-    if (lastApplied - this.snapshotIndex > Constants.groupLogKeep) return true;
+    if (lastApplied - this.snapshotIndex > Constants.logEntriesUntilSnapshot) return true;
     let bytes = 0;
     for (let index = this.snapshotIndex + 1; index <= lastApplied; index += 1)
       bytes += this.bytesOf(this.entryAt(index)!);
-    return bytes > Constants.groupLogBytes;
+    return bytes > Constants.logBytesUntilSnapshot;
   }
   /** Takes a snapshot of the state machine at an index, in place of the entries up to it. After a failed write nothing changes. */
   *compact(state: ControlState, lastApplied: number): Task<void> {
@@ -222,9 +222,9 @@
   private discardCompacted(): void {
     let precedingIndex = this.snapshotIndex;
     let bytes = 0;
-    while (precedingIndex > this.precedingIndex && this.snapshotIndex - precedingIndex < Constants.groupTailEntries) {
+    while (precedingIndex > this.precedingIndex && this.snapshotIndex - precedingIndex < Constants.trailingLogEntries) {
       bytes += this.bytesOf(this.entryAt(precedingIndex)!);
-      if (bytes > Constants.groupTailBytes) break;
+      if (bytes > Constants.trailingLogBytes) break;
       precedingIndex -= 1;
     }
     const precedingTerm = this.termAt(precedingIndex)!;
--- a/src/consensus/singleVoterRecovery.ts
+++ b/src/consensus/singleVoterRecovery.ts
@@ -67,8 +67,8 @@
     for (const entry of log.entries)
       if (entry.index > replica.lastApplied && entry.index <= upTo)
         ControlStateMachine.apply(state, entry.index, entry.command);
-    const term = log.currentTerm + Constants.recoveredIndexes;
-    const snapshotIndex = upTo + Constants.recoveredIndexes;
+    const term = log.currentTerm + Constants.recoveryIndexGap;
+    const snapshotIndex = upTo + Constants.recoveryIndexGap;
     return {
       currentTerm: term,
       votedFor: "",
--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -202,7 +202,7 @@
     const control = this;
     return this.node.shutDown(function* () {
       yield* control.group.transferLeadership();
-      yield* EnvTools.sleep(control.env, Constants.handOverWaitMs);
+      yield* EnvTools.sleep(control.env, Constants.leadershipTransferTimeoutMs);
     });
   }
 }
--- a/src/controlState/groupRecovery.ts
+++ b/src/controlState/groupRecovery.ts
@@ -34,7 +34,7 @@
     const lost = state.voters.filter((id) => id !== voter);
     state.group = `${withoutGeneration(state.group)}+${generation}`;
     state.voters = [voter];
-    state.epochFloor = generation * Constants.recoveredEpochs;
+    state.epochFloor = generation * Constants.recoveryEpochGap;
     state.frameIndex = index;
     for (const view of views) if (view.epoch > (state.views[view.shard]?.epoch ?? 0)) state.views[view.shard] = view;
     const decision = `recovered as ${state.group} from voter ${voter} alone; what only ${lost.join(", ")} had acknowledged is lost`;
--- a/src/model/walk.ts
+++ b/src/model/walk.ts
@@ -30,7 +30,7 @@
 /** The last change is proposed again after so many checks, as an earlier change may take its version. */
 const FINAL_CHANGE_PERIOD = 20;
 /** Logs are compacted and sent in chunks this small, so that a short walk meets snapshots and batches. */
-const SMALL_LOGS = { groupLogKeep: 12, appendBytes: 700, groupTailEntries: 5 };
+const SMALL_LOGS = { logEntriesUntilSnapshot: 12, appendEntriesMaxBytes: 700, trailingLogEntries: 5 };
 
 /** After all faults are healed: a leader and equal replicas in ten seconds, and one more change goes through. */
 async function settle(group: GroupUnderTest): Promise<void> {
--- a/test/control.test.ts
+++ b/test/control.test.ts
@@ -151,7 +151,7 @@
       for (const name of fleet.names("control")) fleet.kill(name, true);
       await fleet.run(300);
       for (const name of fleet.names("control")) fleet.restart(name);
-      expect(await fleet.until(() => fleet.leader() !== undefined, 5000)).toBeLessThan(Constants.electionMinMs);
+      expect(await fleet.until(() => fleet.leader() !== undefined, 5000)).toBeLessThan(Constants.electionTimeoutMinMs);
       expect(await inForce(fleet)).toBe(5);
       // the lead freezes with its grant, the two others start again: they cannot know that it leads nothing
       const leader = fleet.leader()!;
@@ -160,7 +160,7 @@
       for (const name of others) fleet.kill(name);
       for (const name of others) fleet.restart(name);
       const next = (): boolean => others.some((name) => fleet.control(name)?.group.hasLeaderLease() ?? false);
-      expect(await fleet.until(next, 6000)).toBeGreaterThanOrEqual(Constants.electionMinMs);
+      expect(await fleet.until(next, 6000)).toBeGreaterThanOrEqual(Constants.electionTimeoutMinMs);
       expect(fleet.close()).toEqual([]);
     }
   });
--- a/test/golden/shortLogs.ts
+++ b/test/golden/shortLogs.ts
@@ -6,10 +6,10 @@
 
 /** Runs `body` with logs that are folded into a snapshot early, and small segments. */
 export async function withShortLogs<T>(body: () => Promise<T>): Promise<T> {
-  const limits = Constants as { groupLogKeep: number; shardLogKeep: number };
+  const limits = Constants as { logEntriesUntilSnapshot: number; shardLogKeep: number };
   const segments = Constants.segmentObjects as { ledger: number };
   const before = { ...limits };
-  limits.groupLogKeep = shortLogEntries.group;
+  limits.logEntriesUntilSnapshot = shortLogEntries.group;
   limits.shardLogKeep = shortLogEntries.shard;
   Object.assign(segments, Constants.simSegmentObjects);
   segments.ledger = ledgerSegmentEntries;
@@ -17,7 +17,7 @@
     return await body();
   } finally {
     Object.assign(segments, Constants.simSegmentObjects);
-    limits.groupLogKeep = before.groupLogKeep;
+    limits.logEntriesUntilSnapshot = before.logEntriesUntilSnapshot;
     limits.shardLogKeep = before.shardLogKeep;
   }
 }
--- a/test/group.test.ts
+++ b/test/group.test.ts
@@ -167,7 +167,7 @@
 
   it("past the index of the lead's snapshot, with the entries before it gone: the snapshot is taken", async () => {
     const { control, cutOff } = await diverged(5, 1000, 1250);
-    expect(control.leader()!.group.snapshotIndex).toBeGreaterThan(394 + Constants.groupTailEntries);
+    expect(control.leader()!.group.snapshotIndex).toBeGreaterThan(394 + Constants.trailingLogEntries);
     expect(cutOff.group.lastLogIndex()).toBeGreaterThan(control.leader()!.group.snapshotIndex);
     await control.world.run(3000);
     expect(cutOff.group.snapshotIndex).toBe(control.leader()!.group.snapshotIndex);
@@ -322,12 +322,13 @@
     await control.boot();
     control.kill("c4");
     expect(await control.propose([policies(control, 0, 4_000_000)], 5000)).toMatchObject({ taken: 1 });
-    while (control.leader()!.group.snapshotIndex <= Constants.groupTailEntries) await control.propose(noops(50), 3000);
+    while (control.leader()!.group.snapshotIndex <= Constants.trailingLogEntries)
+      await control.propose(noops(50), 3000);
     const before = elections(control);
     const follower = control.restart("c4", true);
     follower.process.linkBytesPerMs = slowLink;
     expect(await caughtUpMs(control, follower, 30_000)).toBeLessThan(4700);
-    expect(follower.group.snapshotIndex).toBeGreaterThan(Constants.groupTailEntries);
+    expect(follower.group.snapshotIndex).toBeGreaterThan(Constants.trailingLogEntries);
     expect(follower.group.state).toEqual(control.leader()!.group.state);
     expect(elections(control)).toBe(before);
     control.end();
@@ -338,7 +339,8 @@
     await control.boot();
     control.kill("c4");
     await control.propose([policies(control, 0, 4_000_000)], 5000);
-    while (control.leader()!.group.snapshotIndex <= Constants.groupTailEntries) await control.propose(noops(50), 3000);
+    while (control.leader()!.group.snapshotIndex <= Constants.trailingLogEntries)
+      await control.propose(noops(50), 3000);
     const follower = control.restart("c4", true);
     follower.process.linkBytesPerMs = slowLink;
     const leader = control.leader()!;
@@ -455,7 +457,7 @@
     const receiver = new ChunkReceiver();
     const malformed: Partial<PayloadChunk>[] = [
       { totalBytes: 0 },
-      { totalBytes: Constants.transferBytes + 1 },
+      { totalBytes: Constants.packedPayloadMaxBytes + 1 },
       { totalBytes: 1.5 },
       { offset: -1 },
       { data: 7 as unknown as string },
@@ -488,7 +490,7 @@
       await control.boot();
       const leader = control.leader()!;
       leader.process.disk.syncMs = [40, 5];
-      const last = leader.group.lastLogIndex() + 3 * Constants.groupLogKeep;
+      const last = leader.group.lastLogIndex() + 3 * Constants.logEntriesUntilSnapshot;
       // entries come one after the other, and are committed by the followers while an earlier one is being synced
       let proposing = true;
       Csp.go(leader.process.scope, "proposals", function* () {
--- a/test/slowLeadDisk.test.ts
+++ b/test/slowLeadDisk.test.ts
@@ -29,7 +29,7 @@
 
   // found by a random walk: 3 voters, seed 5934
   test("folds its log before its entries are synced, and starts again from its disk", async () => {
-    Object.assign(Constants, { groupLogKeep: 12 });
+    Object.assign(Constants, { logEntriesUntilSnapshot: 12 });
     const [group] = await slowLeader(3, 20, 200);
     await group.pass(1200);
     for (const machine of group.machines) group.kill(machine, true, 5);
