--- a/src/adapters/operatorHttp.ts
+++ b/src/adapters/operatorHttp.ts
@@ -74,8 +74,7 @@
       const ifVersion = ifMatchVersion(incoming);
       if (ifVersion === undefined) return;
       const changeId = incoming.headers["x-change-id"] || OperatorHttp.derivedChangeId(incoming, ifVersion, body);
-      const done = yield* NodeContext.askControl(
-        host,
+      const done = yield* host.control.request<{ version: number }>(
         { op: "change", command: make({ changeId, ifVersion, by: by(incoming) }) },
         Constants.changeWaitMs,
       );
@@ -87,7 +86,7 @@
         method: "GET",
         path: new RegExp(`^/v1/${what}$`),
         *run(incoming) {
-          const read = yield* NodeContext.askControl(host, { op: "read", what }, 4000);
+          const read = yield* host.control.request<{ version: number }>({ op: "read", what }, 4000);
           if (!read.ok) return Http.problem(incoming, read.fault);
           Http.json(incoming, 200, read.value, { etag: `"${read.value.version}"` });
         },
@@ -136,8 +135,7 @@
       const given = incoming.headers["x-change-id"];
       const changeId = given || EnvTools.id(env, "change");
       if (!(yield* OperatorHttp.callerStillWaits(env, incoming))) return;
-      const done = yield* NodeContext.askControl(
-        host,
+      const done = yield* host.control.request<{ version: number }>(
         make({ changeId, by: by(incoming), identified: Boolean(given) }),
         Constants.changeWaitMs,
       );
@@ -176,14 +174,14 @@
         run: (incoming, [store]) => ordered(incoming, (base) => ({ op: "retire", ...base, store })),
       },
       reading(/^\/v1\/stores\/([^/]{1,120})\/retirement$/, (_incoming, [id]) =>
-        NodeContext.askControl(host, { op: "read", what: "retirement", id }, 4000),
+        host.control.request({ op: "read", what: "retirement", id }, 4000),
       ),
-      reading(/^\/v1\/calendar$/, () => NodeContext.askControl(host, { op: "read", what: "calendar" }, 4000)),
+      reading(/^\/v1\/calendar$/, () => host.control.request({ op: "read", what: "calendar" }, 4000)),
       reading(/^\/v1\/calendar\/([^/]+)$/, (_incoming, [id]) =>
-        NodeContext.askControl(host, { op: "read", what: "calendar", id }, 4000),
+        host.control.request({ op: "read", what: "calendar", id }, 4000),
       ),
       reading(/^\/v1\/changes\/([^/]+)$/, (_incoming, [id]) =>
-        NodeContext.askControl(host, { op: "read", what: "change", id }, 4000),
+        host.control.request({ op: "read", what: "change", id }, 4000),
       ),
       {
         method: "PUT",
--- a/src/adapters/operatorSchemas.ts
+++ b/src/adapters/operatorSchemas.ts
@@ -6,7 +6,7 @@
 import { configurationProblems } from "../controlState/configurationValidation";
 import { PolicyRule } from "../controlState/policy";
 import { Fault, Result } from "../common/fault";
-import { Announcement } from "../node/nodeContext";
+import { Announcement } from "../node/endpointAnnouncements";
 import type { SubmittedItem } from "../ingress/batchSubmission";
 
 const name = { type: "string", pattern: "^[A-Za-z0-9._-]{1,80}$" };
--- a/src/agent/agentNode.ts
+++ b/src/agent/agentNode.ts
@@ -2,40 +2,41 @@
 import { Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
 import { Fault, Result } from "../common/fault";
-import { NodeContext } from "../node/nodeContext";
+import { EndpointAnnouncements } from "../node/endpointAnnouncements";
 import { Node } from "../node/node";
 import { FeedRequest, FeedResponse, SnapshotFeed } from "../node/snapshotFeed";
 import { Settings } from "../common/settings";
 import { OperatorHttp } from "../adapters/operatorHttp";
 import { ShardClient } from "../storage/shardClient";
 
-/* eslint-disable @typescript-eslint/no-explicit-any */
 /**
- * The agent beside an ingress: member of the fleet, and feeder of whole frames over loopback.
+ * The agent beside an ingress: a member of the cluster that feeds cluster snapshots to the ingress over loopback, and
+ * publishes what the ingress has to announce.
  *
  * @example
  * const started = yield* AgentNode.start(env, settings);
  */
 export class AgentNode {
   private feedCount = 0;
+
   private constructor(
     readonly env: Env,
     readonly settings: Settings,
     readonly node: Node,
   ) {}
-  /** @example yield* AgentNode.start(env, settings) */
+
+  /** Starts the node and its HTTP server. @example yield* AgentNode.start(env, settings) */
   static *start(env: Env, settings: Settings): Task<Result<AgentNode>> {
     const started = yield* Node.start(env, settings, "agent");
     if (!started.ok) return started;
     const agent = new AgentNode(env, settings, started.value);
-    const host = NodeContext.of(agent.node);
     const { rpc } = agent.node;
-    rpc.handle("agent.feed", (body) => agent.feed(body));
-    rpc.handle("agent.announce", (body) => host.announce(body));
-    rpc.handle("agent.goodbye", (body) => host.goodbye(body.id));
-    rpc.handle("agent.tell", function* (body) {
-      agent.node.gossip.publish(body.key, body.value, body.grantMs, true);
-      return Fault.ok(true);
+    rpc.handle("agent.feed", (request) => agent.feed(request));
+    rpc.handle("agent.announce", (announcement) => EndpointAnnouncements.announce(agent.node, announcement));
+    rpc.handle("agent.goodbye", ({ id }) => EndpointAnnouncements.withdraw(agent.node, id));
+    rpc.handle("agent.tell", function* ({ key, value, grantMs }) {
+      agent.node.gossip.publish(key, value, grantMs, true);
+      return Fault.ok(true as const);
     });
     const http = yield* OperatorHttp.serve(env, settings.http, agent.node, {
       unreadyReason: () =>
@@ -53,6 +54,7 @@
     if (!http.ok) return http;
     return Fault.ok(agent);
   }
+
   /** Long poll: the snapshot as soon as it is newer than the caller's, or as it is once the wait has ended. */
   private *feed(request: FeedRequest): Task<Result<FeedResponse>> {
     this.feedCount += 1;
@@ -61,7 +63,8 @@
       yield* EnvTools.sleep(this.env, Constants.feedTickMs);
     return Fault.ok(SnapshotFeed.encode(this.node.snapshot(), request.controlIndex, this.node.stopping));
   }
-  /** SIGTERM. @example yield* agent.stop(); */
+
+  /** Graceful shutdown, on SIGTERM. @example yield* agent.stop(); */
   stop(): Task<void> {
     return this.node.shutDown();
   }
--- a/src/ingress/ingressNode.ts
+++ b/src/ingress/ingressNode.ts
@@ -12,7 +12,8 @@
 import { HeaderNames, ownHeaderNames } from "../forwarding/headerNames";
 import { DirectRequestHandler } from "./directRequestHandler";
 import { Hash } from "../common/hash";
-import { NodeContext } from "../node/nodeContext";
+import { ControlClient } from "../node/controlClient";
+import { controlAddresses, NodeContext } from "../node/nodeContext";
 import { AdmissionQueue } from "../routing/admissionQueue";
 import { Settings } from "../common/settings";
 import { ProtocolAdapters, HttpSurface } from "../adapters/protocolAdapters";
@@ -118,6 +119,7 @@
           env,
           rpc: ingress.rpc,
           id: ingress.id,
+          control: new ControlClient(env, ingress.rpc, () => controlAddresses(ingress.current)),
           snapshot: () => ingress.current,
           announce: (announcement) => ingress.rpc.call(settings.agent!, "agent.announce", announcement, 800),
           goodbye: (id) => ingress.rpc.call(settings.agent!, "agent.goodbye", { id }, 800),
--- /dev/null
+++ b/src/node/controlClient.ts
@@ -0,0 +1,134 @@
+import { Constants } from "../common/constants";
+import { Fault, Result } from "../common/fault";
+import { Rpc } from "../rpc/rpc";
+import { Csp, Task } from "../runtime/csp";
+import { Env, EnvTools } from "../runtime/env";
+import { ControlRequest } from "./controlRequest";
+import { OrderDeadline, OrderDeadlines } from "./orderDeadline";
+
+/** What to do after a failed attempt. */
+type NextStep =
+  | { readonly kind: "retry"; readonly mayHaveRun: boolean }
+  /** At once, at this member: it is the leader or knows more. */
+  | { readonly kind: "redirect"; readonly address: string }
+  /** The deadline was counted by the clock of a process that is no longer there. */
+  | { readonly kind: "readClockAgain" }
+  | { readonly kind: "giveUp" };
+
+type Failure = Extract<Result<never>, { ok: false }>;
+
+const isRead = (request: ControlRequest): boolean => request.op === "read";
+
+function nextStep(fault: Fault): NextStep {
+  switch (fault.tag) {
+    case "notLead":
+      return { kind: "redirect", address: fault.detail }; // the detail is the leader's address, or empty
+    case "refused":
+      return { kind: "retry", mayHaveRun: false };
+    case "late":
+      return fault.detail === OrderDeadline.otherClock ? { kind: "readClockAgain" } : { kind: "giveUp" };
+    case "timeout":
+    case "broken":
+    case "unknown":
+      return { kind: "retry", mayHaveRun: true };
+    default:
+      return { kind: "giveUp" };
+  }
+}
+
+/**
+ * Sends requests to the control leader: finds it among the control members, follows redirects, and repeats what failed
+ * within the caller's time. An order carries a change id, so a repeated one is applied once, and a deadline by the leader's
+ * clock, so that it isn't carried out after its caller has stopped waiting.
+ *
+ * @example
+ * const control = new ControlClient(env, rpc, () => addressesOfControlMembers);
+ * const configuration = yield* control.request({ op: "read", what: "manifest" }, 4000);
+ */
+export class ControlClient {
+  /** Where the leader responded last; empty if it isn't known. */
+  private leaderAddress = "";
+  private readonly deadlines: OrderDeadlines;
+
+  constructor(
+    private readonly env: Env,
+    private readonly rpc: Rpc,
+    private readonly memberAddresses: () => string[],
+  ) {
+    this.deadlines = new OrderDeadlines(env, rpc);
+  }
+
+  /**
+   * Sends one request. Faults: "unknown" for an order that may have been carried out, "busy" where no leader was found,
+   * else what the leader gives.
+   *
+   * @param timeoutMs for all attempts together
+   */
+  *request<Response = unknown>(request: ControlRequest, timeoutMs: number): Task<Result<Response>> {
+    const deadline = this.env.mono() + timeoutMs;
+    let redirect = this.leaderAddress;
+    let mayHaveRun = false;
+    let last: Failure = Fault.fail("refused", "control", "control", "no control member is known");
+    for (let attempt = 0; this.env.mono() < deadline; attempt += 1) {
+      const members = this.memberAddresses();
+      const address = redirect || members[attempt % Math.max(1, members.length)];
+      redirect = "";
+      if (address) {
+        const response = yield* this.attempt<Response>(address, request, deadline);
+        if (response.ok) {
+          this.leaderAddress = address;
+          return response;
+        }
+        last = response;
+        const step = nextStep(response.fault);
+        if (step.kind === "giveUp") return response;
+        if (step.kind === "redirect") redirect = step.address;
+        if (step.kind === "retry" && step.mayHaveRun) mayHaveRun = true;
+        if (step.kind === "readClockAgain") {
+          this.deadlines.forget();
+          redirect = address;
+        }
+      }
+      if (!redirect) yield* this.pause(deadline);
+    }
+    if (mayHaveRun && !isRead(request))
+      return Fault.fail("unknown", "change", "control", "no answer in time: ask after it by its change id");
+    return Fault.busy(
+      "control",
+      last.fault.member,
+      `no control lead: ${last.fault.detail}`,
+      2 * Constants.retryAfterMs,
+    );
+  }
+
+  private pause(deadline: number): Task<void> {
+    return EnvTools.sleep(this.env, Math.max(0, Math.min(Constants.controlRetryMs, deadline - this.env.mono())));
+  }
+
+  /** One attempt, given up at the deadline even while a connection is still being made. */
+  private *attempt<Response>(address: string, request: ControlRequest, deadline: number): Task<Result<Response>> {
+    const client = this;
+    const response = Csp.chan<Result<Response>>(1);
+    Csp.go(this.env.scope, "ask control", function* () {
+      Csp.offer(response, yield* client.send<Response>(address, request, deadline));
+    });
+    const inTime = yield* EnvTools.takeWithin(this.env, response, Math.max(0, deadline - this.env.mono()));
+    return inTime ?? Fault.fail("timeout", "control", address, "no response while its caller waits");
+  }
+
+  private *send<Response>(address: string, request: ControlRequest, deadline: number): Task<Result<Response>> {
+    const timeoutMs = (): number => Math.min(Constants.controlAskMs, deadline - this.env.mono());
+    if (isRead(request)) return yield* this.call<Response>(address, request, timeoutMs());
+    const leaderDeadline = yield* this.deadlines.at(address, deadline, timeoutMs());
+    if (!leaderDeadline.ok)
+      return leaderDeadline.fault.tag === "timeout"
+        ? Fault.fail("refused", "control", address, "silent")
+        : leaderDeadline;
+    return yield* this.call<Response>(address, { ...request, deadline: leaderDeadline.value }, timeoutMs());
+  }
+
+  /** The type of the response depends on the request; the caller of `request` states it. */
+  private call<Response>(address: string, request: ControlRequest, timeoutMs: number): Task<Result<Response>> {
+    return this.rpc.call(address, "control.op", request, timeoutMs) as Task<Result<Response>>;
+  }
+}
--- a/test/lotWorld.ts
+++ b/test/lotWorld.ts
@@ -171,8 +171,7 @@
   async configure(routes: Record<string, Route>): Promise<void> {
     const jobs = this;
     const change = (): Task<Result<{ version: number }>> =>
-      NodeContext.askControl(
-        NodeContext.of(jobs.node),
+      NodeContext.of(jobs.node).control.request<{ version: number }>(
         {
           op: "change",
           command: {
