--- /dev/null
+++ b/src/tools/shardDay/liveLoad.ts
@@ -0,0 +1,37 @@
+import { monitorEventLoopDelay } from "perf_hooks";
+import { Csp, Task } from "../../runtime/csp";
+import { Env, EnvTools } from "../../runtime/env";
+import { ShardReplica } from "../../shard/shardReplica";
+import { percentile, rounded } from "./percentiles";
+import { freshId, put, requestOperations } from "./workload";
+
+const PAUSE_BETWEEN_PUTS_MS = 10;
+const LAST_PUTS_MS = 200;
+const NANOSECONDS_A_MILLISECOND = 1e6;
+
+/** Latencies of puts, and the longest stall of the event loop, in milliseconds. */
+export type LiveLoadReport = { puts: number; p50: number; p99: number; stallMs: number };
+
+/** Puts 100 requests a second until told to stop; their latencies and the longest stall of the event loop. */
+export function* runLiveLoad(env: Env, replica: ShardReplica, isOver: () => boolean): Task<LiveLoadReport> {
+  const latencies: number[] = [];
+  const delay = monitorEventLoopDelay({ resolution: 1 });
+  delay.enable();
+  while (!isOver()) {
+    Csp.go(env.scope, "one", function* (): Task<void> {
+      const startedAt = performance.now();
+      yield* put(env, replica, requestOperations(freshId("live")));
+      latencies.push(performance.now() - startedAt);
+    });
+    yield* EnvTools.sleep(env, PAUSE_BETWEEN_PUTS_MS);
+  }
+  yield* EnvTools.sleep(env, LAST_PUTS_MS);
+  delay.disable();
+  latencies.sort((left, right) => left - right);
+  return {
+    puts: latencies.length,
+    p50: rounded(percentile(latencies, 0.5), 1),
+    p99: rounded(percentile(latencies, 0.99), 1),
+    stallMs: rounded(delay.max / NANOSECONDS_A_MILLISECOND),
+  };
+}
--- /dev/null
+++ b/src/tools/shardDay/localReplicas.ts
@@ -0,0 +1,69 @@
+// Replicas of one shard on a real disk, run outside a node.
+import { Fault } from "../../common/fault";
+import { Stamp } from "../../common/stamp";
+import { Rpc } from "../../rpc/rpc";
+import { Csp, Scope, Task } from "../../runtime/csp";
+import { Env } from "../../runtime/env";
+import { NodeEnv } from "../../runtime/nodeEnv";
+import { ShardReplica } from "../../shard/shardReplica";
+
+type SegmentRead = Parameters<ShardReplica["segments"]["readChunk"]>;
+type SegmentPartRequest = { kind: SegmentRead[0]; number: SegmentRead[1]; part: SegmentRead[2]; from: SegmentRead[3] };
+
+export const SHARD = 0;
+
+/** Runs a task with an environment of its own; the promise settles with the task's result or its first error. */
+export function runTask<T>(name: string, body: (env: Env) => Task<T>): Promise<T> {
+  return new Promise((resolve, reject) => {
+    const scope = new Scope(name, (_task, error) => reject(error instanceof Error ? error : new Error(String(error))));
+    const env = NodeEnv.make(name, scope, () => undefined);
+    Csp.go(scope, name, function* (): Task<void> {
+      resolve(yield* body(env));
+    });
+  });
+}
+
+/** How many bytes a disk was told to write. */
+export type WrittenBytes = { total: number };
+
+/** The environment with a count of the bytes that its disk was told to write. */
+export function countWrittenBytes(env: Env): { env: Env; written: WrittenBytes } {
+  const written = { total: 0 };
+  const disk = Object.create(env.disk) as Env["disk"];
+  disk.write = (file, data) => {
+    written.total += data.length;
+    return env.disk.write(file, data);
+  };
+  disk.append = (file, data) => {
+    written.total += data.length;
+    return env.disk.append(file, data);
+  };
+  return { env: { ...env, disk }, written };
+}
+
+/** A replica of the shard with its data in the folder; `self` is the id of the store that holds it. */
+export function shardReplica(env: Env, rpc: Rpc, self: string, folder: string): ShardReplica {
+  return new ShardReplica(env, rpc, self, SHARD, folder, {
+    addressOf: () => undefined,
+    bounds: () => Stamp.defaults,
+    isClockTrusted: () => true,
+    putCompleted() {},
+    leadershipStarted() {},
+    leadershipStopped() {},
+    viewChangeNeeded() {},
+  });
+}
+
+/** Answers the requests by which another process fills a replica of its own from this one. */
+export function serveFill(rpc: Rpc, replica: ShardReplica): void {
+  rpc.handle("shard.goesOn", function* (body: Parameters<ShardReplica["canBeExtendedFrom"]>[0]) {
+    return Fault.ok({ goesOn: replica.canBeExtendedFrom(body) });
+  });
+  rpc.handle("shard.segments", function* () {
+    return replica.onSegments();
+  });
+  rpc.handle("shard.segmentPart", ({ kind, number, part, from }: SegmentPartRequest) =>
+    replica.segments.readChunk(kind, number, part, from),
+  );
+  rpc.handle("shard.openState", (body: Parameters<ShardReplica["onOpenState"]>[0]) => replica.onOpenState(body));
+}
--- /dev/null
+++ b/src/tools/shardDay/workload.ts
@@ -0,0 +1,111 @@
+// The work of one day for one shard, as puts of operations on requests and batch jobs.
+import { Csp, Task } from "../../runtime/csp";
+import { Env, EnvTools } from "../../runtime/env";
+import { ShardReplica } from "../../shard/shardReplica";
+import { PutOutcome, ShardOperation } from "../../shard/shardTypes";
+
+const SHARDS = 8;
+export const REQUESTS_A_DAY = 1_000_000 / SHARDS;
+const JOBS_A_DAY = 90_000 / SHARDS;
+const ITEMS_A_JOB = 24;
+const FILLING_WORKERS = 200;
+const PUT_TIMEOUT_MS = 30_000;
+const RETRY_PAUSE_MS = 5;
+const BODY_HASH = "0123456789abcdef01234567";
+const RESULT = "x".repeat(80);
+
+const JOB_ROUTE = {
+  kind: "item",
+  pool: "desk",
+  path: "/confirm",
+  safe: false,
+  deadlineMs: 4000,
+  continues: "no",
+  prefixBytes: 0,
+} as const;
+
+/** The operations of one request, from open to close. */
+export function requestOperations(id: string): ShardOperation[] {
+  const work = {
+    id,
+    binding: "book",
+    bodyHash: BODY_HASH,
+    body: "{}",
+    keyed: true,
+    safe: false,
+    exact: false,
+    deadlineAt: 0,
+    order: 0,
+    life: "1~n~0",
+  };
+  return [
+    { op: "open", work },
+    { op: "claim", id, round: 1, replica: "replica/desk-1", owner: "store-1" },
+    { op: "pieces", id, round: 1, first: 1, data: [RESULT] },
+    { op: "close", id, round: 1, state: "done", outcome: "" },
+  ];
+}
+
+/** The operations of one batch job and all of its items. */
+function jobOperations(id: string): ShardOperation[] {
+  const lot = {
+    id,
+    binding: "confirm",
+    bodyHash: BODY_HASH,
+    bodies: Array(ITEMS_A_JOB).fill('{"slot":1}'),
+    safe: false,
+    order: 1,
+    kept: JOB_ROUTE,
+  };
+  const itemOperations = Array.from({ length: ITEMS_A_JOB }, (_item, item): ShardOperation[] => [
+    { op: "itemClaim", lot: id, item, round: 1, replica: "replica/desk-1", owner: "store-1" },
+    { op: "itemResult", lot: id, item, round: 1, state: "done", result: RESULT },
+  ]);
+  return [{ op: "lot", lot }, ...itemOperations.flat()];
+}
+
+/** Puts so far in this process; each has its own number. */
+let putCount = 0;
+
+/** An id that no other request of this process has. */
+export function freshId(prefix: string): string {
+  return `${prefix}-${putCount}`;
+}
+
+/** One put, sent again as long as the shard says that it came late or that it is busy. */
+export function* put(env: Env, replica: ShardReplica, ops: ShardOperation[]): Task<PutOutcome> {
+  putCount += 1;
+  const putId = `p-${putCount}`;
+  for (;;) {
+    const stamp = { time: Math.floor(env.wall()), node: "n", seq: putCount };
+    const response = yield* replica.put({ putId, stamp, ops, cause: {} }, PUT_TIMEOUT_MS);
+    if (response.ok) return response.value;
+    if (response.fault.tag !== "late" && response.fault.tag !== "busy") throw new Error(JSON.stringify(response.fault));
+    yield* EnvTools.sleep(env, RETRY_PAUSE_MS);
+  }
+}
+
+/** The puts of this share of a day: requests in order, the batch jobs spread evenly among them. */
+function dayOperations(share: number): (() => ShardOperation[])[] {
+  const requests = REQUESTS_A_DAY * share;
+  const jobs = JOBS_A_DAY * share;
+  const puts: (() => ShardOperation[])[] = [];
+  for (let number = 0; number < requests; number += 1) puts.push(() => requestOperations(`key-${number}`));
+  for (let number = 0; number < jobs; number += 1) {
+    const position = Math.floor((number * puts.length) / jobs);
+    puts.splice(position, 0, () => jobOperations(`lot-${number}`));
+  }
+  return puts;
+}
+
+/** Puts this share of a day into the replica, as fast as it takes it. */
+export function* fillDay(env: Env, replica: ShardReplica, share: number): Task<void> {
+  const finished = Csp.chan<true>(64);
+  const puts = dayOperations(share);
+  for (let worker = 0; worker < FILLING_WORKERS; worker += 1)
+    Csp.go(env.scope, "worker", function* (): Task<void> {
+      for (let index = worker; index < puts.length; index += FILLING_WORKERS) yield* put(env, replica, puts[index]());
+      yield* Csp.put(finished, true);
+    });
+  for (let count = 0; count < FILLING_WORKERS; count += 1) yield* Csp.take(finished);
+}
