--- a/src/consensus/consensusGroup.ts
+++ b/src/consensus/consensusGroup.ts
@@ -5,7 +5,7 @@
 import { Rpc } from "../rpc/rpc";
 import { Csp, Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
-import { TwoSlots } from "../runtime/twoSlots";
+import { CheckpointedLog } from "../runtime/checkpointedLog";
 import { AppendEntriesHandler } from "./appendEntriesHandler";
 import { CatchUp } from "./catchUp";
 import { ConsensusGroupHooks, ConsensusReplica } from "./consensusReplica";
@@ -53,7 +53,7 @@
     private readonly env: Env,
     private readonly rpc: Rpc,
     private readonly selfId: string,
-    slots: TwoSlots,
+    slots: CheckpointedLog,
     hooks: ConsensusGroupHooks,
   ) {
     this.log = new ReplicatedLog(new LogStore(slots));
--- a/src/consensus/logStore.ts
+++ b/src/consensus/logStore.ts
@@ -1,7 +1,7 @@
 import { Fault, Result } from "../common/fault";
 import { ControlState } from "../controlState/controlState";
 import { Task } from "../runtime/csp";
-import { TwoSlots } from "../runtime/twoSlots";
+import { CheckpointedLog } from "../runtime/checkpointedLog";
 import { LogRecord, PersistentState, StorageCodec } from "./storageCodec";
 
 const emptyState = (): PersistentState => ({
@@ -36,11 +36,11 @@
  * const state = yield* store.load();
  */
 export class LogStore {
-  constructor(private readonly slots: TwoSlots) {}
+  constructor(private readonly slots: CheckpointedLog) {}
 
   /** Whether an earlier write failed: nothing more is written. */
   get hasFailed(): boolean {
-    return this.slots.broken;
+    return this.slots.hasFailed;
   }
 
   /** Reads the snapshot and replays the records; an empty state if the disk has none. */
@@ -62,6 +62,6 @@
 
   /** Replaces everything on disk. */
   replace(state: PersistentState): Task<Result<true>> {
-    return this.slots.rotate(StorageCodec.encodeState(state));
+    return this.slots.checkpoint(StorageCodec.encodeState(state));
   }
 }
--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -10,7 +10,7 @@
 import { Node } from "../node/node";
 import { Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
-import { TwoSlots } from "../runtime/twoSlots";
+import { CheckpointedLog } from "../runtime/checkpointedLog";
 import { ShardClient } from "../storage/shardClient";
 import { CalendarRunner } from "./calendarRunner";
 import { ChangeProposals } from "./changeProposals";
@@ -89,7 +89,7 @@
 
   private createGroup(): ConsensusGroup {
     const { env, node } = this;
-    const slots = new TwoSlots(env, `${this.settings.data}/group`);
+    const slots = new CheckpointedLog(env, `${this.settings.data}/group`);
     return new ConsensusGroup(env, node.rpc, node.self.id, slots, {
       addressOf: (id) => node.addressOf(id),
       otherNodes: () =>
--- a/src/model/groupUnderTest.ts
+++ b/src/model/groupUnderTest.ts
@@ -4,7 +4,7 @@
 import { Command, Outcome } from "../controlState/command";
 import { Rpc } from "../rpc/rpc";
 import { Csp, Task } from "../runtime/csp";
-import { TwoSlots } from "../runtime/twoSlots";
+import { CheckpointedLog } from "../runtime/checkpointedLog";
 import { SimDisk } from "../simulation/simDisk";
 import { SimWorld } from "../simulation/simWorld";
 import { DiskLossLimit } from "./diskLossLimit";
@@ -94,11 +94,17 @@
     const rpc = new Rpc(process.env, "model", id);
     this.faults.rpc?.(rpc, id);
     const { invariants, maintenance } = this;
-    const group: ConsensusGroup = new ConsensusGroup(process.env, rpc, id, new TwoSlots(process.env, "data/group"), {
-      addressOf: (other) => this.machineOf.get(other)?.address,
-      otherNodes: () => this.machines.map(({ incarnation }) => incarnation.id).filter((other) => other !== id),
-      onApplied: () => invariants.onApplied({ id, group }, group.state, group.lastApplied),
-    });
+    const group: ConsensusGroup = new ConsensusGroup(
+      process.env,
+      rpc,
+      id,
+      new CheckpointedLog(process.env, "data/group"),
+      {
+        addressOf: (other) => this.machineOf.get(other)?.address,
+        otherNodes: () => this.machines.map(({ incarnation }) => incarnation.id).filter((other) => other !== id),
+        onApplied: () => invariants.onApplied({ id, group }, group.state, group.lastApplied),
+      },
+    );
     this.faults.group?.(group);
     machine.incarnation = { id, process, group };
     Csp.go(process.scope, "main", function* () {
--- a/src/runtime/twoSlots.ts
+++ b/src/runtime/checkpointedLog.ts
@@ -65,11 +65,11 @@
  * yield* slots.append([{ seq: 1 }]);
  * yield* slots.rotate({ everything: true });
  */
-export class TwoSlots {
+export class CheckpointedLog {
   private generation = 0;
   private started = false; // whether the current log's file stands, with its folder synced
-  broken = false;
-  syncs = 0;
+  hasFailed = false;
+  syncCount = 0;
   logBytes = 0; // written by this process since the last slot
   private logEnd = 0; // of the current log's file
   constructor(
@@ -98,7 +98,7 @@
   private logFile = (generation: number): string => `${this.folder}/log-${generation}`;
 
   /** What a disk holds synced, as a start would find it, without touching it. @example TwoSlots.peek((name) => files.get(name), names, 2) */
-  static peek(
+  static inspect(
     read: (name: string) => Buffer | undefined,
     names: string[],
     format = 1,
@@ -187,7 +187,7 @@
   probe = (): Task<Result<true>> => this.env.disk.write(`${this.folder}/probe`, Buffer.from("probe"));
   /** On disk when this returns ok. @example yield* slots.append([record]) */
   *append(records: unknown[]): Task<Result<true>> {
-    if (this.broken) return Fault.fail("disk", "append", this.env.name, "an earlier write failed");
+    if (this.hasFailed) return Fault.fail("disk", "append", this.env.name, "an earlier write failed");
     const framed = Buffer.concat(
       records.map((record) =>
         frame(magics[this.format].record, this.logEnd + 1, Buffer.from(JSON.stringify(record), "utf8")),
@@ -199,15 +199,15 @@
     this.started = true;
     this.logBytes += framed.length;
     this.logEnd += framed.length;
-    this.syncs += 1;
-    if (!done.ok) this.broken = true;
+    this.syncCount += 1;
+    if (!done.ok) this.hasFailed = true;
     this.env.point(12);
     return done;
   }
 
   /** Folds everything into the other slot and starts the next log. @example yield* slots.rotate(state) */
-  *rotate(state: unknown): Task<Result<true>> {
-    if (this.broken) return Fault.fail("disk", "rotate", this.env.name, "an earlier write failed");
+  *checkpoint(state: unknown): Task<Result<true>> {
+    if (this.hasFailed) return Fault.fail("disk", "rotate", this.env.name, "an earlier write failed");
     const next = this.generation + 1;
     const body = Buffer.from(JSON.stringify(state), "utf8");
     const written = yield* this.env.disk.write(this.slotFile(next), frame(magics[this.format].slot, next, body));
@@ -216,7 +216,7 @@
       ? yield* this.env.disk.write(this.logFile(next), Buffer.alloc(0))
       : written;
     if (!started.ok) {
-      this.broken = true;
+      this.hasFailed = true;
       return started;
     }
     const old = next - 2;
--- a/src/shard/shardReplica.ts
+++ b/src/shard/shardReplica.ts
@@ -2,7 +2,7 @@
 import { Constants } from "../common/constants";
 import { Chan, Csp, Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
-import { TwoSlots } from "../runtime/twoSlots";
+import { CheckpointedLog } from "../runtime/checkpointedLog";
 import { Fault, Result } from "../common/fault";
 import { Bounds, Stamp } from "../common/stamp";
 import { Rpc } from "../rpc/rpc";
@@ -74,7 +74,7 @@
   private wake: Chan<true> = Csp.sliding(1);
   private token: Chan<true> = Csp.chan(1);
   private published = 0;
-  private slots: TwoSlots;
+  private slots: CheckpointedLog;
   private retryingDisk = false;
   private segmentWake: Chan<true> = Csp.sliding(1);
   private filling = "";
@@ -92,7 +92,7 @@
     private readonly folder: string,
     private readonly hooks: ShardReplicaHooks,
   ) {
-    this.slots = new TwoSlots(env, folder, 2);
+    this.slots = new CheckpointedLog(env, folder, 2);
     this.segments = new Segments(env, folder);
     this.data = ShardState.empty(this.segments);
     this.segments.trimmed = this.data.trimmedCounts;
@@ -130,8 +130,8 @@
     for (;;) {
       const [next] = this.data.pendingSegments;
       const { data } = this;
-      if (!next || this.slots.broken) {
-        if (!this.slots.broken) yield* this.segments.removeTrimmed();
+      if (!next || this.slots.hasFailed) {
+        if (!this.slots.hasFailed) yield* this.segments.removeTrimmed();
         yield* EnvTools.takeWithin(this.env, this.segmentWake, 5000);
         continue;
       }
@@ -204,11 +204,11 @@
    * @example yield* copy.retryDisk();
    */
   *retryDisk(): Task<void> {
-    if (!this.slots.broken || this.retryingDisk) return;
+    if (!this.slots.hasFailed || this.retryingDisk) return;
     this.retryingDisk = true;
     const replica = this;
     yield* this.locked(function* () {
-      const slots = new TwoSlots(replica.env, replica.folder, 2);
+      const slots = new CheckpointedLog(replica.env, replica.folder, 2);
       const probed = yield* slots.probe();
       if (!probed.ok) return;
       replica.slots = slots;
@@ -227,9 +227,9 @@
       });
       replica.segments.trimmed = replica.data.trimmedCounts;
       const opened = yield* replica.open();
-      const written = opened.ok && replica.exists ? yield* slots.rotate(replica.saved()) : opened;
+      const written = opened.ok && replica.exists ? yield* slots.checkpoint(replica.saved()) : opened;
       if (!written.ok) {
-        slots.broken = true;
+        slots.hasFailed = true;
         replica.role = "out";
         return;
       }
@@ -241,7 +241,7 @@
     const long = this.sinceFold >= Constants.shardLogKeep || this.slots.logBytes >= Constants.shardLogBytes;
     if (!long || this.appliedSeq !== this.lastSeq) return;
     this.sinceFold = 0;
-    const done = yield* this.slots.rotate(this.saved());
+    const done = yield* this.slots.checkpoint(this.saved());
     if (!done.ok) this.breakDown(done.fault);
   }
   private saved(): Saved {
@@ -267,7 +267,7 @@
   }): Task<Result<any>> {
     const replica = this;
     return yield* this.locked<Result<any>>(function* () {
-      if (replica.slots.broken) return Fault.ok({ tag: "broken" });
+      if (replica.slots.hasFailed) return Fault.ok({ tag: "broken" });
       if (body.epoch < replica.sealedEpoch || body.epoch < (replica.view?.epoch ?? 0))
         return Fault.ok({ tag: "sealed", epoch: replica.sealedEpoch });
       if (replica.role === "lead" && replica.view?.epoch === body.epoch)
@@ -316,7 +316,7 @@
     return yield* this.locked<Result<any>>(function* () {
       if (!replica.exists) return Fault.fail("notFound", "seal", replica.self, "no copy here");
       // nothing of it counts, but its word that it does not lead spares the wait for its grant's end
-      if (replica.slots.broken) return Fault.ok({ tag: "stopped" });
+      if (replica.slots.hasFailed) return Fault.ok({ tag: "stopped" });
       if (replica.sealedEpoch > body.epoch || (replica.view?.epoch ?? 0) >= body.epoch)
         return Fault.fail("conflict", "seal", replica.self, `sealed for ${replica.sealedEpoch}`);
       if (replica.sealedEpoch < body.epoch) {
@@ -346,7 +346,7 @@
       if (body.view.epoch < known || replica.sealedEpoch > body.view.epoch)
         return Fault.fail("conflict", "install", replica.self, "a newer epoch is known");
       if (body.view.epoch === known && replica.exists) return Fault.ok(true as const);
-      if (replica.slots.broken) return Fault.fail("disk", "install", replica.self, "disk failed");
+      if (replica.slots.hasFailed) return Fault.fail("disk", "install", replica.self, "disk failed");
       if (!body.view.members.includes(replica.self)) {
         replica.stopLeader("not in the new view");
         replica.role = "out";
@@ -412,7 +412,7 @@
     return this.levelFault(body.epoch) ?? Fault.ok({ ids });
   }
   private levelFault(epoch: number): Result<never> | undefined {
-    if (this.slots.broken) return Fault.fail("disk", "level", this.self, "disk failed");
+    if (this.slots.hasFailed) return Fault.fail("disk", "level", this.self, "disk failed");
     if (this.sealedInThisLife === epoch && this.sealedEpoch === epoch && (this.view?.epoch ?? 0) < epoch)
       return undefined;
     return Fault.fail("conflict", "level", this.self, `sealed for ${this.sealedEpoch}`);
@@ -443,7 +443,7 @@
   *onCatchUp(body: { epoch: number; prevSeq: number; prevEpoch: number; entries: ShardLogEntry[] }): Task<Result<any>> {
     const replica = this;
     return yield* this.locked<Result<any>>(function* () {
-      if (replica.slots.broken) return Fault.ok({ tag: "broken" });
+      if (replica.slots.hasFailed) return Fault.ok({ tag: "broken" });
       if (body.epoch < replica.sealedEpoch || body.epoch <= (replica.view?.epoch ?? 0))
         return Fault.ok({ tag: "sealed", epoch: replica.sealedEpoch });
       const matches = replica.lastSeq === body.prevSeq && replica.lastEpoch === body.prevEpoch;
@@ -476,7 +476,7 @@
    * @example yield* copy.onFill({ from: "10.0.0.5:7000" })
    */
   *onFill(body: { from: string }): Task<Result<{ tag: "ok" | "underWay" }>> {
-    if (this.slots.broken) return Fault.fail("disk", "fill", this.self, "disk failed");
+    if (this.slots.hasFailed) return Fault.fail("disk", "fill", this.self, "disk failed");
     if (this.filling !== "") return Fault.ok({ tag: "underWay" });
     this.filling = body.from;
     try {
@@ -552,7 +552,7 @@
   private *takeOpenState(epoch: number, given: Saved): Task<Result<{ tag: "ok" }>> {
     const replica = this;
     return yield* this.locked<Result<{ tag: "ok" }>>(function* () {
-      if (replica.slots.broken) return Fault.fail("disk", "fill", replica.self, "disk failed");
+      if (replica.slots.hasFailed) return Fault.fail("disk", "fill", replica.self, "disk failed");
       if (epoch < replica.sealedEpoch || epoch < (replica.view?.epoch ?? 0))
         return Fault.fail("conflict", "fill", replica.self, `sealed for ${replica.sealedEpoch}`);
       // a member of the view that it was taken from is never set back
@@ -564,7 +564,7 @@
         return Fault.fail("conflict", "fill", replica.self, `holds ${replica.lastSeq} already`);
       replica.stopLeader("filled from another");
       const saved: Saved = { ...given, sealed: Math.max(replica.sealedEpoch, epoch) };
-      const done = yield* replica.slots.rotate(saved);
+      const done = yield* replica.slots.checkpoint(saved);
       if (!done.ok) {
         replica.breakDown(done.fault);
         return done;
@@ -598,13 +598,13 @@
   *onRepair(body: { epoch: number; seq: number; works: LiveRequest[]; lots: BatchJob[] }): Task<Result<any>> {
     const replica = this;
     return yield* this.locked<Result<any>>(function* () {
-      if (body.epoch < replica.sealedEpoch || replica.slots.broken || replica.appliedSeq < body.seq)
+      if (body.epoch < replica.sealedEpoch || replica.slots.hasFailed || replica.appliedSeq < body.seq)
         return Fault.ok({ mended: 0 });
       const mended = ShardState.repair(replica.data, body.works, body.lots);
       if (mended > 0) {
         replica.counts.mended += mended;
         replica.env.log(1408, { shard: replica.shard, objects: mended });
-        const done = yield* replica.slots.rotate(replica.saved());
+        const done = yield* replica.slots.checkpoint(replica.saved());
         if (!done.ok) replica.breakDown(done.fault);
       }
       return Fault.ok({ mended });
@@ -653,7 +653,7 @@
     return follows && (this.viewChangeReason !== "" || this.leaderSilenceMs() > Constants.leaderSilentMs);
   }
   /** Synced writes so far. @example copy.syncs() */
-  syncedWrites = (): number => this.slots.syncs;
+  syncedWrites = (): number => this.slots.syncCount;
   /** @example copy.status().role */
   status(): ShardReplicaStatus {
     return {
@@ -667,7 +667,7 @@
       failing: this.silent(),
       leadSilentMs: Math.round(this.leaderSilenceMs()),
       wantsView: this.viewChangeReason,
-      broken: this.slots.broken || this.retryingDisk,
+      broken: this.slots.hasFailed || this.retryingDisk,
       frontier: this.data.frontier,
       lots: this.data.jobs.size + this.data.segmentCounts.lots * Constants.segmentObjects.lots,
       works: this.data.liveRequests.size + this.data.segmentCounts.works * Constants.segmentObjects.works,
@@ -685,7 +685,7 @@
   stopLeader(why: string): void {
     if (this.role !== "lead" && this.role !== "starting") return;
     this.env.log(1412, { shard: this.shard, epoch: this.view?.epoch, why });
-    this.role = this.slots.broken ? "out" : "member";
+    this.role = this.slots.hasFailed ? "out" : "member";
     this.leases.clear();
     for (const pending of this.pending) Csp.offer(pending.reply, Fault.fail("notLead", "put", this.self, why));
     for (const pending of this.inFlight) Csp.offer(pending.reply, Fault.fail("unknown", "put", this.self, why));
@@ -940,7 +940,7 @@
     const looked = this.segments.segmentToScrub(turn);
     if (
       !looked ||
-      this.slots.broken ||
+      this.slots.hasFailed ||
       this.role === "out" ||
       (yield* this.segments.isIntact(looked.kind, looked.number, looked.sum, false))
     )
--- a/src/simulation/diskAudit.ts
+++ b/src/simulation/diskAudit.ts
@@ -1,4 +1,4 @@
-import { TwoSlots } from "../runtime/twoSlots";
+import { CheckpointedLog } from "../runtime/checkpointedLog";
 import { ShardReplica } from "../shard/shardReplica";
 import { ShardView } from "../controlState/shardView";
 import { History, Place } from "../tools/history";
@@ -69,7 +69,7 @@
 
   private lastEntryOnDisk(name: string, shard: number): Place {
     const files = this.fleet.disks.get(name)!.under(`data/${name}/shard-${shard}`);
-    const { state, records } = TwoSlots.peek((file) => files.get(file), [...files.keys()], SLOT_COUNT);
+    const { state, records } = CheckpointedLog.inspect((file) => files.get(file), [...files.keys()], SLOT_COUNT);
     for (const record of records.reverse()) {
       const { tag, entry } = JSON.parse(record.toString("utf8")) as LogRecord;
       if (tag === "entry" && entry) return { epoch: entry.epoch, seq: entry.seq };
--- a/src/tools/scale/groupWorld.ts
+++ b/src/tools/scale/groupWorld.ts
@@ -1,7 +1,7 @@
 import { Command } from "../../controlState/command";
 import { ConsensusGroup } from "../../consensus/consensusGroup";
 import { Csp } from "../../runtime/csp";
-import { TwoSlots } from "../../runtime/twoSlots";
+import { CheckpointedLog } from "../../runtime/checkpointedLog";
 import { SimDisk } from "../../simulation/simDisk";
 import { SimProcess, SimWorld } from "../../simulation/simWorld";
 import { Rpc } from "../../rpc/rpc";
@@ -37,7 +37,7 @@
       otherNodes: () => this.ids().filter((other) => other !== id),
       onApplied: () => undefined,
     };
-    const group = new ConsensusGroup(process.env, rpc, id, new TwoSlots(process.env, `data/${id}`), hooks);
+    const group = new ConsensusGroup(process.env, rpc, id, new CheckpointedLog(process.env, `data/${id}`), hooks);
     const addressOf = this.addressOf;
     Csp.go(process.scope, "main", function* () {
       yield* rpc.serve(addressOf(id));
--- a/test/disk.test.ts
+++ b/test/disk.test.ts
@@ -1,13 +1,13 @@
 import { Csp, Task } from "../src/runtime/csp";
-import { TwoSlots } from "../src/runtime/twoSlots";
+import { CheckpointedLog } from "../src/runtime/checkpointedLog";
 import { SimDisk } from "../src/simulation/simDisk";
 import { SimWorld } from "../src/simulation/simWorld";
 
-const inWorld = async <T>(world: SimWorld, disk: SimDisk, body: (slots: TwoSlots) => Task<T>): Promise<T> => {
+const inWorld = async <T>(world: SimWorld, disk: SimDisk, body: (slots: CheckpointedLog) => Task<T>): Promise<T> => {
   const process = world.start(`p${world.now}`, disk);
-  return (await world.finish(process, () => body(new TwoSlots(process.env, "d")), 60_000)) as T;
+  return (await world.finish(process, () => body(new CheckpointedLog(process.env, "d")), 60_000)) as T;
 };
-const records = function* (slots: TwoSlots): Task<unknown> {
+const records = function* (slots: CheckpointedLog): Task<unknown> {
   const opened = yield* slots.open();
   return opened.ok ? { state: opened.value.state, records: opened.value.records } : opened.fault.detail;
 };
@@ -18,9 +18,9 @@
   await inWorld(world, disk, function* (slots) {
     yield* slots.open();
     yield* slots.append([1]);
-    yield* slots.rotate({ upTo: 1 });
+    yield* slots.checkpoint({ upTo: 1 });
     yield* slots.append([2, 3]);
-    yield* slots.rotate({ upTo: 3 });
+    yield* slots.checkpoint({ upTo: 3 });
     yield* slots.append([4]);
   });
   expect(await inWorld(world, disk, records)).toEqual({ state: { upTo: 3 }, records: [4] });
@@ -31,9 +31,9 @@
   await inWorld(world, disk, function* (slots) {
     yield* slots.open();
     yield* slots.append([1]);
-    yield* slots.rotate({ upTo: 1 });
+    yield* slots.checkpoint({ upTo: 1 });
     yield* slots.append([2]);
-    yield* slots.rotate({ upTo: 2 });
+    yield* slots.checkpoint({ upTo: 2 });
     yield* slots.append([3]);
   });
   expect(disk.damage((path) => path === "d/slot-a")).toEqual(["d/slot-a"]); // generation 2
@@ -58,11 +58,11 @@
     const acknowledged: number[] = [];
     const process = world.start("p", disk);
     Csp.go(process.scope, "writer", function* () {
-      const slots = new TwoSlots(process.env, "d");
+      const slots = new CheckpointedLog(process.env, "d");
       yield* slots.open();
       for (let n = 1; n < 200; n += 1) {
         if ((yield* slots.append([n])).ok) acknowledged.push(n);
-        if (n % 7 === 0) yield* slots.rotate({ upTo: n });
+        if (n % 7 === 0) yield* slots.checkpoint({ upTo: n });
       }
     });
     await world.run(5 + world.random() * 120);
@@ -85,7 +85,7 @@
   await inWorld(world, disk, function* (slots) {
     yield* slots.open();
     yield* slots.append([1]);
-    yield* slots.rotate({ upTo: 1 });
+    yield* slots.checkpoint({ upTo: 1 });
     yield* slots.append([2]);
   });
   const bytes = spoil(Buffer.from(disk.under("d").get(name)!));
@@ -109,7 +109,7 @@
   const disk = new SimDisk(world);
   await inWorld(world, disk, function* (slots) {
     yield* slots.open();
-    yield* slots.rotate({ filled: true });
+    yield* slots.checkpoint({ filled: true });
   });
   disk.damage((path) => path === "d/slot-b");
   expect(await inWorld(world, disk, records)).toBe("no readable slot: d/slot-b");
--- a/test/golden/controlLog.ts
+++ b/test/golden/controlLog.ts
@@ -1,6 +1,6 @@
 import { LogStore } from "../../src/consensus/logStore";
 import { ReplicatedLog } from "../../src/consensus/replicatedLog";
-import { TwoSlots } from "../../src/runtime/twoSlots";
+import { CheckpointedLog } from "../../src/runtime/checkpointedLog";
 import { SimDisk } from "../../src/simulation/simDisk";
 import { SimWorld } from "../../src/simulation/simWorld";
 
@@ -21,7 +21,7 @@
 export async function openControlLog(files: Record<string, Buffer>): Promise<ControlLogContent> {
   const world = new SimWorld(1);
   const process = world.start("control-1", new SimDisk(world));
-  const log = new ReplicatedLog(new LogStore(new TwoSlots(process.env, folder)));
+  const log = new ReplicatedLog(new LogStore(new CheckpointedLog(process.env, folder)));
   const opened = await world.finish(
     process,
     function* () {
--- a/test/kept.test.ts
+++ b/test/kept.test.ts
@@ -3,7 +3,7 @@
 import { Stamp } from "../src/common/stamp";
 import { Task } from "../src/runtime/csp";
 import { EnvTools } from "../src/runtime/env";
-import { TwoSlots } from "../src/runtime/twoSlots";
+import { CheckpointedLog } from "../src/runtime/checkpointedLog";
 import { ShardReplica } from "../src/shard/shardReplica";
 import { ShardOperation, PutOutcome } from "../src/shard/shardState";
 import { SimDisk } from "../src/simulation/simDisk";
@@ -213,11 +213,11 @@
   const written = await world.finish(
     process,
     function* () {
-      const slots = new TwoSlots(process.env, "g");
+      const slots = new CheckpointedLog(process.env, "g");
       yield* slots.open();
-      yield* slots.rotate({ kept: 1 });
-      const group = yield* new TwoSlots(process.env, "g").open();
-      const shard = yield* new TwoSlots(process.env, "g", 2).open();
+      yield* slots.checkpoint({ kept: 1 });
+      const group = yield* new CheckpointedLog(process.env, "g").open();
+      const shard = yield* new CheckpointedLog(process.env, "g", 2).open();
       return [group.ok && group.value.state, shard.ok ? "opened" : shard.fault.detail];
     },
     1000,
--- a/test/powerLoss.test.ts
+++ b/test/powerLoss.test.ts
@@ -3,7 +3,7 @@
 import { DiskSteps } from "../src/runtime/diskSteps";
 import { DurableDisk } from "../src/runtime/durableDisk";
 import { Disk, Env } from "../src/runtime/env";
-import { TwoSlots } from "../src/runtime/twoSlots";
+import { CheckpointedLog } from "../src/runtime/checkpointedLog";
 import { PowerLoss, SimDisk } from "../src/simulation/simDisk";
 import { SimWorld } from "../src/simulation/simWorld";
 
@@ -72,7 +72,7 @@
   if (!opened.ok) throw new Error(opened.fault.detail);
   if (kept.id !== undefined && kept.id !== opened.value) throw new Error(`was ${kept.id}, is ${opened.value}`);
   kept.id = opened.value;
-  const slots = new TwoSlots(env, `${folder}/group`);
+  const slots = new CheckpointedLog(env, `${folder}/group`);
   const read = yield* slots.open();
   if (!read.ok) throw new Error(read.fault.detail);
   const upTo = (read.value.state as { upTo: number } | undefined)?.upTo ?? 0;
@@ -91,7 +91,7 @@
       kept.written += many;
       if ((yield* slots.append(numbers)).ok) kept.acknowledged = kept.written;
     }
-    yield* slots.rotate({ upTo: kept.written });
+    yield* slots.checkpoint({ upTo: kept.written });
   }
 }
 /** How a first life ended: its power lost, or its process killed with all that it wrote kept by the machine. */
