--- /dev/null
+++ b/test/configurationPatch.test.ts
@@ -0,0 +1,56 @@
+import { withoutOrigin } from "../src/controlState/configurationOrigin";
+import { ConfigurationPatch } from "../src/controlState/configurationPatch";
+import { configurationProblems } from "../src/controlState/configurationValidation";
+
+describe("configuration patches", () => {
+  const route = (more: Record<string, unknown> = {}): any => ({
+    kind: "lookup",
+    pool: "p",
+    path: "/",
+    safe: true,
+    deadlineMs: 1000,
+    continues: "no",
+    prefixBytes: 0,
+    ...more,
+  });
+  test("a patch keeps the position of an item, and the result is validated as a whole", () => {
+    const doc = {
+      bindings: { a: route({ origin: { its: "form" } }), b: route({ host: "h", prefix: "/b/" }) },
+      pools: { p: { origin: 1 }, q: {} },
+      origin: { rest: 1 },
+    };
+    const next = ConfigurationPatch.apply(doc, {
+      upsert: { bindings: { c: route(), a: route({ pool: "q" }) } },
+      remove: { pools: ["nobody"] },
+    });
+    expect(Object.keys(next.bindings)).toEqual(["a", "b", "c"]);
+    expect([next.bindings.a.pool, next.origin, configurationProblems(next)]).toEqual(["q", { rest: 1 }, []]);
+    const faults = (upsert: Record<string, unknown>, remove = {}): string[] =>
+      configurationProblems(ConfigurationPatch.apply(doc, { upsert: { bindings: upsert as any }, remove }));
+    expect(faults({}, { pools: ["p"] })).toHaveLength(2);
+    expect(faults({ z: route({ host: "H", prefix: "/b/" }) })).toEqual([
+      expect.stringContaining("host and prefix are those of b"),
+    ]);
+    expect(faults({ z: route({ split: [{ pool: "p", weight: 0 }] }) })).toEqual([expect.stringContaining("weights")]);
+    expect(
+      faults({
+        z: route({
+          split: [
+            { pool: "p", weight: 1 },
+            { pool: "nobody", weight: 0 },
+          ],
+        }),
+      }),
+    ).toEqual([expect.stringContaining("nobody")]);
+    expect(faults({ z: route({ deadlineMs: 0 }) })).toEqual([expect.stringContaining("deadline")]);
+    expect(faults({ z: route({ host: "h" }) })).toEqual([expect.stringContaining("go together")]);
+    // a manifest that names no pools at all is as well as it always was
+    expect(configurationProblems({ bindings: { a: route({ pool: "anything" }) } })).toEqual([]);
+    const bare = withoutOrigin(doc);
+    expect([JSON.stringify(bare).includes("origin"), Object.keys(bare.bindings), withoutOrigin(doc) === bare]).toEqual([
+      false,
+      ["a", "b"],
+      true,
+    ]);
+  });
+});
--- a/test/controlHistory.test.ts
+++ b/test/controlHistory.test.ts
@@ -1,4 +1,4 @@
-import { ControlHunt } from "./controlHunt";
+import { OperatorRaceCampaign } from "./operatorRaceCampaign";
 import { ControlHistory } from "./controlHistory";
 
 const { change, read, order, drained, configurations, zone } = ControlHistory;
@@ -76,9 +76,9 @@
     async (controls, losses) => {
       const violations: Record<number, string[]> = {};
       for (let seed = first; seed < first + count; seed += 1) {
-        const hunted = await ControlHunt.run(seed, { controls, losses, troubles, orders: true });
-        if (hunted.violations.length > 0) violations[seed] = [...hunted.violations, ...hunted.acts];
-        expect(hunted.acknowledged).toBeGreaterThan(10);
+        const result = await OperatorRaceCampaign.run(seed, { controls, losses, troubles, orders: true });
+        if (result.violations.length > 0) violations[seed] = [...result.violations, ...result.acts];
+        expect(result.acknowledged).toBeGreaterThan(10);
       }
       expect(violations).toEqual({});
     },
--- a/test/controlHunt.ts
+++ b/test/operatorRaceCampaign.ts
@@ -11,7 +11,7 @@
   at: number;
   endedAt: number;
 };
-export type Hunted = {
+export type CampaignResult = {
   violations: string[];
   acknowledged: number;
   acts: string[];
@@ -45,10 +45,10 @@
  * lose power, one its disk. What was acknowledged must stand, and no change that lost its race or was refused.
  *
  * @example
- * const hunted = await ControlHunt.run(7, { controls: 4, losses: 1 });
- * expect(hunted.violations).toEqual([]);
+ * const result = await OperatorRaceCampaign.run(7, { controls: 4, losses: 1 });
+ * expect(result.violations).toEqual([]);
  */
-class Hunt {
+class Campaign {
   readonly fleet: ControlFleet;
   readonly sent: Sent[] = [];
   readonly acts: string[] = [];
@@ -95,7 +95,7 @@
     const got = yield* EnvTools.bodyOf(env, response.value, 8_000_000, 1000);
     return got === undefined ? undefined : { status: response.value.status, body: JSON.parse(got), node };
   }
-  /** Answers that get lost on their way, where orders are hunted: the caller sees none. */
+  /** Answers that get lost on their way, where orders are result: the caller sees none. */
   private answerLost = (): boolean => this.withOrders && this.random() < lostAnswerShare;
   /** An operator of a zone: drains it and gives it back, and sends each order again, to any member, until it is answered. */
   private *zoneOperator(zone: string): Task<void> {
@@ -343,16 +343,16 @@
         );
     }
   }
-  async run(troubles: number): Promise<Hunted> {
+  async run(troubles: number): Promise<CampaignResult> {
     const { fleet } = this;
-    const hunt = this;
+    const campaign = this;
     await fleet.run(3000);
-    for (const name of ["ann", "bea"]) Csp.go(fleet.operator.scope, name, () => hunt.operator(name));
-    Csp.go(fleet.operator.scope, "watch", () => hunt.watch());
+    for (const name of ["ann", "bea"]) Csp.go(fleet.operator.scope, name, () => campaign.operator(name));
+    Csp.go(fleet.operator.scope, "watch", () => campaign.watch());
     if (this.withOrders) {
       for (const [name, zone] of Object.entries(zoneOperators))
-        Csp.go(fleet.operator.scope, name, () => hunt.zoneOperator(zone));
-      Csp.go(fleet.operator.scope, "watch zones", () => hunt.watchZones());
+        Csp.go(fleet.operator.scope, name, () => campaign.zoneOperator(zone));
+      Csp.go(fleet.operator.scope, "watch zones", () => campaign.watchZones());
     }
     await fleet.run(2000);
     const days = Array.from({ length: this.losses }, async () => {
@@ -384,7 +384,7 @@
     };
   }
 }
-export const ControlHunt = {
-  run: (seed: number, how: How): Promise<Hunted> =>
-    new Hunt(seed, how.losses, how.controls, how.orders).run(how.troubles ?? 4),
+export const OperatorRaceCampaign = {
+  run: (seed: number, how: How): Promise<CampaignResult> =>
+    new Campaign(seed, how.losses, how.controls, how.orders).run(how.troubles ?? 4),
 };
