--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -13,6 +13,7 @@
   "src/membership/",
   "src/model/",
   "src/rpc/",
+  "src/shard/",
   "src/storage/",
 ];
 
--- a/scripts/guardMutations/mutations.js
+++ b/scripts/guardMutations/mutations.js
@@ -25,9 +25,9 @@
     expectedInvariants: ["lot-kept", "no-task-error", "one-position", "never-twice", "stream-exact"],
     edits: [
       {
-        file: "shard/shardReplica.js",
-        find: "heard < members.length; heard += 1)\n                if",
-        replacement: "heard < members.length - 2; heard += 1)\n                if",
+        file: "shard/replica/logReplication.js",
+        find: "acknowledged < members.length;",
+        replacement: "acknowledged < members.length - 2;",
       },
     ],
   },
@@ -43,8 +43,8 @@
           "this.chooseMembers(view, [...new Set([...sealed.map((replica) => replica.id), ...joiners])], joiners)",
       },
       {
-        file: "shard/shardReplica.js",
-        find: "if (yield* replica.levelOne(address, body.epoch, until))",
+        file: "shard/replica/sealedLogSync.js",
+        find: "if (yield* sync.bringToEnd(address, epoch, deadline))",
         replacement: "if (true)",
       },
     ],
@@ -55,8 +55,8 @@
     expectedInvariants: ["exercised", "service-returns"],
     edits: [
       {
-        file: "shard/shardReplica.js",
-        find: "if (!this.slots.broken || this.retryingDisk)",
+        file: "shard/replica/replicaStorage.js",
+        find: "if (!this.state.isDiskBroken || this.isRetrying)",
         replacement: "if (true)",
       },
     ],
@@ -127,9 +127,9 @@
     expectedInvariants: ["one-position", "one-ledger-order"],
     edits: [
       {
-        file: "shard/shardReplica.js",
-        find: "if (put.stamp.time <= this.published) {",
-        replacement: "if (false) {",
+        file: "shard/replica/logReplication.js",
+        find: "if (put.stamp.time > stablePrefix.published)",
+        replacement: "if (true)",
       },
       {
         file: "common/stamp.js",
@@ -144,9 +144,9 @@
     expectedInvariants: ["one-position", "one-ledger-order", "lot-kept"],
     edits: [
       {
-        file: "shard/shardReplica.js",
-        find: "candidate = Math.min(candidate, pending.put.stamp.time - 0.001);",
-        replacement: "",
+        file: "shard/replica/stablePrefix.js",
+        find: "candidate = Math.min(candidate, time - PUT_MARGIN_MS);",
+        replacement: ";",
       },
     ],
   },
@@ -229,7 +229,7 @@
     expectedInvariants: ["ended-stops", "exercised"],
     edits: [
       {
-        file: "shard/batchJobOperations.js",
+        file: "shard/state/batchJobOperations.js",
         find: 'if (job.ended)\n        return { tag: "no", why: "lot is ended" };',
         replacement: "",
       },
@@ -239,7 +239,7 @@
         replacement: "job.open === 0",
       },
       {
-        file: "shard/batchJobOperations.js",
+        file: "shard/state/batchJobOperations.js",
         find: 'if (item.state !== "waiting")\n            return;\n        item.state = "ended";',
         replacement: 'return;\n        item.state = "ended";',
       },
--- a/src/ingress/batchSubmission.ts
+++ b/src/ingress/batchSubmission.ts
@@ -8,7 +8,7 @@
 import { Hash } from "../common/hash";
 import { Stamp } from "../common/stamp";
 import { Route } from "../controlState/configuration";
-import { Cause, ItemRequest, BatchJobSpec } from "../shard/shardState";
+import { Cause, ItemRequest, BatchJobSpec } from "../shard/shardTypes";
 import type { ItemBodyResponse, JobResultPage, SubmitJobResponse } from "../storage/messages/batchJobMessages";
 import { ShardClient } from "../storage/shardClient";
 import { RequestOf, ResponseOf } from "../rpc/methods";
--- a/src/ingress/directRequestHandler.ts
+++ b/src/ingress/directRequestHandler.ts
@@ -10,7 +10,7 @@
 import { Fault, Result } from "../common/fault";
 import { Endpoint } from "../node/clusterSnapshot";
 import { Prompt, LongPromptIsolation } from "../routing/longPromptIsolation";
-import { Cause } from "../shard/shardState";
+import { Cause } from "../shard/shardTypes";
 import { MatchedRoute, RouteTable } from "../routing/routeTable";
 import type { IngressNode } from "./ingressNode";
 
--- a/src/ingress/ingressNode.ts
+++ b/src/ingress/ingressNode.ts
@@ -23,7 +23,7 @@
 import { OperatorHttp } from "../adapters/operatorHttp";
 import { EndpointHttp } from "../forwarding/endpointHttp";
 import { Route, Limits } from "../controlState/configuration";
-import { Cause } from "../shard/shardState";
+import { Cause } from "../shard/shardTypes";
 import { ShardClient } from "../storage/shardClient";
 import { Rpc } from "../rpc/rpc";
 import { SnapshotFeed } from "../node/snapshotFeed";
--- a/src/node/ledgerReader.ts
+++ b/src/node/ledgerReader.ts
@@ -1,6 +1,6 @@
 import { Constants } from "../common/constants";
 import { Csp, Task } from "../runtime/csp";
-import { LedgerEntry } from "../shard/shardState";
+import { LedgerEntry } from "../common/ledgerEntry";
 import { Fault, Result } from "../common/fault";
 import { NodeContext } from "./nodeContext";
 import { Stamp } from "../common/stamp";
--- /dev/null
+++ b/src/shard/messages/stateTransferMessages.ts
@@ -0,0 +1,91 @@
+/** Messages by which a replica copies a shard from another one. */
+import { isCount, isInteger, isObject, isOptional, isShardIndex, isText } from "../../rpc/bodyChecks";
+import type { ReplicaSnapshot } from "../replica/replicaSnapshot";
+import { SEGMENT_KINDS, SegmentChecksum, SegmentCounts, SegmentKind, SegmentPart } from "../segments/segmentTypes";
+
+/** Asks whether a log that ends at a position can be extended by entries that the other replica has in memory. */
+export interface GoesOnRequest {
+  shard: number;
+  /** Position and epoch of the last entry; none for an empty log. */
+  seq?: number;
+  lastEpoch?: number;
+}
+
+export interface GoesOnResponse {
+  goesOn: boolean;
+}
+
+/** Lists the segments of a replica. */
+export interface SegmentsRequest {
+  shard: number;
+}
+
+export interface SegmentsResponse {
+  counts: SegmentCounts;
+  trimmed: SegmentCounts;
+  segments: SegmentChecksum[];
+}
+
+/** Reads a chunk of a segment's file. */
+export interface SegmentPartRequest {
+  shard: number;
+  kind: SegmentKind;
+  number: number;
+  part: SegmentPart;
+  /** Offset in the file, bytes. */
+  from: number;
+}
+
+export interface SegmentPartResponse {
+  /** In base64. */
+  data: string;
+  /** Size of the file, bytes. */
+  size: number;
+}
+
+/** Reads the leader's state without its segments. */
+export interface OpenStateRequest {
+  shard: number;
+  /** Id of the member that asks. */
+  member: string;
+}
+
+export interface OpenStateResponse {
+  epoch: number;
+  saved: ReplicaSnapshot;
+}
+
+declare module "../../rpc/methods" {
+  interface RpcMethods {
+    /** No faults. A read. */
+    "shard.goesOn": RpcMethod<GoesOnRequest, GoesOnResponse>;
+    /** No faults. A read. */
+    "shard.segments": RpcMethod<SegmentsRequest, SegmentsResponse>;
+    /** Faults: notFound, disk. A read. */
+    "shard.segmentPart": RpcMethod<SegmentPartRequest, SegmentPartResponse>;
+    /** Faults: notLead. A read. */
+    "shard.openState": RpcMethod<OpenStateRequest, OpenStateResponse>;
+  }
+}
+
+const isSegmentKind = (value: unknown): value is SegmentKind => (SEGMENT_KINDS as readonly unknown[]).includes(value);
+const isSegmentPart = (value: unknown): value is SegmentPart => value === "seg" || value === "idx";
+
+export const isGoesOnRequest = (body: unknown): body is GoesOnRequest =>
+  isObject(body) &&
+  isShardIndex(body.shard) &&
+  isOptional(body.seq, isInteger) &&
+  isOptional(body.lastEpoch, isInteger);
+
+export const isSegmentsRequest = (body: unknown): body is SegmentsRequest => isObject(body) && isShardIndex(body.shard);
+
+export const isSegmentPartRequest = (body: unknown): body is SegmentPartRequest =>
+  isObject(body) &&
+  isShardIndex(body.shard) &&
+  isSegmentKind(body.kind) &&
+  isCount(body.number) &&
+  isSegmentPart(body.part) &&
+  isCount(body.from);
+
+export const isOpenStateRequest = (body: unknown): body is OpenStateRequest =>
+  isObject(body) && isShardIndex(body.shard) && isText(body.member);
--- /dev/null
+++ b/src/shard/replica/replicaSnapshot.ts
@@ -0,0 +1,20 @@
+/** What a replica writes to disk: snapshots in slot files, and records in the log file behind the last snapshot. */
+import type { ShardView } from "../../controlState/shardView";
+import type { SerializedShard } from "../state/shardData";
+import type { ShardLogEntry } from "./shardLog";
+
+/** The state of a replica up to a position of the log. Stored and sent; the field names never change. */
+export interface ReplicaSnapshot {
+  /** Position of the last entry applied. */
+  seq: number;
+  /** Epoch of that entry. */
+  lastEpoch: number;
+  /** Epochs below this one are sealed. */
+  sealed: number;
+  view: ShardView | null;
+  data: SerializedShard;
+}
+
+/** A record of the log file: an entry, a seal for the next epoch, or a new view. Stored. */
+export type LogRecord =
+  { tag: "entry"; entry: ShardLogEntry } | { tag: "seal"; epoch: number } | { tag: "view"; view: ShardView };
--- /dev/null
+++ b/src/shard/replica/replicaStorage.ts
@@ -0,0 +1,175 @@
+import { Constants } from "../../common/constants";
+import { Fault, Result } from "../../common/fault";
+import type { Task } from "../../runtime/csp";
+import { EnvTools } from "../../runtime/env";
+import { ShardData } from "../state/shardData";
+import type { Leadership } from "./leadership";
+import type { LogRecord, ReplicaSnapshot } from "./replicaSnapshot";
+import type { ReplicaState } from "./replicaState";
+
+/** How often trimmed segments are looked for while there is none to write. */
+const SEGMENT_LOOK_MS = 5000;
+
+/**
+ * A replica on disk: recovery at the start, records of the log, snapshots that compact it, and the segments. A disk that
+ * fails ends the leadership; it is tried again later.
+ */
+export class ReplicaStorage {
+  private isRetrying = false;
+
+  constructor(
+    private readonly state: ReplicaState,
+    private readonly leadership: Leadership,
+  ) {
+    const { env, shard } = state.context;
+    EnvTools.keep(env, env.scope, `segments of shard ${shard}`, () => this.segmentLoop());
+  }
+
+  /** Whether the disk failed, and has not been read and written anew since. */
+  get isBroken(): boolean {
+    return this.state.isDiskBroken || this.isRetrying;
+  }
+
+  /** Reads what is on disk. Gives the fault "disk" where that fails. @example yield* storage.recover() */
+  *recover(): Task<Result<true>> {
+    const { state } = this;
+    const opened = yield* state.diskLog.open();
+    if (!opened.ok) return opened;
+    const snapshot = opened.value.state as ReplicaSnapshot | undefined;
+    if (snapshot) {
+      const restored = yield* this.restore(snapshot);
+      if (!restored.ok) return restored;
+    }
+    const records = opened.value.records as LogRecord[];
+    for (const record of records) this.replay(record);
+    state.exists = snapshot !== undefined || records.length > 0;
+    state.applyLog();
+    if (state.isMember) {
+      state.role = "member";
+      // The last entries of a former leader may be on the disks of others only: a new view starts from the longest log.
+      if (state.view?.lead === state.context.selfId) state.viewChangeReason = "lead was restarted";
+    }
+    return Fault.ok(true as const);
+  }
+  private replay(record: LogRecord): void {
+    const { state } = this;
+    switch (record.tag) {
+      case "seal":
+        state.sealedEpoch = Math.max(state.sealedEpoch, record.epoch);
+        break;
+      case "view":
+        state.view = record.view;
+        break;
+      case "entry":
+        state.log.append([record.entry]);
+        break;
+    }
+  }
+  private *restore(snapshot: ReplicaSnapshot): Task<Result<true>> {
+    const { state } = this;
+    const { data } = snapshot;
+    const opened = yield* state.segments.open(data.segments, data.trimmed, data.sealing);
+    if (!opened.ok) return opened;
+    state.log.reset(snapshot.seq, snapshot.lastEpoch);
+    state.appliedSeq = snapshot.seq;
+    state.appliedEpoch = snapshot.lastEpoch;
+    state.sealedEpoch = Math.max(state.sealedEpoch, snapshot.sealed);
+    state.view = snapshot.view ?? undefined;
+    state.data = ShardData.deserialize(data, state.segments);
+    state.exists = true;
+    return opened;
+  }
+
+  /** Appends records to the log and syncs them. @example yield* storage.write([{ tag: "seal", epoch }]) */
+  *write(records: LogRecord[]): Task<Result<true>> {
+    const written = yield* this.state.diskLog.append(records);
+    if (!written.ok) this.diskFailed(written.fault);
+    return written;
+  }
+  /** The state up to the last entry applied. @example storage.snapshot().seq */
+  snapshot(): ReplicaSnapshot {
+    const { state } = this;
+    return {
+      seq: state.appliedSeq,
+      lastEpoch: state.appliedEpoch,
+      sealed: state.sealedEpoch,
+      view: state.view ?? null,
+      data: ShardData.serialize(state.data),
+    };
+  }
+  /** Writes a snapshot and starts a new log behind it. @example yield* storage.writeSnapshot() */
+  *writeSnapshot(snapshot: ReplicaSnapshot = this.snapshot()): Task<Result<true>> {
+    const written = yield* this.state.diskLog.checkpoint(snapshot);
+    if (!written.ok) this.diskFailed(written.fault);
+    return written;
+  }
+  /** Replaces the replica by a snapshot of another one, on disk and in memory. @example yield* storage.replaceBy(snapshot) */
+  *replaceBy(snapshot: ReplicaSnapshot): Task<Result<true>> {
+    const written = yield* this.writeSnapshot(snapshot);
+    if (!written.ok) return written;
+    const restored = yield* this.restore(snapshot);
+    if (!restored.ok) this.diskFailed(restored.fault);
+    return restored;
+  }
+  /** Writes a snapshot once the log is long. @example yield* storage.compactIfLong(); */
+  *compactIfLong(): Task<void> {
+    const { log, diskLog, appliedSeq } = this.state;
+    const isLong = log.entriesSinceSnapshot >= Constants.shardLogKeep || diskLog.logBytes >= Constants.shardLogBytes;
+    if (!isLong || appliedSeq !== log.lastSeq) return;
+    log.entriesSinceSnapshot = 0;
+    yield* this.writeSnapshot();
+  }
+  private diskFailed(fault: Fault): void {
+    const { env, shard } = this.state.context;
+    env.log(1404, { shard, fault });
+    this.leadership.stop("disk failed");
+  }
+
+  /**
+   * Tries a disk that failed: what is on it is read as at a start, and counts only once all of it was written and synced
+   * anew, since after a failed sync the content of the disk is unknown.
+   * @example yield* storage.retryDisk();
+   */
+  *retryDisk(): Task<void> {
+    if (!this.state.isDiskBroken || this.isRetrying) return;
+    this.isRetrying = true;
+    yield* this.state.locked(() => this.recoverFromFailure());
+    this.isRetrying = false;
+  }
+  private *recoverFromFailure(): Task<void> {
+    const { state } = this;
+    const { env, shard } = state.context;
+    const diskLog = state.newDiskLog();
+    const probed = yield* diskLog.probe();
+    if (!probed.ok) return;
+    state.diskLog = diskLog;
+    state.reset();
+    const recovered = yield* this.recover();
+    const written = recovered.ok && state.exists ? yield* diskLog.checkpoint(this.snapshot()) : recovered;
+    if (!written.ok) {
+      diskLog.hasFailed = true;
+      state.role = "out";
+      return;
+    }
+    env.log(1414, { shard, seq: state.log.lastSeq });
+  }
+
+  /** Writes sealed segments in the background; until then the snapshot contains their objects. */
+  private *segmentLoop(): Task<void> {
+    const { state } = this;
+    const { env } = state.context;
+    for (;;) {
+      const { data } = state;
+      const [next] = data.pendingSegments;
+      if (!next || state.isDiskBroken) {
+        if (!state.isDiskBroken) yield* state.segments.removeTrimmed();
+        yield* EnvTools.takeWithin(env, state.segmentsPending, SEGMENT_LOOK_MS);
+        continue;
+      }
+      const written = yield* state.segments.write(next);
+      if (!written.ok) this.diskFailed(written.fault);
+      // The state may have been replaced meanwhile, and its segments with it.
+      else if (state.data === data) data.pendingSegments.shift();
+    }
+  }
+}
--- a/src/shard/batchJobOperations.ts
+++ b/src/shard/state/batchJobOperations.ts
@@ -1,15 +1,20 @@
-/** Operations on lots and their items. */
-import { Stamp } from "../common/stamp";
-import { BatchItem, ItemOutcome, BatchJob, OperationContext, OperationOf, PutOutcome, ShardData } from "./shardTypes";
+/** Operations on batch jobs and their items. Texts of refusals and of ledger entries are stored and don't change. */
+import { Stamp } from "../../common/stamp";
+import type { BatchItem, BatchJob, ItemOutcome } from "./batchJob";
+import type { OperationContext } from "./operationContext";
+import type { OperationOf, PutOutcome } from "./operations";
+import type { ShardData } from "./shardData";
 
-/** A lot is taken in, once by its id. */
+const NOT_CLAIMED: PutOutcome = { tag: "no", why: "not claimed in this round" };
+
+/** Accepts a batch job, once by its id. */
 export function acceptJob({ data, note, put }: OperationContext, op: OperationOf<"lot">): PutOutcome {
-  const kept = data.sealedObjects.find("lots", op.lot.id);
-  if (kept)
+  const sealed = data.sealedObjects.find("lots", op.lot.id);
+  if (sealed)
     return {
       tag: "exists",
-      same: data.sealedObjects.hasSameBody(kept, op.lot.bodyHash),
-      state: kept.trimmed ? "trimmed" : kept.state,
+      same: data.sealedObjects.hasSameBody(sealed, op.lot.bodyHash),
+      state: sealed.trimmed ? "trimmed" : sealed.state,
     };
   const known = data.jobs.get(op.lot.id);
   if (known)
@@ -47,40 +52,40 @@
   return { tag: "done" };
 }
 
-/** No arrival of the lot up to this put is ever kept. */
+/** Refuses all arrivals of a batch job up to this put. */
 export function refuseJob({ data, note, put }: OperationContext, op: OperationOf<"lotRefuse">): PutOutcome {
-  const kept = data.sealedObjects.find("lots", op.lot);
+  const sealed = data.sealedObjects.find("lots", op.lot);
   const known = data.jobs.get(op.lot);
-  if (kept || known) return { tag: "exists", same: true, state: known?.ended ? "ended" : "open" };
-  data.refusedJobs.delete(op.lot); // the newest last
+  if (sealed || known) return { tag: "exists", same: true, state: known?.ended ? "ended" : "open" };
+  data.refusedJobs.delete(op.lot); // so that the map is in the order of the refusals
   data.refusedJobs.set(op.lot, put.stamp);
   note(`lot ${op.lot}`, "refused: given up before it was kept");
   return { tag: "done" };
 }
 
-/** Results of items run without claims; the first result of each counts. */
+/** Adds results of items that were run without claims; the first result of each counts. */
 export function addItemResults(
-  { data, note, put, unstable: waiting }: OperationContext,
+  { data, note, put, unstable }: OperationContext,
   op: OperationOf<"itemResults">,
 ): PutOutcome {
   const job = data.jobs.get(op.lot);
   const fresh = op.results.filter(({ item }) => job?.requests && job.items[item]?.state === "waiting");
   for (const { item, state, result } of fresh) {
     Object.assign(job!.items[item], { state, stamp: put.stamp, result });
-    waiting.results.push({ lot: op.lot, item });
+    unstable.results.push({ lot: op.lot, item });
     closeItem(data, job!, put.stamp, item);
   }
-  const told = (state: ItemOutcome["state"]): string =>
+  const itemsIn = (state: ItemOutcome["state"]): string =>
     fresh
       .filter((outcome) => outcome.state === state)
       .map(({ item }) => item)
       .join(" ");
   for (const state of ["done", "abandoned"] as const)
-    if (told(state)) note(`lot ${op.lot}`, `items ${state}: ${told(state)}`);
-  return { tag: "done" }; // what has a result already keeps it
+    if (itemsIn(state)) note(`lot ${op.lot}`, `items ${state}: ${itemsIn(state)}`);
+  return { tag: "done" };
 }
 
-/** An item is claimed for one attempt at a replica. */
+/** Claims an item for one attempt at an endpoint. */
 export function claimItem({ data, note }: OperationContext, op: OperationOf<"itemClaim">): PutOutcome {
   const job = data.jobs.get(op.lot);
   const item = job?.items[op.item];
@@ -93,36 +98,34 @@
   return { tag: "done" };
 }
 
-/** An attempt at an item that provably did not run gives its claim back. */
+/** Releases the claim of an attempt that provably did not run. */
 export function releaseItem({ data, note, put }: OperationContext, op: OperationOf<"itemRelease">): PutOutcome {
   const job = data.jobs.get(op.lot);
   const item = job?.items[op.item];
-  if (!job || !item || item.state !== "claimed" || item.round !== op.round)
-    return { tag: "no", why: "not claimed in this round" };
+  if (!job || !item || item.state !== "claimed" || item.round !== op.round) return NOT_CLAIMED;
   item.state = job.ended ? "ended" : "waiting";
   if (job.ended) closeItem(data, job, put.stamp, op.item);
   note(`item ${op.lot}/${op.item}`, `released from replica ${item.replica}: ${op.why}`);
   return { tag: "done" };
 }
 
-/** The result of a claimed item. */
+/** Adds the result of a claimed item. */
 export function addItemResult(
-  { data, note, put, unstable: waiting }: OperationContext,
+  { data, note, put, unstable }: OperationContext,
   op: OperationOf<"itemResult">,
 ): PutOutcome {
   const job = data.jobs.get(op.lot);
   const item = job?.items[op.item];
-  if (!job || !item || item.state !== "claimed" || item.round !== op.round)
-    return { tag: "no", why: "not claimed in this round" };
+  if (!job || !item || item.state !== "claimed" || item.round !== op.round) return NOT_CLAIMED;
   Object.assign(item, { state: op.state, stamp: put.stamp, result: op.result });
   job.bodies[op.item] = "";
-  waiting.results.push({ lot: op.lot, item: op.item });
+  unstable.results.push({ lot: op.lot, item: op.item });
   closeItem(data, job, put.stamp, op.item);
   note(`item ${op.lot}/${op.item}`, `result marked ${op.state}`);
   return { tag: "done" };
 }
 
-/** A lot ends by its client's word: items that wait will not run. */
+/** Ends a job at its client's request: items that wait won't run. */
 export function endJob({ data, note, put }: OperationContext, op: OperationOf<"lotEnd">): PutOutcome {
   const job = data.jobs.get(op.lot);
   if (!job)
@@ -132,21 +135,21 @@
   if (job.ended) return { tag: "exists", same: true, state: "ended" };
   job.ended = true;
   job.endedBy = op.by;
-  job.items.forEach((item, at) => {
+  job.items.forEach((item, index) => {
     if (item.state !== "waiting") return;
     item.state = "ended";
-    closeItem(data, job, put.stamp, at);
+    closeItem(data, job, put.stamp, index);
   });
   note(`lot ${op.lot}`, `ended by ${op.by}`);
   return { tag: "done" };
 }
 
-/** One item fewer is open; with the last of them the lot is closed. */
-function closeItem(data: ShardData, job: BatchJob, at: Stamp, item: number): void {
+/** Counts one open item less; the last one closes the job. */
+function closeItem(data: ShardData, job: BatchJob, at: Stamp, itemIndex: number): void {
   job.open -= 1;
-  if (job.requests) job.tokensWaiting! -= job.requests[item].tokens;
+  if (job.requests) job.tokensWaiting! -= job.requests[itemIndex].tokens;
   if (job.open > 0) return;
-  // the newest of all, so that every result has its position once the frontier has passed it
+  // The newest stamp of all items: once the frontier has passed it, each result has its position.
   job.closedAt = job.items.reduce(
     (newest, item) => (item.stamp && Stamp.compare(item.stamp, newest) > 0 ? item.stamp : newest),
     at,
--- a/src/shard/upkeepOperations.ts
+++ b/src/shard/state/ledgerOperations.ts
@@ -1,7 +1,8 @@
-/** Operations on the ledger and on sealed segments. */
-import { OperationContext, OperationOf, PutOutcome } from "./shardTypes";
+/** Operations on the ledger and its retention. */
+import type { OperationContext } from "./operationContext";
+import type { OperationOf, PutOutcome } from "./operations";
 
-/** Ledger entries; a source that counts its entries adds each once. */
+/** Adds ledger entries; those of a source that numbers its entries are deduplicated. */
 export function addNotes({ data, note }: OperationContext, op: OperationOf<"note">): PutOutcome {
   if (op.once && (data.notedSources[op.once.source] ?? -1) >= op.once.index)
     return { tag: "exists", same: true, state: "noted" };
@@ -10,7 +11,7 @@
   return { tag: "done" };
 }
 
-/** Sealed segments below a number are let go. */
+/** Trims segments with a number below the given one; their files are removed later. */
 export function trimSegments({ data, note }: OperationContext, op: OperationOf<"trim">): PutOutcome {
   if (data.trimmedCounts[op.kind] >= op.below || op.below > data.segmentCounts[op.kind])
     return { tag: "no", why: "nothing to trim" };
--- /dev/null
+++ b/src/shard/state/liveRequestOperations.ts
@@ -0,0 +1,111 @@
+/** Operations on live requests. Texts of refusals and of ledger entries are stored and don't change. */
+import { Stamp } from "../../common/stamp";
+import { isClosed, LiveRequest } from "./liveRequest";
+import type { OperationContext } from "./operationContext";
+import type { OperationOf, PutOutcome } from "./operations";
+
+const NOT_CLAIMED: PutOutcome = { tag: "no", why: "not claimed in this round" };
+
+/** Opens a request, once by its id; a refused one may be opened again by an arrival later than the refusal. */
+export function openRequest({ data, note, put }: OperationContext, op: OperationOf<"open">): PutOutcome {
+  const sealed = data.sealedObjects.find("works", op.work.id);
+  if (sealed)
+    return {
+      tag: "exists",
+      same: data.sealedObjects.hasSameBody(sealed, op.work.bodyHash),
+      state: sealed.trimmed ? "trimmed" : sealed.state,
+    };
+  const known = data.liveRequests.get(op.work.id);
+  const reopens =
+    known?.state === "refused" &&
+    known.closedAt !== null &&
+    Stamp.compare(Stamp.parse(op.work.life)!, known.closedAt) > 0;
+  if (known && !reopens) return { tag: "exists", same: known.bodyHash === op.work.bodyHash, state: known.state };
+  if (reopens) data.refusedRequests = data.refusedRequests.filter((id) => id !== op.work.id);
+  data.liveRequests.set(op.work.id, {
+    ...op.work,
+    closedAt: null,
+    stamp: put.stamp,
+    state: "accepted",
+    round: 0,
+    replica: "",
+    owner: "",
+    pieces: [],
+    outcome: "",
+    version: 0,
+  });
+  note(`request ${op.work.id}`, `accepted for ${op.work.binding}`);
+  return { tag: "done" };
+}
+
+/** Claims a request for one attempt at an endpoint. */
+export function claimRequest({ data, note }: OperationContext, op: OperationOf<"claim">): PutOutcome {
+  const request = data.liveRequests.get(op.id);
+  if (!request) return { tag: "no", why: "no such request" };
+  if (request.state !== "accepted" || op.round !== request.round + 1)
+    return { tag: "no", why: `request is ${request.state} in round ${request.round}` };
+  Object.assign(request, { state: "claimed", round: op.round, replica: op.replica, owner: op.owner });
+  note(`request ${op.id}`, `claimed for replica ${op.replica}, round ${op.round}`);
+  return { tag: "done" };
+}
+
+/** Releases the claim of an attempt that provably did not run. */
+export function releaseRequest({ data, note }: OperationContext, op: OperationOf<"release">): PutOutcome {
+  const request = data.liveRequests.get(op.id);
+  if (!request || request.state !== "claimed" || request.round !== op.round) return NOT_CLAIMED;
+  request.state = "accepted";
+  note(`request ${op.id}`, `released from replica ${request.replica}: ${op.why}`);
+  return { tag: "done" };
+}
+
+/** Appends chunks of the response stream, in order, by the attempt that has the claim. */
+export function addPieces({ data, put }: OperationContext, op: OperationOf<"pieces">): PutOutcome {
+  const request = data.liveRequests.get(op.id);
+  if (!request || request.state !== "claimed" || request.round !== op.round) return NOT_CLAIMED;
+  if (op.first !== request.pieces.length + 1) return { tag: "no", why: `next piece is ${request.pieces.length + 1}` };
+  op.data.forEach((chunk, offset) => request.pieces.push({ n: op.first + offset, stamp: put.stamp, data: chunk }));
+  return { tag: "done" };
+}
+
+/** Closes a request. One refused before it was opened is added as closed, so that a late open finds it. */
+export function closeRequest({ data, note, put }: OperationContext, op: OperationOf<"close">): PutOutcome {
+  const sealed = data.sealedObjects.find("works", op.id);
+  if (sealed) return { tag: "exists", same: true, state: sealed.state };
+  let request = data.liveRequests.get(op.id);
+  if (!request) {
+    if (op.state !== "refused") return { tag: "no", why: "no such request" };
+    request = refusedBeforeOpen(op.id, put.stamp);
+    data.liveRequests.set(op.id, request);
+  }
+  if (isClosed(request)) return { tag: "exists", same: true, state: request.state };
+  if (op.state === "refused" ? request.state !== "accepted" : request.round !== op.round)
+    return { tag: "no", why: `request is ${request.state} in round ${request.round}` };
+  Object.assign(request, { state: op.state, outcome: op.outcome, body: "", closedAt: put.stamp });
+  (op.state === "refused" ? data.refusedRequests : data.closedRequests).push(op.id);
+  note(`request ${op.id}`, `closed as ${op.state}: ${op.outcome.slice(0, 200)}`);
+  return { tag: "done" };
+}
+
+function refusedBeforeOpen(id: string, stamp: Stamp): LiveRequest {
+  return {
+    id,
+    binding: "",
+    bodyHash: "",
+    body: "",
+    keyed: false,
+    safe: false,
+    exact: false,
+    stamp,
+    deadlineAt: 0,
+    state: "accepted",
+    round: 0,
+    replica: "",
+    owner: "",
+    pieces: [],
+    outcome: "",
+    order: 0,
+    version: 0,
+    life: "",
+    closedAt: null,
+  };
+}
--- a/src/storage/abandonedClaims.ts
+++ b/src/storage/abandonedClaims.ts
@@ -5,7 +5,7 @@
 import { Csp, Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
 import { ShardReplica } from "../shard/shardReplica";
-import { ShardState } from "../shard/shardState";
+import { isClosed } from "../shard/state/liveRequest";
 import { LiveRequest, PutOutcome, ShardOperation } from "../shard/shardTypes";
 import { ClaimedItemScheduler } from "./claimedItems/claimedItemScheduler";
 import { ExecutionCounters } from "./executionCounters";
@@ -129,7 +129,7 @@
 
   private *recoverRequest(replica: ShardReplica, id: string): Task<void> {
     const request = replica.data.liveRequests.get(id);
-    if (!request || ShardState.isClosed(request)) return;
+    if (!request || isClosed(request)) return;
     if (request.state === "claimed" && !request.safe) {
       this.counters.unknowns += 1;
       yield* this.closeRequest(replica, request, "unknown", `${OWNER_LOST}; it may have run`);
@@ -218,7 +218,7 @@
   const claims = new Map<string, Claim[]>();
   const add = (owner: string, claim: Claim): void => void claims.set(owner, [...(claims.get(owner) ?? []), claim]);
   for (const request of replica.data.liveRequests.values())
-    if (!ShardState.isClosed(request)) add(request.owner, { kind: "request", name: request.id, id: request.id });
+    if (!isClosed(request)) add(request.owner, { kind: "request", name: request.id, id: request.id });
   for (const job of replica.data.jobs.values()) {
     if (job.open === 0) continue;
     for (const [index, item] of job.items.entries())
--- a/src/storage/ledgerReads.ts
+++ b/src/storage/ledgerReads.ts
@@ -5,7 +5,7 @@
 import { Task } from "../runtime/csp";
 import { Env } from "../runtime/env";
 import { ShardReplica } from "../shard/shardReplica";
-import { ShardState } from "../shard/shardState";
+import { LedgerIndex } from "../shard/state/ledgerIndex";
 import { LedgerEntry } from "../shard/shardTypes";
 import {
   LedgerAboutRequest,
@@ -37,16 +37,14 @@
     if (!isInView(this.node, replica)) return notInViewFault(this.node, "read");
     const frontier = replica.frontier();
     const after = Stamp.parse(body.after) ?? BEGINNING;
-    const sealed = yield* replica.readConsistently(() => replica.segments.ledgerAfter(after, body.limit));
+    const sealed = yield* replica.readConsistently(() => replica.segments.ledger.after(after, body.limit));
     if (!sealed.ok) return sealed;
     // by position, not by stamp: the entries of a put may lie on both sides of the newest segment's end
-    const unsealed = sealed.value.all
-      ? replica.data.ledger.slice(ShardState.firstLedgerIndexAfter(replica.data, after))
-      : [];
+    const unsealed = sealed.value.all ? replica.data.ledger.slice(LedgerIndex.firstAfter(replica.data, after)) : [];
     const entries = [...sealed.value.entries, ...unsealed];
     let end = Math.min(body.limit, entries.length);
     while (end > 0 && end < entries.length && Stamp.compare(entries[end].stamp, entries[end - 1].stamp) === 0) end += 1;
-    const oldest = replica.segments.oldestLedgerStamp() ?? replica.data.ledger[0]?.stamp ?? null;
+    const oldest = replica.segments.ledger.oldestStamp() ?? replica.data.ledger[0]?.stamp ?? null;
     return Fault.ok({ frontier, entries: entries.slice(0, end), oldest });
   }
 
@@ -57,7 +55,7 @@
       subjects.some((subject) => entry.subject === subject || entry.subject.startsWith(`${subject}/`)) ||
       (change !== "" && !!entry.cause.note?.startsWith(`change ${change} `));
     const sealed = yield* replica.readConsistently(() =>
-      replica.segments.ledgerAbout([...subjects, `change ${change}`], 0, isAbout, Constants.aboutEntriesMax),
+      replica.segments.ledger.about([...subjects, `change ${change}`], 0, isAbout, Constants.aboutEntriesMax),
     );
     if (!sealed.ok) return sealed;
     const stable = replica.data.ledger.filter(isAbout);
@@ -74,10 +72,10 @@
     for (;;) {
       const frontier = replica.frontier();
       const sealed = yield* replica.readConsistently(() =>
-        replica.segments.ledgerAbout([subject], time, isCandidate, 1),
+        replica.segments.ledger.about([subject], time, isCandidate, 1),
       );
       if (!sealed.ok) return sealed;
-      const version = sealed.value[0] ?? ShardState.nearest(replica.data, subject, time);
+      const version = sealed.value[0] ?? LedgerIndex.nearest(replica.data, subject, time);
       if (version) return Fault.ok({ version, frontier });
       if (this.env.mono() >= until) {
         const retryAfterMs = Math.round(Math.max(Constants.retryAfterMs, time - frontier));
--- a/src/storage/liveRequests/liveRequestReader.ts
+++ b/src/storage/liveRequests/liveRequestReader.ts
@@ -3,7 +3,7 @@
 import { Chan, Csp, Task } from "../../runtime/csp";
 import { Env, EnvTools } from "../../runtime/env";
 import { ShardReplica } from "../../shard/shardReplica";
-import { ShardState } from "../../shard/shardState";
+import { isClosed } from "../../shard/state/liveRequest";
 import { LiveRequest } from "../../shard/shardTypes";
 import { ReadRequest, ReadResponse } from "../messages/liveRequestMessages";
 import { notLeaderFault } from "../notLeaderFault";
@@ -38,7 +38,7 @@
         if (!found.ok) return found;
         const request = found.value;
         if (!request) return Fault.fail("notFound", "read", this.node.self.id, `no request ${id}`);
-        if (request.pieces.length > after || ShardState.isClosed(request) || this.env.mono() >= until)
+        if (request.pieces.length > after || isClosed(request) || this.env.mono() >= until)
           return Fault.ok(responseOf(request, after));
         yield* EnvTools.takeWithin(this.env, wake, until - this.env.mono());
       }
@@ -61,7 +61,7 @@
 }
 
 function responseOf(request: LiveRequest, after: number): ReadResponse {
-  const closed = ShardState.isClosed(request);
+  const closed = isClosed(request);
   return {
     pieces: request.pieces.slice(after).map(({ n, data }) => ({ n, data })),
     closed,
--- a/src/storage/messages/batchJobMessages.ts
+++ b/src/storage/messages/batchJobMessages.ts
@@ -13,7 +13,7 @@
   isShardIndex,
   isStamp,
   isText,
-} from "./checks";
+} from "../../rpc/bodyChecks";
 
 /** Submits a job whose items are whole HTTP requests. */
 export interface SubmitJobRequest {
--- a/src/storage/messages/liveRequestMessages.ts
+++ b/src/storage/messages/liveRequestMessages.ts
@@ -1,7 +1,17 @@
 /** Bodies of the methods of live requests, and the checks of those that arrive. */
 import { Stamp } from "../../common/stamp";
 import type { Cause, LiveRequestState, OperationOf } from "../../shard/shardTypes";
-import { isCount, isFlag, isListOf, isName, isNumber, isObject, isShardIndex, isStamp, isText } from "./checks";
+import {
+  isCount,
+  isFlag,
+  isListOf,
+  isName,
+  isNumber,
+  isObject,
+  isShardIndex,
+  isStamp,
+  isText,
+} from "../../rpc/bodyChecks";
 
 /** A live request as its ingress submits it; its deadline is wall time, ms. */
 export type LiveRequestSpec = OperationOf<"open">["work"];
--- a/src/storage/messages/quotaMessages.ts
+++ b/src/storage/messages/quotaMessages.ts
@@ -1,5 +1,5 @@
 /** Bodies of the methods of the quota of waiting tokens, and the checks of those that arrive. */
-import { isCount, isFlag, isListOf, isNumber, isObject, isShardIndex, isText } from "./checks";
+import { isCount, isFlag, isListOf, isNumber, isObject, isShardIndex, isText } from "../../rpc/bodyChecks";
 
 /** What waits on a route in one shard, as a replica of the shard counts it. */
 export interface UsageReport {
--- a/src/storage/messages/shardMessages.ts
+++ b/src/storage/messages/shardMessages.ts
@@ -2,7 +2,7 @@
 import { Stamp } from "../../common/stamp";
 import type { ShardReplicaStatus } from "../../shard/shardReplica";
 import type { LedgerEntry, Put, PutOutcome } from "../../shard/shardTypes";
-import { isCount, isListOf, isName, isNumber, isObject, isShardIndex, isStamp, isText } from "./checks";
+import { isCount, isListOf, isName, isNumber, isObject, isShardIndex, isStamp, isText } from "../../rpc/bodyChecks";
 
 /** Any request about one shard. */
 export interface ShardRequest {
--- a/src/storage/storageNode.ts
+++ b/src/storage/storageNode.ts
@@ -8,6 +8,7 @@
 import { EndpointSelector } from "../routing/endpointSelector";
 import { Csp, Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
+import { registerShardMethods } from "../shard/shardMethods";
 import { ShardReplica } from "../shard/shardReplica";
 import { BatchWork } from "./batchWork";
 import { CheckedHandlers } from "./checkedHandlers";
@@ -15,7 +16,7 @@
 import { addBatchJobHandlers, addQuotaHandlers } from "./handlers/batchJobHandlers";
 import { addLedgerHandlers } from "./handlers/ledgerHandlers";
 import { addLiveRequestHandlers } from "./handlers/liveRequestHandlers";
-import { addPutHandler, addShardHandlers } from "./handlers/shardHandlers";
+import { addPutHandler } from "./handlers/putHandler";
 import { addStatusHandlers } from "./handlers/statusHandlers";
 import { LedgerReads } from "./ledgerReads";
 import { Retention } from "./retention";
@@ -130,7 +131,7 @@
     const wall = (): number => this.env.wall();
     const handlers = new CheckedHandlers(node.rpc, node.self.id, replicaOf);
     const onArrival = (stampTime: number): void => this.relayLatency.add(wall() - stampTime);
-    addShardHandlers(node, replicaOf);
+    registerShardMethods(node.rpc, node.self.id, replicaOf);
     addPutHandler(node, wall, handlers);
     addStatusHandlers(node, this.replicas, handlers);
     addLedgerHandlers(handlers, new LedgerReads(this.env, node));
@@ -149,7 +150,9 @@
     for (const view of Object.values(snapshot.views)) {
       const replica = this.replicas.get(view.shard);
       if (!replica || replica.view === undefined || view.epoch <= replica.view.epoch) continue;
-      Csp.go(this.env.scope, "view from frame", () => replica.onInstall({ view, waitMs: Constants.shardLeaseMs }));
+      Csp.go(this.env.scope, "view from frame", () =>
+        replica.viewChange.onInstall({ shard: view.shard, view, waitMs: Constants.shardLeaseMs }),
+      );
     }
   }
 
@@ -176,9 +179,9 @@
       leads: replicas.filter((replica) => replica.role === "lead").length,
       puts: sum((replica) => replica.counts.puts),
       put_batches: sum((replica) => replica.counts.batches),
-      late_puts: sum((replica) => replica.counts.late),
-      overrun_puts: sum((replica) => replica.counts.overruns),
-      mended_objects: sum((replica) => replica.counts.mended),
+      late_puts: sum((replica) => replica.counts.latePuts),
+      overrun_puts: sum((replica) => replica.counts.overrunPuts),
+      mended_objects: sum((replica) => replica.counts.repaired),
       ...this.putLatency.metrics("put_ms"),
       ...this.relayLatency.metrics("relay_ms"),
       skew_ms: +(this.node.membership.clockSkew()?.offset ?? 0).toFixed(2),
--- a/src/tools/shardDay/joiner.ts
+++ b/src/tools/shardDay/joiner.ts
@@ -13,11 +13,11 @@
   const replica = shardReplica(env, new Rpc(env, "day", "s2"), "s2", folder);
   const startedAt = performance.now();
   for (;;) {
-    const response = yield* replica.onFill({ from: sourceAddress });
+    const response = yield* replica.stateTransfer.onFill({ shard: replica.shard, from: sourceAddress });
     if (response.ok) break;
     if (response.fault.tag !== "timeout") throw new Error(JSON.stringify(response.fault));
   }
-  return { tookMs: rounded(performance.now() - startedAt), MB: rounded(replica.counts.filledBytes / 1e6, 1) };
+  return { tookMs: rounded(performance.now() - startedAt), MB: rounded(replica.counts.transferredBytes / 1e6, 1) };
 }
 
 async function main(sourceAddress: string, folder: string): Promise<void> {
--- a/src/tools/shardDay/localReplicas.ts
+++ b/src/tools/shardDay/localReplicas.ts
@@ -1,5 +1,4 @@
 // Replicas of one shard on a real disk, run outside a node.
-import { Fault } from "../../common/fault";
 import { Stamp } from "../../common/stamp";
 import { Rpc } from "../../rpc/rpc";
 import { Csp, Scope, Task } from "../../runtime/csp";
@@ -7,9 +6,6 @@
 import { NodeEnv } from "../../runtime/nodeEnv";
 import { ShardReplica } from "../../shard/shardReplica";
 
-type SegmentRead = Parameters<ShardReplica["segments"]["readChunk"]>;
-type SegmentPartRequest = { kind: SegmentRead[0]; number: SegmentRead[1]; part: SegmentRead[2]; from: SegmentRead[3] };
-
 export const SHARD = 0;
 
 /** Runs a task with an environment of its own; the promise settles with the task's result or its first error. */
@@ -53,17 +49,3 @@
     viewChangeNeeded() {},
   });
 }
-
-/** Answers the requests by which another process fills a replica of its own from this one. */
-export function serveFill(rpc: Rpc, replica: ShardReplica): void {
-  rpc.handle("shard.goesOn", function* (body: Parameters<ShardReplica["canBeExtendedFrom"]>[0]) {
-    return Fault.ok({ goesOn: replica.canBeExtendedFrom(body) });
-  });
-  rpc.handle("shard.segments", function* () {
-    return replica.onSegments();
-  });
-  rpc.handle("shard.segmentPart", ({ kind, number, part, from }: SegmentPartRequest) =>
-    replica.segments.readChunk(kind, number, part, from),
-  );
-  rpc.handle("shard.openState", (body: Parameters<ShardReplica["onOpenState"]>[0]) => replica.onOpenState(body));
-}
--- a/src/tools/shardDay/measureDay.ts
+++ b/src/tools/shardDay/measureDay.ts
@@ -6,11 +6,12 @@
 import { Rpc } from "../../rpc/rpc";
 import { Task } from "../../runtime/csp";
 import { Env, EnvTools } from "../../runtime/env";
+import { registerShardMethods } from "../../shard/shardMethods";
 import { ShardReplica } from "../../shard/shardReplica";
-import { ShardState } from "../../shard/shardState";
+import { RangeDigests } from "../../shard/state/rangeDigests";
 import type { FillReport } from "./joiner";
 import { runLiveLoad, LiveLoadReport } from "./liveLoad";
-import { SHARD, countWrittenBytes, runTask, serveFill, shardReplica } from "./localReplicas";
+import { SHARD, countWrittenBytes, runTask, shardReplica } from "./localReplicas";
 import { percentile, rounded } from "./percentiles";
 import { REQUESTS_A_DAY, fillDay, freshId, put, requestOperations } from "./workload";
 
@@ -63,8 +64,9 @@
 
 /** Makes the replica the only member and the leader of its shard in this epoch. */
 function* lead(env: Env, replica: ShardReplica, epoch: number): Task<void> {
-  if (epoch > 1) yield* replica.onSeal({ epoch });
-  yield* replica.onInstall({ view: { shard: SHARD, epoch, members: [SELF], lead: SELF }, waitMs: 0 });
+  if (epoch > 1) yield* replica.viewChange.onSeal({ shard: SHARD, epoch });
+  const view = { shard: SHARD, epoch, members: [SELF], lead: SELF };
+  yield* replica.viewChange.onInstall({ shard: SHARD, view, waitMs: 0 });
   while (!replica.holdsLease()) yield* EnvTools.sleep(env, LEASE_POLL_MS);
 }
 
@@ -91,7 +93,7 @@
 
 function measureDigests(replica: ShardReplica): number {
   const startedAt = performance.now();
-  ShardState.rangeDigests(replica.data);
+  RangeDigests.of(replica.data);
   return rounded(performance.now() - startedAt, 1);
 }
 
@@ -137,7 +139,7 @@
   const replica = shardReplica(env, rpc, SELF, sourceFolder);
   const startMs = yield* open(replica);
   yield* lead(env, replica, 2);
-  serveFill(rpc, replica);
+  registerShardMethods(rpc, SELF, () => replica);
   const writtenBefore = written.total;
   const quiet = yield* runLiveLoad(env, replica, after(QUIET_MS));
   const bytesAPut = rounded((written.total - writtenBefore) / quiet.puts);
--- a/test/clock.test.ts
+++ b/test/clock.test.ts
@@ -1,5 +1,8 @@
 import { Stamp } from "../src/common/stamp";
-import { Put, ShardState } from "../src/shard/shardState";
+import { LedgerIndex } from "../src/shard/state/ledgerIndex";
+import { Put } from "../src/shard/state/operations";
+import { ShardData } from "../src/shard/state/shardData";
+import { ShardState } from "../src/shard/state/shardState";
 
 const kept = {
   kind: "item" as const,
@@ -43,7 +46,7 @@
   ]);
 });
 test("rule 3: the index holds only what lies behind the frontier, in stamp order, whatever order the log has", () => {
-  const data = ShardState.empty();
+  const data = ShardData.empty();
   for (const put of [note("c", 30), note("a", 10), note("b", 20)]) ShardState.apply(data, put);
   expect(data.ledger).toEqual([]);
   ShardState.advanceFrontier(data, 20);
@@ -54,18 +57,18 @@
   expect(data.ledger.map((entry) => entry.decision)).toEqual(["a", "b", "c"]);
 });
 test("a temporal read gets the nearest version not prior to τ: equal, between, none", () => {
-  const data = ShardState.empty();
+  const data = ShardData.empty();
   for (const put of [note("v1", 10), note("other", 15, "other thing"), note("v2", 20)]) ShardState.apply(data, put);
   ShardState.advanceFrontier(data, 19);
-  expect(ShardState.nearest(data, "thing", 10)?.decision).toBe("v1"); // equal
-  expect(ShardState.nearest(data, "thing", 5)?.decision).toBe("v1"); // before the first
-  expect(ShardState.nearest(data, "thing", 11)).toBeUndefined(); // the next is not stable yet
+  expect(LedgerIndex.nearest(data, "thing", 10)?.decision).toBe("v1"); // equal
+  expect(LedgerIndex.nearest(data, "thing", 5)?.decision).toBe("v1"); // before the first
+  expect(LedgerIndex.nearest(data, "thing", 11)).toBeUndefined(); // the next is not stable yet
   ShardState.advanceFrontier(data, 20);
-  expect(ShardState.nearest(data, "thing", 11)?.decision).toBe("v2"); // between
-  expect(ShardState.nearest(data, "thing", 21)).toBeUndefined(); // none
+  expect(LedgerIndex.nearest(data, "thing", 11)?.decision).toBe("v2"); // between
+  expect(LedgerIndex.nearest(data, "thing", 21)).toBeUndefined(); // none
 });
 test("a repeated put id changes nothing and gets the first outcome", () => {
-  const data = ShardState.empty();
+  const data = ShardData.empty();
   const job: Put = {
     putId: "p",
     stamp: { time: 1, node: "n", seq: 0 },
@@ -86,7 +89,7 @@
   ).toEqual({ tag: "exists", same: false, state: "open" });
 });
 test("an item is claimed once, gives one result, and an ended lot starts nothing", () => {
-  const data = ShardState.empty();
+  const data = ShardData.empty();
   let time = 0;
   const put = (op: Put["ops"][0]): string =>
     ShardState.apply(data, { putId: `p${(time += 1)}`, stamp: { time, node: "n", seq: 0 }, ops: [op], cause: {} }).tag;
@@ -108,7 +111,7 @@
   expect(data.jobs.get("L")!.open).toBe(0);
 });
 test("what was refused may come again only as a later arrival", () => {
-  const data = ShardState.empty();
+  const data = ShardData.empty();
   const open = (putId: string, arrival: number, at: number): string =>
     ShardState.apply(data, {
       putId,
--- a/test/kept.test.ts
+++ b/test/kept.test.ts
@@ -5,7 +5,7 @@
 import { EnvTools } from "../src/runtime/env";
 import { CheckpointedLog } from "../src/runtime/checkpointedLog";
 import { ShardReplica } from "../src/shard/shardReplica";
-import { ShardOperation, PutOutcome } from "../src/shard/shardState";
+import { ShardOperation, PutOutcome } from "../src/shard/shardTypes";
 import { SimDisk } from "../src/simulation/simDisk";
 import { SimProcess, SimWorld } from "../src/simulation/simWorld";
 import { Rpc } from "../src/rpc/rpc";
@@ -33,8 +33,12 @@
   });
   const opened = yield* replica.open();
   if (!opened.ok) throw new Error(opened.fault.detail);
-  if (epoch > 1) yield* replica.onSeal({ epoch });
-  yield* replica.onInstall({ view: { shard: 0, epoch, members: ["s1"], lead: "s1" }, waitMs: 0 });
+  if (epoch > 1) yield* replica.viewChange.onSeal({ shard: 0, epoch });
+  yield* replica.viewChange.onInstall({
+    shard: 0,
+    view: { shard: 0, epoch, members: ["s1"], lead: "s1" },
+    waitMs: 0,
+  });
   while (!replica.holdsLease()) yield* EnvTools.sleep(process.env, 20);
   return replica;
 }
--- a/test/repair.test.ts
+++ b/test/repair.test.ts
@@ -2,7 +2,7 @@
 import * as path from "path";
 import { Constants } from "../src/common/constants";
 import { ShardReplica } from "../src/shard/shardReplica";
-import { ShardState } from "../src/shard/shardState";
+import { RangeDigests } from "../src/shard/state/rangeDigests";
 import { SimFleet } from "../src/simulation/simFleet";
 import { Deployment } from "../src/tools/deployment";
 
@@ -27,9 +27,9 @@
   member.data.jobs.get(job)!.items[0].result = "rotten";
   member.data.jobs.get(job)!.version -= 1;
   for (const work of [...member.data.liveRequests.keys()].slice(0, 2)) member.data.liveRequests.delete(work);
-  expect(ShardState.rangeDigests(member.data)).not.toEqual(ShardState.rangeDigests(leader.data));
+  expect(RangeDigests.of(member.data)).not.toEqual(RangeDigests.of(leader.data));
   await fleet.run(25_000);
-  expect(member.counts.mended).toBeGreaterThanOrEqual(1);
+  expect(member.counts.repaired).toBeGreaterThanOrEqual(1);
   expect(member.data.jobs.get(job)!.items[0].result).toBe(leader.data.jobs.get(job)!.items[0].result);
   expect(member.data.jobs.get(job)!.positions.slice(0, positions.length)).toEqual(positions);
   expect(await fleet.close()).toEqual([]);
@@ -53,6 +53,6 @@
   rotten.forEach((file, at) =>
     expect(fleet.disks.get(name)!.under(path.dirname(file)).get(path.basename(file))!.equals(before[at])).toBe(false),
   );
-  expect([...replicas.values()].reduce((sum, replica) => sum + replica.counts.mended, 0)).toBe(rotten.length);
+  expect([...replicas.values()].reduce((sum, replica) => sum + replica.counts.repaired, 0)).toBe(rotten.length);
   expect(await fleet.close()).toEqual([]);
 }, 120_000);
