--- a/src/tools/eventStandIn.ts
+++ b/src/tools/eventStandIn.ts
@@ -2,7 +2,7 @@
 import { Env, EnvTools, HttpExchange } from "../runtime/env";
 import { HeaderNames, ownHeaderNames } from "../forwarding/headerNames";
 
-export type EventRun = {
+export type EndpointRun = {
   id: string;
   at: number;
   after: number;
@@ -10,33 +10,33 @@
   host: string;
   body: string;
   events: number;
-  whole: boolean;
+  isComplete: boolean;
 };
-/** What happens to a request: whole events, a cut after some, a failure, or it is not run at all. */
-export type Mood =
-  | { tag: "well" }
+/** What an endpoint does with a request: all events, a cut after some, an error, no execution, or silence. */
+export type RequestBehavior =
+  | { tag: "complete" }
   | { tag: "cut"; after: number }
   | { tag: "status"; status: number }
   | { tag: "notRun" }
-  | { tag: "dark" };
+  | { tag: "silent" };
 
 /** The n-th event of a request; whoever checks a result knows it too. */
 const eventOf = (id: string, n: number): string => `${id} says ${n}`;
 
 /**
- * A stand-in replica that takes requests as they are and replies with a stream of events, whose ids rise by one; it goes
- * on after the event it is told. It keeps what ran.
+ * A stand-in endpoint that responds to requests with a stream of events, whose ids rise by one; it resumes after the
+ * event that the request names. It records what it ran.
  *
  * @example
  * const replica = new EventStandIn(env, "127.0.0.1:9000", "i1", { events: 5, eventMs: 20, slots: 8 });
  * yield* replica.start();
  */
 export class EventStandIn {
-  readonly runs: EventRun[] = [];
-  mood: (id: string, turn: number) => Mood = () => ({ tag: "well" });
+  readonly runs: EndpointRun[] = [];
+  behavior: (id: string, attempt: number) => RequestBehavior = () => ({ tag: "complete" });
   active = 0;
-  most = 0;
-  private turns = new Map<string, number>();
+  mostActive = 0;
+  private attempts = new Map<string, number>();
   constructor(
     private readonly env: Env,
     readonly address: string,
@@ -57,19 +57,19 @@
     const id = incoming.headers[names.requestId] ?? "";
     const read = yield* incoming.body(4_000_000);
     if (!read.ok) return;
-    const told = {
+    const responseHeaders = {
       [names.requestId]: id,
       ...(names.endpointSignature ? { [names.endpointSignature]: `mark-${this.instance}` } : {}),
     };
-    const turn = (this.turns.get(id) ?? 0) + 1;
-    this.turns.set(id, turn);
-    const mood = this.mood(id, turn);
+    const attempt = (this.attempts.get(id) ?? 0) + 1;
+    this.attempts.set(id, attempt);
+    const behavior = this.behavior(id, attempt);
     if (incoming.headers[names.targetInstance] !== this.instance)
-      return incoming.send(421, { ...told, [names.notExecuted]: "1" }, "");
-    if (mood.tag === "notRun" || this.active >= this.size.slots)
-      return incoming.send(503, { ...told, [names.notExecuted]: "1" }, "");
+      return incoming.send(421, { ...responseHeaders, [names.notExecuted]: "1" }, "");
+    if (behavior.tag === "notRun" || this.active >= this.size.slots)
+      return incoming.send(503, { ...responseHeaders, [names.notExecuted]: "1" }, "");
     const after = +(incoming.headers[names.lastEventId] ?? 0);
-    const run: EventRun = {
+    const run: EndpointRun = {
       id,
       at: this.env.wall(),
       after,
@@ -77,23 +77,23 @@
       host: incoming.headers.host ?? "",
       body: read.value.toString("utf8"),
       events: 0,
-      whole: false,
+      isComplete: false,
     };
     this.runs.push(run);
     this.active += 1;
-    this.most = Math.max(this.most, this.active);
+    this.mostActive = Math.max(this.mostActive, this.active);
     try {
-      if (mood.tag === "dark") return void (yield* Csp.take(incoming.gone));
-      if (mood.tag === "status") return incoming.send(mood.status, told, "sorry");
-      incoming.open(200, { ...told, "content-type": "text/event-stream" });
+      if (behavior.tag === "silent") return void (yield* Csp.take(incoming.gone));
+      if (behavior.tag === "status") return incoming.send(behavior.status, responseHeaders, "sorry");
+      incoming.open(200, { ...responseHeaders, "content-type": "text/event-stream" });
       for (let n = after + 1; n <= this.size.events; n += 1) {
         yield* EnvTools.sleep(this.env, this.size.eventMs);
         if (incoming.gone.isClosed()) return;
-        if (mood.tag === "cut" && n > mood.after) return incoming.abort();
+        if (behavior.tag === "cut" && n > behavior.after) return incoming.abort();
         run.events += 1;
         incoming.write(`id: ${n}\ndata: ${eventOf(id, n)}\n\n`);
       }
-      run.whole = true;
+      run.isComplete = true;
       incoming.end();
     } finally {
       this.active -= 1;
--- a/test/lotWorld.ts
+++ b/test/batchJobFleet.ts
@@ -15,22 +15,23 @@
 import { StorageNode } from "../src/storage/storageNode";
 import { EventStandIn } from "../src/tools/eventStandIn";
 
-const zone = (at: number): string => ["north", "east", "south", "west"][at % 4];
+const zoneOf = (index: number): string => ["north", "east", "south", "west"][index % 4];
 const seeds = ["127.0.0.1:1"];
 
 /**
- * One control member, a few stores, replicas that stream events, and a host that hands lots in, in virtual time.
+ * A simulated fleet for batch jobs: one control node, a few storage nodes, endpoints that stream events, and two
+ * processes that submit jobs.
  *
  * @example
- * const lots = await LotWorld.start(7, { stores: 3, replicas: 2 });
- * await lots.ask((host) => LotIntake.handIn(host, "L1", "b", binding, items, 3000));
+ * const fleet = await BatchJobFleet.start(7, { stores: 3, replicas: 2 });
+ * await fleet.call((host) => BatchSubmission.submit(host, "L1", "b", route, items, 3000));
  */
-export class LotWorld {
+export class BatchJobFleet {
   readonly world: SimWorld;
   readonly endpoints: EventStandIn[] = [];
   readonly stores = new Map<string, StorageNode>();
   private readonly disks = new Map<string, SimDisk>();
-  private readonly gone = new Set<string>();
+  private readonly departed = new Set<string>();
   private version = 0;
   caller!: SimProcess;
   readonly hosts: BatchSubmissionHost[] = [];
@@ -58,41 +59,41 @@
   }
   static async start(
     seed: number,
-    size: Partial<LotWorld["size"]> = {},
+    size: Partial<BatchJobFleet["size"]> = {},
     route: Partial<Route> = {},
     log: (line: string) => void = () => undefined,
-  ): Promise<LotWorld> {
-    const jobs = new LotWorld(seed, { stores: 3, replicas: 2, events: 4, slots: 8, ...size }, log);
-    jobs.process("control-1", { program: "control", address: seeds[0], founders: seeds, data: "data/control-1" });
-    for (let at = 1; at <= jobs.size.stores; at += 1) jobs.startStore(`store-${at}`);
-    for (let at = 1; at <= 2; at += 1) await jobs.startCaller(at);
-    for (let at = 1; at <= jobs.size.replicas; at += 1) await jobs.startEndpoint(`r${at}`);
+  ): Promise<BatchJobFleet> {
+    const fleet = new BatchJobFleet(seed, { stores: 3, replicas: 2, events: 4, slots: 8, ...size }, log);
+    fleet.process("control-1", { program: "control", address: seeds[0], founders: seeds, data: "data/control-1" });
+    for (let index = 1; index <= fleet.size.stores; index += 1) fleet.startStore(`store-${index}`);
+    for (let index = 1; index <= 2; index += 1) await fleet.startCaller(index);
+    for (let index = 1; index <= fleet.size.replicas; index += 1) await fleet.startEndpoint(`r${index}`);
     for (
-      let round = 0;
-      round < 40 && Object.keys(jobs.node.snapshot().control?.views ?? {}).length < Constants.shardCount;
-      round += 1
+      let attempt = 0;
+      attempt < 40 && Object.keys(fleet.node.snapshot().control?.views ?? {}).length < Constants.shardCount;
+      attempt += 1
     )
-      await jobs.world.run(500);
-    await jobs.configure({ b: { ...LotWorld.route, ...route } });
-    await jobs.world.run(3000);
-    return jobs;
+      await fleet.world.run(500);
+    await fleet.configure({ b: { ...BatchJobFleet.route, ...route } });
+    await fleet.world.run(3000);
+    return fleet;
   }
   private process(name: string, settings: Partial<Settings>): SimProcess {
     const disk = this.disks.get(name) ?? new SimDisk(this.world);
     this.disks.set(name, disk);
     const process = this.world.start(name, disk);
-    const whole = {
+    const settingsWithDefaults = {
       cluster: "lots",
-      district: zone(this.world.processes.size),
+      district: zoneOf(this.world.processes.size),
       http: `127.0.0.1:${50_000 + +settings.address!.split(":")[1]}`,
       seeds,
       ...settings,
     } as Settings;
-    const jobs = this;
+    const fleet = this;
     Csp.go(process.scope, "main", function* () {
-      const started: Result<RunningDaemon> = yield* Daemon.start(process.env, whole);
+      const started: Result<RunningDaemon> = yield* Daemon.start(process.env, settingsWithDefaults);
       if (!started.ok) throw new Error(started.fault.detail);
-      if (whole.program === "store") jobs.stores.set(name, started.value as StorageNode);
+      if (settingsWithDefaults.program === "store") fleet.stores.set(name, started.value as StorageNode);
     });
     return process;
   }
@@ -101,20 +102,20 @@
       program: "store",
       address: `127.0.0.1:${10 + +name.slice(6)}`,
       data: `data/${name}`,
-      district: zone(+name.slice(6)),
+      district: zoneOf(+name.slice(6)),
     });
   }
-  /** Where lots are handed in; the first does what the tests ask. */
-  private async startCaller(at: number): Promise<void> {
-    const process = this.world.start(at === 1 ? "caller" : `caller-${at}`, new SimDisk(this.world));
-    if (at === 1) this.caller = process;
+  /** Starts a process that submits jobs; the first one makes the calls of the tests. */
+  private async startCaller(index: number): Promise<void> {
+    const process = this.world.start(index === 1 ? "caller" : `caller-${index}`, new SimDisk(this.world));
+    if (index === 1) this.caller = process;
     const { env } = process;
     const settings: Settings = {
       program: "agent",
       cluster: "lots",
-      district: zone(at),
-      address: `127.0.0.1:${88 + 2 * at}`,
-      http: `127.0.0.1:${89 + 2 * at}`,
+      district: zoneOf(index),
+      address: `127.0.0.1:${88 + 2 * index}`,
+      http: `127.0.0.1:${89 + 2 * index}`,
       seeds,
     };
     const started = await this.world.finish(process, () => Node.start(env, settings, "agent"), 5000);
@@ -145,107 +146,107 @@
     });
     this.endpoints.push(endpoint);
     await this.world.finish(process, () => endpoint.start(), 1000);
-    const jobs = this;
+    const fleet = this;
     Csp.go(this.caller.scope, `announce ${id}`, function* () {
-      while (!jobs.gone.has(id)) {
-        yield* NodeContext.of(jobs.node).announce({
+      while (!fleet.departed.has(id)) {
+        yield* NodeContext.of(fleet.node).announce({
           id,
           address,
           pool: "model",
           district: "north",
           version: "v1",
-          capacity: jobs.size.slots,
+          capacity: fleet.size.slots,
           active: 0,
           waiting: 0,
           instance: `${id}-1`,
         });
-        yield* EnvTools.sleep(jobs.caller.env, 900);
+        yield* EnvTools.sleep(fleet.caller.env, 900);
       }
-      yield* NodeContext.of(jobs.node).goodbye(id);
+      yield* NodeContext.of(fleet.node).goodbye(id);
     });
   }
   goodbye(id: string): void {
-    this.gone.add(id);
+    this.departed.add(id);
   }
-  /** @example await lots.configure({ b: LotWorld.binding }); */
+  /** Configures these routes and no others. @example await fleet.configure({ b: BatchJobFleet.route }); */
   async configure(routes: Record<string, Route>): Promise<void> {
-    const jobs = this;
+    const fleet = this;
     const change = (): Task<Result<{ version: number }>> =>
-      NodeContext.of(jobs.node).control.request<{ version: number }>(
+      NodeContext.of(fleet.node).control.request<{ version: number }>(
         {
           op: "change",
           command: {
             tag: "manifest",
-            changeId: `c${jobs.version}`,
-            ifVersion: jobs.version,
+            changeId: `c${fleet.version}`,
+            ifVersion: fleet.version,
             doc: { bindings: routes },
             by: "test",
           },
         },
         8000,
       );
-    let done = await this.ask(change);
-    // a group of one waits a while for further voters before it takes its first change
-    for (let round = 0; round < 10 && !done?.ok; round += 1) {
+    let changed = await this.call(change);
+    // a control group of one waits for further voters before it accepts its first change
+    for (let attempt = 0; attempt < 10 && !changed?.ok; attempt += 1) {
       await this.world.run(1000);
-      done = await this.ask(change);
+      changed = await this.call(change);
     }
-    if (!done?.ok) throw new Error(JSON.stringify(done));
-    this.version = done.value.version;
+    if (!changed?.ok) throw new Error(JSON.stringify(changed));
+    this.version = changed.value.version;
   }
-  /** @example await lots.ask((host) => LotIntake.list(host, "L1", 0, 0)) */
-  ask<T>(body: (host: BatchSubmissionHost) => Task<T>, withinMs = 20_000): Promise<T | undefined> {
+  /** Runs a call in the first submitting process; undefined if it takes too long. @example await fleet.call((host) => BatchSubmission.list(host, "L1", 0, 0)) */
+  call<T>(body: (host: BatchSubmissionHost) => Task<T>, withinMs = 20_000): Promise<T | undefined> {
     return this.world.finish(this.caller, () => body(this.host), withinMs);
   }
   items = (job: string, count: number, tokens = 100): SubmittedItem[] =>
-    Array.from({ length: count }, (_each, at) => ({
-      id: `${job}-i${at}`,
-      target: `/b/${at}?x=1`,
+    Array.from({ length: count }, (_each, index) => ({
+      id: `${job}-i${index}`,
+      target: `/b/${index}?x=1`,
       headers: { "X-Prompt-Parts": "shared:300,own:20" },
-      body: Buffer.from(`body ${job} ${at}`).toString("base64"),
+      body: Buffer.from(`body ${job} ${index}`).toString("base64"),
       tokens,
     }));
-  handIn = (job: string, count: number, tokens = 100, withinMs = 3000) =>
-    this.ask((host) =>
+  submit = (job: string, count: number, tokens = 100, withinMs = 3000) =>
+    this.call((host) =>
       BatchSubmission.submit(
         host,
         job,
         "b",
-        { ...LotWorld.route, ...host.snapshot().control?.manifest.doc.bindings.b },
+        { ...BatchJobFleet.route, ...host.snapshot().control?.manifest.doc.bindings.b },
         this.items(job, count, tokens),
         withinMs,
       ),
     );
-  /** Several handed in at once; how long each took until it was kept. @example await lots.handInAll(["A", "B"], 3) */
-  async handInAll(ids: string[], count: number): Promise<number[]> {
-    const took = new Map<string, number>();
+  /** Submits several jobs at once; how long each took to be accepted, ms. @example await fleet.submitAll(["A", "B"], 3) */
+  async submitAll(ids: string[], count: number): Promise<number[]> {
+    const durations = new Map<string, number>();
     for (const id of ids) {
       const startedAt = this.world.now;
-      const route = { ...LotWorld.route, ...this.host.snapshot().control?.manifest.doc.bindings.b };
-      const jobs = this;
-      Csp.go(this.caller.scope, `hand in ${id}`, function* () {
-        const handed = yield* BatchSubmission.submit(jobs.host, id, "b", route, jobs.items(id, count), 3000);
-        took.set(id, handed.ok ? jobs.world.now - startedAt : Infinity);
+      const route = { ...BatchJobFleet.route, ...this.host.snapshot().control?.manifest.doc.bindings.b };
+      const fleet = this;
+      Csp.go(this.caller.scope, `submit ${id}`, function* () {
+        const submitted = yield* BatchSubmission.submit(fleet.host, id, "b", route, fleet.items(id, count), 3000);
+        durations.set(id, submitted.ok ? fleet.world.now - startedAt : Infinity);
       });
     }
-    while (took.size < ids.length) await this.world.run(10);
-    return ids.map((id) => took.get(id)!);
+    while (durations.size < ids.length) await this.world.run(10);
+    return ids.map((id) => durations.get(id)!);
   }
   async list(job: string, from = 0): Promise<JobResultPage | undefined> {
-    const listed = await this.ask((host) => BatchSubmission.list(host, job, from, 0));
+    const listed = await this.call((host) => BatchSubmission.list(host, job, from, 0));
     return listed?.ok ? listed.value : undefined;
   }
-  /** Reads until all is listed, or for so long. @example await lots.whole("L1", 8000) */
-  async whole(job: string, withinMs: number): Promise<JobResultPage> {
+  /** Reads until all results are listed, or the time is up. @example await fleet.readAll("L1", 8000) */
+  async readAll(job: string, withinMs: number): Promise<JobResultPage> {
     for (const until = this.world.now + withinMs; ;) {
       const listed = await this.list(job);
       if (listed && (listed.results.length === listed.total || this.world.now > until)) return listed;
       if (this.world.now > until)
-        throw new Error(`lot ${job} not to be read: ${JSON.stringify(Fault.fail("timeout", "list", job, ""))}`);
+        throw new Error(`job ${job} can't be read: ${JSON.stringify(Fault.fail("timeout", "list", job, ""))}`);
       await this.world.run(250);
     }
   }
-  /** The store that leads the lot's shard. @example lots.leadOf("L1") */
+  /** Name of the storage node that leads the job's shard. @example fleet.leaderOf("L1") */
   leaderOf(job: string): string {
     const shard = this.host.shardClient.shardOf(job);
     return [...this.stores].find(([, store]) => store.replicas.get(shard)?.holdsLease())?.[0] ?? "";
@@ -254,7 +255,7 @@
     this.stores.delete(name);
     this.world.kill(name, powerLost);
   }
-  /** The disk is gone while the machine is down. @example lots.wipe("store-2"); */
+  /** Empties the disk of a storage node that is down. @example fleet.wipe("store-2"); */
   wipe(name: string): void {
     this.disks.get(name)!.wipe();
   }
--- /dev/null
+++ b/test/batchJobs.test.ts
@@ -0,0 +1,206 @@
+import { BatchSubmission } from "../src/ingress/batchSubmission";
+import { EventStandIn } from "../src/tools/eventStandIn";
+import { BatchJobFleet } from "./batchJobFleet";
+
+const texts = (job: string, count: number, events = 4): string[] =>
+  Array.from({ length: count }, (_each, at) => EventStandIn.textOf(`${job}-i${at}`, events));
+
+test("a job is accepted once, every item runs as the request that it is, and its results are listed in fixed positions", async () => {
+  const fleet = await BatchJobFleet.start(1);
+  expect(await fleet.submit("L1", 12)).toEqual({ ok: true, value: { tag: "accepted" } });
+  expect(await fleet.submit("L1", 12)).toEqual({ ok: true, value: { tag: "exists", same: true, state: "" } });
+  expect(await fleet.submit("L1", 11)).toEqual({ ok: true, value: { tag: "exists", same: false, state: "" } });
+  const body = await fleet.call((host) => BatchSubmission.itemBody(host, "L1", "L1-i7"));
+  expect(body?.ok && Buffer.from(body.value.body, "base64").toString()).toBe("body L1 7");
+  const firstPage = await fleet.list("L1");
+  expect(firstPage?.total).toBe(12);
+  const page = await fleet.readAll("L1", 6000);
+  expect(page.results.map(({ text }) => text).sort()).toEqual(texts("L1", 12).sort());
+  expect(new Set(page.results.map(({ state }) => state))).toEqual(new Set(["complete"]));
+  expect((await fleet.list("L1", 9))?.results).toEqual(page.results.slice(9));
+  const runs = fleet.endpoints.flatMap((endpoint) => endpoint.runs);
+  expect(runs).toHaveLength(12);
+  expect(runs.find((run) => run.id === "L1-i3")).toMatchObject({
+    target: "/b/3?x=1",
+    host: "kiln.example",
+    body: "body L1 3",
+    after: 0,
+  });
+  expect(await fleet.call((host) => BatchSubmission.list(host, "L2", 0, 0))).toMatchObject({
+    ok: false,
+    fault: { tag: "notFound" },
+  });
+  expect(fleet.errors()).toEqual([]);
+}, 120_000);
+test("a stream is resumed after its last event, 422 and repeated failures abandon an item, and what did not run is retried", async () => {
+  const fleet = await BatchJobFleet.start(2);
+  for (const endpoint of fleet.endpoints)
+    endpoint.behavior = (id, turn) => {
+      switch (id) {
+        case "M-i0":
+          return turn < 3 ? { tag: "cut", after: 2 } : { tag: "complete" };
+        case "M-i1":
+          return { tag: "status", status: 422 };
+        case "M-i2":
+          return { tag: "status", status: 500 };
+        case "M-i3":
+          return turn < 4 ? { tag: "notRun" } : { tag: "complete" };
+        case "M-i4":
+          return turn < 2 ? { tag: "silent" } : { tag: "complete" };
+        case "M-i5":
+          return turn < 2 ? { tag: "status", status: 500 } : { tag: "complete" };
+        default:
+          return { tag: "complete" };
+      }
+    };
+  expect((await fleet.submit("M", 7))?.ok).toBe(true);
+  const page = await fleet.readAll("M", 15_000);
+  const stateOf = (item: string): string => page.results.find(({ id }) => id === item)?.state ?? "none";
+  expect([0, 1, 2, 3, 4, 5, 6].map((at) => stateOf(`M-i${at}`))).toEqual([
+    "complete",
+    "abandoned",
+    "abandoned",
+    "complete",
+    "complete",
+    "complete",
+    "complete",
+  ]);
+  for (const { id, state, text } of page.results)
+    expect(text).toBe(state === "complete" ? EventStandIn.textOf(id, 4) : "");
+  const runs = (id: string): { after: number }[] =>
+    fleet.endpoints.flatMap((endpoint) => endpoint.runs).filter((run) => run.id === id);
+  expect(runs("M-i0").some((run) => run.after === 2)).toBe(true);
+  expect(runs("M-i1")).toHaveLength(1);
+  expect(runs("M-i2")).toHaveLength(3);
+  expect(fleet.errors()).toEqual([]);
+}, 120_000);
+
+test("an ended job starts no item, aborts what runs, still lists its results, and may be ended again", async () => {
+  const fleet = await BatchJobFleet.start(3, { slots: 4, events: 40 });
+  expect((await fleet.submit("E", 40))?.ok).toBe(true);
+  await fleet.world.run(2500);
+  const before = (await fleet.list("E"))!;
+  expect(await fleet.call((host) => BatchSubmission.end(host, "E", "caller"))).toEqual({
+    ok: true,
+    value: { ended: true },
+  });
+  const endedAt = fleet.caller.env.wall();
+  await fleet.world.run(200);
+  expect(fleet.endpoints.map(({ active }) => active)).toEqual([0, 0]);
+  await fleet.world.run(3000);
+  expect(fleet.endpoints.flatMap((endpoint) => endpoint.runs).filter((run) => run.at > endedAt + 50)).toEqual([]);
+  expect(await fleet.call((host) => BatchSubmission.end(host, "E", "caller"))).toEqual({
+    ok: true,
+    value: { ended: true },
+  });
+  const after = (await fleet.list("E"))!;
+  expect(after.results.slice(0, before.results.length)).toEqual(before.results);
+  expect(after).toMatchObject({ total: 40, ended: true });
+  expect(after.results.length).toBeLessThan(40);
+  expect(await fleet.call((host) => BatchSubmission.end(host, "none", "caller"))).toMatchObject({
+    ok: false,
+    fault: { tag: "notFound" },
+  });
+  expect(await fleet.call((host) => BatchSubmission.itemBody(host, "E", "E-i39"))).toMatchObject({
+    ok: false,
+    fault: { tag: "notFound" },
+  });
+  expect(fleet.errors()).toEqual([]);
+}, 120_000);
+
+test("the quota of waiting tokens holds over all shards: what fits is accepted, the rest rejected, and ended jobs free it", async () => {
+  const fleet = await BatchJobFleet.start(4, { slots: 2, events: 20 }, { maxWaitingTokens: 10_000 });
+  let acceptedCount = 0;
+  const refused: string[] = [];
+  for (let at = 0; at < 14; at += 1) {
+    const response = await fleet.submit(`Q${at}`, 10, 100);
+    if (response?.ok) acceptedCount += 1;
+    else refused.push(response && !response.ok ? response.fault.step : "nothing");
+  }
+  expect(acceptedCount).toBeGreaterThanOrEqual(10);
+  expect(acceptedCount).toBeLessThanOrEqual(11);
+  expect(new Set(refused)).toEqual(new Set(["quota"]));
+  expect(await fleet.call((host) => BatchSubmission.end(host, "Q8", "caller"))).toMatchObject({ ok: true });
+  await fleet.world.run(100);
+  expect((await fleet.submit("Q20", 5, 100))?.ok).toBe(true);
+  expect(await fleet.submit("Q13", 100, 200)).toMatchObject({ ok: false, fault: { step: "quota" } });
+  expect(fleet.errors()).toEqual([]);
+}, 120_000);
+
+test("a submission that was given up is never stored, and the job is accepted when it is submitted again", async () => {
+  const fleet = await BatchJobFleet.start(5);
+  const leader = fleet.leaderOf("R");
+  fleet.world.cut(leader, "caller"); // requests arrive, responses are lost
+  const abandonedSubmission = fleet.submit("R", 5, 100, 700);
+  await fleet.world.run(700);
+  fleet.world.heal();
+  const response = await abandonedSubmission;
+  // it has been stored meanwhile, or it is certain that it never will be
+  expect(response?.ok ? response.value.tag : response?.fault.tag).toMatch(/exists|accepted|busy/);
+  const runs = (): number =>
+    fleet.endpoints.flatMap((endpoint) => endpoint.runs).filter((run) => run.id.startsWith("R-")).length;
+  await fleet.world.run(2000);
+  if (!response?.ok) expect(runs()).toBe(0);
+  expect((await fleet.submit("R", 5))?.ok).toBe(true);
+  expect((await fleet.readAll("R", 6000)).results).toHaveLength(5);
+  const shard = fleet.host.shardClient.shardOf("S");
+  const refuse = await fleet.call((host) =>
+    BatchSubmission.refuse(host, "S", { tag: "unknown", step: "", member: "", detail: "" }),
+  );
+  expect(refuse).toMatchObject({ ok: false, fault: { tag: "busy" } });
+  const firstPage = { time: Math.floor(fleet.caller.env.wall()) - 1000, node: "early", seq: 0 };
+  const { lot: job, cause } = BatchSubmission.toJob(fleet.host, "S", "b", BatchJobFleet.route, fleet.items("S", 2));
+  const arrivalText = `${firstPage.time}~early~0`;
+  const late = await fleet.call((host) =>
+    host.shardClient.callLeader(
+      shard,
+      "lot.handIn",
+      () => ({ stamp: host.shardClient.stamp(host.env.wall()), life: arrivalText, lot: job, cause }),
+      2000,
+    ),
+  );
+  expect(late).toMatchObject({ ok: false, fault: { tag: "busy" } });
+  expect((await fleet.submit("S", 2))?.ok).toBe(true);
+  expect(fleet.errors()).toEqual([]);
+}, 120_000);
+
+test("a killed leader loses no job: the next one runs the items without a result, and positions stay", async () => {
+  const fleet = await BatchJobFleet.start(6, { stores: 4, slots: 4, events: 20 });
+  expect((await fleet.submit("K", 30))?.ok).toBe(true);
+  await fleet.world.run(2200);
+  const before = (await fleet.list("K"))!;
+  expect(before.results.length).toBeGreaterThan(0);
+  expect(before.results.length).toBeLessThan(30);
+  fleet.kill(fleet.leaderOf("K"));
+  await fleet.world.run(300);
+  expect((await fleet.list("K"))!.results.slice(0, before.results.length)).toEqual(before.results); // read from the other replicas
+  const page = await fleet.readAll("K", 25_000);
+  expect(page.results.slice(0, before.results.length)).toEqual(before.results);
+  expect(page.results.map(({ text }) => text).sort()).toEqual(texts("K", 30, 20).sort());
+  expect(fleet.errors()).toEqual([]);
+}, 120_000);
+
+test("items of a removed route are abandoned, and an endpoint that said goodbye gets no item", async () => {
+  const fleet = await BatchJobFleet.start(8, { slots: 2, events: 20 });
+  expect((await fleet.submit("G", 30))?.ok).toBe(true);
+  await fleet.world.run(1500);
+  fleet.goodbye("r1");
+  await fleet.world.run(1500);
+  const leftAt = fleet.caller.env.wall();
+  await fleet.configure({});
+  const page = await fleet.readAll("G", 6000);
+  expect(new Set(page.results.map(({ state }) => state))).toEqual(new Set(["complete", "abandoned"]));
+  expect(fleet.endpoints[0].runs.filter((run) => run.at > leftAt)).toEqual([]);
+  expect(fleet.errors()).toEqual([]);
+}, 120_000);
+
+test("a job submitted while a storage node freezes, the leader or another replica, is stored within 1250 ms", async () => {
+  for (const seed of [11, 12, 13]) {
+    const fleet = await BatchJobFleet.start(seed, { stores: 4 });
+    fleet.freeze("store-2");
+    await fleet.world.run(50);
+    const durations = await fleet.submitAll(["A", "B", "C", "D", "E", "F", "G", "H"], 3);
+    expect({ seed, late: durations.filter((ms) => ms > 1250) }).toEqual({ seed, late: [] });
+    expect(fleet.errors()).toEqual([]);
+  }
+}, 120_000);
