--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -1,6 +1,7 @@
 import sade from "sade";
 import { DaemonCommand } from "./daemonCommand";
-import { FleetCommand } from "./fleetCommand";
+import { addFleetCommand } from "./fleetCommand";
+import { addLoadgenCommand } from "./loadgenCommand";
 import { ModelCommand } from "./modelCommand";
 import { addOperatorCommands } from "./operatorCommands";
 import { addQueryCommand } from "./queryCommand";
@@ -19,7 +20,8 @@
     program.version("0.1.0").describe("A serving tier with a batch interface: calendar, policies, ledger.");
     DaemonCommand.add(program);
     addOperatorCommands(program);
-    FleetCommand.add(program);
+    addFleetCommand(program);
+    addLoadgenCommand(program);
     SimCommand.add(program);
     ModelCommand.add(program);
     ScaleCommand.add(program);
--- a/src/cli/eventsCommand.ts
+++ b/src/cli/eventsCommand.ts
@@ -1,6 +1,6 @@
 import type { Sade } from "sade";
 import { LogEvents } from "../common/logEvents";
-import { printLine } from "./operator/commandRunner";
+import { printLine } from "./output";
 
 function printCatalogue(): void {
   printLine(
--- a/src/cli/operator/calendarCommands.ts
+++ b/src/cli/operator/calendarCommands.ts
@@ -1,11 +1,11 @@
 import type { Sade } from "sade";
+import { readJsonFile } from "../jsonFile";
+import { printLine } from "../output";
 import {
   ChangeOptions,
   CommandOptions,
   changeCommand,
   nodeCommand,
-  printLine,
-  readJsonFile,
   readResource,
   sendChange,
   versionOption,
--- a/src/cli/operator/commandRunner.ts
+++ b/src/cli/operator/commandRunner.ts
@@ -1,12 +1,12 @@
-import * as fs from "fs";
 import type { Sade } from "sade";
+import { printError, printLine, USAGE_EXIT_CODE } from "../output";
 import { OperatorResponse, sendRequest } from "./operatorClient";
 import { ChangeBody, ProblemBody } from "./responses";
 
 /** Exit codes of the operators' commands. */
 export const ExitCode = {
   refused: 1,
-  usage: 2,
+  usage: USAGE_EXIT_CODE,
   notReached: 3,
   /** The change may or may not have been taken. */
   outcomeUnknown: 4,
@@ -33,21 +33,6 @@
   version?: number;
 }
 
-/** Writes a line to standard output. @example printLine("version 3"); */
-export const printLine = (text: string): void => void process.stdout.write(`${text}\n`);
-/** Writes a line to standard error. @example printError("file.json: not found"); */
-export const printError = (text: string): void => void process.stderr.write(`${text}\n`);
-
-/** A JSON file named on the command line; ends the process with exit code 2 where it can't be read. @example readJsonFile("policies.json") */
-export function readJsonFile(name: string): unknown {
-  try {
-    return JSON.parse(fs.readFileSync(name, "utf8"));
-  } catch (error) {
-    printError(`${name}: ${(error as Error).message}`);
-    process.exit(ExitCode.usage);
-  }
-}
-
 function exitCodeOf(status: number): number {
   if (status === 504) return ExitCode.outcomeUnknown;
   return status === 400 || status === 428 ? ExitCode.usage : ExitCode.refused;
--- a/src/cli/operator/documentCommands.ts
+++ b/src/cli/operator/documentCommands.ts
@@ -1,14 +1,13 @@
 import type { Sade } from "sade";
 import { OperatorSchemas } from "../../adapters/operatorSchemas";
+import { readJsonFile } from "../jsonFile";
+import { printError, printLine } from "../output";
 import {
   ChangeOptions,
   CommandOptions,
   changeCommand,
   ExitCode,
   nodeCommand,
-  printError,
-  printLine,
-  readJsonFile,
   readResource,
   sendChange,
   versionOption,
--- a/src/cli/operator/inspectionCommands.ts
+++ b/src/cli/operator/inspectionCommands.ts
@@ -1,5 +1,6 @@
 import type { Sade } from "sade";
-import { CommandOptions, nodeCommand, printLine, readResource } from "./commandRunner";
+import { printLine } from "../output";
+import { CommandOptions, nodeCommand, readResource } from "./commandRunner";
 import { LedgerEntryBody, MembersBody, ShardsBody, WhyBody } from "./responses";
 
 interface LedgerOptions extends CommandOptions {
--- a/src/cli/operator/maintenanceCommands.ts
+++ b/src/cli/operator/maintenanceCommands.ts
@@ -1,12 +1,11 @@
 import type { Sade } from "sade";
+import { printError, printLine } from "../output";
 import {
   ChangeOptions,
   CommandOptions,
   changeCommand,
   ExitCode,
   nodeCommand,
-  printError,
-  printLine,
   readResource,
   reportProblem,
   sendChange,
--- a/src/cli/queryCommand.ts
+++ b/src/cli/queryCommand.ts
@@ -1,5 +1,6 @@
 import type { Sade } from "sade";
-import { CommandOptions, ExitCode, nodeCommand, printError, printLine } from "./operator/commandRunner";
+import { printError, printLine } from "./output";
+import { CommandOptions, ExitCode, nodeCommand } from "./operator/commandRunner";
 import { sendRequest } from "./operator/operatorClient";
 import { MembersBody, ShardsBody } from "./operator/responses";
 import { queryTables, Row, runSelect, Tables } from "./selectQuery";
--- a/src/tools/deployment.ts
+++ b/src/tools/deployment.ts
@@ -4,7 +4,7 @@
 import { PolicyRule } from "../controlState/policy";
 import { Fault, Result } from "../common/fault";
 import { Settings } from "../common/settings";
-import { Proxied } from "./linkProxies";
+import { ProxiedProcess } from "./fleet/linkProxies";
 import { ReplicaSettings } from "./standIns";
 
 export type Mix = {
@@ -27,7 +27,7 @@
 };
 export type ProcessPlan = { name: string; settings: Settings };
 export type Plan = {
-  proxied: Proxied[];
+  proxied: ProxiedProcess[];
   processes: ProcessPlan[];
   replicas: ReplicaSettings[];
   ingressHttp: string[];
@@ -156,7 +156,7 @@
         },
       })),
     ];
-    const proxied: Proxied[] = [];
+    const proxied: ProxiedProcess[] = [];
     if (proxies)
       for (const each of processes.filter((every) => every.settings.program !== "ingress")) {
         each.settings.bind = next();
--- /dev/null
+++ b/src/tools/fleet/fleet.ts
@@ -0,0 +1,104 @@
+import { ChildProcess, spawn } from "child_process";
+import * as fs from "fs";
+import * as path from "path";
+import { Csp, Task } from "../../runtime/csp";
+import { Env, EnvTools } from "../../runtime/env";
+import { Plan, ProcessPlan } from "../deployment";
+import { StandInReplica } from "../standIns";
+import { FleetOperator } from "./fleetOperator";
+import { LinkProxies } from "./linkProxies";
+
+const MAIN_FILE = path.join(__dirname, "../../main.js");
+const EXIT_POLL_MS = 20;
+
+const hasExited = (child: ChildProcess): boolean => child.exitCode !== null || child.signalCode !== null;
+
+/**
+ * All processes of a deployment on this machine, with stand-in endpoints that run in the calling process. A developer's
+ * tool, and the only code that starts processes.
+ *
+ * @example
+ * const fleet = new Fleet(env, plan, "run");
+ * fleet.startAll();
+ * yield* fleet.startEndpoints();
+ * yield* fleet.operator.waitUntilReady(30_000);
+ */
+export class Fleet {
+  /** Child processes by their names in the plan. */
+  readonly children = new Map<string, ChildProcess>();
+  readonly endpoints: StandInReplica[] = [];
+  readonly operator: FleetOperator;
+  private proxies: LinkProxies | undefined;
+
+  /** @param folder folder of the processes' settings, output and data */
+  constructor(
+    readonly env: Env,
+    readonly plan: Plan,
+    private readonly folder: string,
+  ) {
+    this.operator = new FleetOperator(env, plan);
+  }
+
+  /** The proxies between the processes; throws where the plan has none. @example fleet.linkProxies.heal(); */
+  get linkProxies(): LinkProxies {
+    if (!this.proxies) throw new Error("the plan has no proxies");
+    return this.proxies;
+  }
+  /** Starts one process; its output is appended to a file in the folder. @example fleet.start(plan.processes[0]); */
+  start({ name, settings }: ProcessPlan): void {
+    const settingsFile = path.join(this.folder, `${name}.json`);
+    fs.writeFileSync(settingsFile, JSON.stringify(settings, null, 2));
+    const output = fs.openSync(path.join(this.folder, `${name}.out`), "a");
+    const child = spawn(process.execPath, [MAIN_FILE, settings.program, "--settings", settingsFile], {
+      stdio: ["ignore", output, output],
+      env: { ...process.env, UV_USE_IO_URING: "0" },
+    });
+    fs.closeSync(output);
+    this.children.set(name, child);
+  }
+  /** Starts all processes of the plan. @example fleet.startAll(); */
+  startAll(): void {
+    fs.mkdirSync(this.folder, { recursive: true });
+    for (const process of this.plan.processes) this.start(process);
+  }
+  /** Opens the proxies at the announced addresses, if the plan has any. @example yield* fleet.startProxies(); */
+  *startProxies(): Task<void> {
+    if (this.plan.proxied.length === 0) return;
+    const proxies = new LinkProxies(this.plan.proxied);
+    this.proxies = proxies;
+    const opened = Csp.chan<true>(1);
+    proxies.open().then(
+      () => opened.close(),
+      (error: Error) => {
+        process.stderr.write(`proxies: ${error.message}\n`);
+        opened.close();
+      },
+    );
+    yield* Csp.take(opened);
+  }
+  /** Starts the stand-in endpoints in this process, so that the checker sees their runs. @example yield* fleet.startEndpoints(); */
+  *startEndpoints(): Task<void> {
+    for (const settings of this.plan.replicas) {
+      const endpoint = new StandInReplica(this.env, settings);
+      yield* endpoint.start();
+      this.endpoints.push(endpoint);
+    }
+  }
+  /** Sends a signal to a process; does nothing for an unknown name. @example fleet.signal("store-1", "SIGKILL"); */
+  signal(name: string, signal: NodeJS.Signals): void {
+    this.children.get(name)?.kill(signal);
+  }
+  /** Waits for the exit of a process; false if it still runs after `withinMs`. @example yield* fleet.waitForExit("store-1", 10_000) */
+  *waitForExit(name: string, withinMs: number): Task<boolean> {
+    const child = this.children.get(name);
+    if (!child) return true;
+    const deadline = this.env.mono() + withinMs;
+    while (!hasExited(child) && this.env.mono() < deadline) yield* EnvTools.sleep(this.env, EXIT_POLL_MS);
+    return hasExited(child);
+  }
+  /** Kills all processes and closes the proxies. @example fleet.stopAll(); */
+  stopAll(): void {
+    this.proxies?.close();
+    for (const child of this.children.values()) if (child.exitCode === null) child.kill("SIGKILL");
+  }
+}
--- /dev/null
+++ b/src/tools/fleet/fleetOperator.ts
@@ -0,0 +1,119 @@
+import { ChangeBody, MembersBody } from "../../cli/operator/responses";
+import { Task } from "../../runtime/csp";
+import { Env, EnvTools } from "../../runtime/env";
+import { Deployment, Plan } from "../deployment";
+
+const REQUEST_TIMEOUT_MS = 8000;
+const RESPONSE_LIMIT_BYTES = 16_000_000;
+const READY_POLL_MS = 150;
+const CONFIGURE_RETRY_MS = 200;
+
+/** A node's response; the body is parsed JSON, or the text where it is no JSON. */
+export interface FleetResponse {
+  status: number;
+  body: unknown;
+}
+/** One request of an operator to a node. */
+export interface FleetRequest {
+  /** Address of the node's HTTP, `IP:port`. */
+  address: string;
+  method: string;
+  path: string;
+  body?: unknown;
+  headers?: Record<string, string>;
+}
+
+function parseBody(text: string): unknown {
+  try {
+    return JSON.parse(text);
+  } catch {
+    return text;
+  }
+}
+
+/**
+ * An operator of a fleet on this machine: configures it over HTTP and reads its state.
+ *
+ * @example
+ * const operator = new FleetOperator(env, plan);
+ * yield* operator.configure(deployment, 30_000);
+ */
+export class FleetOperator {
+  constructor(
+    private readonly env: Env,
+    private readonly plan: Plan,
+  ) {}
+
+  /** Sends one request; undefined where no response came in time. @example yield* operator.request({ address, method: "GET", path: "/readyz" }) */
+  *request({ address, method, path, body, headers = {} }: FleetRequest): Task<FleetResponse | undefined> {
+    const response = yield* this.env.http(address, {
+      method,
+      path,
+      body: body === undefined ? undefined : JSON.stringify(body),
+      headers,
+      timeoutMs: REQUEST_TIMEOUT_MS,
+    });
+    if (!response.ok) return undefined;
+    const text = yield* EnvTools.bodyOf(this.env, response.value, RESPONSE_LIMIT_BYTES, REQUEST_TIMEOUT_MS);
+    if (text === undefined) return undefined;
+    return { status: response.value.status, body: parseBody(text) };
+  }
+  /** Reads a resource of a node. @example yield* operator.get("127.0.0.1:7002", "/v1/members") */
+  *get(address: string, path: string): Task<FleetResponse | undefined> {
+    return yield* this.request({ address, method: "GET", path });
+  }
+  /** A node's metrics as text; empty where the node was not reached. @example yield* operator.metrics("127.0.0.1:7002") */
+  *metrics(address: string): Task<string> {
+    const response = yield* this.get(address, "/metrics");
+    return typeof response?.body === "string" ? response.body : "";
+  }
+  /** The cluster as the first ingress knows it; undefined where that was not reached. @example yield* operator.members() */
+  *members(): Task<MembersBody | undefined> {
+    const response = yield* this.get(this.plan.ingressHttp[0], "/v1/members");
+    return response?.status === 200 ? (response.body as MembersBody) : undefined;
+  }
+  /** Waits until every ingress is ready, all endpoints are known and the ledger can be read; false if not in time. @example yield* operator.waitUntilReady(30_000) */
+  *waitUntilReady(withinMs: number): Task<boolean> {
+    const deadline = this.env.mono() + withinMs;
+    while (this.env.mono() < deadline) {
+      if ((yield* this.ingressesReady()) && (yield* this.clusterReadable())) return true;
+      yield* EnvTools.sleep(this.env, READY_POLL_MS);
+    }
+    return false;
+  }
+  /** Sends the deployment's configuration and policies, unless the fleet has some; false if they were not accepted in time. @example yield* operator.configure(deployment, 30_000) */
+  *configure(deployment: Deployment, withinMs: number): Task<boolean> {
+    const deadline = this.env.mono() + withinMs;
+    const configuration = yield* this.putInitial("/v1/manifest", deployment.manifest, deadline);
+    return configuration && (yield* this.putInitial("/v1/policies", deployment.policies, deadline));
+  }
+
+  private *ingressesReady(): Task<boolean> {
+    for (const address of this.plan.ingressHttp) {
+      const ready = yield* this.get(address, "/readyz");
+      if (ready?.status !== 200) return false;
+    }
+    return true;
+  }
+  private *clusterReadable(): Task<boolean> {
+    const members = yield* this.members();
+    const ledger = yield* this.get(this.plan.ingressHttp[0], "/v1/ledger?limit=1");
+    return members !== undefined && members.replicas.length >= this.plan.replicas.length && ledger?.status === 200;
+  }
+  /** Puts the first version of a document, at any control node, until one accepts it. */
+  private *putInitial(path: string, document: unknown, deadline: number): Task<boolean> {
+    const { controlHttp } = this.plan;
+    while (this.env.mono() <= deadline) {
+      const address = controlHttp[Math.floor(this.env.random() * controlHttp.length)];
+      const current = yield* this.get(address, path);
+      if (current?.status === 200) {
+        if ((current.body as ChangeBody).version > 0) return true;
+        const headers = { "if-match": '"0"' };
+        const put = yield* this.request({ address, method: "PUT", path, body: document, headers });
+        if (put?.status === 200) return true;
+      }
+      yield* EnvTools.sleep(this.env, CONFIGURE_RETRY_MS);
+    }
+    return false;
+  }
+}
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -1,11 +1,12 @@
 import * as fs from "fs";
 import * as os from "os";
 import * as path from "path";
-import { Fleet } from "../src/cli/fleetCommand";
+import { WhyBody } from "../src/cli/operator/responses";
 import { EnvTools } from "../src/runtime/env";
 import { Callers } from "../src/tools/callers/callers";
 import { Checker } from "../src/tools/checker";
 import { Deployment } from "../src/tools/deployment";
+import { Fleet } from "../src/tools/fleet/fleet";
 import { History } from "../src/tools/history";
 import { TestTools } from "./tools";
 
@@ -22,8 +23,8 @@
       fleet = new Fleet(env, plan, folder);
       fleet.startAll();
       yield* fleet.startEndpoints();
-      expect(yield* Fleet.configure(env, plan, deployment, 60_000)).toBe(true);
-      expect(yield* Fleet.ready(env, plan, 60_000)).toBe(true);
+      expect(yield* fleet.operator.configure(deployment, 60_000)).toBe(true);
+      expect(yield* fleet.operator.waitUntilReady(60_000)).toBe(true);
       const history = new History();
       const callers = new Callers(env, deployment.mix, plan.ingressHttp, history);
       callers.start(1);
@@ -62,13 +63,13 @@
       ).toEqual([]);
       expect(history.of("lotFinished").length).toBeGreaterThanOrEqual(finished + 5);
       const [job] = callers.acceptedJobs.keys();
-      const why = yield* Fleet.json(env, plan.ingressHttp[0], "GET", `/v1/why/${job}`);
-      expect(
-        why?.body.entries.some((entry: { decision: string }) => entry.decision.startsWith("accepted with 12 items")),
-      ).toBe(true);
+      const why = yield* fleet.operator.get(plan.ingressHttp[0], `/v1/why/${job}`);
+      expect((why?.body as WhyBody).entries.some((entry) => entry.decision.startsWith("accepted with 12 items"))).toBe(
+        true,
+      );
       // SIGTERM ends a process by itself
       fleet.signal("ingress-1", "SIGTERM");
-      expect(yield* fleet.ended("ingress-1", 30_000)).toBe(true);
+      expect(yield* fleet.waitForExit("ingress-1", 30_000)).toBe(true);
       expect(fleet.children.get("ingress-1")!.exitCode).toBe(0);
     });
   } finally {
