--- a/src/common/constants.ts
+++ b/src/common/constants.ts
@@ -81,25 +81,25 @@
   trailingLogEntries: 500, // entries; stay in memory before a snapshot, for followers a little behind or still receiving the snapshot before
   trailingLogBytes: 4_194_304, // bytes; of those, at most
   proposeTimeoutMs: 1800, // ms; an operator waits this long before fate is called unknown
-  voterGoneMs: 4000, // ms; a lead that was just chosen may not have heard of every store for this long
-  voterDeadMs: 200, // ms; a voter found dead is replaced this much later: inside the time that a loss counts, and before the next may come
-  voterLeftMs: 1500, // ms; a voter that left in order is replaced this much later: most are started again on the same disk before
-  voterUnknownMs: 2000, // ms; a voter that a lead never heard of in so long since its own start is gone: after a loss of all power nobody remembers who is missing
-  voterUnknownLeadMs: 400, // ms; and since it leads
-  dutyPeriodMs: 150, // ms; the lead looks at its voters
+  voterGoneMs: 4000, // ms; a leader that was just elected may not have discovered every storage node for this long
+  voterDeadMs: 200, // ms; a voter that is found dead is replaced this much later: inside the time that a loss counts, and before the next may come
+  voterLeftMs: 1500, // ms; a voter that left in order is replaced this much later: most restart on the same disk before
+  voterUnknownMs: 2000, // ms; a voter that a leader has not discovered for so long since its own start counts as lost: after a power loss of all nobody remembers who is missing
+  voterUnknownLeaderMs: 400, // ms; and so long since it became the leader
+  leaderTaskPeriodMs: 150, // ms; how often the leader checks its voters, and a follower whether it has become the leader
   recoveryIndexGap: 1_000_000, // indexes and terms; a recovered group begins so far above its voter's log, past all that the lost voters may have had
   recoveryEpochGap: 1_000_000, // epochs; the same for shard views
   losses: 1, // machines; lost at once, where settings don't say: three voters, so that a cut in two of four leaves two of three on one side
-  groupGrowMs: 4000, // ms; a founded group that is short of voters takes no first change for so long
-  foundRetryMs: 300, // ms; founders ask each other again
-  movesKept: 1000, // calendar entries; of those that have ended: the ledger tells of older ones
-  orderResendMs: 5000, // ms; a drain, undrain or retirement may be sent again for so long after its first sending: ack_timeout_ms and one answer
-  leaderClockKeptMs: 60_000, // ms; a reading of the lead's clock is used for so long: clocks part by less than 10 ms in it
+  groupGrowMs: 4000, // ms; a group that was bootstrapped with too few voters takes no first change for so long
+  bootstrapRetryMs: 300, // ms; pause between attempts to bootstrap the consensus group
+  endedEntriesRetained: 1000, // ended calendar entries that the state retains; the ledger has the older ones
+  orderRetryMs: 5000, // ms; a drain, undrain or retirement may be retried for so long after its first attempt: ack_timeout_ms and one response
+  leaderClockMaxAgeMs: 60_000, // ms; a reading of the leader's clock is used for so long: clocks drift by less than 10 ms in it
   callerGoneLookMs: 5, // ms; an order that carries no version waits so long for the news that its caller has gone
-  controlAskMs: 2200, // ms; one control member is waited for so long, before the next is asked
-  acceptedKept: 10_000, // accepted changes of a document; 26 bytes each in a snapshot; a resend of an older one gets no clear answer
-  changeDigestLength: 15, // hexadecimal digits of a change id's hash that are kept
-  changesKept: 2000, // change outcomes; asked after by change id
+  controlAskMs: 2200, // ms; one control node is waited for so long, before the next is called
+  acceptedChangesRetained: 10_000, // accepted changes remembered for each document; 26 bytes each in a snapshot; a retry of an older one gets no definite outcome
+  changeDigestLength: 15, // hexadecimal digits of a change id's hash that are stored
+  changeOutcomesRetained: 2000, // outcomes of changes remembered by change id
   standbyMaxLag: 20, // entries; a standby this close may become a voter
 
   // --- shards ---
@@ -110,16 +110,16 @@
   shardLeaseMarginMs: 100, // ms; the lead stops this much before the grant's end
   leaseRenewMs: 150, // ms; idle renewal, also carries the frontier to the copies; where puts go, they renew
   memberSilentMs: 400, // ms; a member that has not synced for this long is left out by a new view while its lead lives: some 10 of the longest stalls seen
-  leaderSilentMs: 500, // ms; three renewals missed, as control and every other member say: a new view need not wait for suspicion
+  leaderSilentMs: 500, // ms; three lease renewals missed, by the control leader and every other member: a new view need not wait for suspicion
   replicateTimeoutMs: 300, // ms; a member that does not sync by then counts as silent since it was asked
-  sealTimeoutMs: 700, // ms; survivors answer a seal by then or stay out
-  levelTimeoutMs: 1500, // ms; who is not at the sealed end by then is left out of the next view; a missing tail takes a few ms
-  statusPeriodMs: 400, // ms; control lead looks at every store; at once when one calls
-  statusFreshMs: 1800, // ms; a store whose status is older is not counted on
-  lookWaitMs: 100, // ms; a look waits so long for the slowest store
-  lookAgainMs: 60, // ms; calls within it share a look
+  sealTimeoutMs: 700, // ms; a member that has not responded to a seal by then is left out of the next view
+  levelTimeoutMs: 1500, // ms; a node that does not hold the sealed end by then is left out of the next view; a missing tail takes a few ms
+  statusPeriodMs: 400, // ms; the leader polls every storage node this often; at once when one requests a check
+  statusFreshMs: 1800, // ms; a storage node whose status is older counts as down
+  statusWaitMs: 100, // ms; a poll of the storage nodes waits so long for the slowest
+  statusPollGapMs: 60, // ms; shortest pause between two polls, so that requested checks share one
   claimOldMs: 1000, // ms; a claim that waited longer for its delivery is given back: by now the duty may be another's
-  viewSettleMs: 2500, // ms; the first views wait this long for stores to be found
+  storeDiscoveryMs: 2500, // ms; the first views wait this long for storage nodes to be discovered
   shardLogKeep: 500, // entries; log is folded into a slot past this length
   shardLogBytes: 4_194_304, // bytes; or past this size, so that a start reads no more than two such logs
   putBatch: 256, // puts; ordered and synced together
@@ -134,7 +134,7 @@
   segmentBitsPerSubject: 12, // bits; of a ledger segment's filter: about one false hit in two hundred
   putIdKeepMs: 30_000, // ms; past the stamp or deadline of a put; nobody asks again under its id for longer than 20 s
   refusalKeepMs: 700_000, // ms; a refusal outlives the longest deadline, and with it every late open of its request
-  fillAskMs: 6000, // ms; control asks a copy being filled anew after this long
+  fillCallTimeoutMs: 6000, // ms; the leader calls a replica that is copying state again after this long
   aboutEntriesMax: 2000, // entries; sealed ones told about one subject of a shard
   fillPieceBytes: 1_048_576, // bytes; of a segment in one message
   fillBytesPerSecond: 16_777_216, // bytes a second; a copy being filled takes no more from its source, so that live traffic keeps the disk
@@ -156,7 +156,7 @@
   deflateSearchBytes: 16_384, // bytes; in a longer body no repeats are looked for
   deflateShare: 0.9, // share; of its length that a deflated body must stay under
   frameLimitBytes: 33_554_432, // bytes; one frame between processes
-  controlRetryMs: 120, // ms; pause before another control member is asked
+  controlRetryMs: 120, // ms; pause before another control node is called
   changeWaitMs: 6000, // ms; an operator's change is followed through a change of lead this long
   deadlineMaxMs: 600_000, // ms; a binding's deadline, at most: refusals are remembered for longer
   requestDeadlineMs: 10_000, // ms; when neither caller nor binding says
@@ -244,8 +244,8 @@
   ledgerBatch: 500, // entries; waiting for that; beyond it the oldest are counted as lost
 
   // --- moves ---
-  movePeriodMs: 250, // ms; the control lead looks for due entries
-  drainSettleMs: 1500, // ms; a drained district is looked at again
+  calendarPeriodMs: 250, // ms; how often the leader checks the calendar for due entries
+  drainSettleMs: 1500, // ms; a drained zone is checked again after this long
   stopGraceMs: 6800, // ms; after SIGTERM, work in flight may take this long; a second before the platform's hard stop
 
   // --- metrics ---
--- a/src/control/calendarRunner.ts
+++ b/src/control/calendarRunner.ts
@@ -49,7 +49,10 @@
 
   private *loop(): Task<void> {
     for (;;) {
-      yield* EnvTools.sleep(this.env, this.group.role === "leader" ? Constants.movePeriodMs : Constants.dutyPeriodMs);
+      yield* EnvTools.sleep(
+        this.env,
+        this.group.role === "leader" ? Constants.calendarPeriodMs : Constants.leaderTaskPeriodMs,
+      );
       if (!this.group.hasLeaderLease()) continue;
       for (const entry of Object.values(this.group.state.calendar)) if (this.isRunnable(entry)) this.run(entry);
     }
--- a/src/control/groupBootstrap.ts
+++ b/src/control/groupBootstrap.ts
@@ -100,7 +100,7 @@
   /** Tries until this node belongs to a group. @example EnvTools.keep(env, env.scope, "bootstrap", () => bootstrap.run()); */
   *run(): Task<void> {
     while (!this.group.isBootstrapped()) {
-      yield* EnvTools.sleep(this.env, Constants.foundRetryMs);
+      yield* EnvTools.sleep(this.env, Constants.bootstrapRetryMs);
       yield* this.attempt();
     }
     for (;;) yield* EnvTools.sleep(this.env, IDLE_SLEEP_MS);
--- a/src/control/ledgerDelivery.ts
+++ b/src/control/ledgerDelivery.ts
@@ -27,7 +27,7 @@
   *run(): Task<void> {
     for (;;) {
       const isLeader = this.group.role === "leader";
-      yield* EnvTools.sleep(this.env, isLeader ? DELIVERY_INTERVAL_MS : Constants.dutyPeriodMs);
+      yield* EnvTools.sleep(this.env, isLeader ? DELIVERY_INTERVAL_MS : Constants.leaderTaskPeriodMs);
       if (!this.group.hasLeaderLease()) continue;
       const undelivered = this.group.state.untold.slice(0, MAX_BATCH);
       const hasAllShards = Object.keys(this.group.state.views).length >= Constants.shardCount;
--- a/src/control/replicaJoin.ts
+++ b/src/control/replicaJoin.ts
@@ -34,7 +34,7 @@
       target.address,
       "shard.fill",
       { shard, from: source },
-      Constants.fillAskMs,
+      Constants.fillCallTimeoutMs,
       () => !this.statuses.isResponsive(target.id),
     );
     if (!filled.ok || filled.value.tag !== "ok") return;
--- a/src/control/shardPlacement.ts
+++ b/src/control/shardPlacement.ts
@@ -81,7 +81,7 @@
       yield* this.statuses.poll();
       const polledAt = this.env.mono();
       for (let shard = 0; shard < Constants.shardCount; shard += 1) this.checkShard(shard);
-      yield* EnvTools.sleep(this.env, polledAt + Constants.lookAgainMs - this.env.mono());
+      yield* EnvTools.sleep(this.env, polledAt + Constants.statusPollGapMs - this.env.mono());
     }
   }
 
@@ -112,7 +112,7 @@
   }
 
   private checkFirstView(shard: number): void {
-    const isSettled = this.env.mono() - this.statuses.firstStoreAt > Constants.viewSettleMs;
+    const isSettled = this.env.mono() - this.statuses.firstStoreAt > Constants.storeDiscoveryMs;
     if (isSettled && this.selection.candidates(shard, []).length > 0)
       this.startChange(shard, "first view of", () => this.proposeFirstView(shard));
   }
--- a/src/control/storeStatuses.ts
+++ b/src/control/storeStatuses.ts
@@ -64,7 +64,7 @@
         if (response.ok) statuses.store(id, response.value);
         Csp.offer(done, true);
       });
-    const deadline = this.env.mono() + Constants.lookWaitMs;
+    const deadline = this.env.mono() + Constants.statusWaitMs;
     for (let received = 0; received < stores.length && this.env.mono() < deadline; received += 1)
       yield* EnvTools.takeWithin(this.env, done, deadline - this.env.mono());
     this.lastPollAt = startedAt;
--- a/src/control/voterManager.ts
+++ b/src/control/voterManager.ts
@@ -22,7 +22,7 @@
   /** @example EnvTools.keep(env, env.scope, "voters", () => voterManager.run()); */
   *run(): Task<void> {
     for (;;) {
-      yield* EnvTools.sleep(this.env, Constants.dutyPeriodMs);
+      yield* EnvTools.sleep(this.env, Constants.leaderTaskPeriodMs);
       if (!this.group.hasLeaderLease()) continue;
       const voters = VoterSelection.next(this.situation());
       if (!voters) continue;
@@ -91,7 +91,7 @@
   /** How long a node that this leader never received anything from had time to be discovered, ms. */
   private undiscoveredMs(): number {
     const now = this.env.mono();
-    const hasLedLongEnough = now - this.group.leaderSince > Constants.voterUnknownLeadMs;
+    const hasLedLongEnough = now - this.group.leaderSince > Constants.voterUnknownLeaderMs;
     return hasLedLongEnough ? now - this.startedAt : 0;
   }
 }
--- a/src/controlState/acceptedChanges.ts
+++ b/src/controlState/acceptedChanges.ts
@@ -46,7 +46,7 @@
   add(accepted: AcceptedChanges, base: number, changeId: string): void {
     accepted.bases.push(base);
     accepted.digests.push(digestOf(changeId));
-    const surplus = accepted.bases.length - Constants.acceptedKept;
+    const surplus = accepted.bases.length - Constants.acceptedChangesRetained;
     if (surplus <= 0) return;
     accepted.bases.splice(0, surplus);
     accepted.digests.splice(0, surplus);
--- a/src/controlState/calendarTable.ts
+++ b/src/controlState/calendarTable.ts
@@ -14,7 +14,7 @@
 export function putCalendarEntryAndTrim(state: ControlState, entry: CalendarEntry): void {
   const calendar = { ...state.calendar, [entry.id]: entry };
   const ended = Object.values(calendar).filter(isEnded);
-  const surplus = Math.max(0, ended.length - Constants.movesKept);
+  const surplus = Math.max(0, ended.length - Constants.endedEntriesRetained);
   for (const { id } of ended.slice(0, surplus)) delete calendar[id];
   state.calendar = calendar;
 }
--- a/src/controlState/decisions.ts
+++ b/src/controlState/decisions.ts
@@ -27,7 +27,7 @@
 ): Outcome {
   state.changes[change.changeId] = outcome;
   state.changeOrder.push(change.changeId);
-  while (state.changeOrder.length > Constants.changesKept) delete state.changes[state.changeOrder.shift()!];
+  while (state.changeOrder.length > Constants.changeOutcomesRetained) delete state.changes[state.changeOrder.shift()!];
   recordDecision(state, index, subject, decision, `change ${change.changeId} by ${change.by}`);
   return outcome;
 }
--- a/src/model/voterMaintenance.ts
+++ b/src/model/voterMaintenance.ts
@@ -19,7 +19,7 @@
   *run(incarnation: Incarnation): Task<void> {
     const { process, group } = incarnation;
     for (;;) {
-      yield* EnvTools.sleep(process.env, Constants.dutyPeriodMs);
+      yield* EnvTools.sleep(process.env, Constants.leaderTaskPeriodMs);
       if (!group.hasLeaderLease()) continue;
       const voters = this.nextVoters(incarnation);
       if (voters && this.diskLoss.allows(voters))
--- a/src/node/orderDeadline.ts
+++ b/src/node/orderDeadline.ts
@@ -52,7 +52,7 @@
    */
   *at(address: string, until: number, timeoutMs: number): Task<Result<OrderDeadline>> {
     const known = this.reading;
-    if (known?.address === address && this.env.mono() - known.localTime < Constants.leaderClockKeptMs)
+    if (known?.address === address && this.env.mono() - known.localTime < Constants.leaderClockMaxAgeMs)
       return { ok: true, value: { clockId: known.clockId, at: known.leaderTime + (until - known.localTime) } };
     const read = yield* this.rpc.call(address, "control.op", { op: "clock" }, timeoutMs);
     if (!read.ok) return read;
--- a/src/storage/shardMaintenance.ts
+++ b/src/storage/shardMaintenance.ts
@@ -47,7 +47,7 @@
         Csp.go(this.env.scope, "call for control", () =>
           this.node.rpc.call(member.address, "views.call", {}, Constants.replicateTimeoutMs),
         );
-      yield* EnvTools.sleep(this.env, Constants.lookAgainMs);
+      yield* EnvTools.sleep(this.env, Constants.statusPollGapMs);
     }
   }
 
--- a/test/controlStateMachine.test.ts
+++ b/test/controlStateMachine.test.ts
@@ -80,18 +80,18 @@
         if (base % 5 === 0) expect(apply(change(base, `loser-${base}`)).tag).toBe("conflict");
       }
     };
-    grow(Constants.changesKept + 500);
+    grow(Constants.changeOutcomesRetained + 500);
     state = JSON.parse(JSON.stringify(state)) as ControlState;
     for (const base of [0, 5, 100, 2400]) {
       expect([base, apply(change(base, `winner-${base}`))]).toEqual([base, { tag: "done", version: base + 1 }]);
       expect([base, apply(change(base, `loser-${base}`)).tag]).toEqual([base, "conflict"]);
     }
     // past what is remembered there is no clear answer, and never a wrong one
-    grow(Constants.acceptedKept + 10);
+    grow(Constants.acceptedChangesRetained + 10);
     for (const name of ["winner-3", "loser-5"]) expect(apply(change(3, name)).tag).toBe("undecided");
     expect(apply(change(10, "winner-10"))).toEqual({ tag: "done", version: 11 });
     expect(apply(change(10, "loser-10")).tag).toBe("conflict");
-    expect(JSON.stringify(state.accepted).length).toBeLessThan(30 * Constants.acceptedKept);
+    expect(JSON.stringify(state.accepted).length).toBeLessThan(30 * Constants.acceptedChangesRetained);
   });
   test("a calendar entry that replaces the configuration wins its version, and another change against that version loses", () => {
     const state = founded();
