--- a/src/consensus/consensusGroup.ts
+++ b/src/consensus/consensusGroup.ts
@@ -36,7 +36,7 @@
  * has it on disk.
  *
  * @example
- * const group = new ConsensusGroup(env, rpc, "node-1", new TwoSlots(env, "data/control"), hooks);
+ * const group = new ConsensusGroup(env, rpc, "node-1", new CheckpointedLog(env, "data/control"), hooks);
  * yield* group.open();
  * group.start();
  * const outcome = yield* group.propose({ tag: "noop" }, 1500);
@@ -53,10 +53,10 @@
     private readonly env: Env,
     private readonly rpc: Rpc,
     private readonly selfId: string,
-    slots: CheckpointedLog,
+    storage: CheckpointedLog,
     hooks: ConsensusGroupHooks,
   ) {
-    this.log = new ReplicatedLog(new LogStore(slots));
+    this.log = new ReplicatedLog(new LogStore(storage));
     this.replica = new ConsensusReplica(env, selfId, this.log, hooks);
     this.replication = new Replication(this.replica, rpc);
     this.lease = new LeaderLease(this.replica);
--- a/src/consensus/logStore.ts
+++ b/src/consensus/logStore.ts
@@ -32,20 +32,20 @@
  * returns ok; after a failed write, every further one gives the fault "disk".
  *
  * @example
- * const store = new LogStore(new TwoSlots(env, "data/control"));
+ * const store = new LogStore(new CheckpointedLog(env, "data/control"));
  * const state = yield* store.load();
  */
 export class LogStore {
-  constructor(private readonly slots: CheckpointedLog) {}
+  constructor(private readonly storage: CheckpointedLog) {}
 
   /** Whether an earlier write failed: nothing more is written. */
   get hasFailed(): boolean {
-    return this.slots.hasFailed;
+    return this.storage.hasFailed;
   }
 
   /** Reads the snapshot and replays the records; an empty state if the disk has none. */
   *load(): Task<Result<PersistentState>> {
-    const opened = yield* this.slots.open();
+    const opened = yield* this.storage.open();
     if (!opened.ok) return opened;
     const stored = opened.value.state;
     const state = stored === undefined ? emptyState() : StorageCodec.decodeState(stored);
@@ -57,11 +57,11 @@
 
   /** Appends records in one synced write. */
   append(...records: LogRecord[]): Task<Result<true>> {
-    return this.slots.append(records.map((record) => StorageCodec.encodeRecord(record)));
+    return this.storage.append(records.map((record) => StorageCodec.encodeRecord(record)));
   }
 
   /** Replaces everything on disk. */
   replace(state: PersistentState): Task<Result<true>> {
-    return this.slots.checkpoint(StorageCodec.encodeState(state));
+    return this.storage.checkpoint(StorageCodec.encodeState(state));
   }
 }
--- a/src/consensus/replicatedLog.ts
+++ b/src/consensus/replicatedLog.ts
@@ -14,7 +14,7 @@
  * Entries in memory start some way before the snapshot: followers a little behind still get them as entries.
  *
  * @example
- * const log = new ReplicatedLog(new LogStore(slots));
+ * const log = new ReplicatedLog(new LogStore(storage));
  * yield* log.open();
  * const voters = log.voters();
  */
--- /dev/null
+++ b/test/modelFaults.test.ts
@@ -0,0 +1,275 @@
+import { Constants } from "../src/common/constants";
+import { Fault, Result } from "../src/common/fault";
+import { ConsensusGroup } from "../src/consensus/consensusGroup";
+import { ConsensusReplica } from "../src/consensus/consensusReplica";
+import { MembershipChange } from "../src/consensus/membershipChange";
+import { LogEntry } from "../src/consensus/messages";
+import { ControlStateMachine } from "../src/controlState/controlStateMachine";
+import { ModelCampaign } from "../src/model/campaign";
+import { FaultInjection } from "../src/model/machine";
+import { InvariantName } from "../src/model/violation";
+import { RequestOf, ResponseOf, TypedMethod, UntypedHandler } from "../src/rpc/methods";
+import { Csp, Scope, Task } from "../src/runtime/csp";
+import { Env } from "../src/runtime/env";
+
+type Handler<Method extends TypedMethod> = (
+  body: RequestOf<Method>,
+  sender: string,
+) => Task<Result<ResponseOf<Method>>>;
+
+/** Puts another handler in place of that of a method, on each replica. */
+function replacingHandler<Method extends TypedMethod>(
+  method: Method,
+  replace: (handler: Handler<Method>, id: string) => Handler<Method>,
+): FaultInjection {
+  return {
+    rpc(rpc, id) {
+      const handle = rpc.handle.bind(rpc) as (handled: string, handler: UntypedHandler) => void;
+      rpc.handle = (handled: string, handler: UntypedHandler): void =>
+        handle(handled, handled === method ? replace(handler as Handler<Method>, id) : handler);
+    },
+  };
+}
+/** Puts another response in place of that of a handler, on each replica. */
+function replacingResponse<Method extends TypedMethod>(
+  method: Method,
+  respond: (body: RequestOf<Method>, response: ResponseOf<Method>) => ResponseOf<Method>,
+): FaultInjection {
+  return replacingHandler(
+    method,
+    (handler) =>
+      function* (body, sender) {
+        const result = yield* handler(body, sender);
+        return result.ok ? Fault.ok(respond(body, result.value)) : result;
+      },
+  );
+}
+/** Private parts of a group that faults reach into. */
+const replicaOf = (group: ConsensusGroup): ConsensusReplica =>
+  (group as unknown as { replica: ConsensusReplica }).replica;
+const scopeOf = (group: ConsensusGroup): Scope => replicaOf(group).env.scope;
+
+/** A disk that reports a sync before anything is written, and writes a while later. */
+function lyingDisk(env: Env): Env {
+  return {
+    ...env,
+    disk: {
+      ...env.disk,
+      *append(path, data) {
+        Csp.go(env.scope, "late write", function* () {
+          yield* Csp.take(env.timer(40).chan);
+          yield* env.disk.append(path, data);
+        });
+        return Fault.ok(true as const);
+      },
+    },
+  };
+}
+
+const properApply = ControlStateMachine.apply;
+const properRefusal = MembershipChange.refusal;
+const properHasLeaderLease = ConsensusGroup.prototype.hasLeaderLease;
+const properLease = Constants.controlLeaseMs;
+const setLease = (ms: number): void => void Object.assign(Constants, { controlLeaseMs: ms });
+afterEach(() => {
+  ControlStateMachine.apply = properApply;
+  MembershipChange.refusal = properRefusal;
+  ConsensusGroup.prototype.hasLeaderLease = properHasLeaderLease;
+  setLease(properLease);
+});
+/** Plays walks until one fails; which invariant it broke. */
+async function found(faults: FaultInjection, walks: number, prepare: () => void = () => undefined): Promise<string> {
+  prepare();
+  const options = { firstSeed: 1, walks, voters: 3 as const, faults, shrinkLimit: 0, stopAtFailure: true };
+  const report = await ModelCampaign.run(options);
+  process.stdout.write(
+    `    ${report.walks} walks: ${report.failures[0]?.violation.slice(0, 150) ?? "nothing found"}\n`,
+  );
+  return report.failures[0]?.violation.split(":")[0] ?? "nothing found";
+}
+const within = 150;
+const oneOf = (...names: InvariantName[]): unknown => expect.stringMatching(new RegExp(`^(${names.join("|")})$`));
+
+describe("the invariants find a fault of elections or leases", () => {
+  test("a lease longer than the election time-out", async () => {
+    expect(await found({}, within, () => setLease(6000))).toEqual(oneOf("one-lease-holder", "lease-read-current"));
+  });
+
+  test("a leader that does not check its lease", async () => {
+    const prepare = (): void => {
+      ConsensusGroup.prototype.hasLeaderLease = function (this: ConsensusGroup): boolean {
+        return this.role === "leader";
+      };
+    };
+    expect(await found({}, within, prepare)).toEqual(oneOf("one-lease-holder", "lease-read-current"));
+  });
+
+  test("a vote granted to every candidate", async () => {
+    const faults = replacingResponse("group.vote", (body, response) => ({
+      ...response,
+      granted: true,
+      term: body.term,
+    }));
+    expect(await found(faults, within)).toEqual(
+      oneOf("election-safety", "log-matching", "leader-completeness", "state-machine-safety", "one-lease-holder"),
+    );
+  });
+
+  test("voters that grant no pre-vote after the first term", async () => {
+    const faults = replacingResponse("group.preVote", (body, response) =>
+      body.term > 2 ? { ...response, granted: false } : response,
+    );
+    expect(await found(faults, within)).toEqual(oneOf("leader-after-heal"));
+  });
+});
+
+describe("the invariants find a fault of the log or its replication", () => {
+  test("a success reported for an append that was refused", async () => {
+    const faults = replacingResponse("group.append", (body, response) => ({
+      ...response,
+      matched: true as const,
+      match: body.prevIndex + body.entries.length,
+    }));
+    expect(await found(faults, within)).toEqual(
+      oneOf(
+        "leader-completeness",
+        "state-machine-safety",
+        "acknowledged-durable",
+        "converged-after-heal",
+        "leader-after-heal",
+        "no-task-error",
+      ),
+    );
+  });
+
+  test("a disk that reports a sync too early", async () => {
+    expect(await found({ env: lyingDisk }, within)).toEqual(
+      oneOf(
+        "election-safety",
+        "leader-completeness",
+        "state-machine-safety",
+        "log-matching",
+        "leader-after-heal",
+        "converged-after-heal",
+      ),
+    );
+  });
+
+  test("two voters exchanged by one entry, and several such entries at once", async () => {
+    const prepare = (): void => {
+      MembershipChange.refusal = () => undefined;
+    };
+    expect(await found({}, within, prepare)).toEqual(oneOf("one-pending-voter-change"));
+  });
+
+  test("another command at the same index and term", async () => {
+    const withoutPolicies = (entry: LogEntry): LogEntry =>
+      entry.command.tag === "policies" ? { ...entry, command: { tag: "noop" } } : entry;
+    const faults = replacingHandler("group.append", (handler, id) => (body, sender) => {
+      const received = id === "c2" ? { ...body, entries: body.entries.map(withoutPolicies) } : body;
+      return handler(received, sender);
+    });
+    expect(await found(faults, within)).toEqual(oneOf("log-matching", "state-machine-safety"));
+  });
+
+  test("a commit index that falls", async () => {
+    const faults: FaultInjection = {
+      group(group) {
+        let commit = 0;
+        const set = (index: number): void => void (commit = index > 0 && index % 4 === 0 ? index - 2 : index);
+        Object.defineProperty(replicaOf(group), "commitIndex", { get: () => commit, set });
+      },
+    };
+    expect(await found(faults, within)).toEqual(oneOf("commit-index-monotonic", "no-task-error"));
+  });
+
+  test("a standby that refuses every append", async () => {
+    const faults = replacingHandler("group.append", (handler, id) =>
+      id !== "c4"
+        ? handler
+        : function* () {
+            return Fault.fail("refused", "append", id, "planted");
+          },
+    );
+    expect(await found(faults, within)).toEqual(oneOf("converged-after-heal"));
+  });
+
+  test("a replica that acknowledges appends without storing them", async () => {
+    const faults = replacingHandler("group.append", (handler, id) =>
+      id !== "c4"
+        ? handler
+        : function* (body) {
+            return Fault.ok({ term: body.term, matched: true, match: body.prevIndex + body.entries.length });
+          },
+    );
+    expect(await found(faults, within)).toEqual(
+      oneOf("converged-after-heal", "leader-after-heal", "acknowledged-durable", "leader-completeness"),
+    );
+  });
+});
+
+describe("the invariants find a fault of the state machine or of acknowledgements", () => {
+  test("outcomes of changes not remembered", async () => {
+    const prepare = (): void => {
+      ControlStateMachine.apply = (state, index, command) => {
+        if ("changeId" in command) delete state.changes[command.changeId];
+        return properApply(state, index, command);
+      };
+    };
+    expect(await found({}, within, prepare)).toEqual(oneOf("state-machine-safety", "outcome-repeatable"));
+  });
+
+  test("the version check left out", async () => {
+    const prepare = (): void => {
+      ControlStateMachine.apply = (state, index, command) =>
+        properApply(state, index, "ifVersion" in command ? { ...command, ifVersion: state.policies.version } : command);
+    };
+    expect(await found({}, within, prepare)).toEqual(
+      oneOf("state-machine-safety", "one-change-per-version", "acknowledged-durable"),
+    );
+  });
+
+  test("a conflicting change acknowledged as done", async () => {
+    const faults: FaultInjection = {
+      group(group) {
+        const propose = group.propose.bind(group);
+        group.propose = function* (command, withinMs) {
+          const outcome = yield* propose(command, withinMs);
+          if (!outcome.ok || outcome.value.tag !== "conflict") return outcome;
+          return Fault.ok({ tag: "done" as const, version: outcome.value.version });
+        };
+      },
+    };
+    expect(await found(faults, within)).toEqual(oneOf("one-change-per-version", "outcome-repeatable"));
+  });
+
+  test("a change acknowledged before it is committed", async () => {
+    const faults: FaultInjection = {
+      group(group) {
+        const propose = group.propose.bind(group);
+        group.propose = function* (command, withinMs) {
+          if (!("ifVersion" in command) || !group.hasLeaderLease()) return yield* propose(command, withinMs);
+          Csp.go(scopeOf(group), "late", () => propose(command, withinMs));
+          return Fault.ok({ tag: "done" as const, version: command.ifVersion + 1 });
+        };
+      },
+    };
+    expect(await found(faults, within)).toEqual(oneOf("acknowledged-durable", "one-change-per-version"));
+  });
+
+  test("another outcome for a retry", async () => {
+    const faults: FaultInjection = {
+      group(group) {
+        const propose = group.propose.bind(group);
+        const proposed = new Set<string>();
+        group.propose = function* (command, withinMs) {
+          const outcome = yield* propose(command, withinMs);
+          const again = "changeId" in command && proposed.has(command.changeId);
+          if ("changeId" in command) proposed.add(command.changeId);
+          return again && outcome.ok ? Fault.ok({ tag: "conflict" as const, version: 0 }) : outcome;
+        };
+      },
+    };
+    expect(await found(faults, 4 * within)).toEqual(oneOf("outcome-repeatable"));
+  });
+});
