--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -7,11 +7,13 @@
 /** Folders without a warning: there the rules that warn elsewhere are errors. */
 const strictFolders = [
   "scripts/",
+  "src/agent/",
   "src/consensus/",
   "src/control/",
   "src/controlState/",
   "src/membership/",
   "src/model/",
+  "src/node/",
   "src/rpc/",
   "src/shard/",
   "src/storage/",
--- a/src/adapters/operatorHttp.ts
+++ b/src/adapters/operatorHttp.ts
@@ -7,7 +7,7 @@
 import { NodeContext } from "../node/nodeContext";
 import { ControlRequest } from "../node/controlRequest";
 import { Hash } from "../common/hash";
-import { LedgerReader } from "../node/ledgerReader";
+import { LedgerReader } from "./ledgerReader";
 import { Node } from "../node/node";
 import { ShardClient } from "../storage/shardClient";
 import { Http, HttpRoute } from "./http";
--- a/src/node/readIndexConfirmation.ts
+++ b/src/node/readIndexConfirmation.ts
@@ -6,47 +6,78 @@
 import { Rpc } from "../rpc/rpc";
 import { Fault, Result } from "../common/fault";
 
-/** The control lead's word: at the time `at`, of our monotonic clock, no configuration past `index` was committed. */
-export type ReadIndex = { group: string; index: number; at: number };
-/** The same on its way: an age in place of a time, since no two processes share a monotonic clock. */
-type AgedReadIndex = { group: string; index: number; ageMs: number };
-/** Asks for a read index younger than `maxAgeMs`; `hops` is how often the question may still be passed on. */
-type ReadIndexRequest = { maxAgeMs: number; hops: number };
-/** What a confirmation needs of the process it runs in. */
-export type ReadIndexConfirmationHooks = {
-  /** Our own read index, if we are the control lead and hold its lease. */
+/** A read index (Raft, section 6.4): at the time `at` the control leader had committed no configuration past `index`. */
+export interface ReadIndex {
+  /** Id of the consensus group. */
+  readonly group: string;
+  /** Log index of the newest configuration. */
+  readonly index: number;
+  /** Monotonic ms of this process. */
+  readonly at: number;
+}
+
+/** The same on the wire: an age in place of a time, since no two processes share a monotonic clock. */
+interface ReadIndexResponse {
+  readonly group: string;
+  readonly index: number;
+  readonly ageMs: number;
+}
+
+interface ReadIndexRequest {
+  /** The read index must be younger, ms. */
+  readonly maxAgeMs: number;
+  /** How often the request may still be forwarded. */
+  readonly hops: number;
+}
+
+declare module "../rpc/methods" {
+  interface RpcMethods {
+    /** Asks for a read index that is young enough. Faults: busy if there is none. Idempotent: it only reads. */
+    "config.readIndex": RpcMethod<ReadIndexRequest, ReadIndexResponse>;
+  }
+}
+
+/** What a confirmation needs of the process that it runs in. */
+export interface ReadIndexConfirmationHooks {
+  /** Our own read index, if we are the control leader and hold its lease. */
   own(): ReadIndex | undefined;
-  /** Whom to ask, one at a time; the number counts the attempts. */
+  /** Address to ask, by the number of the attempt; undefined if there is none. */
   source(attempt: number): string | undefined;
   /** The configuration that would be served. */
   configuration(): ControlSnapshot | undefined;
   /** Fetches a configuration of at least this index. */
   fetch(address: string, index: number): Task<void>;
-};
+}
 
-const verb = "config.readIndex";
+/** Pauses between attempts differ by up to this share, so that processes don't fall into step. */
+const RETRY_JITTER_LOW = 0.8;
+const RETRY_JITTER_SPREAD = 0.4;
 
 /**
- * Whether the configuration held here may be served. A process that has just started or thawed may be on the wrong side
- * of a cut, where everybody it reaches holds an old configuration. It therefore serves nothing until it holds a read
- * index of the control lead that was taken after its start or thaw, and a configuration at least as new. Once
- * confirmed, it stays so until the next thaw: a control group without a lead stops nobody who runs.
+ * Confirms that the configuration held here is current. A process that has just started or was frozen may be on the
+ * minority side of a partition, where every process it reaches has an outdated configuration. It therefore serves nothing
+ * until it has a read index of the control leader that was taken after its start or freeze, and a configuration at least as
+ * new. Once confirmed, it stays so until the next freeze: a consensus group without a leader doesn't stop running
+ * processes.
  *
- * A read index is taken only from the response to a request of our own and counted from before the request, so that
- * it is never held for younger than it is, however long anything lay in a buffer or a frozen process.
+ * A read index is taken only from the response to a request of our own and counted from before the request, so it is never
+ * thought younger than it is, however long a message lay in a buffer or a frozen process.
  *
  * @example
- * const confirmation = new Confirmation(env, rpc, hooks);
+ * const confirmation = new ReadIndexConfirmation(env, rpc, hooks);
  * confirmation.start();
- * if (!confirmation.confirmed()) return "configuration not confirmed";
+ * if (!confirmation.isConfirmed()) return "configuration not confirmed";
  */
 export class ReadIndexConfirmation {
+  /** Only a read index taken later than this confirms, monotonic ms. */
   private requiredAfter: number;
   private wasConfirmed = false;
   private latest: ReadIndex | undefined;
-  private readonly asking = new Set<string>();
+  /** Addresses with a request under way. */
+  private readonly pendingAddresses = new Set<string>();
+  /** Closed when the forwarded request that is under way has ended. */
   private refreshing: Chan<true> | undefined;
-  private readonly required: Chan<true> = Csp.sliding(1);
+  private readonly confirmationDue: Chan<true> = Csp.sliding(1);
 
   constructor(
     private readonly env: Env,
@@ -56,26 +87,29 @@
     this.requiredAfter = env.mono();
   }
 
-  /** Starts to ask. @example confirmation.start(); */
+  /** Starts to ask for a read index, and does so again after each freeze. @example confirmation.start(); */
   start(): void {
-    Csp.offer(this.required, true);
+    Csp.offer(this.confirmationDue, true);
     EnvTools.keep(this.env, this.env.scope, "configuration confirmation", () => this.confirmLoop());
   }
-  /** Responds to others that ask. @example confirmation.serve(); */
+
+  /** Responds to other processes that ask. @example confirmation.serve(); */
   serve(): void {
-    this.rpc.handle(verb, (request) => this.respond(request));
+    this.rpc.handle("config.readIndex", (request) => this.onRequest(request));
   }
-  /** From now on only a read index taken later than this counts. @example confirmation.require(); */
+
+  /** From now on only a read index taken later than this confirms. @example confirmation.invalidate(); */
   invalidate(): void {
     this.requiredAfter = this.env.mono();
     this.wasConfirmed = false;
-    Csp.offer(this.required, true);
+    Csp.offer(this.confirmationDue, true);
   }
-  /** @example if (!confirmation.confirmed()) return busy; */
+
+  /** Whether the configuration is confirmed. @example if (!confirmation.isConfirmed()) return busy; */
   isConfirmed(): boolean {
     if (this.wasConfirmed) return true;
     const own = this.hooks.own();
-    if (own) this.note(own);
+    if (own) this.record(own);
     const { latest } = this;
     const configuration = this.hooks.configuration();
     if (!latest || !configuration || latest.at <= this.requiredAfter) return false;
@@ -85,25 +119,31 @@
     return true;
   }
 
-  private note(readIndex: ReadIndex): void {
+  /** Remembers the newest read index; one of a group that was superseded is none. */
+  private record(readIndex: ReadIndex): void {
     const { latest } = this;
     if (latest && latest.group !== readIndex.group && GroupRecovery.supersedes(latest.group, readIndex.group)) return;
     if (!latest || latest.group !== readIndex.group || readIndex.at > latest.at) this.latest = readIndex;
   }
+
   private *confirmLoop(): Task<void> {
     for (;;) {
-      yield* Csp.take(this.required);
+      yield* Csp.take(this.confirmationDue);
       for (let attempt = 0; !this.isConfirmed(); attempt += 1) {
         const address = this.hooks.source(attempt);
         const confirmation = this;
-        if (address !== undefined && !this.asking.has(address))
-          Csp.go(this.env.scope, "ask for a read index", () => confirmation.ask(address));
-        yield* EnvTools.sleep(this.env, Constants.confirmRetryMs * (0.8 + 0.4 * this.env.random()));
+        if (address !== undefined && !this.pendingAddresses.has(address))
+          Csp.go(this.env.scope, "ask for a read index", () => confirmation.askAt(address));
+        yield* EnvTools.sleep(
+          this.env,
+          Constants.confirmRetryMs * (RETRY_JITTER_LOW + RETRY_JITTER_SPREAD * this.env.random()),
+        );
       }
     }
   }
-  private *ask(address: string): Task<void> {
-    this.asking.add(address);
+
+  private *askAt(address: string): Task<void> {
+    this.pendingAddresses.add(address);
     try {
       const maxAgeMs = this.env.mono() - this.requiredAfter;
       const readIndex = yield* this.request(address, { maxAgeMs, hops: Constants.confirmHops });
@@ -111,48 +151,53 @@
         yield* this.hooks.fetch(address, readIndex.index);
       this.isConfirmed();
     } finally {
-      this.asking.delete(address);
+      this.pendingAddresses.delete(address);
     }
   }
+
   private *request(address: string, request: ReadIndexRequest): Task<ReadIndex | undefined> {
-    const askedAt = this.env.mono();
-    const response = yield* this.rpc.call<AgedReadIndex>(address, verb, request, Constants.confirmAskMs);
+    const sentAt = this.env.mono();
+    const response = yield* this.rpc.call(address, "config.readIndex", request, Constants.confirmAskMs);
     if (!response.ok) return undefined;
     const { group, index, ageMs } = response.value;
-    const readIndex = { group, index, at: askedAt - ageMs };
-    this.note(readIndex);
+    const readIndex = { group, index, at: sentAt - ageMs };
+    this.record(readIndex);
     return readIndex;
   }
 
-  private *respond(request: ReadIndexRequest): Task<Result<AgedReadIndex>> {
-    const own = yield* this.ownWithin(request.maxAgeMs);
+  /** Handles "config.readIndex". */
+  private *onRequest(request: ReadIndexRequest): Task<Result<ReadIndexResponse>> {
+    const own = yield* this.awaitOwn(request.maxAgeMs);
     const known = own ?? this.youngEnough(request.maxAgeMs);
-    if (known) return Fault.ok(this.aged(known));
+    if (known) return Fault.ok(this.responseOf(known));
     if (request.hops > 0) yield* this.refresh({ ...request, hops: request.hops - 1 });
     const refreshed = this.youngEnough(request.maxAgeMs);
-    if (refreshed) return Fault.ok(this.aged(refreshed));
+    if (refreshed) return Fault.ok(this.responseOf(refreshed));
     return Fault.busy("read index", "here", "no word of the control lead is young enough", Constants.confirmRetryMs);
   }
-  /** As the lead: contact with a majority that began late enough comes with the next heartbeats. */
-  private *ownWithin(maxAgeMs: number): Task<ReadIndex | undefined> {
+
+  /** As the leader: the contact with a majority that began late enough comes with the next heartbeats. */
+  private *awaitOwn(maxAgeMs: number): Task<ReadIndex | undefined> {
     const requiredAfter = this.env.mono() - maxAgeMs;
-    const until = this.env.mono() + Constants.readIndexWaitMs;
+    const deadline = this.env.mono() + Constants.readIndexWaitMs;
     for (let own = this.hooks.own(); own; own = this.hooks.own()) {
       if (own.at > requiredAfter) return own;
-      if (this.env.mono() > until) return undefined;
+      if (this.env.mono() > deadline) return undefined;
       yield* EnvTools.sleep(this.env, Constants.readIndexTickMs);
     }
     return undefined;
   }
+
   private youngEnough(maxAgeMs: number): ReadIndex | undefined {
     return this.latest && this.env.mono() - this.latest.at < maxAgeMs ? this.latest : undefined;
   }
-  private aged = ({ group, index, at }: ReadIndex): AgedReadIndex => ({
+
+  private responseOf = ({ group, index, at }: ReadIndex): ReadIndexResponse => ({
     group,
     index,
     ageMs: Math.ceil(this.env.mono() - at),
   });
-  /** Passes the question on; whoever asks meanwhile waits for the same response. */
+  /** Forwards a request; those that come meanwhile wait for the same response. */
   private *refresh(request: ReadIndexRequest): Task<void> {
     if (this.refreshing) {
       yield* Csp.take(this.refreshing);
