--- /dev/null
+++ b/src/tools/measurements/configurationDissemination.ts
@@ -0,0 +1,54 @@
+// The command of scripts/dissemination.js: how long after its acknowledgement a configuration is in force at every ingress.
+import { SimFleet } from "../../simulation/simFleet";
+import { ascending, checkedDeployment, isInForce, killFleet, median, readDeployment, runUntil } from "./measuredFleet";
+
+const SEEDS = [1, 2, 3];
+const ROUNDS = 4;
+const LONGEST_WAIT_MS = 5000;
+const STEP_MS = 5;
+const PAUSE_MS = 800;
+
+/** Sizes that are measured: ingresses, and routes that each change adds. */
+const SIZES = [
+  { ingresses: 3, routes: 1 },
+  { ingresses: 8, routes: 1 },
+  { ingresses: 16, routes: 1 },
+  { ingresses: 32, routes: 1 },
+  { ingresses: 3, routes: 500 },
+  { ingresses: 3, routes: 1000 },
+  { ingresses: 3, routes: 2000 },
+];
+
+async function measure(ingresses: number, routes: number, seed: number): Promise<number[]> {
+  const base = readDeployment("sim");
+  const quiet = {
+    ...base.mix,
+    lookups: { ...base.mix.lookups, perSecond: 2 },
+    streams: [{ ...base.mix.streams[0], perSecond: 0.5 }],
+  };
+  const fleet = new SimFleet(checkedDeployment({ ...base, ingresses, mix: quiet }), seed);
+  await fleet.boot();
+  const times: number[] = [];
+  for (let round = 0; round < ROUNDS; round += 1) {
+    const change = await fleet.change(routes);
+    if (change.outcome !== "acknowledged") continue;
+    times.push(await runUntil(fleet, LONGEST_WAIT_MS, STEP_MS, () => isInForce(fleet, change.version)));
+    await fleet.run(PAUSE_MS);
+  }
+  killFleet(fleet);
+  return times;
+}
+
+async function main(): Promise<void> {
+  for (const { ingresses, routes } of SIZES) {
+    const all: number[] = [];
+    for (const seed of SEEDS) all.push(...(await measure(ingresses, routes, seed)));
+    const times = ascending(all);
+    const [least, middle, most] = [times[0], median(times), times[times.length - 1]].map((ms) => ms.toFixed(0));
+    console.log(
+      `${ingresses} ingresses, ${routes} binding(s) more a change: min ${least} median ${middle} max ${most} ms (${times.length} changes)`,
+    );
+  }
+}
+
+void main().then(() => process.exit(0));
--- /dev/null
+++ b/src/tools/measurements/shardTakeover.ts
@@ -0,0 +1,82 @@
+// The command of scripts/takeover.js: how long a shard has no leader that serves after a store is lost, in virtual time.
+import { SimFleet } from "../../simulation/simFleet";
+import { ascending, killFleet, median, readDeployment } from "./measuredFleet";
+
+const DEFAULT_SEEDS = 10;
+const SETTLE_MS = 3000;
+const RUN_MS = 9000;
+const LEADER_STARTED = "PB1411";
+const VIEW_CHANGED = "PB1415";
+
+type TimesByStage = Record<string, number[]>;
+type Takeover = { led: number[]; held: number[]; stages: TimesByStage };
+/** The fields of the two log events that are read. */
+type LoggedFields = { shard: number; stages: Record<string, number> };
+
+const LOSSES: Record<string, (fleet: SimFleet, name: string) => void> = {
+  kill: (fleet, name) => fleet.kill(name),
+  freeze: (fleet, name) => fleet.freeze(name),
+  "cut off": (fleet, name) => fleet.cutOff([name]),
+  "disk fails": (fleet, name) => {
+    fleet.disks.get(name)!.failing = true;
+  },
+};
+
+function addStages(to: TimesByStage, stage: string, times: number[]): void {
+  to[stage] = [...(to[stage] ?? []), ...times];
+}
+
+async function measure(deployment: ReturnType<typeof readDeployment>, seed: number, loss: string): Promise<Takeover> {
+  const leaderStartedAfter = new Map<number, number>();
+  const stages: TimesByStage = {};
+  let lostAt = Infinity;
+  const fleet = new SimFleet(deployment, seed, (line) => {
+    const [time, , event, ...rest] = line.split(" ");
+    if (Number(time) < lostAt) return;
+    const fields = JSON.parse(rest.join(" ") || "{}") as LoggedFields;
+    if (event === LEADER_STARTED && !leaderStartedAfter.has(fields.shard))
+      leaderStartedAfter.set(fields.shard, Number(time) - lostAt);
+    if (event === VIEW_CHANGED) for (const [stage, ms] of Object.entries(fields.stages)) addStages(stages, stage, [ms]);
+  });
+  await fleet.boot();
+  await fleet.run(SETTLE_MS);
+  const name = fleet.busiestStore();
+  const [id] = [...fleet.storeOf].find(([, store]) => store === name)!;
+  const views = Object.values(fleet.views());
+  lostAt = fleet.world.now;
+  LOSSES[loss](fleet, name);
+  await fleet.run(RUN_MS);
+  killFleet(fleet);
+  const timesOf = (shards: typeof views): number[] =>
+    shards.map((view) => leaderStartedAfter.get(view.shard) ?? Infinity);
+  return {
+    led: timesOf(views.filter((view) => view.lead === id)),
+    held: timesOf(views.filter((view) => view.lead !== id && view.members.includes(id))),
+    stages,
+  };
+}
+
+function spread(times: number[]): string {
+  if (times.length === 0) return "none";
+  const sorted = ascending(times);
+  const [least, middle, most] = [sorted[0], median(sorted), sorted[sorted.length - 1]].map((ms) => ms.toFixed(0));
+  return `min ${least} median ${middle} max ${most} (${times.length})`;
+}
+
+async function main(words: string[]): Promise<void> {
+  const seeds = Number(words[0] ?? DEFAULT_SEEDS);
+  const deployment = readDeployment("sim");
+  for (const loss of Object.keys(LOSSES)) {
+    const all: Takeover = { led: [], held: [], stages: {} };
+    for (let seed = 1; seed <= seeds; seed += 1) {
+      const takeover = await measure(deployment, seed, loss);
+      all.led.push(...takeover.led);
+      all.held.push(...takeover.held);
+      for (const [stage, times] of Object.entries(takeover.stages)) addStages(all.stages, stage, times);
+    }
+    console.log(`${loss}: shards it led ${spread(all.led)} ms; shards it held ${spread(all.held)} ms`);
+    for (const [stage, times] of Object.entries(all.stages)) console.log(`    ${stage}: ${spread(times)} ms`);
+  }
+}
+
+void main(process.argv.slice(2)).then(() => process.exit(0));
