--- a/test/controlHistory.test.ts
+++ b/test/controlHistory.test.ts
@@ -67,7 +67,7 @@
 
 describe("operators of configurations and zones, answers lost, while control machines are in trouble", () => {
   const [first, count] = [Number(process.env.ORDER_SEED ?? 1), Number(process.env.ORDER_SEEDS ?? 1)];
-  const troubles = Number(process.env.ORDER_TROUBLES ?? 2);
+  const faults = Number(process.env.ORDER_TROUBLES ?? 2);
   test.each([
     [4, 1],
     [7, 2],
@@ -76,7 +76,7 @@
     async (controls, losses) => {
       const violations: Record<number, string[]> = {};
       for (let seed = first; seed < first + count; seed += 1) {
-        const result = await OperatorRaceCampaign.run(seed, { controls, losses, troubles, orders: true });
+        const result = await OperatorRaceCampaign.run(seed, { controls, losses, faults, orders: true });
         if (result.violations.length > 0) violations[seed] = [...result.violations, ...result.acts];
         expect(result.acknowledged).toBeGreaterThan(10);
       }
--- a/test/operatorRaces.test.ts
+++ b/test/operatorRaces.test.ts
@@ -37,7 +37,7 @@
     "of %i nodes %i are lost at once: acknowledged changes stay, and of concurrent ones one is accepted",
     async (controls, losses, from) => {
       for (let seed = from + 1; seed <= from + seeds; seed += 1) {
-        const result = await OperatorRaceCampaign.run(seed, { controls, losses, troubles: 4 });
+        const result = await OperatorRaceCampaign.run(seed, { controls, losses, faults: 4 });
         expect({ seed, acts: result.acts, violations: result.violations }).toEqual({
           seed,
           acts: result.acts,
