--- a/src/storage/checkedHandlers.ts
+++ b/src/shard/checkedHandlers.ts
@@ -2,16 +2,22 @@
 import { RequestOf, ResponseOf, TypedMethod } from "../rpc/methods";
 import { Rpc } from "../rpc/rpc";
 import { Task } from "../runtime/csp";
-import { ShardReplica } from "../shard/shardReplica";
-import { ShardRequest } from "./messages/shardMessages";
+import type { ShardReplica } from "./shardReplica";
+
+/** Methods whose request names a shard. */
+export type ShardMethod = {
+  [Method in TypedMethod]: RequestOf<Method> extends { shard: number } ? Method : never;
+}[TypedMethod];
 
 /**
  * Registers handlers that see only bodies of the right form. A malformed body gets the fault "invalid".
  *
  * @example
+ * const handlers = new CheckedHandlers(rpc, "node-1", (shard) => replicas.get(shard));
  * handlers.forShard("work.read", isReadRequest, (replica, body) => reader.read(replica, body));
  */
 export class CheckedHandlers {
+  /** @param replicaOf this node's replica of a shard, made if there is none */
   constructor(
     private readonly rpc: Rpc,
     private readonly selfId: string,
@@ -29,9 +35,9 @@
   }
 
   /** Sets the handler of a method about one shard; it gets this node's replica of the shard, made if there is none. */
-  forShard<Method extends TypedMethod>(
+  forShard<Method extends ShardMethod>(
     method: Method,
-    isRequest: (body: unknown) => body is RequestOf<Method> & ShardRequest,
+    isRequest: (body: unknown) => body is RequestOf<Method> & { shard: number },
     handler: (replica: ShardReplica, body: RequestOf<Method>) => Task<Result<ResponseOf<Method>>>,
   ): void {
     const name: string = method;
--- a/src/storage/batchJobs/itemEndpointChoice.ts
+++ b/src/storage/batchJobs/itemEndpointChoice.ts
@@ -6,11 +6,9 @@
 import { EndpointSelector } from "../../routing/endpointSelector";
 import { Env } from "../../runtime/env";
 import { BatchJob } from "../../shard/shardTypes";
+import { ITEM_KIND } from "../selectionCriteria";
 import { EndpointUsage } from "./endpointUsage";
 
-/** Policies match batch items as work of this kind. */
-const ITEM_KIND = "item";
-
 /** One pass over all items that wait, on one view of the cluster. */
 export interface SchedulingPass {
   snapshot: ClusterSnapshot;
--- a/src/storage/claimedItems/claimedItemExecution.ts
+++ b/src/storage/claimedItems/claimedItemExecution.ts
@@ -10,6 +10,7 @@
 import { ShardReplica } from "../../shard/shardReplica";
 import { PutOutcome, ShardOperation } from "../../shard/shardTypes";
 import { ExecutionCounters } from "../executionCounters";
+import { isErrorStatus } from "../responseStatus";
 import { isStillEligible, itemCriteria } from "../selectionCriteria";
 import { ShardWriter } from "../shardWriter";
 
@@ -19,8 +20,6 @@
 const RELEASE_WITHIN_MS = 10_000;
 /** For how long the put of a result is repeated, ms. */
 const RESULT_WITHIN_MS = 20_000;
-/** Responses from this status on are failures. */
-const FIRST_ERROR_STATUS = 400;
 
 /** One attempt of a batch item, with its endpoint's capacity taken. */
 export interface ClaimedItemAttempt {
@@ -132,7 +131,7 @@
     const item = { lot: jobId, item: index, round: number };
     if (response.ok) {
       const { status, body } = response.value;
-      return { op: "itemResult", ...item, state: status < FIRST_ERROR_STATUS ? "done" : "failed", result: body };
+      return { op: "itemResult", ...item, state: isErrorStatus(status) ? "failed" : "done", result: body };
     }
     const { tag, detail } = response.fault;
     if (tag === "refused" || route.safe) return { op: "itemRelease", ...item, why: detail };
--- a/src/storage/handlers/batchJobHandlers.ts
+++ b/src/storage/handlers/batchJobHandlers.ts
@@ -2,7 +2,7 @@
 import { Fault } from "../../common/fault";
 import { BatchJobReads } from "../batchJobs/batchJobReads";
 import { BatchJobs } from "../batchJobs/batchJobs";
-import { CheckedHandlers } from "../checkedHandlers";
+import { CheckedHandlers } from "../../shard/checkedHandlers";
 import { ClaimedItemJobs } from "../claimedItems/claimedItemJobs";
 import {
   isAcceptJobRequest,
--- a/src/storage/handlers/ledgerHandlers.ts
+++ b/src/storage/handlers/ledgerHandlers.ts
@@ -1,5 +1,5 @@
 /** Handlers of the temporal reads of a shard's ledger. */
-import { CheckedHandlers } from "../checkedHandlers";
+import { CheckedHandlers } from "../../shard/checkedHandlers";
 import { LedgerReads } from "../ledgerReads";
 import { isLedgerAboutRequest, isLedgerReadRequest, isTemporalGetRequest } from "../messages/shardMessages";
 
--- a/src/storage/handlers/liveRequestHandlers.ts
+++ b/src/storage/handlers/liveRequestHandlers.ts
@@ -1,6 +1,6 @@
 /** Handlers of the methods of live requests (`work.*`). */
 import { Fault } from "../../common/fault";
-import { CheckedHandlers } from "../checkedHandlers";
+import { CheckedHandlers } from "../../shard/checkedHandlers";
 import { LiveRequestAdmission } from "../liveRequests/liveRequestAdmission";
 import { LiveRequestReader } from "../liveRequests/liveRequestReader";
 import { isOpenRequest, isReadRequest, isRefuseRequest, isRunningRequest } from "../messages/liveRequestMessages";
--- a/src/storage/handlers/putHandler.ts
+++ b/src/storage/handlers/putHandler.ts
@@ -5,7 +5,7 @@
 import { Task } from "../../runtime/csp";
 import { ShardReplica } from "../../shard/shardReplica";
 import { PutOutcome } from "../../shard/shardTypes";
-import { CheckedHandlers } from "../checkedHandlers";
+import { CheckedHandlers } from "../../shard/checkedHandlers";
 import { isPutRequest, PutRequest } from "../messages/shardMessages";
 import { notLeaderFault } from "../notLeaderFault";
 
--- a/src/storage/handlers/statusHandlers.ts
+++ b/src/storage/handlers/statusHandlers.ts
@@ -2,7 +2,7 @@
 import { Fault } from "../../common/fault";
 import { Node } from "../../node/node";
 import { ShardReplica } from "../../shard/shardReplica";
-import { CheckedHandlers } from "../checkedHandlers";
+import { CheckedHandlers } from "../../shard/checkedHandlers";
 import { isAnyRequest, StoreShardsResponse } from "../messages/shardMessages";
 
 export function addStatusHandlers(
--- a/src/storage/liveRequests/executingRequest.ts
+++ b/src/storage/liveRequests/executingRequest.ts
@@ -2,6 +2,9 @@
 import { LiveRequestSpec } from "../messages/liveRequestMessages";
 import { RoutedRequest } from "../selectionCriteria";
 
+/** For how long the put that closes an attempt is repeated, ms. */
+export const CLOSE_WITHIN_MS = 20_000;
+
 /** A live request while this node executes it. */
 export interface ExecutingRequest extends RoutedRequest {
   readonly spec: LiveRequestSpec;
--- a/src/storage/liveRequests/liveRequestAdmission.ts
+++ b/src/storage/liveRequests/liveRequestAdmission.ts
@@ -21,15 +21,13 @@
 import { notLeaderFault } from "../notLeaderFault";
 import { liveRequestCriteria, RoutedRequest } from "../selectionCriteria";
 import { ShardClient } from "../shardClient";
-import { ShardWriter } from "../shardWriter";
+import { RESTAMP_PAUSE_MS, ShardWriter } from "../shardWriter";
 import { LiveRequestExecution, remainingWaitMs } from "./liveRequestExecution";
 
 /** How long the first put of a request may take at its leader, ms: longer than a view change. */
 const OPEN_PUT_MS = 1100;
 /** The same for a refusal, ms. */
 const REFUSE_PUT_MS = 1000;
-/** Pause before a put that came behind the stable prefix is stamped anew, ms. */
-const RESTAMP_PAUSE_MS = 10;
 /** For how long the outcome of the first put is at least asked after, ms. */
 const OUTCOME_MIN_MS = 1000;
 
--- a/src/storage/liveRequests/liveRequestExecution.ts
+++ b/src/storage/liveRequests/liveRequestExecution.ts
@@ -11,11 +11,9 @@
 import { LiveRequestSpec } from "../messages/liveRequestMessages";
 import { liveRequestCriteria } from "../selectionCriteria";
 import { ShardWriter } from "../shardWriter";
-import { AttemptOutcome, closePutId, ExecutingRequest } from "./executingRequest";
+import { AttemptOutcome, CLOSE_WITHIN_MS, closePutId, ExecutingRequest } from "./executingRequest";
 import { LiveRequestForwarder } from "./liveRequestForwarder";
 
-/** For how long the put that closes a request is repeated, ms. */
-const CLOSE_WITHIN_MS = 20_000;
 /** For how long the put that claims a further attempt is repeated, ms. */
 const CLAIM_WITHIN_MS = 10_000;
 
--- a/src/storage/liveRequests/liveRequestForwarder.ts
+++ b/src/storage/liveRequests/liveRequestForwarder.ts
@@ -8,17 +8,14 @@
 import { ShardOperation } from "../../shard/shardTypes";
 import { ExecutionCounters } from "../executionCounters";
 import { isStillEligible, liveRequestCriteria } from "../selectionCriteria";
+import { isErrorStatus } from "../responseStatus";
 import { ShardWriter } from "../shardWriter";
-import { AttemptOutcome, closePutId, ExecutingRequest } from "./executingRequest";
+import { AttemptOutcome, CLOSE_WITHIN_MS, closePutId, ExecutingRequest } from "./executingRequest";
 
-/** For how long the put that closes a request is repeated, ms. */
-const CLOSE_WITHIN_MS = 20_000;
 /** For how long the put of further chunks is repeated, ms: past a takeover of the shard. */
 const CHUNKS_WITHIN_MS = 12_000;
 /** Characters of an error response that are stored as the detail of a failure. */
 const FAILURE_DETAIL_LENGTH = 500;
-/** Responses from this status on are failures. */
-const FIRST_ERROR_STATUS = 400;
 
 /**
  * One attempt of a live request: forwards it to an endpoint, and stores the response in the request's shard.
@@ -76,7 +73,7 @@
     this.env.point(53);
     const { status, body } = response.value;
     const { spec, attempt } = request;
-    const isDone = status < FIRST_ERROR_STATUS;
+    const isDone = !isErrorStatus(status);
     const outcome = isDone ? { status } : { status, detail: body.slice(0, FAILURE_DETAIL_LENGTH) };
     const close: ShardOperation = {
       op: "close",
--- a/src/storage/messages/shardMessages.ts
+++ b/src/storage/messages/shardMessages.ts
@@ -97,8 +97,6 @@
   Array.isArray(value.ops) &&
   value.ops.every((operation) => isObject(operation) && isName(operation.op));
 
-export const isShardRequest = (body: unknown): body is ShardRequest => isObject(body) && isShardIndex(body.shard);
-
 export const isPutRequest = (body: unknown): body is PutRequest =>
   isObject(body) && isShardIndex(body.shard) && isPut(body.put);
 
--- a/src/storage/selectionCriteria.ts
+++ b/src/storage/selectionCriteria.ts
@@ -5,7 +5,7 @@
 import { SelectionCriteria } from "../routing/selectionCriteria";
 
 /** Policies match batch items as work of this kind. */
-const ITEM_KIND = "item";
+export const ITEM_KIND = "item";
 
 /** A live request's route, and what else of it the selection depends on. */
 export interface RoutedRequest {
--- a/src/storage/shardClient.ts
+++ b/src/storage/shardClient.ts
@@ -3,10 +3,11 @@
 import { Hash } from "../common/hash";
 import { Stamp } from "../common/stamp";
 import { ClusterSnapshot } from "../node/clusterSnapshot";
-import { RequestOf, ResponseOf, RpcMethods } from "../rpc/methods";
+import { RequestOf, ResponseOf } from "../rpc/methods";
 import { Rpc } from "../rpc/rpc";
 import { Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
+import type { ShardMethod } from "../shard/checkedHandlers";
 import { Cause, PutOutcome, ShardOperation } from "../shard/shardTypes";
 
 /** One call may take this long where its caller doesn't say, ms. */
@@ -16,11 +17,6 @@
 /** The first pause is this share of the later ones: a leader that has just changed is mostly known soon. */
 const FIRST_PAUSE_SHARE = 0.3;
 
-/** Methods about one shard, which its leader handles. */
-export type ShardMethod = {
-  [Method in keyof RpcMethods]: RequestOf<Method> extends { shard: number } ? Method : never;
-}[keyof RpcMethods];
-
 /**
  * Client of the shards: calls whichever storage node leads a shard now, until the time is up. A put that came too late
  * is stamped anew under the same put id, which is applied at most once, so that a repeated call is safe.
--- a/src/storage/shardWriter.ts
+++ b/src/storage/shardWriter.ts
@@ -9,7 +9,7 @@
 /** How long one put to a shard that this node leads may take, ms. */
 const LOCAL_PUT_MS = 2500;
 /** Pause before a put that came behind the stable prefix is stamped anew, ms. */
-const RESTAMP_PAUSE_MS = 10;
+export const RESTAMP_PAUSE_MS = 10;
 
 /**
  * Puts operations into shards for the work that this node executes: directly where it leads the shard, else through the
