--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -8,6 +8,7 @@
 const strictFolders = [
   "scripts/",
   "src/agent/",
+  "src/cli/",
   "src/consensus/",
   "src/control/",
   "src/controlState/",
--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -1,41 +1,51 @@
-import sade from "sade";
-import { DaemonCommand } from "./daemonCommand";
+import sade, { Sade } from "sade";
+import { addDaemonCommands } from "./daemonCommands";
 import { addFleetCommand } from "./fleetCommand";
 import { addLoadgenCommand } from "./loadgenCommand";
-import { ModelCommand } from "./modelCommand";
+import { addModelCommand } from "./modelCommand";
 import { addOperatorCommands } from "./operatorCommands";
+import { exitWithUsageError, printError } from "./output";
 import { addQueryCommand } from "./queryCommand";
-import { ScaleCommand } from "./scaleCommand";
-import { SimCommand } from "./simCommand";
+import { addScaleCommands } from "./scale/scaleCommands";
+import { addSimCommand } from "./simCommand";
+
+/** A command that was parsed but not yet run. */
+interface ParsedCommand {
+  handler: (...args: unknown[]) => unknown;
+  args: unknown[];
+}
+const FAILED_EXIT_CODE = 1;
+
+/** The program with all of its commands. */
+function makeProgram(): Sade {
+  const program = sade("petrelbeam");
+  program.version("0.1.0").describe("A serving tier with a batch interface: calendar, policies, ledger.");
+  addDaemonCommands(program);
+  addOperatorCommands(program);
+  addFleetCommand(program);
+  addLoadgenCommand(program);
+  addSimCommand(program);
+  addModelCommand(program);
+  addScaleCommands(program);
+  addQueryCommand(program);
+  return program;
+}
 
 /**
- * The command line of the one executable.
+ * Runs the command that the arguments name; ends the process with exit code 2 on wrong arguments, 1 where it throws.
  *
+ * @param argv arguments as in `process.argv`
  * @example
- * Cli.run(["node", "petrelbeam", "store", "--settings", "store.json"]);
+ * runCli(["node", "petrelbeam", "store", "--settings", "store.json"]);
  */
-export const Cli = {
-  run(argv: string[]): void {
-    const program = sade("petrelbeam");
-    program.version("0.1.0").describe("A serving tier with a batch interface: calendar, policies, ledger.");
-    DaemonCommand.add(program);
-    addOperatorCommands(program);
-    addFleetCommand(program);
-    addLoadgenCommand(program);
-    SimCommand.add(program);
-    ModelCommand.add(program);
-    ScaleCommand.add(program);
-    addQueryCommand(program);
-    const fail = (text: string): never => {
-      process.stderr.write(`${text}\n`);
-      process.exit(2);
-    };
-    const parsed = program.parse(argv, { lazy: true, unknown: (flag: string) => fail(`unknown flag ${flag}`) }) as
-      { handler: (...args: unknown[]) => unknown; args: unknown[] } | undefined;
-    if (!parsed) return;
-    Promise.resolve(parsed.handler(...parsed.args)).catch((error: Error) => {
-      process.stderr.write(`${error.stack ?? error}\n`);
-      process.exit(1);
-    });
-  },
-};
+export function runCli(argv: string[]): void {
+  const parsed = makeProgram().parse(argv, {
+    lazy: true,
+    unknown: (flag: string) => exitWithUsageError(`unknown flag ${flag}`),
+  }) as ParsedCommand | undefined;
+  if (!parsed) return;
+  Promise.resolve(parsed.handler(...parsed.args)).catch((error: Error) => {
+    printError(error.stack ?? String(error));
+    process.exit(FAILED_EXIT_CODE);
+  });
+}
--- /dev/null
+++ b/src/cli/daemonCommands.ts
@@ -0,0 +1,82 @@
+import type { Sade } from "sade";
+import { Fault } from "../common/fault";
+import { Logger } from "../common/logger";
+import { Settings } from "../common/settings";
+import { Daemon, RunningDaemon } from "../daemon/daemon";
+import { Csp, Scope } from "../runtime/csp";
+import { NodeEnv } from "../runtime/nodeEnv";
+import { printError, printLine, USAGE_EXIT_CODE } from "./output";
+import { checkSettingsFile, DaemonOptions, readSettings, settingFlags } from "./settingsOptions";
+
+const TASK_FAILED_EVENT = 1004;
+const START_FAILED_EXIT_CODE = 1;
+
+/** The daemons' programs, with the help of their commands. */
+const programs: Readonly<Record<Settings["program"], string>> = {
+  ingress: "takes in callers' requests",
+  agent: "keeps the link to the fleet beside an ingress",
+  store: "keeps shards and runs their work",
+  control: "keeps manifest, policies, calendar and views",
+};
+
+function printFault(fault: Fault): void {
+  printError(`${fault.step} (${fault.member}): ${fault.detail}`);
+  if (fault.tag === "invalid") for (const path of fault.paths ?? []) printError(`  ${path}`);
+}
+
+/** Stops the daemon gracefully at the first SIGTERM or SIGINT and ends the process. */
+function stopOnSignal(scope: Scope, daemon: RunningDaemon): void {
+  let stopping = false;
+  const stop = (): void => {
+    if (stopping) return;
+    stopping = true;
+    Csp.go(scope, "stop", function* () {
+      yield* daemon.stop();
+      scope.stop();
+      process.exit(0);
+    });
+  };
+  process.on("SIGTERM", stop);
+  process.on("SIGINT", stop);
+}
+function startDaemon(program: string, options: DaemonOptions): void {
+  const settings = readSettings(program, options);
+  if (!settings.ok) {
+    printFault(settings.fault);
+    process.exit(USAGE_EXIT_CODE);
+  }
+  const log = Logger.make(`${program}@${settings.value.address}`, settings.value.log ?? "info");
+  const onError = (task: string, error: unknown): void =>
+    log(TASK_FAILED_EVENT, { task, error: String((error as Error).stack ?? error) });
+  const scope = new Scope(program, onError);
+  const env = NodeEnv.make(program, scope, log);
+  Csp.go(scope, "main", function* () {
+    const started = yield* Daemon.start(env, settings.value);
+    if (!started.ok) {
+      printFault(started.fault);
+      process.exit(started.fault.tag === "invalid" ? USAGE_EXIT_CODE : START_FAILED_EXIT_CODE);
+    }
+    stopOnSignal(scope, started.value);
+  });
+}
+function checkFile(file: string): void {
+  const settings = checkSettingsFile(file);
+  if (!settings.ok) {
+    printFault(settings.fault);
+    process.exit(USAGE_EXIT_CODE);
+  }
+  printLine(`${file}: ${settings.value.program} of ${settings.value.cluster} is well`);
+}
+
+/** The commands that start a daemon, one a program, and the one that checks a settings file. @example addDaemonCommands(program); */
+export function addDaemonCommands(program: Sade): void {
+  for (const [name, about] of Object.entries(programs)) {
+    let command = program
+      .command(name)
+      .describe(`Starts the ${name}: ${about}.`)
+      .option("-s, --settings", "Settings file (JSON)");
+    for (const [flag, help] of settingFlags) command = command.option(`--${flag}`, help);
+    command.example(`${name} --settings ${name}.json`).action((options: DaemonOptions) => startDaemon(name, options));
+  }
+  program.command("check <file>").describe("Checks a settings file without starting anything.").action(checkFile);
+}
--- a/src/cli/developerTool.ts
+++ b/src/cli/developerTool.ts
@@ -6,11 +6,10 @@
 import { NodeEnv } from "../runtime/nodeEnv";
 import { Deployment } from "../tools/deployment";
 import { readJsonFile } from "./jsonFile";
-import { exitWithUsageError } from "./output";
+import { exitWithUsageError, INTERRUPTED_EXIT_CODE } from "./output";
 
 const TASK_FAILED_EVENT = 1004;
 const FAILED_EXIT_CODE = 1;
-const INTERRUPTED_EXIT_CODE = 130; // 128 + SIGINT, as shells have it
 
 /** A deployment file named on the command line; ends the process with exit code 2 where it is wrong. @example readDeployment("deploy/small.json") */
 export function readDeployment(file: string): Deployment {
--- a/src/cli/modelCommand.ts
+++ b/src/cli/modelCommand.ts
@@ -3,90 +3,102 @@
 import { Action, parseActions } from "../model/actions";
 import { Failure, ModelCampaign } from "../model/campaign";
 import { Walk } from "../model/walk";
+import { exitWithUsageError, printLine } from "./output";
 
-type Options = { walks: unknown; seed: unknown; voters: unknown; actions?: unknown; trace?: unknown; all?: unknown };
-const progressEvery = 100;
-const say = (text: string): void => void process.stdout.write(`${text}\n`);
-const wrong = (text: string): never => {
-  process.stderr.write(`${text}\n`);
-  process.exit(2);
-};
-function whole(name: string, value: unknown, least: number): number {
+const PROGRESS_INTERVAL = 100; // walks between two lines of progress
+const ExitCode = { passed: 0, failed: 1 } as const;
+
+/** Options of the command, as the parser gives them. */
+interface ModelOptions {
+  walks: unknown;
+  seed: unknown;
+  voters: unknown;
+  actions?: unknown;
+  trace?: unknown;
+  all?: unknown;
+}
+type VoterCount = 3 | 5;
+
+function readInteger(name: string, value: unknown, least: number): number {
   const read = Number(value);
-  return Number.isSafeInteger(read) && read >= least ? read : wrong(`--${name}: a whole number from ${least} on`);
+  if (!Number.isSafeInteger(read) || read < least) exitWithUsageError(`--${name}: a whole number from ${least} on`);
+  return read;
+}
+function readVoters(value: unknown): VoterCount {
+  const voters = readInteger("voters", value, 3);
+  if (voters !== 3 && voters !== 5) exitWithUsageError("--voters: 3 or 5");
+  return voters;
 }
 function readActions(file: string): Action[] {
   try {
     return parseActions(fs.readFileSync(file, "utf8"));
   } catch (error) {
-    return wrong(`${file}: ${(error as Error).message}`);
+    exitWithUsageError(`${file}: ${(error as Error).message}`);
   }
 }
-function tell({ seed, voters, violation, actions, shrinks }: Failure): void {
-  say(`walk of seed ${seed} broke ${violation}`);
-  say(`shortened ${shrinks} times; play it again: petrelbeam model --voters ${voters} --seed ${seed} --actions FILE`);
-  say(JSON.stringify(actions));
+const secondsSince = (startedAt: number): string => ((Date.now() - startedAt) / 1000).toFixed(0);
+
+function printFailure({ seed, voters, violation, actions, shrinks }: Failure): void {
+  printLine(`walk of seed ${seed} broke ${violation}`);
+  printLine(
+    `shortened ${shrinks} times; play it again: petrelbeam model --voters ${voters} --seed ${seed} --actions FILE`,
+  );
+  printLine(JSON.stringify(actions));
 }
-/** Plays a list of actions that an earlier run printed. */
-async function replay(file: string, seed: number, voters: 3 | 5, traceFile: string | undefined): Promise<number> {
+/** Replays a list of actions that an earlier run printed; returns the exit code. */
+async function replay(file: string, seed: number, voters: VoterCount, traceFile: string | undefined): Promise<number> {
   const lines: string[] = [];
   try {
     const report = await Walk.play({ seed, voters, trace: (line) => lines.push(line) }, readActions(file));
-    say(`nothing broken: ${JSON.stringify(report)}`);
-    return 0;
+    printLine(`nothing broken: ${JSON.stringify(report)}`);
+    return ExitCode.passed;
   } catch (error) {
-    say(`broke ${(error as Error).message}`);
-    return 1;
+    printLine(`broke ${(error as Error).message}`);
+    return ExitCode.failed;
   } finally {
     if (traceFile !== undefined) fs.writeFileSync(traceFile, lines.join("\n"));
   }
 }
+/** Runs random walks and prints each failure; returns the exit code. */
+async function walk(firstSeed: number, walks: number, voters: VoterCount, stopAtFailure: boolean): Promise<number> {
+  const startedAt = Date.now();
+  const report = await ModelCampaign.run({
+    firstSeed,
+    walks,
+    voters,
+    onProgress: (done) => {
+      if (done % PROGRESS_INTERVAL === 0) printLine(`${done} walks, ${secondsSince(startedAt)} s`);
+    },
+    onFailure: printFailure,
+    stopAtFailure,
+  });
+  const lastSeed = firstSeed + report.walks - 1;
+  printLine(
+    `${report.walks} walks of seeds ${firstSeed} to ${lastSeed}, ${voters} voters: ${report.failures.length} failed, ` +
+      `${secondsSince(startedAt)} s; ${JSON.stringify(report.totals)}`,
+  );
+  return report.failures.length > 0 ? ExitCode.failed : ExitCode.passed;
+}
+async function runModel(options: ModelOptions): Promise<void> {
+  const walks = readInteger("walks", options.walks, 1);
+  const seed = readInteger("seed", options.seed, 0);
+  const voters = readVoters(options.voters);
+  if (options.actions === undefined) process.exit(await walk(seed, walks, voters, options.all === undefined));
+  const traceFile = options.trace === undefined ? undefined : String(options.trace);
+  process.exit(await replay(String(options.actions), seed, voters, traceFile));
+}
 
-/**
- * Random walks over the control group, judged by its invariants.
- *
- * @example
- * ModelCommand.add(program);
- */
-export const ModelCommand = {
-  add(program: Sade): void {
-    program
-      .command("model")
-      .describe("Drives the control group through random walks of faults in virtual time and judges its invariants.")
-      .option("--walks", "How many walks", 100)
-      .option("--seed", "Seed of the first walk; the next has the next one", 1)
-      .option("--voters", "Voters of the group, 3 or 5", 3)
-      .option("--all", "Go on after a failing walk")
-      .option("--actions", "Play the list of actions in this file, as a failing walk printed it")
-      .option("--trace", "With --actions: write the log of the walk to this file")
-      .example("model --walks 1000 --seed 1 --voters 5")
-      .action(async (options: Options) => {
-        const walks = whole("walks", options.walks, 1);
-        const seed = whole("seed", options.seed, 0);
-        const voters = whole("voters", options.voters, 3);
-        if (voters !== 3 && voters !== 5) return wrong("--voters: 3 or 5");
-        if (options.actions !== undefined) {
-          const trace = options.trace === undefined ? undefined : String(options.trace);
-          process.exit(await replay(String(options.actions), seed, voters, trace));
-        }
-        const startedAt = Date.now();
-        const progress = (done: number): void => {
-          if (done % progressEvery === 0) say(`${done} walks, ${((Date.now() - startedAt) / 1000).toFixed(0)} s`);
-        };
-        const report = await ModelCampaign.run({
-          firstSeed: seed,
-          walks,
-          voters,
-          onProgress: progress,
-          onFailure: tell,
-          stopAtFailure: options.all === undefined,
-        });
-        const seconds = ((Date.now() - startedAt) / 1000).toFixed(0);
-        say(
-          `${report.walks} walks of seeds ${seed} to ${seed + report.walks - 1}, ${voters} voters: ${report.failures.length} failed, ` +
-            `${seconds} s; ${JSON.stringify(report.totals)}`,
-        );
-        process.exit(report.failures.length > 0 ? 1 : 0);
-      });
-  },
-};
+/** The command that drives the control group through random walks, judged by its invariants. @example addModelCommand(program); */
+export function addModelCommand(program: Sade): void {
+  program
+    .command("model")
+    .describe("Drives the control group through random walks of faults in virtual time and judges its invariants.")
+    .option("--walks", "How many walks", 100)
+    .option("--seed", "Seed of the first walk; the next has the next one", 1)
+    .option("--voters", "Voters of the group, 3 or 5", 3)
+    .option("--all", "Go on after a failing walk")
+    .option("--actions", "Play the list of actions in this file, as a failing walk printed it")
+    .option("--trace", "With --actions: write the log of the walk to this file")
+    .example("model --walks 1000 --seed 1 --voters 5")
+    .action(runModel);
+}
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -2,6 +2,8 @@
 
 /** Exit code for arguments and input files that can't be used. */
 export const USAGE_EXIT_CODE = 2;
+/** Exit code after SIGINT: 128 and the signal's number, as shells have it. */
+export const INTERRUPTED_EXIT_CODE = 130;
 
 /** Writes a line to standard output. @example printLine("version 3"); */
 export const printLine = (text: string): void => void process.stdout.write(`${text}\n`);
--- a/src/cli/simCommand.ts
+++ b/src/cli/simCommand.ts
@@ -1,93 +1,106 @@
 import * as fs from "fs";
 import type { Sade } from "sade";
 import { Campaign } from "../simulation/campaign";
-import { Scenarios } from "../simulation/scenarios/scenarios";
+import { Scenario, Scenarios } from "../simulation/scenarios/scenarios";
 import { Checker } from "../tools/checker";
 import { Deployment } from "../tools/deployment";
 import { Report } from "../tools/report";
+import { readJsonFile } from "./jsonFile";
+import { exitWithUsageError, printLine } from "./output";
 
-const say = (text: string): void => void process.stdout.write(`${text}\n`);
-const wrong = (text: string): never => {
-  process.stderr.write(`${text}\n`);
-  process.exit(2);
-};
+const ALL_SCENARIOS = "all";
+/** Fault point of scenarios that have none, and the option's value for each point in turn. */
+const NO_POINT = 0;
+const ExitCode = { passed: 0, failed: 1 } as const;
 
-/**
- * The simulator's command.
- *
- * @example
- * SimCommand.add(program);
- */
-export const SimCommand = {
-  add(program: Sade): void {
-    program
-      .command("sim <deployment>")
-      .describe("Runs a deployment in virtual time through scenarios of failure and judges what callers saw.")
-      .option("--scenario", "Name or number, or all", "all")
-      .option("--seed", "First seed", 1)
-      .option("--seeds", "How many seeds", 1)
-      .option("--point", "Fault point for kill-at-point; 0 is each in turn", 0)
-      .option("--trace", "Write the log of a run to this file")
-      .option("--report", "Print rates and latencies of each run")
-      .example("sim deploy/kiln-commons.json --scenario freeze-store --seed 1 --seeds 10")
-      .action(async (file: string, options: any) => {
-        let read: unknown;
-        try {
-          read = JSON.parse(fs.readFileSync(file, "utf8"));
-        } catch (error) {
-          return wrong(`${file}: ${(error as Error).message}`);
-        }
-        const deployment = Deployment.check(read);
-        if (!deployment.ok) return wrong(`${file}: ${JSON.stringify(deployment.fault)}`);
-        const wanted = String(options.scenario);
-        const scenarios =
-          wanted === "all"
-            ? Scenarios.all
-            : wanted
-                .split(",")
-                .map(
-                  (each) =>
-                    Scenarios.find(each) ??
-                    wrong(
-                      `no scenario ${each}; known:\n${Scenarios.all.map((known) => `  ${known.number} ${known.name}: ${known.about}`).join("\n")}`,
-                    ),
-                );
-        const point = Number(options.point);
-        if (point !== 0 && !Scenarios.points[point])
-          return wrong(
-            `no fault point ${options.point}; known:\n${Object.entries(Scenarios.points)
-              .map(([number, known]) => `  ${number} ${known.about}`)
-              .join("\n")}`,
-          );
-        let failed = 0;
-        let runs = 0;
-        for (let seed = Number(options.seed); seed < Number(options.seed) + Number(options.seeds); seed += 1)
-          for (const scenario of scenarios) {
-            const points = !scenario.points
-              ? [0]
-              : point !== 0
-                ? scenario.points.filter((each) => each === point)
-                : scenario.points;
-            for (const each of points) {
-              const lines: string[] = [];
-              const report = await Campaign.run(
-                deployment.value,
-                scenario,
-                seed,
-                each,
-                options.trace ? (line) => lines.push(line) : undefined,
-              );
-              runs += 1;
-              if (report.violations.length > 0) failed += 1;
-              say(Campaign.line(report, file));
-              if (options.report) say(Report.text(report.fleet.history, report.virtualMs));
-              if (options.report) say(JSON.stringify(Checker.judged(report.fleet.history, report.fleet.pastEndpoints)));
-              if (options.trace)
-                fs.writeFileSync(String(options.trace), [...report.acts, ...report.notes, ...lines].join("\n"));
-            }
-          }
-        say(`${runs - failed} passed, ${failed} failed`);
-        process.exit(failed > 0 || runs === 0 ? 1 : 0);
-      });
-  },
-};
+/** Options of the command, as the parser gives them: numbers where the text is one. */
+interface SimOptions {
+  scenario: number | string;
+  seed: number | string;
+  seeds: number | string;
+  point: number | string;
+  /** File of the log. */
+  trace?: string;
+  report?: boolean;
+}
+/** One run: a scenario with a seed and a fault point. */
+interface SimRun {
+  scenario: Scenario;
+  seed: number;
+  point: number;
+}
+
+function readDeployment(file: string): Deployment {
+  const deployment = Deployment.check(readJsonFile(file));
+  if (!deployment.ok) exitWithUsageError(`${file}: ${JSON.stringify(deployment.fault)}`);
+  return deployment.value;
+}
+function findScenario(nameOrNumber: string): Scenario {
+  const scenario = Scenarios.find(nameOrNumber);
+  if (scenario) return scenario;
+  const known = Scenarios.all.map(({ number, name, about }) => `  ${number} ${name}: ${about}`);
+  exitWithUsageError(`no scenario ${nameOrNumber}; known:\n${known.join("\n")}`);
+}
+function readScenarios(option: number | string): Scenario[] {
+  const text = String(option);
+  return text === ALL_SCENARIOS ? Scenarios.all : text.split(",").map(findScenario);
+}
+function readPoint(option: number | string): number {
+  const point = Number(option);
+  if (point === NO_POINT || Scenarios.points[point]) return point;
+  const known = Object.entries(Scenarios.points).map(([number, { about }]) => `  ${number} ${about}`);
+  exitWithUsageError(`no fault point ${option}; known:\n${known.join("\n")}`);
+}
+function pointsOf(scenario: Scenario, chosen: number): number[] {
+  if (!scenario.points) return [NO_POINT];
+  return chosen === NO_POINT ? scenario.points : scenario.points.filter((point) => point === chosen);
+}
+/** All runs that were asked for: by seed, then by scenario, then by fault point. */
+function planRuns(options: SimOptions): SimRun[] {
+  const scenarios = readScenarios(options.scenario);
+  const chosen = readPoint(options.point);
+  const firstSeed = Number(options.seed);
+  const runs: SimRun[] = [];
+  for (let seed = firstSeed; seed < firstSeed + Number(options.seeds); seed += 1)
+    for (const scenario of scenarios)
+      for (const point of pointsOf(scenario, chosen)) runs.push({ scenario, seed, point });
+  return runs;
+}
+
+/** Runs one scenario and prints its verdict; whether no invariant was violated. */
+async function runOne(file: string, deployment: Deployment, run: SimRun, options: SimOptions): Promise<boolean> {
+  const lines: string[] = [];
+  const log = options.trace ? (line: string): void => void lines.push(line) : undefined;
+  const report = await Campaign.run(deployment, run.scenario, run.seed, run.point, log);
+  printLine(Campaign.line(report, file));
+  if (options.report) {
+    const { history, pastEndpoints } = report.fleet;
+    printLine(Report.text(history, report.virtualMs));
+    printLine(JSON.stringify(Checker.judged(history, pastEndpoints)));
+  }
+  if (options.trace) fs.writeFileSync(String(options.trace), [...report.acts, ...report.notes, ...lines].join("\n"));
+  return report.violations.length === 0;
+}
+async function runSim(file: string, options: SimOptions): Promise<void> {
+  const deployment = readDeployment(file);
+  const runs = planRuns(options);
+  let failed = 0;
+  for (const run of runs) if (!(await runOne(file, deployment, run, options))) failed += 1;
+  printLine(`${runs.length - failed} passed, ${failed} failed`);
+  process.exit(failed > 0 || runs.length === 0 ? ExitCode.failed : ExitCode.passed);
+}
+
+/** The command that runs a deployment in the simulator. @example addSimCommand(program); */
+export function addSimCommand(program: Sade): void {
+  program
+    .command("sim <deployment>")
+    .describe("Runs a deployment in virtual time through scenarios of failure and judges what callers saw.")
+    .option("--scenario", "Name or number, or all", "all")
+    .option("--seed", "First seed", 1)
+    .option("--seeds", "How many seeds", 1)
+    .option("--point", "Fault point for kill-at-point; 0 is each in turn", 0)
+    .option("--trace", "Write the log of a run to this file")
+    .option("--report", "Print rates and latencies of each run")
+    .example("sim deploy/kiln-commons.json --scenario freeze-store --seed 1 --seeds 10")
+    .action(runSim);
+}
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,4 +1,4 @@
 #!/usr/bin/env node
-import { Cli } from "./cli/cli";
+import { runCli } from "./cli/cli";
 
-Cli.run(process.argv);
+runCli(process.argv);
