--- a/.dependency-cruiser.cjs
+++ b/.dependency-cruiser.cjs
@@ -5,8 +5,8 @@
 const fs = require("fs");
 const path = require("path");
 
-/** The client of a shard's leader. It stands in src/storage, and every process and surface uses it. */
-const SHARD_CLIENT = "storage/shardClient\\.ts$";
+/** The client of a shard's leader, and the messages to shards. They stand in src/storage, and every process and surface uses them. */
+const SHARD_CLIENT = "storage/(shardClient\\.ts$|messages/)";
 
 /**
  * The layers of docs/architecture.md from top to bottom. Files of a layer import from their own layer and from those below;
--- a/scripts/guardMutations/mutations.js
+++ b/scripts/guardMutations/mutations.js
@@ -115,9 +115,9 @@
     expectedInvariants: ["busy-never-ran"],
     edits: [
       {
-        file: "ingress/ingressNode.js",
-        find: 'if (opened.fault.tag === "unknown") {',
-        replacement: 'if (opened.fault.tag === "unknown") return this.busy("open", "x", 1000); else if (false) {',
+        file: "ingress/shardLiveRequests.js",
+        find: "return (yield* this.refuse(id)) ?? opened;",
+        replacement: 'return this.admission.reject("open", "x");',
       },
     ],
   },
@@ -257,8 +257,8 @@
     edits: [
       {
         file: "ingress/ingressNode.js",
-        find: "this.stopping = true;",
-        replacement: "this.stopping = true; return;",
+        find: "this.readiness.stopping = true;",
+        replacement: "this.readiness.stopping = true; return;",
       },
     ],
   },
--- /dev/null
+++ b/src/adapters/caller/callerRoutes.ts
@@ -0,0 +1,17 @@
+import { HttpRoute } from "../http";
+import type { CallerOperations } from "./callerOperations";
+import { JobRoutes } from "./jobRoutes";
+import { RequestRoutes } from "./requestRoutes";
+
+/**
+ * The callers' part of the product's own HTTP surface: requests, streams, batch jobs.
+ *
+ * @example
+ * const routes = CallerRoutes.of(operations);
+ */
+export const CallerRoutes = {
+  of: (operations: CallerOperations): HttpRoute[] => [
+    ...new RequestRoutes(operations).routes(),
+    ...new JobRoutes(operations).routes(),
+  ],
+};
--- /dev/null
+++ b/src/adapters/caller/jobRoutes.ts
@@ -0,0 +1,141 @@
+import { Constants } from "../../common/constants";
+import { Fault, Result } from "../../common/fault";
+import { Task } from "../../runtime/csp";
+import { EnvTools, HttpExchange } from "../../runtime/env";
+import type { PutOutcome } from "../../shard/shardTypes";
+import type { SubmitJobResponse } from "../../storage/messages/batchJobMessages";
+import { Http, HttpRoute } from "../http";
+import { parseJob } from "./jobRequest";
+import type { AdmittedRequest, CallerOperations, SubmittedItem } from "./callerOperations";
+
+const maxPosition = 1e9;
+const defaultResultsLimit = 500;
+const maxResultsLimit = 2000;
+
+/** A number of the query, at most `max`; a fault "invalid" if it is none. */
+function queryNumber(exchange: HttpExchange, name: string, defaultValue: number, max: number): Result<number> {
+  const text = exchange.query.get(name);
+  if (text === null) return Fault.ok(defaultValue);
+  if (!/^\d{1,9}$/.test(text)) return Fault.fail("invalid", `read ${name}`, "caller", `${name} must be a whole number`);
+  return Fault.ok(Math.min(+text, max));
+}
+
+/**
+ * Batch jobs: submitted, read, ended.
+ *
+ * @example
+ * const routes = new JobRoutes(operations).routes();
+ */
+export class JobRoutes {
+  constructor(private readonly operations: CallerOperations) {}
+
+  routes(): HttpRoute[] {
+    return [
+      { method: "POST", path: /^\/v1\/lots$/, run: (exchange) => this.submit(exchange) },
+      { method: "GET", path: /^\/v1\/lots\/([^/]+)$/, run: (exchange, [id]) => this.status(exchange, id) },
+      { method: "GET", path: /^\/v1\/lots\/([^/]+)\/results$/, run: (exchange, [id]) => this.results(exchange, id) },
+      {
+        method: "GET",
+        path: /^\/v1\/lots\/([^/]+)\/items\/([^/]+)$/,
+        run: (exchange, [id, itemId]) => this.itemBody(exchange, id, itemId),
+      },
+      { method: "POST", path: /^\/v1\/lots\/([^/]+)\/end$/, run: (exchange, [id]) => this.end(exchange, id) },
+    ];
+  }
+
+  private *submit(exchange: HttpExchange): Task<void> {
+    const { admission, env, id: member } = this.operations;
+    const body = yield* Http.body(exchange, admission.bodyLimitBytes());
+    if (!body) return;
+    const job = parseJob(body.value);
+    if (!job.ok) return Http.problem(exchange, job.fault);
+    const routeName = job.value.binding;
+    const admitted = admission.admit(routeName, exchange.headers);
+    if (!admitted.ok) return Http.problem(exchange, admitted.fault);
+    if (admitted.value.route.kind !== "item") {
+      const detail = `binding ${routeName} is not of kind item`;
+      return Http.problem(exchange, { tag: "invalid", step: "accept lot", member, detail });
+    }
+    const id = job.value.id ?? EnvTools.id(env, "lot");
+    if (job.value.requests) yield* this.submitRequests(exchange, id, admitted.value, job.value.requests);
+    else yield* this.submitJsonItems(exchange, id, admitted.value, job.value.items!);
+  }
+
+  /** A job of whole requests: 202 also for a repeat, since its caller may have lost the first response. */
+  private *submitRequests(
+    exchange: HttpExchange,
+    id: string,
+    { name, route }: AdmittedRequest,
+    items: SubmittedItem[],
+  ): Task<void> {
+    const { counters, jobSubmission } = this.operations;
+    counters.jobs += 1;
+    const submitted = yield* jobSubmission.submit(id, name, route, items, Constants.jobHoldMs);
+    if (!submitted.ok) {
+      const isOverQuota = submitted.fault.tag === "busy" && submitted.fault.step === "quota";
+      return Http.problem(exchange, submitted.fault, isOverQuota ? 429 : undefined, { lot: id });
+    }
+    if (this.rejectKnownJob(exchange, submitted.value, "hand in")) return;
+    Http.json(exchange, 202, { id, items: items.length });
+  }
+
+  private *submitJsonItems(exchange: HttpExchange, id: string, route: AdmittedRequest, items: unknown[]): Task<void> {
+    const { counters, jobSubmission, liveRequests } = this.operations;
+    const arrival = liveRequests.stampArrival();
+    if (!arrival.ok) return Http.problem(exchange, arrival.fault);
+    const bodies = items.map((item) => JSON.stringify(item));
+    counters.jobs += 1;
+    const submitted = yield* jobSubmission.submitJsonItems({ id, route, bodies }, arrival.value);
+    if (!submitted.ok) return Http.problem(exchange, submitted.fault, undefined, { lot: id });
+    if (this.rejectKnownJob(exchange, submitted.value, "accept lot")) return;
+    Http.json(exchange, submitted.value.tag === "exists" ? 200 : 202, { id, items: bodies.length });
+  }
+
+  /** Whether the id was used for a job that this submission does not repeat; the response has been sent then. */
+  private rejectKnownJob(exchange: HttpExchange, outcome: SubmitJobResponse | PutOutcome, step: string): boolean {
+    if (outcome.tag !== "exists") return false;
+    const member = this.operations.id;
+    if (outcome.state === "trimmed") {
+      const detail = "the lot was done, and its results trimmed by retention";
+      Http.problem(exchange, { tag: "gone", step, member, detail });
+      return true;
+    }
+    if (outcome.same) return false;
+    const detail = "the lot id was used with other items";
+    Http.problem(exchange, { tag: "conflict", step, member, detail }, 422);
+    return true;
+  }
+
+  private *status(exchange: HttpExchange, id: string): Task<void> {
+    const status = yield* this.operations.jobReader.status(id);
+    if (!status.ok) return Http.problem(exchange, status.fault);
+    Http.json(exchange, 200, status.value);
+  }
+
+  private *results(exchange: HttpExchange, id: string): Task<void> {
+    const after = queryNumber(exchange, "after", 0, maxPosition);
+    if (!after.ok) return Http.problem(exchange, after.fault);
+    const limit = queryNumber(exchange, "limit", defaultResultsLimit, maxResultsLimit);
+    if (!limit.ok) return Http.problem(exchange, limit.fault);
+    const waitMs = queryNumber(exchange, "waitMs", 0, Constants.readWaitMs);
+    if (!waitMs.ok) return Http.problem(exchange, waitMs.fault);
+    const { jobReader } = this.operations;
+    const read = yield* jobReader.results(id, after.value, Math.max(1, limit.value), waitMs.value);
+    if (!read.ok) return Http.problem(exchange, read.fault);
+    Http.json(exchange, 200, { id, ...read.value, next: after.value + read.value.results.length });
+  }
+
+  private *itemBody(exchange: HttpExchange, id: string, itemId: string): Task<void> {
+    const found = yield* this.operations.jobReader.itemBody(id, itemId);
+    if (!found.ok) return Http.problem(exchange, found.fault);
+    const body = Buffer.from(found.value.body, "base64");
+    exchange.send(200, { "content-type": "application/octet-stream" }, body);
+  }
+
+  private *end(exchange: HttpExchange, id: string): Task<void> {
+    const by = exchange.headers["x-caller"] || "caller";
+    const ended = yield* this.operations.jobSubmission.endNow(id, by);
+    if (!ended.ok) return Http.problem(exchange, ended.fault);
+    Http.json(exchange, 200, { id, ended: true });
+  }
+}
--- /dev/null
+++ b/src/adapters/caller/liveResponse.ts
@@ -0,0 +1,153 @@
+import { Constants } from "../../common/constants";
+import { Fault, Result } from "../../common/fault";
+import { Task } from "../../runtime/csp";
+import { HttpExchange } from "../../runtime/env";
+import { Http } from "../http";
+import type { ReadResponse } from "../../storage/messages/liveRequestMessages";
+import type { CallerOperations } from "./callerOperations";
+import { closedRequestFault } from "./closedRequest";
+
+/** How long a shard may wait for new chunks before it responds, in ms. */
+const readWaitMs = 800;
+/** The least time for a read, also when the request's deadline is near, in ms. */
+const minReadMs = 1000;
+
+const serverSentEvent = (event: string, data: unknown, id?: number): string =>
+  `${id === undefined ? "" : `id: ${id}\n`}event: ${event}\ndata: ${JSON.stringify(data)}\n\n`;
+
+const statusOf = (fault: Fault): number => (fault.tag === "notFound" ? 404 : fault.tag === "gone" ? 410 : 504);
+
+const readProgress = (
+  operations: CallerOperations,
+  requestId: string,
+  after: number,
+  untilMono: number,
+): Task<Result<ReadResponse>> => {
+  const leftMs = Math.min(Constants.streamPatienceMs, untilMono - operations.env.mono());
+  return operations.liveRequests.read(requestId, after, readWaitMs, Math.max(minReadMs, leftMs));
+};
+
+/**
+ * Relays the chunks of a live request from its shard to the caller as server-sent events, each once and in order.
+ *
+ * @example
+ * yield* new StreamRelay(operations, exchange, "req-1", 0, untilMono).run(true);
+ */
+export class StreamRelay {
+  private isOpen = false;
+  /** Starts after the chunk `position`; `untilMono` is the request's deadline. */
+  constructor(
+    private readonly operations: CallerOperations,
+    private readonly exchange: HttpExchange,
+    private readonly requestId: string,
+    private position: number,
+    private readonly untilMono: number,
+  ) {}
+
+  /** Relays to the end. `isNew` says that the caller has just opened the request, so that the shard must know it. */
+  *run(isNew: boolean): Task<void> {
+    const { operations } = this;
+    for (;;) {
+      if (this.exchange.gone.isClosed()) return;
+      if (operations.readiness.stopping && this.isOpen) return this.move();
+      const progress = yield* readProgress(operations, this.requestId, this.position, this.untilMono);
+      if (!progress.ok) return this.readFailed(progress.fault, isNew);
+      if (!this.relayChunks(progress.value)) return;
+      if (progress.value.closed) return this.close(progress.value);
+      if (operations.env.mono() > this.untilMono + Constants.streamPatienceMs)
+        return this.fail({ tag: "unknown", step: "relay", member: operations.id, detail: "no end in time" });
+    }
+  }
+
+  /** Sends the caller to another node, since this one stops. */
+  private move(): void {
+    const detail = "this node is stopping: go on elsewhere with Last-Event-ID";
+    this.exchange.write(serverSentEvent("move", { requestId: this.requestId, after: this.position, detail }));
+    this.exchange.end();
+  }
+
+  private readFailed(fault: Fault, isNew: boolean): void {
+    if (fault.tag === "notFound" && isNew)
+      return this.fail({ tag: "unknown", step: "read", member: fault.member, detail: fault.detail });
+    this.fail(fault, statusOf(fault));
+  }
+
+  /** False if a chunk is missing, which has ended the stream. */
+  private relayChunks(progress: ReadResponse): boolean {
+    for (const chunk of progress.pieces) {
+      if (chunk.n !== this.position + 1) {
+        const detail = `piece ${chunk.n} after ${this.position}`;
+        this.fail({ tag: "internal", step: "relay", member: this.operations.id, detail });
+        return false;
+      }
+      this.open();
+      this.exchange.write(serverSentEvent("piece", { piece: chunk.data }, chunk.n));
+      this.position = chunk.n;
+    }
+    return true;
+  }
+
+  private close(progress: ReadResponse): void {
+    if (progress.state === "done") {
+      this.open();
+      this.exchange.write(serverSentEvent("end", { pieces: this.position }));
+      return this.exchange.end();
+    }
+    const { fault, status } = closedRequestFault(progress.state, progress.outcome, this.requestId);
+    if (fault.tag === "busy") this.operations.counters.rejections += 1;
+    this.fail(fault, status);
+  }
+
+  private open(): void {
+    if (!this.isOpen)
+      this.exchange.open(200, {
+        "content-type": "text/event-stream",
+        "cache-control": "no-store",
+        "x-request-id": this.requestId,
+      });
+    this.isOpen = true;
+  }
+
+  /** A problem as the response, or as the last event if the stream has begun. */
+  private fail(fault: Fault, status?: number): void {
+    const { exchange, requestId } = this;
+    this.operations.counters.failures += 1;
+    if (!this.isOpen) return Http.problem(exchange, fault, status, { requestId });
+    const problem = Http.problemOf(fault, status ?? 504, fault.tag, { requestId, after: this.position });
+    exchange.write(serverSentEvent("error", problem));
+    exchange.end();
+  }
+}
+
+/**
+ * Waits for the end of a live request that is no stream, and responds with its one chunk.
+ *
+ * @example
+ * yield* respondWhenClosed(operations, exchange, "req-1", untilMono);
+ */
+export function* respondWhenClosed(
+  operations: CallerOperations,
+  exchange: HttpExchange,
+  requestId: string,
+  untilMono: number,
+): Task<void> {
+  for (;;) {
+    const progress = yield* readProgress(operations, requestId, 0, untilMono);
+    if (!progress.ok) {
+      const { step, member, detail } = progress.fault;
+      return Http.problem(exchange, { tag: "unknown", step, member, detail }, 504, { requestId });
+    }
+    const { closed, outcome, pieces, state } = progress.value;
+    if (closed && state === "done")
+      return exchange.send(200, { "content-type": "application/json", "x-request-id": requestId }, pieces[0].data);
+    if (closed) {
+      const { fault, status } = closedRequestFault(state, outcome, requestId);
+      return Http.problem(exchange, fault, status, { requestId });
+    }
+    if (operations.env.mono() > untilMono + Constants.streamPatienceMs) {
+      const member = operations.id;
+      const fault: Fault = { tag: "unknown", step: "read", member, detail: "no end in time" };
+      return Http.problem(exchange, fault, 504, { requestId });
+    }
+  }
+}
--- a/src/adapters/http.ts
+++ b/src/adapters/http.ts
@@ -74,7 +74,7 @@
     ...extra,
   }),
   /** Body as JSON; on failure the reply has been sent. @example const body = yield* Http.body(incoming, 1000); if (!body) return; */
-  *body(incoming: HttpExchange, limit: number): Task<{ value: any; text: string } | undefined> {
+  *body(incoming: HttpExchange, limit: number): Task<{ value: unknown; text: string } | undefined> {
     const read: Result<Buffer> = yield* incoming.body(limit);
     if (!read.ok) {
       Http.problem(incoming, read.fault, read.fault.tag === "invalid" ? 413 : 400);
--- /dev/null
+++ b/src/adapters/operator/announcementRoutes.ts
@@ -0,0 +1,61 @@
+import { Constants } from "../../common/constants";
+import { Result } from "../../common/fault";
+import type { Announcement } from "../../node/endpointAnnouncements";
+import type { NodeContext } from "../../node/nodeContext";
+import { Task } from "../../runtime/csp";
+import { HttpExchange } from "../../runtime/env";
+import { Http, HttpRoute } from "../http";
+import { parseAnnouncement } from "../schemas/announcementSchemas";
+import type { OperatorContext } from "./operatorContext";
+
+const bodyLimitBytes = 65_536;
+const endpointPath = /^\/v1\/replicas\/([A-Za-z0-9._-]{1,80})$/;
+
+/**
+ * Reads an announcement by an endpoint and publishes it; undefined on failure, and then the response has been sent.
+ *
+ * @example
+ * const published = yield* publishAnnouncement(node, exchange, (body) => parseAnnouncement(body));
+ */
+export function* publishAnnouncement(
+  node: NodeContext,
+  exchange: HttpExchange,
+  parse: (candidate: unknown) => Result<Announcement>,
+): Task<object | undefined> {
+  const body = yield* Http.body(exchange, bodyLimitBytes);
+  if (!body) return undefined;
+  const announcement = parse(body.value);
+  if (!announcement.ok) {
+    Http.problem(exchange, announcement.fault);
+    return undefined;
+  }
+  const published = yield* node.announce(announcement.value);
+  if (published.ok) return published.value as object;
+  Http.problem(exchange, published.fault, published.fault.tag === "conflict" ? 409 : undefined);
+  return undefined;
+}
+
+function* announce(node: NodeContext, exchange: HttpExchange, id: string): Task<void> {
+  const published = yield* publishAnnouncement(node, exchange, (candidate) => {
+    const announcement = parseAnnouncement(candidate);
+    return announcement.ok ? { ok: true, value: { ...announcement.value, id } } : announcement;
+  });
+  if (published) Http.json(exchange, 200, { ...published, grantMs: Constants.endpointLeaseMs });
+}
+
+function* withdraw(node: NodeContext, exchange: HttpExchange, id: string): Task<void> {
+  const withdrawn = yield* node.goodbye(id);
+  if (!withdrawn.ok) return Http.problem(exchange, withdrawn.fault);
+  Http.json(exchange, 200, { goodbye: id });
+}
+
+/**
+ * Endpoints announce themselves here, and withdraw.
+ *
+ * @example
+ * const routes = announcementRoutes(context);
+ */
+export const announcementRoutes = ({ node }: OperatorContext): HttpRoute[] => [
+  { method: "PUT", path: endpointPath, run: (exchange, [id]) => announce(node, exchange, id) },
+  { method: "DELETE", path: endpointPath, run: (exchange, [id]) => withdraw(node, exchange, id) },
+];
--- /dev/null
+++ b/src/adapters/operator/calendarRoutes.ts
@@ -0,0 +1,44 @@
+import { Constants } from "../../common/constants";
+import { NodeContext } from "../../node/nodeContext";
+import { Task } from "../../runtime/csp";
+import { HttpExchange } from "../../runtime/env";
+import { Http, HttpRoute } from "../http";
+import { parseCalendarEntry } from "../schemas/calendarSchemas";
+import type { OperatorContext } from "./operatorContext";
+import { submitChange } from "./operatorChanges";
+import { controlReadTimeoutMs, readRoute } from "./readRoute";
+
+const changePath = /^\/v1\/calendar\/([A-Za-z0-9._-]{1,80})$/;
+
+function* putEntry(node: NodeContext, exchange: HttpExchange, id: string): Task<void> {
+  const body = yield* Http.body(exchange, Constants.configurationLimitBytes);
+  if (!body) return;
+  const entry = parseCalendarEntry(body.value, node.env.wall());
+  if (!entry.ok) return Http.problem(exchange, entry.fault);
+  const { due, move } = entry.value;
+  yield* submitChange(node, exchange, body.text, (base) => ({ tag: "pencil", ...base, id, due, move }));
+}
+
+/**
+ * The calendar of planned changes, and what became of a change.
+ *
+ * @example
+ * const routes = calendarRoutes(context);
+ */
+export const calendarRoutes = ({ node }: OperatorContext): HttpRoute[] => [
+  readRoute(node.id, /^\/v1\/calendar$/, () =>
+    node.control.request({ op: "read", what: "calendar" }, controlReadTimeoutMs),
+  ),
+  readRoute(node.id, /^\/v1\/calendar\/([^/]+)$/, (_exchange, [id]) =>
+    node.control.request({ op: "read", what: "calendar", id }, controlReadTimeoutMs),
+  ),
+  readRoute(node.id, /^\/v1\/changes\/([^/]+)$/, (_exchange, [id]) =>
+    node.control.request({ op: "read", what: "change", id }, controlReadTimeoutMs),
+  ),
+  { method: "PUT", path: changePath, run: (exchange, [id]) => putEntry(node, exchange, id) },
+  {
+    method: "DELETE",
+    path: changePath,
+    run: (exchange, [id]) => submitChange(node, exchange, "", (base) => ({ tag: "erase", ...base, id })),
+  },
+];
--- /dev/null
+++ b/src/adapters/operator/configurationRoutes.ts
@@ -0,0 +1,81 @@
+import { Constants } from "../../common/constants";
+import { Result } from "../../common/fault";
+import { Command } from "../../controlState/command";
+import { NodeContext } from "../../node/nodeContext";
+import { Task } from "../../runtime/csp";
+import { HttpExchange } from "../../runtime/env";
+import { Http, HttpRoute } from "../http";
+import { parseConfigurationChange, parseConfigurationPatch } from "../schemas/configurationSchemas";
+import { parsePolicies } from "../schemas/policySchemas";
+import type { OperatorContext } from "./operatorContext";
+import { submitChange, VersionedChange } from "./operatorChanges";
+import { controlReadTimeoutMs } from "./readRoute";
+
+/** The documents with a version. */
+type VersionedDocument = "manifest" | "policies";
+
+function* readDocument(node: NodeContext, exchange: HttpExchange, what: VersionedDocument): Task<void> {
+  const document = yield* node.control.request<{ version: number }>({ op: "read", what }, controlReadTimeoutMs);
+  if (!document.ok) return Http.problem(exchange, document.fault);
+  const { version } = document.value;
+  Http.json(exchange, 200, document.value, { etag: `"${version}"` });
+}
+
+/** Reads a body, parses it, and submits the command that is made of it. */
+function* changeDocument<T>(
+  node: NodeContext,
+  exchange: HttpExchange,
+  limitBytes: number,
+  parse: (candidate: unknown) => Result<T>,
+  makeCommand: (base: VersionedChange, change: T) => Command,
+): Task<void> {
+  const body = yield* Http.body(exchange, limitBytes);
+  if (!body) return;
+  const change = parse(body.value);
+  if (!change.ok) return Http.problem(exchange, change.fault);
+  yield* submitChange(node, exchange, body.text, (base) => makeCommand(base, change.value));
+}
+
+/**
+ * The configuration and the policies: read, replaced whole, and (the configuration) patched.
+ *
+ * @example
+ * const routes = configurationRoutes(context);
+ */
+export function configurationRoutes({ node }: OperatorContext): HttpRoute[] {
+  const { bodyLimitBytes, configurationLimitBytes } = Constants;
+  return [
+    { method: "GET", path: /^\/v1\/manifest$/, run: (exchange) => readDocument(node, exchange, "manifest") },
+    {
+      method: "PUT",
+      path: /^\/v1\/manifest$/,
+      run: (exchange) =>
+        changeDocument(node, exchange, configurationLimitBytes, parseConfigurationChange, (base, change) => ({
+          tag: "manifest",
+          ...base,
+          ...change,
+        })),
+    },
+    { method: "GET", path: /^\/v1\/policies$/, run: (exchange) => readDocument(node, exchange, "policies") },
+    {
+      method: "PUT",
+      path: /^\/v1\/policies$/,
+      run: (exchange) =>
+        changeDocument(node, exchange, bodyLimitBytes, parsePolicies, (base, doc) => ({
+          tag: "policies",
+          ...base,
+          doc,
+        })),
+    },
+    {
+      method: "PATCH",
+      path: /^\/v1\/manifest$/,
+      run: (exchange) =>
+        changeDocument(node, exchange, configurationLimitBytes, parseConfigurationPatch, (base, change) => ({
+          tag: "patch",
+          ...base,
+          ...change,
+        })),
+    },
+  ];
+}
--- /dev/null
+++ b/src/adapters/operator/processRoutes.ts
@@ -0,0 +1,36 @@
+import { Constants } from "../../common/constants";
+import { Task } from "../../runtime/csp";
+import { HttpExchange } from "../../runtime/env";
+import { Http, HttpRoute } from "../http";
+import type { OperatorContext } from "./operatorContext";
+
+function* readiness({ node, hooks }: OperatorContext, exchange: HttpExchange): Task<void> {
+  const unreadyReason = hooks.unreadyReason();
+  if (!unreadyReason) return Http.json(exchange, 200, { ready: true });
+  const { retryAfterMs } = Constants;
+  Http.problem(exchange, { tag: "busy", step: "ready", member: node.id, detail: unreadyReason, retryAfterMs });
+}
+
+/**
+ * Liveness, readiness and metrics of the process.
+ *
+ * @example
+ * const routes = processRoutes(context);
+ */
+export const processRoutes = (context: OperatorContext): HttpRoute[] => [
+  {
+    method: "GET",
+    path: /^\/livez$/,
+    *run(exchange) {
+      Http.json(exchange, 200, { live: true });
+    },
+  },
+  { method: "GET", path: /^\/readyz$/, run: (exchange) => readiness(context, exchange) },
+  {
+    method: "GET",
+    path: /^\/metrics$/,
+    *run(exchange) {
+      exchange.send(200, { "content-type": "text/plain" }, Http.metricLines(context.hooks.metrics()));
+    },
+  },
+];
--- a/src/adapters/protocolAdapters.ts
+++ b/src/adapters/protocolAdapters.ts
@@ -1,20 +1,30 @@
-import type { ControlNode } from "../control/controlNode";
+import type { HeaderNames } from "../forwarding/headerNames";
+import type { NodeContext } from "../node/nodeContext";
 import type { Task } from "../runtime/csp";
 import type { HttpExchange } from "../runtime/env";
-import type { HeaderNames } from "../forwarding/headerNames";
-import type { DirectRequestHandler } from "../ingress/directRequestHandler";
-import type { IngressNode } from "../ingress/ingressNode";
+import type { CallerOperations } from "./caller/callerOperations";
 
 /** A further HTTP surface of a process, at an address of its own. */
-export type HttpSurface = { address: string; serve: (incoming: HttpExchange) => Task<void> };
+export interface HttpSurface {
+  /** HOST:PORT to listen on. */
+  address: string;
+  serve: (exchange: HttpExchange) => Task<void>;
+}
+
 /**
- * What another outside shape brings: names of headers, and surfaces beside the product's own.
+ * What another protocol adds to the processes: names of headers, and surfaces beside the product's own.
  *
  * @example
- * Daemon.start(env, settings, { names, ingress: (node) => [{ address: "10.0.0.5:80", serve: shape.serve(node) }] });
+ * Daemon.start(env, settings, {
+ *   names,
+ *   ingress: (operations) => [{ address: "10.0.0.5:80", serve: (exchange) => operations.directRequests.serve(exchange) }],
+ * });
  */
-export type ProtocolAdapters = {
+export interface ProtocolAdapters {
+  /** The header names between callers, ingress and endpoints; the product's own by default. */
   names?: HeaderNames;
-  ingress?: (ingress: IngressNode, direct: DirectRequestHandler) => HttpSurface[];
-  control?: (control: ControlNode) => HttpSurface[];
-};
+  /** Surfaces of an ingress. */
+  ingress?: (operations: CallerOperations) => HttpSurface[];
+  /** Surfaces of a control node. */
+  control?: (context: NodeContext) => HttpSurface[];
+}
--- /dev/null
+++ b/src/adapters/schemas/commonSchemas.ts
@@ -0,0 +1,18 @@
+/** JSON schemas that several resources share. */
+export const CommonSchemas = {
+  /** A name of a route, pool or version. */
+  name: { type: "string", pattern: "^[A-Za-z0-9._-]{1,80}$" },
+  text: { type: "string", minLength: 1, maxLength: 80 },
+  /** HOST:PORT by IPv4 address. */
+  address: { type: "string", pattern: "^[0-9.]+:[0-9]{1,5}$" },
+  positive: { type: "number", exclusiveMinimum: 0 },
+  atLeast0: { type: "number", minimum: 0 },
+  positiveInteger: { type: "integer", minimum: 1 },
+
+  /** An object whose keys are names. */
+  byName: (item: unknown): unknown => ({
+    type: "object",
+    propertyNames: { pattern: CommonSchemas.name.pattern },
+    additionalProperties: item,
+  }),
+};
--- a/src/cli/operator/documentCommands.ts
+++ b/src/cli/operator/documentCommands.ts
@@ -1,5 +1,6 @@
 import type { Sade } from "sade";
-import { OperatorSchemas } from "../../adapters/operatorSchemas";
+import { parseConfiguration } from "../../adapters/schemas/configurationSchemas";
+import { parsePolicies } from "../../adapters/schemas/policySchemas";
 import { readJsonFile } from "../jsonFile";
 import { printError, printLine } from "../output";
 import {
@@ -18,7 +19,7 @@
 
 function checkFile(document: DocumentName, name: string): void {
   const content = readJsonFile(name);
-  const checked = document === "manifest" ? OperatorSchemas.configuration(content) : OperatorSchemas.policies(content);
+  const checked = document === "manifest" ? parseConfiguration(content) : parsePolicies(content);
   if (checked.ok) {
     printLine(`${name} is well`);
     return;
--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -8,6 +8,7 @@
 import { ControlSnapshot } from "../controlState/controlSnapshot";
 import type { ControlState } from "../controlState/controlState";
 import { Node } from "../node/node";
+import { NodeContext } from "../node/nodeContext";
 import { Task } from "../runtime/csp";
 import { Env, EnvTools } from "../runtime/env";
 import { CheckpointedLog } from "../runtime/checkpointedLog";
@@ -161,7 +162,7 @@
       ledgerSource: this.shardClient,
     });
     if (!served.ok) return served;
-    for (const surface of adapters.control?.(this) ?? []) {
+    for (const surface of adapters.control?.(NodeContext.of(this.node)) ?? []) {
       const opened = yield* env.serveHttp(surface.address, surface.serve);
       if (!opened.ok) return opened;
     }
--- a/src/ingress/batchSubmission.ts
+++ b/src/ingress/batchSubmission.ts
@@ -1,65 +1,60 @@
+import type { JobSubmission, JsonItemsJob, SubmittedItem } from "../adapters/caller/callerOperations";
 import { Constants } from "../common/constants";
-import { Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
-import { DirectHttp } from "../forwarding/directHttp";
-import { firstMatchingRule } from "../routing/policyRules";
 import { Fault, Result } from "../common/fault";
-import { ClusterSnapshot } from "../node/clusterSnapshot";
 import { Hash } from "../common/hash";
 import { Stamp } from "../common/stamp";
 import { Route } from "../controlState/configuration";
-import { Cause, ItemRequest, BatchJobSpec } from "../shard/shardTypes";
-import type { ItemBodyResponse, JobResultPage, SubmitJobResponse } from "../storage/messages/batchJobMessages";
-import { ShardClient } from "../storage/shardClient";
-import { RequestOf, ResponseOf } from "../rpc/methods";
-import { Rpc } from "../rpc/rpc";
+import { DirectHttp } from "../forwarding/directHttp";
+import { firstMatchingRule } from "../routing/policyRules";
+import { Task } from "../runtime/csp";
+import { Cause, ItemRequest, BatchJobSpec, PutOutcome } from "../shard/shardTypes";
+import type { EndJobResponse, SubmitJobResponse } from "../storage/messages/batchJobMessages";
+import { BatchJobHost } from "./batchJobHost";
+import { callJobLeader } from "./jobLeaderCall";
 
-/** What lots need of the process that takes them in. */
-export type BatchSubmissionHost = {
-  readonly env: Env;
-  readonly rpc: Rpc;
-  readonly shardClient: ShardClient;
-  readonly settings?: { district: string };
-  snapshot(): ClusterSnapshot;
-};
-/** An item as it is handed in: a whole request, its body in base64. */
-export type SubmittedItem = ItemRequest & { body: string };
+/** Priority of a job where neither policy nor route gives one. */
+const defaultOrder = 100;
+/** Time for one attempt to submit JSON items, in ms. */
+const jsonItemsAttemptMs = 2000;
 
-const lowered = (headers: Record<string, string>): Record<string, string> =>
+const withLowerCaseNames = (headers: Record<string, string>): Record<string, string> =>
   Object.fromEntries(Object.entries(headers).map(([name, value]) => [name.toLowerCase(), String(value)]));
-/** What can't be told otherwise: it never ran and never will, come again. */
-const busy = (fault: Fault): Result<never> => Fault.busy("hand in", fault.member, fault.detail, Constants.retryAfterMs);
+
+/** The submission takes no effect: the caller should retry. */
+const rejected = (fault: Fault): Result<never> =>
+  Fault.busy("hand in", fault.member, fault.detail, Constants.retryAfterMs);
+
+/** A job as it is put to its shard, and what it was admitted by. */
+export interface PreparedJob {
+  job: BatchJobSpec;
+  cause: Cause;
+}
 
 /**
- * Lots whose items are whole requests, as an ingress takes them in: handed in, listed, looked into, ended.
+ * Submits batch jobs to their shards, and ends them.
  *
  * @example
- * const handed = yield* LotIntake.handIn(ingress, "lot-17", "audit", binding, items, 3000);
- * const listing = yield* LotIntake.list(ingress, "lot-17", 0, 1000);
+ * const submitted = yield* new BatchSubmission(host).submit("job-17", "audit", route, items, 3000);
  */
-export const BatchSubmission = {
-  /**
-   * Ok once the lot stands on every copy of its shard. "busy" promises that this arrival of it never will, with the step
-   * "quota" if it didn't fit; "unknown" promises nothing.
-   * @example yield* LotIntake.handIn(ingress, "lot-17", "audit", binding, items, 3000)
-   */
+export class BatchSubmission implements JobSubmission {
+  constructor(private readonly host: BatchJobHost) {}
+
   *submit(
-    host: BatchSubmissionHost,
     id: string,
-    name: string,
+    routeName: string,
     route: Route,
     items: SubmittedItem[],
     withinMs: number,
   ): Task<Result<SubmitJobResponse>> {
-    const { env, shardClient } = host;
+    const { env, shardClient } = this.host;
     const arrival = shardClient.stamp(env.wall());
-    const control = host.snapshot().control;
-    if (!Stamp.admits(arrival.time, env.wall(), control?.manifest.doc.clock ?? Stamp.defaults))
+    const bounds = this.host.snapshot().control?.manifest.doc.clock ?? Stamp.defaults;
+    if (!Stamp.admits(arrival.time, env.wall(), bounds))
       return Fault.busy("stamp", "ingress", "our stamps are ahead of our clock", Constants.retryAfterMs);
-    const { lot: job, cause } = BatchSubmission.toJob(host, id, name, route, items);
+    const { job, cause } = this.prepare(id, routeName, route, items);
     const life = Stamp.text(arrival);
     let attempts = 0;
-    const handed = yield* shardClient.callLeader(
+    const response = yield* shardClient.callLeader(
       shardClient.shardOf(id),
       "lot.handIn",
       () => {
@@ -69,130 +64,118 @@
       withinMs,
       Constants.jobAttemptMs,
     );
-    if (handed.ok) return handed;
-    switch (handed.fault.tag) {
+    return response.ok ? response : yield* this.settleFault(id, response.fault, attempts);
+  }
+
+  /** Makes sure that a failed submission takes no effect, where it may have arrived. */
+  private *settleFault(id: string, fault: Fault, attempts: number): Task<Result<SubmitJobResponse>> {
+    switch (fault.tag) {
       case "timeout":
       case "refused":
       case "notLead":
       case "late":
-        return busy(handed.fault); // nothing of it can have arrived in time
+        return rejected(fault); // no attempt can have arrived in time
       case "busy":
-        // an earlier round of ours may still be on its way
-        return attempts === 1 ? handed : yield* BatchSubmission.refuse(host, id, handed.fault);
+        // an earlier attempt may still arrive
+        return attempts === 1 ? { ok: false, fault } : yield* this.refuse(id, fault);
       case "unknown":
-        return yield* BatchSubmission.refuse(host, id, handed.fault);
+        return yield* this.refuse(id, fault);
       default:
-        return handed;
+        return { ok: false, fault };
     }
-  },
-  /** The lot as it is put, and what it was taken in by. @example LotIntake.order(host, "lot-17", "audit", binding, items).lot */
-  toJob(
-    host: BatchSubmissionHost,
-    id: string,
-    name: string,
-    route: Route,
-    items: SubmittedItem[],
-  ): { lot: BatchJobSpec; cause: Cause } {
-    const { control } = host.snapshot();
+  }
+
+  /** The job as it is put to its shard, with its priority by policy or route. */
+  prepare(id: string, routeName: string, route: Route, items: SubmittedItem[]): PreparedJob {
+    const { control } = this.host.snapshot();
     const policies = control?.policies;
-    const line = firstMatchingRule(
-      { route: name, kind: route.kind, caller: "" },
-      policies?.doc ?? [],
-      (each) => each.order !== undefined,
-    );
+    const subject = { route: routeName, kind: route.kind, caller: "" };
+    const rule = firstMatchingRule(subject, policies?.doc ?? [], (each) => each.order !== undefined);
     const { origin: _origin, ...kept } = route;
     const requests = items.map(({ id: item, target, headers, tokens }): ItemRequest => ({
       id: item,
       target,
-      headers: DirectHttp.endToEnd(lowered(headers)),
+      headers: DirectHttp.endToEnd(withLowerCaseNames(headers)),
       tokens,
     }));
     const bodies = items.map((item) => item.body);
-    const cause: Cause = {
-      manifest: control?.manifest.version,
-      ...(line ? { policy: `line ${policies!.doc.indexOf(line) + 1} of version ${policies!.version}` } : {}),
-    };
+    const policy = rule ? `line ${policies!.doc.indexOf(rule) + 1} of version ${policies!.version}` : undefined;
     return {
-      lot: {
+      job: {
         id,
-        binding: name,
-        bodyHash: Hash.text(JSON.stringify([name, requests, bodies])),
+        binding: routeName,
+        bodyHash: Hash.text(JSON.stringify([routeName, requests, bodies])),
         bodies,
         requests,
         safe: true,
-        order: line?.order ?? route.order ?? 100,
+        order: rule?.order ?? route.order ?? defaultOrder,
         kept,
         since: control?.manifest.version ?? 0,
       },
-      cause,
+      cause: { manifest: control?.manifest.version, ...(policy ? { policy } : {}) },
     };
-  },
-  /** Its fate is not known: it is closed as refused at its shard, or found to be kept; else nothing can be said. */
-  *refuse(host: BatchSubmissionHost, id: string, fault: Fault): Task<Result<SubmitJobResponse>> {
-    const { env, shardClient } = host;
-    const refused = yield* shardClient.callLeader(
+  }
+
+  /**
+   * Closes a submission with an unknown outcome as refused at its shard. It may turn out that the shard has accepted the
+   * job; if the shard cannot be asked either, the fault is "unknown".
+   */
+  *refuse(id: string, fault: Fault): Task<Result<SubmitJobResponse>> {
+    const { env, shardClient } = this.host;
+    const response = yield* shardClient.callLeader(
       shardClient.shardOf(id),
       "lot.refuse",
       () => ({ id, stamp: shardClient.stamp(env.wall()) }),
       Constants.jobRefuseMs,
     );
-    if (!refused.ok) return Fault.fail("unknown", "hand in", fault.member, fault.detail);
-    if (!refused.value.refused) return Fault.ok({ tag: "exists", same: true, state: "" });
-    return fault.tag === "busy" ? { ok: false, fault } : busy(fault);
-  },
-  /** Results from a position on, from a member of the lot's shard in our district, else any. "notFound" is certain, all else is "busy". @example yield* LotIntake.list(ingress, "lot-17", 0, 1000) */
-  list: (host: BatchSubmissionHost, id: string, from: number, waitMs: number): Task<Result<JobResultPage>> =>
-    BatchSubmission.callReplicas(host, id, "lot.list", { from, waitMs }, waitMs),
-  /** The body, in base64, of an item that is not listed yet. @example yield* LotIntake.itemBody(ingress, "lot-17", "i1") */
-  itemBody: (host: BatchSubmissionHost, id: string, item: string): Task<Result<ItemBodyResponse>> =>
-    BatchSubmission.callReplicas(host, id, "lot.itemBody", { item }, 0),
-  /** Ends a lot, as often as it is asked. @example yield* LotIntake.end(ingress, "lot-17", "caller") */
-  *end(host: BatchSubmissionHost, id: string, by: string): Task<Result<{ ended: true }>> {
-    const { env, shardClient } = host;
-    const ended = yield* shardClient.callLeader(
+    if (!response.ok) return Fault.fail("unknown", "hand in", fault.member, fault.detail);
+    if (!response.value.refused) return Fault.ok({ tag: "exists", same: true, state: "" });
+    return fault.tag === "busy" ? { ok: false, fault } : rejected(fault);
+  }
+
+  *submitJsonItems({ id, route, bodies }: JsonItemsJob, arrival: Stamp): Task<Result<PutOutcome>> {
+    const { env, shardClient } = this.host;
+    const job = {
+      id,
+      binding: route.name,
+      bodyHash: Hash.text(JSON.stringify([route.name, bodies])),
+      bodies,
+      safe: route.route.safe,
+      order: route.order,
+      kept: route.route,
+    };
+    let attempts = 0;
+    const response = yield* shardClient.callLeader(
+      shardClient.shardOf(id),
+      "lot.accept",
+      () => {
+        attempts += 1;
+        return { stamp: attempts === 1 ? arrival : shardClient.stamp(env.wall()), lot: job, cause: route.cause };
+      },
+      Constants.jobPatienceMs,
+      jsonItemsAttemptMs,
+      Constants.openPatienceMs,
+    );
+    if (response.ok || response.fault.tag === "busy" || response.fault.tag === "unknown") return response;
+    return Fault.busy("accept lot", response.fault.member, response.fault.detail, 2 * Constants.retryAfterMs);
+  }
+
+  *end(id: string, by: string): Task<Result<EndJobResponse>> {
+    const { env, shardClient } = this.host;
+    const response = yield* shardClient.callLeader(
       shardClient.shardOf(id),
       "lot.end",
       () => ({ id, stamp: shardClient.stamp(env.wall()), by }),
       Constants.jobHoldMs,
     );
-    if (ended.ok || ended.fault.tag === "notFound" || ended.fault.tag === "gone" || ended.fault.tag === "unknown")
-      return ended;
-    return Fault.busy("end lot", ended.fault.member, ended.fault.detail, Constants.retryAfterMs);
-  },
-  *callReplicas<Method extends "lot.list" | "lot.itemBody">(
-    host: BatchSubmissionHost,
-    id: string,
-    verb: Method,
-    body: Omit<RequestOf<Method>, "shard" | "id" | "anyAge">,
-    waitMs: number,
-  ): Task<Result<ResponseOf<Method>>> {
-    const { env, shardClient, rpc } = host;
-    const shard = shardClient.shardOf(id);
-    const until = env.mono() + waitMs + Constants.jobReadMs;
-    let last: Result<ResponseOf<Method>> = Fault.fail("timeout", verb, `shard ${shard}`, "no view is known");
-    for (let attempt = 0; ; attempt += 1) {
-      const snapshot = host.snapshot();
-      const view = snapshot.control?.views[shard];
-      const members = (view?.members ?? []).flatMap((id) => snapshot.members.find((each) => each.id === id) ?? []);
-      // what is listed is much: rather from nearby than from the lead, who is asked next
-      const near = verb === "lot.list" && attempt === 0 ? host.settings?.district : undefined;
-      const rank = ({ id, district: zone }: { id: string; district: string }): number =>
-        zone === near ? 0 : id === view!.lead ? 1 : 2;
-      for (const { address } of members.sort((left, right) => rank(left) - rank(right))) {
-        const left = until - env.mono();
-        if (left <= 0) continue;
-        last = yield* rpc.call(
-          address,
-          verb,
-          { ...body, shard, id, anyAge: attempt > 0 } as RequestOf<Method>,
-          Math.min(left, waitMs + Constants.jobReadAttemptMs),
-          () => host.snapshot().control?.views[shard]?.epoch !== view?.epoch,
-        );
-        if (last.ok || last.fault.tag === "notFound" || last.fault.tag === "gone") return last;
-      }
-      if (env.mono() + 100 >= until) break;
-      yield* EnvTools.sleep(env, 100);
-    }
-    return last.ok ? last : Fault.busy(verb, last.fault.member, last.fault.detail, Constants.retryAfterMs);
-  },
-};
+    if (response.ok) return response;
+    const { tag, member, detail } = response.fault;
+    if (tag === "notFound" || tag === "gone" || tag === "unknown") return response;
+    return Fault.busy("end lot", member, detail, Constants.retryAfterMs);
+  }
+
+  endNow(id: string, by: string): Task<Result<EndJobResponse>> {
+    const { env, shardClient } = this.host;
+    return callJobLeader(shardClient, "lot.end", id, () => ({ stamp: shardClient.stamp(env.wall()), by }));
+  }
+}
--- /dev/null
+++ b/src/ingress/endpointAttempt.ts
@@ -0,0 +1,146 @@
+import { Constants } from "../common/constants";
+import { Fault } from "../common/fault";
+import { Route } from "../controlState/configuration";
+import { DirectHttp, DirectResponse } from "../forwarding/directHttp";
+import { EventStreamReader } from "../forwarding/eventStreamReader";
+import { promisesNotExecuted } from "../forwarding/notExecutedStatus";
+import type { Endpoint } from "../node/clusterSnapshot";
+import { Task } from "../runtime/csp";
+import { HttpRequest } from "../runtime/env";
+import type { DirectContext } from "./directContext";
+import { DirectResponses } from "./directResponses";
+import { PendingDirectRequest } from "./pendingDirectRequest";
+
+/** How one attempt at one endpoint ended. */
+export type AttemptOutcome =
+  | { tag: "responded"; status: number }
+  /** The caller has disconnected. */
+  | { tag: "callerDisconnected" }
+  /** The request provably did not run; `delivered` says that the endpoint itself refused it. */
+  | { tag: "notExecuted"; fault: Fault; delivered: boolean }
+  /** The request may have run. */
+  | { tag: "failed"; fault: Fault };
+
+const failed = (step: string, endpoint: Endpoint, detail: string): AttemptOutcome => ({
+  tag: "failed",
+  fault: { tag: "broken", step, member: endpoint.id, detail },
+});
+
+const isExactlyResumable = (route: Route): boolean => route.safe && route.continues === "exact";
+
+/**
+ * One attempt of a direct request at one endpoint, for which capacity was acquired: sends the request, and relays the
+ * response. The capacity is released however the attempt ends.
+ *
+ * @example
+ * const outcome = yield* new EndpointAttempt(context, responses, pending, endpoint).run(true);
+ */
+export class EndpointAttempt {
+  constructor(
+    private readonly context: DirectContext,
+    private readonly responses: DirectResponses,
+    private readonly pending: PendingDirectRequest,
+    private readonly endpoint: Endpoint,
+  ) {}
+
+  /** `mayRetry` says that another attempt may follow, for which some time is left. */
+  *run(mayRetry: boolean): Task<AttemptOutcome> {
+    const { admissionQueue, env, headerNames } = this.context;
+    const { exchange, forwarded, route } = this.pending;
+    const { endpoint } = this;
+    const leftMs = this.leftMs();
+    const headTimeoutMs =
+      route.safe && mayRetry ? Math.min(leftMs, Math.max(Constants.headMs, 2 * (route.targetMs ?? 0))) : leftMs;
+    const cancellation: NonNullable<HttpRequest["cancellation"]> = {};
+    // an endpoint need not go on with what nobody waits for
+    exchange.onGone = () => cancellation.cancel?.();
+    const request = { ...forwarded, remainingMs: leftMs };
+    const opened = yield* DirectHttp.open(env, headerNames, endpoint, request, headTimeoutMs, cancellation);
+    if (!opened.ok) return this.openFailed(opened.fault);
+    const outcome = yield* this.relay(opened.value, headTimeoutMs);
+    exchange.onGone = undefined;
+    const isFailure = outcome.tag === "failed";
+    admissionQueue.release(endpoint, !isFailure, isFailure && outcome.fault.tag === "timeout");
+    return outcome;
+  }
+
+  private openFailed(fault: Fault): AttemptOutcome {
+    const { admissionQueue } = this.context;
+    if (this.callerDisconnected()) {
+      admissionQueue.release(this.endpoint, true);
+      return { tag: "callerDisconnected" };
+    }
+    const notExecuted = fault.tag === "refused";
+    const delivered = fault.step === "deliver";
+    // no connection and no answer are stronger signs of an unhealthy endpoint than one bad response
+    const decisive = !delivered && fault.tag !== "broken";
+    admissionQueue.release(this.endpoint, notExecuted && delivered, decisive);
+    return notExecuted ? { tag: "notExecuted", fault, delivered } : { tag: "failed", fault };
+  }
+
+  private *relay(opened: DirectResponse, firstEventWithinMs: number): Task<AttemptOutcome> {
+    const { endpointSignature } = this.context.headerNames;
+    const isSuccess = opened.status < 300;
+    if (isSuccess && endpointSignature !== "" && opened.headers[endpointSignature] === undefined) {
+      opened.response.abort();
+      return failed("check reply", this.endpoint, "a success without the replica's mark");
+    }
+    const contentType = opened.headers["content-type"] ?? "";
+    if (opened.status === 200 && contentType.startsWith("text/event-stream"))
+      return yield* this.relayStream(opened, firstEventWithinMs);
+    return yield* this.relayBody(opened);
+  }
+
+  private *relayBody(opened: DirectResponse): Task<AttemptOutcome> {
+    const { exchange, responseOpen, route } = this.pending;
+    const body = yield* DirectHttp.readBody(this.context.env, opened, this.leftMs());
+    if (!body && this.callerDisconnected()) return { tag: "callerDisconnected" };
+    if (!body) return failed("read reply", this.endpoint, "reply was cut, too long or too slow");
+    const mustNotReachCaller =
+      responseOpen || promisesNotExecuted(opened.status) || (opened.status >= 500 && route.safe);
+    if (mustNotReachCaller) return failed("read reply", this.endpoint, `replica replied ${opened.status}`);
+    exchange.send(opened.status, { ...opened.headers, ...this.responses.closeHeader() }, body);
+    return { tag: "responded", status: opened.status };
+  }
+
+  private *relayStream(opened: DirectResponse, firstEventWithinMs: number): Task<AttemptOutcome> {
+    const { pending } = this;
+    const { exchange, forwarded } = pending;
+    const events = new EventStreamReader(this.context.env, this.endpoint.id, opened.response, forwarded.lastEventId);
+    for (let isFirst = true; ; isFirst = false) {
+      const silenceMs = isFirst ? firstEventWithinMs : this.silenceMs();
+      const received = yield* events.next(Math.min(this.leftMs(), silenceMs));
+      if (this.callerDisconnected()) {
+        opened.response.abort();
+        return { tag: "callerDisconnected" };
+      }
+      if (!received.ok) return { tag: "failed", fault: received.fault };
+      if (!pending.responseOpen) {
+        exchange.open(opened.status, { ...opened.headers, ...this.responses.closeHeader() });
+        pending.responseOpen = true;
+      }
+      if (received.value === undefined) {
+        exchange.end();
+        return { tag: "responded", status: opened.status };
+      }
+      const [first, ...more] = received.value;
+      exchange.write(more.length === 0 ? first.raw : Buffer.concat(received.value.map((event) => event.raw)));
+      forwarded.lastEventId = events.lastId;
+    }
+  }
+
+  /** How long a stream may be silent between events; where no other endpoint can resume it, until the deadline. */
+  private silenceMs(): number {
+    const { route } = this.pending;
+    if (!isExactlyResumable(route)) return this.leftMs();
+    return Math.max(Constants.silentPieceMs, 3 * (route.pieceGapMs ?? 0));
+  }
+
+  private leftMs(): number {
+    return this.pending.deadlineAt - this.context.env.mono();
+  }
+
+  private callerDisconnected(): boolean {
+    return this.pending.exchange.gone.isClosed();
+  }
+}
--- /dev/null
+++ b/src/ingress/ingressAdmission.ts
@@ -0,0 +1,116 @@
+import type { AdmittedRequest, RequestAdmission } from "../adapters/caller/callerOperations";
+import { Constants } from "../common/constants";
+import { Fault, Result } from "../common/fault";
+import type { Configuration, Limits, Route } from "../controlState/configuration";
+import type { ControlSnapshot } from "../controlState/controlSnapshot";
+import type { PolicyRule } from "../controlState/policy";
+import { firstMatchingRule } from "../routing/policyRules";
+import { Task } from "../runtime/csp";
+import { HttpLimits } from "../runtime/env";
+import { defaultHttpLimits } from "../runtime/httpServer";
+import type { Cause } from "../shard/shardTypes";
+import type { AgentLink } from "./agentLink";
+import { IngressCounters } from "./ingressCounters";
+import { IngressReadiness } from "./ingressReadiness";
+import { LedgerNotes } from "./ledgerNotes";
+
+/** Priority of a request where no policy gives one. */
+const defaultOrder = 100;
+/** Requests of one route that may be live at once, where a shard takes part in them. */
+const liveRequestsPerRoute = Constants.liveBuffer * 4;
+
+function routeNamed(doc: Configuration, name: string): Route | undefined {
+  return Object.prototype.hasOwnProperty.call(doc.bindings, name) ? doc.bindings[name] : undefined;
+}
+
+/** The caller's deadline where it gives one and the route allows it, else the route's, in ms. */
+function deadlineOf(route: Route, headers: Record<string, string>): number {
+  const requested = Number(headers["x-deadline-ms"]);
+  return Number.isFinite(requested) && requested > 0 ? Math.min(requested, route.deadlineMs) : route.deadlineMs;
+}
+
+/**
+ * Admits requests by route name: rejects what the readiness, the policies or the limits do not allow, and keeps count of
+ * live requests.
+ *
+ * @example
+ * const admitted = admission.admit("ask", exchange.headers);
+ * if (admitted.ok) yield* admission.countLive("ask", () => serve(admitted.value));
+ */
+export class IngressAdmission implements RequestAdmission {
+  /** Live requests by route name. */
+  private readonly liveCounts = new Map<string, number>();
+  /** The limits in force, and the configured ones that they were made from. */
+  private limits: HttpLimits = defaultHttpLimits;
+  private configuredLimits: Limits | undefined;
+  constructor(
+    private readonly link: AgentLink,
+    private readonly readiness: IngressReadiness,
+    private readonly notes: LedgerNotes,
+    private readonly counters: IngressCounters,
+  ) {}
+
+  admit(routeName: string, headers: Record<string, string>): Result<AdmittedRequest> {
+    const unreadyReason = this.readiness.unreadyReason();
+    if (unreadyReason) return this.reject("accept", unreadyReason);
+    const control = this.link.snapshot().control!;
+    const route = routeNamed(control.manifest.doc, routeName);
+    if (!route) return Fault.fail("notFound", "accept", this.link.id, `no binding ${routeName}`);
+    const caller = headers["x-caller"] ?? "";
+    const subject = { route: routeName, kind: route.kind, caller };
+    const rules = control.policies.doc;
+    const priorityRule = firstMatchingRule(subject, rules, (rule) => rule.order !== undefined);
+    const limitRule = firstMatchingRule(subject, rules, (rule) => rule.limit !== undefined);
+    const cause = this.causeOf(control, priorityRule);
+    const limit = Math.min(limitRule?.limit ?? Infinity, route.kind === "lookup" ? Infinity : liveRequestsPerRoute);
+    if ((this.liveCounts.get(routeName) ?? 0) >= limit) return this.rejectOverLimit(routeName, cause, rules, limitRule);
+    const order = priorityRule?.order ?? defaultOrder;
+    return Fault.ok({ name: routeName, route, caller, order, cause, deadlineMs: deadlineOf(route, headers) });
+  }
+
+  *countLive<T>(routeName: string, task: () => Task<T>): Task<T> {
+    this.liveCounts.set(routeName, (this.liveCounts.get(routeName) ?? 0) + 1);
+    try {
+      return yield* task();
+    } finally {
+      this.liveCounts.set(routeName, this.liveCounts.get(routeName)! - 1);
+    }
+  }
+
+  bodyLimitBytes(): number {
+    return this.link.snapshot().control?.manifest.doc.limits?.bodyBytes ?? Constants.bodyLimitBytes;
+  }
+
+  /** The limits of callers' connections by the configuration in force; the same object until that changes. */
+  httpLimits(): HttpLimits {
+    const configured = this.link.snapshot().control?.manifest.doc.limits;
+    if (configured !== this.configuredLimits) {
+      this.configuredLimits = configured;
+      this.limits = { ...defaultHttpLimits, ...configured };
+    }
+    return this.limits;
+  }
+
+  /** A fault that promises that the request did not run; counted. */
+  reject(step: string, detail: string): { ok: false; fault: Fault } {
+    this.counters.rejections += 1;
+    return Fault.busy(step, this.link.id, detail, Constants.retryAfterMs);
+  }
+
+  private rejectOverLimit(
+    routeName: string,
+    cause: Cause,
+    rules: PolicyRule[],
+    limitRule: PolicyRule | undefined,
+  ): { ok: false; fault: Fault } {
+    const note = limitRule ? `line ${rules.indexOf(limitRule) + 1} limits to ${limitRule.limit}` : "live buffer full";
+    this.notes.add(`binding ${routeName}`, "refused as busy: limit reached", { ...cause, note });
+    return this.reject("accept", "limit reached");
+  }
+
+  private causeOf({ manifest, policies }: ControlSnapshot, rule: PolicyRule | undefined): Cause {
+    if (!rule) return { manifest: manifest.version };
+    const policy = `line ${policies.doc.indexOf(rule) + 1} of version ${policies.version}`;
+    return { manifest: manifest.version, policy };
+  }
+}
--- a/src/ingress/requestTable.ts
+++ b/src/ingress/requestTable.ts
@@ -1,60 +1,87 @@
-export type RequestHandle = { index: number; generation: number };
-type Slot<T> = { generation: number; continuation: ((outcome: T) => void) | undefined; next: number };
+import type { Result } from "../common/fault";
+
+/** Names one use of a slot; a handle of an earlier use of the slot is no longer good. */
+export interface RequestHandle {
+  index: number;
+  generation: number;
+}
+
+interface Slot<T> {
+  generation: number;
+  /** Undefined while the slot is free. */
+  continuation: ((outcome: T) => void) | undefined;
+  /** The next free slot, -1 for none. */
+  nextFree: number;
+}
 
 /**
- * Continuations of requests, by index and generation: a late reply finds its slot taken by
- * another generation and reaches nobody.
+ * Continuations of pending requests, in a table of bounded size. A slot is found by index and generation: a late outcome
+ * finds another generation in its slot and reaches nobody.
  *
  * @example
- * const slab = new Slab<string>(64);
- * const ticket = slab.open((outcome) => incoming.send(200, {}, outcome));
- * slab.resume(ticket!, "done"); // true, once
+ * const table = new RequestTable<string>(64);
+ * const handle = table.open((outcome) => exchange.send(200, {}, outcome));
+ * table.complete(handle!, "done"); // true, once
  */
-export class RequestTable<T> {
+export class RequestTable<T = Result<unknown>> {
   private readonly slots: Slot<T>[] = [];
-  private free = -1;
+  private firstFree = -1;
+  /** Slots in use. */
   used = 0;
+  /** Outcomes that came after their request had ended. */
   lateOutcomes = 0;
   constructor(private readonly size: number) {}
-  /** Undefined when every slot is taken. @example const ticket = slab.open(reply); */
+
+  /** Takes a slot; undefined when all are in use. */
   open(continuation: (outcome: T) => void): RequestHandle | undefined {
-    let index = this.free;
-    if (index >= 0) this.free = this.slots[index].next;
-    else if (this.slots.length < this.size)
-      index = this.slots.push({ generation: 0, continuation: undefined, next: -1 }) - 1;
-    else return undefined;
+    const index = this.takeFreeSlot();
+    if (index === undefined) return undefined;
     const slot = this.slots[index];
     slot.generation += 1;
     slot.continuation = continuation;
     this.used += 1;
     return { index, generation: slot.generation };
   }
-  private take(ticket: RequestHandle): ((outcome: T) => void) | undefined {
-    const slot = this.slots[ticket.index];
-    if (!slot || slot.generation !== ticket.generation || !slot.continuation) {
+
+  /** Ends a request with its outcome; false if it has already ended. */
+  complete(handle: RequestHandle, outcome: T): boolean {
+    const continuation = this.release(handle);
+    continuation?.(outcome);
+    return continuation !== undefined;
+  }
+
+  /** Ends a request without an outcome: its caller has disconnected. */
+  cancel(handle: RequestHandle): void {
+    this.release(handle);
+  }
+
+  /** Whether the request is still pending. */
+  isOpen(handle: RequestHandle): boolean {
+    const slot = this.slots[handle.index];
+    return slot !== undefined && slot.generation === handle.generation && slot.continuation !== undefined;
+  }
+
+  private takeFreeSlot(): number | undefined {
+    const index = this.firstFree;
+    if (index >= 0) {
+      this.firstFree = this.slots[index].nextFree;
+      return index;
+    }
+    if (this.slots.length >= this.size) return undefined;
+    return this.slots.push({ generation: 0, continuation: undefined, nextFree: -1 }) - 1;
+  }
+
+  private release(handle: RequestHandle): ((outcome: T) => void) | undefined {
+    if (!this.isOpen(handle)) {
       this.lateOutcomes += 1;
       return undefined;
     }
+    const slot = this.slots[handle.index];
     const { continuation } = slot;
     slot.continuation = undefined;
-    slot.next = this.free;
-    this.free = ticket.index;
+    slot.nextFree = this.firstFree;
+    this.firstFree = handle.index;
     this.used -= 1;
     return continuation;
   }
-  /** False if the ticket is no longer good. @example slab.resume(ticket, outcome) */
-  resume(ticket: RequestHandle, outcome: T): boolean {
-    const continuation = this.take(ticket);
-    continuation?.(outcome);
-    return continuation !== undefined;
-  }
-  /** The caller has gone. @example slab.drop(ticket); */
-  cancel(ticket: RequestHandle): void {
-    this.take(ticket);
-  }
-  /** @example slab.holds(ticket) */
-  isOpen(ticket: RequestHandle): boolean {
-    const slot = this.slots[ticket.index];
-    return slot !== undefined && slot.generation === ticket.generation && slot.continuation !== undefined;
-  }
 }
--- a/src/ingress/warmUpRequests.ts
+++ b/src/ingress/warmUpRequests.ts
@@ -1,83 +1,95 @@
 import { Constants } from "../common/constants";
 import { Csp, Task } from "../runtime/csp";
 import { Env, EnvTools, HttpExchange } from "../runtime/env";
-import { DirectHttp } from "../forwarding/directHttp";
+import { DirectHttp, DirectRequest } from "../forwarding/directHttp";
 import { EventStreamReader } from "../forwarding/eventStreamReader";
 import { HeaderNames } from "../forwarding/headerNames";
 import { HttpRoute } from "../adapters/http";
 import { Endpoint } from "../node/clusterSnapshot";
 
 const path = "/v1/rehearsal";
+const eventsPerStream = 4;
+const requestBodyBytes = 1400;
+const requestTimeoutMs = 500;
+/** Requests that run at the same time. */
+const concurrency = 8;
+
 const event = (n: number): string => `id: ${n}\ndata: ${"rehearsal ".repeat(10)}\n\n`;
 
+/** This ingress as an endpoint that its own requests can be sent to. */
+const endpointAt = (address: string): Endpoint => ({
+  key: "rehearsal",
+  id: "rehearsal",
+  instance: "rehearsal",
+  address,
+  pool: "",
+  district: "",
+  version: "",
+  capacity: 1,
+  active: 0,
+  waiting: 0,
+  bornAt: 0,
+});
+
+const requestWithId = (id: string): DirectRequest => ({
+  method: "POST",
+  target: path,
+  headers: { host: "rehearsal" },
+  body: Buffer.alloc(requestBodyBytes),
+  id,
+  remainingMs: requestTimeoutMs,
+  lastEventId: 0,
+  priority: 5,
+});
+
+/** Sends one request and reads its stream to the end; false if that fails. */
+function* sendOne(env: Env, headerNames: HeaderNames, self: Endpoint, id: string): Task<boolean> {
+  const opened = yield* DirectHttp.open(env, headerNames, self, requestWithId(id), requestTimeoutMs);
+  if (!opened.ok) return false;
+  const events = new EventStreamReader(env, self.id, opened.value.response, 0);
+  for (;;) {
+    const received = yield* events.next(requestTimeoutMs);
+    if (!received.ok || received.value === undefined) return received.ok;
+  }
+}
+
+/** Responds to a warm-up request with a stream of a few events. */
+function* respond(headerNames: HeaderNames, exchange: HttpExchange): Task<void> {
+  const body = yield* exchange.body(Constants.bodyLimitBytes);
+  if (!body.ok) return;
+  exchange.open(200, {
+    "content-type": "text/event-stream",
+    [headerNames.requestId]: exchange.headers[headerNames.requestId] ?? "",
+  });
+  for (let n = 1; n <= eventsPerStream; n += 1) exchange.write(event(n));
+  exchange.end();
+}
+
 /**
- * Before an ingress says that it is ready, it passes some requests to itself over its own address: what runs for
- * the first time runs many times slower, and that would fall on the first callers after a start.
+ * Before an ingress reports that it is ready, it forwards some requests to itself over its own address: code that has not
+ * been compiled yet runs many times slower, and the first callers after a start would bear that.
  *
  * @example
- * yield* Rehearsal.run(env, names, "10.0.0.5:7661", () => callersWait);
+ * yield* WarmUpRequests.run(env, headerNames, "10.0.0.5:7661", () => configurationIsInForce());
  */
 export const WarmUpRequests = {
-  /** What answers the rehearsed requests: a stream of a few events, under the id asked. @example Rehearsal.routes(names) */
-  routes: (names: HeaderNames): HttpRoute[] => [
-    {
-      method: "POST",
-      path: new RegExp(`^${path}$`),
-      *run(incoming: HttpExchange) {
-        const read = yield* incoming.body(Constants.bodyLimitBytes);
-        if (!read.ok) return;
-        incoming.open(200, {
-          "content-type": "text/event-stream",
-          [names.requestId]: incoming.headers[names.requestId] ?? "",
-        });
-        for (let n = 1; n <= 4; n += 1) incoming.write(event(n));
-        incoming.end();
-      },
-    },
+  /** The route that responds to the warm-up requests. */
+  routes: (headerNames: HeaderNames): HttpRoute[] => [
+    { method: "POST", path: new RegExp(`^${path}$`), run: (exchange) => respond(headerNames, exchange) },
   ],
-  /** Until it is done, or the ingress is needed. @example yield* Rehearsal.run(env, names, address, () => false) */
-  *run(env: Env, names: HeaderNames, address: string, needed: () => boolean): Task<void> {
+
+  /** Sends the requests to this ingress at `address`, until all are done, the time is up, or `isNeeded` says that callers wait. */
+  *run(env: Env, headerNames: HeaderNames, address: string, isNeeded: () => boolean): Task<void> {
     const until = env.mono() + Constants.warmUpMs;
-    const self: Endpoint = {
-      key: "rehearsal",
-      id: "rehearsal",
-      instance: "rehearsal",
-      address,
-      pool: "",
-      district: "",
-      version: "",
-      capacity: 1,
-      active: 0,
-      waiting: 0,
-      bornAt: 0,
-    };
-    const one = function* (id: string): Task<boolean> {
-      const direct = {
-        method: "POST",
-        target: path,
-        headers: { host: "rehearsal" },
-        body: Buffer.alloc(1400),
-        id,
-        remainingMs: 500,
-        lastEventId: 0,
-        priority: 5,
-      };
-      const opened = yield* DirectHttp.open(env, names, self, direct, 500);
-      if (!opened.ok) return false;
-      const pieces = new EventStreamReader(env, self.id, opened.value.response, 0);
-      for (;;) {
-        const got = yield* pieces.next(500);
-        if (!got.ok || got.value === undefined) return got.ok;
-      }
-    };
-    const lanes = 8;
-    const finished = Csp.chan<true>(lanes);
-    for (let lane = 0; lane < lanes; lane += 1)
+    const self = endpointAt(address);
+    const finished = Csp.chan<true>(concurrency);
+    for (let worker = 0; worker < concurrency; worker += 1)
       Csp.go(env.scope, "rehearsal", function* () {
-        for (let n = lane; n < Constants.warmUpRequests && env.mono() < until && !needed(); n += lanes)
-          if (!(yield* one(`rehearsal-${n}`))) break;
+        for (let n = worker; n < Constants.warmUpRequests && env.mono() < until && !isNeeded(); n += concurrency)
+          if (!(yield* sendOne(env, headerNames, self, `rehearsal-${n}`))) break;
         Csp.offer(finished, true);
       });
-    for (let lane = 0; lane < lanes; lane += 1) yield* EnvTools.takeWithin(env, finished, until - env.mono());
+    for (let worker = 0; worker < concurrency; worker += 1)
+      yield* EnvTools.takeWithin(env, finished, until - env.mono());
   },
 };
--- a/src/tools/deployment.ts
+++ b/src/tools/deployment.ts
@@ -1,5 +1,6 @@
 import Ajv from "ajv";
-import { OperatorSchemas } from "../adapters/operatorSchemas";
+import { parseConfiguration } from "../adapters/schemas/configurationSchemas";
+import { parsePolicies } from "../adapters/schemas/policySchemas";
 import { Configuration } from "../controlState/configuration";
 import { PolicyRule } from "../controlState/policy";
 import { Fault, Result } from "../common/fault";
@@ -104,9 +105,9 @@
         ),
       );
     const deployment = candidate as Deployment;
-    const configuration = OperatorSchemas.configuration(deployment.manifest);
+    const configuration = parseConfiguration(deployment.manifest);
     if (!configuration.ok) return configuration;
-    const policies = OperatorSchemas.policies(deployment.policies);
+    const policies = parsePolicies(deployment.policies);
     if (!policies.ok) return policies;
     return Fault.ok(deployment);
   },
--- a/test/batchJobDays.test.ts
+++ b/test/batchJobDays.test.ts
@@ -1,6 +1,8 @@
 import { Csp, Task } from "../src/runtime/csp";
 import { EnvTools } from "../src/runtime/env";
-import { BatchSubmissionHost, BatchSubmission } from "../src/ingress/batchSubmission";
+import type { BatchJobHost } from "../src/ingress/batchJobHost";
+import { BatchJobReader } from "../src/ingress/batchJobReader";
+import { BatchSubmission } from "../src/ingress/batchSubmission";
 import { EventStandIn } from "../src/tools/eventStandIn";
 import {
   BatchJobBounds,
@@ -79,7 +81,7 @@
   private observe(seen: JobObservation): void {
     this.seen.push(seen);
   }
-  private host = (): BatchSubmissionHost => pick(this.fleet, this.fleet.hosts);
+  private host = (): BatchJobHost => pick(this.fleet, this.fleet.hosts);
   runs = (): ObservedRun[] =>
     this.fleet.endpoints.flatMap(({ runs }) => runs.map((run) => ({ ...run, requestedAt: run.at })));
   /** Tokens of the items without a complete run at any endpoint. */
@@ -124,8 +126,7 @@
     const route = { ...BatchJobFleet.route, maxWaitingTokens: bounds.maxTokens };
     for (let attempt = 0; attempt < 8; attempt += 1) {
       const host = this.host();
-      const submitted = yield* BatchSubmission.submit(
-        host,
+      const submitted = yield* new BatchSubmission(host).submit(
         job,
         "b",
         route,
@@ -161,8 +162,8 @@
         yield* this.readItemBody(host, job, Math.floor(this.fleet.world.random() * count));
     }
   }
-  *read(host: BatchSubmissionHost, job: string, from: number, waitMs: number): Task<number> {
-    const listed = yield* BatchSubmission.list(host, job, from, waitMs);
+  *read(host: BatchJobHost, job: string, from: number, waitMs: number): Task<number> {
+    const listed = yield* new BatchJobReader(host).list(job, from, waitMs);
     const at = host.env.wall();
     if (!listed.ok) {
       this.observe({ tag: "notFound", at, job, certain: listed.fault.tag === "notFound" });
@@ -171,9 +172,9 @@
     this.observe({ tag: "listed", at, job, from, total: listed.value.total, results: listed.value.results });
     return from + listed.value.results.length;
   }
-  private *readItemBody(host: BatchSubmissionHost, job: string, at: number): Task<void> {
+  private *readItemBody(host: BatchJobHost, job: string, at: number): Task<void> {
     const item = `${job}-i${at}`;
-    const found = yield* BatchSubmission.itemBody(host, job, item);
+    const found = yield* new BatchJobReader(host).itemBody(job, item);
     if (found.ok || found.fault.tag === "notFound")
       this.observe({
         tag: "body",
@@ -186,7 +187,7 @@
   private *end(job: string): Task<void> {
     for (let attempt = 0; attempt < 10; attempt += 1) {
       const host = this.host();
-      const ended = yield* BatchSubmission.end(host, job, "caller");
+      const ended = yield* new BatchSubmission(host).end(job, "caller");
       if (ended.ok) return this.observe({ tag: "ended", at: host.env.wall(), job: job });
       yield* EnvTools.sleep(host.env, 300);
     }
--- a/test/batchJobFleet.ts
+++ b/test/batchJobFleet.ts
@@ -7,7 +7,10 @@
 import { Settings } from "../src/common/settings";
 import { Csp, Task } from "../src/runtime/csp";
 import { EnvTools } from "../src/runtime/env";
-import { SubmittedItem, BatchSubmissionHost, BatchSubmission } from "../src/ingress/batchSubmission";
+import type { SubmittedItem } from "../src/adapters/caller/callerOperations";
+import type { BatchJobHost } from "../src/ingress/batchJobHost";
+import { BatchJobReader } from "../src/ingress/batchJobReader";
+import { BatchSubmission } from "../src/ingress/batchSubmission";
 import { SimDisk } from "../src/simulation/simDisk";
 import { SimProcess, SimWorld } from "../src/simulation/simWorld";
 import { JobResultPage } from "../src/storage/messages/batchJobMessages";
@@ -24,7 +27,7 @@
  *
  * @example
  * const fleet = await BatchJobFleet.start(7, { stores: 3, replicas: 2 });
- * await fleet.call((host) => BatchSubmission.submit(host, "L1", "b", route, items, 3000));
+ * await fleet.call((host) => new BatchSubmission(host).submit("L1", "b", route, items, 3000));
  */
 export class BatchJobFleet {
   readonly world: SimWorld;
@@ -34,7 +37,7 @@
   private readonly departed = new Set<string>();
   private version = 0;
   caller!: SimProcess;
-  readonly hosts: BatchSubmissionHost[] = [];
+  readonly hosts: BatchJobHost[] = [];
   readonly nodes: Node[] = [];
   static readonly route: Route = {
     kind: "item",
@@ -125,12 +128,12 @@
     this.hosts.push({
       env,
       rpc: node.rpc,
-      settings: { district: settings.district },
+      zone: settings.district,
       shardClient: new ShardClient(env, node.rpc, node.self.id, () => node.snapshot()),
       snapshot: () => node.snapshot(),
     });
   }
-  get host(): BatchSubmissionHost {
+  get host(): BatchJobHost {
     return this.hosts[0];
   }
   get node(): Node {
@@ -194,8 +197,8 @@
     if (!changed?.ok) throw new Error(JSON.stringify(changed));
     this.version = changed.value.version;
   }
-  /** Runs a call in the first submitting process; undefined if it takes too long. @example await fleet.call((host) => BatchSubmission.list(host, "L1", 0, 0)) */
-  call<T>(body: (host: BatchSubmissionHost) => Task<T>, withinMs = 20_000): Promise<T | undefined> {
+  /** Runs a call in the first submitting process; undefined if it takes too long. @example await fleet.call((host) => new BatchJobReader(host).list("L1", 0, 0)) */
+  call<T>(body: (host: BatchJobHost) => Task<T>, withinMs = 20_000): Promise<T | undefined> {
     return this.world.finish(this.caller, () => body(this.host), withinMs);
   }
   items = (job: string, count: number, tokens = 100): SubmittedItem[] =>
@@ -208,8 +211,7 @@
     }));
   submit = (job: string, count: number, tokens = 100, withinMs = 3000) =>
     this.call((host) =>
-      BatchSubmission.submit(
-        host,
+      new BatchSubmission(host).submit(
         job,
         "b",
         { ...BatchJobFleet.route, ...host.snapshot().control?.manifest.doc.bindings.b },
@@ -225,7 +227,7 @@
       const route = { ...BatchJobFleet.route, ...this.host.snapshot().control?.manifest.doc.bindings.b };
       const fleet = this;
       Csp.go(this.caller.scope, `submit ${id}`, function* () {
-        const submitted = yield* BatchSubmission.submit(fleet.host, id, "b", route, fleet.items(id, count), 3000);
+        const submitted = yield* new BatchSubmission(fleet.host).submit(id, "b", route, fleet.items(id, count), 3000);
         durations.set(id, submitted.ok ? fleet.world.now - startedAt : Infinity);
       });
     }
@@ -233,7 +235,7 @@
     return ids.map((id) => durations.get(id)!);
   }
   async list(job: string, from = 0): Promise<JobResultPage | undefined> {
-    const listed = await this.call((host) => BatchSubmission.list(host, job, from, 0));
+    const listed = await this.call((host) => new BatchJobReader(host).list(job, from, 0));
     return listed?.ok ? listed.value : undefined;
   }
   /** Reads until all results are listed, or the time is up. @example await fleet.readAll("L1", 8000) */
--- a/test/batchJobs.test.ts
+++ b/test/batchJobs.test.ts
@@ -1,3 +1,4 @@
+import { BatchJobReader } from "../src/ingress/batchJobReader";
 import { BatchSubmission } from "../src/ingress/batchSubmission";
 import { EventStandIn } from "../src/tools/eventStandIn";
 import { BatchJobFleet } from "./batchJobFleet";
@@ -10,7 +11,7 @@
   expect(await fleet.submit("L1", 12)).toEqual({ ok: true, value: { tag: "accepted" } });
   expect(await fleet.submit("L1", 12)).toEqual({ ok: true, value: { tag: "exists", same: true, state: "" } });
   expect(await fleet.submit("L1", 11)).toEqual({ ok: true, value: { tag: "exists", same: false, state: "" } });
-  const body = await fleet.call((host) => BatchSubmission.itemBody(host, "L1", "L1-i7"));
+  const body = await fleet.call((host) => new BatchJobReader(host).itemBody("L1", "L1-i7"));
   expect(body?.ok && Buffer.from(body.value.body, "base64").toString()).toBe("body L1 7");
   const firstPage = await fleet.list("L1");
   expect(firstPage?.total).toBe(12);
@@ -26,7 +27,7 @@
     body: "body L1 3",
     after: 0,
   });
-  expect(await fleet.call((host) => BatchSubmission.list(host, "L2", 0, 0))).toMatchObject({
+  expect(await fleet.call((host) => new BatchJobReader(host).list("L2", 0, 0))).toMatchObject({
     ok: false,
     fault: { tag: "notFound" },
   });
@@ -80,7 +81,7 @@
   expect((await fleet.submit("E", 40))?.ok).toBe(true);
   await fleet.world.run(2500);
   const before = (await fleet.list("E"))!;
-  expect(await fleet.call((host) => BatchSubmission.end(host, "E", "caller"))).toEqual({
+  expect(await fleet.call((host) => new BatchSubmission(host).end("E", "caller"))).toEqual({
     ok: true,
     value: { ended: true },
   });
@@ -89,7 +90,7 @@
   expect(fleet.endpoints.map(({ active }) => active)).toEqual([0, 0]);
   await fleet.world.run(3000);
   expect(fleet.endpoints.flatMap((endpoint) => endpoint.runs).filter((run) => run.at > endedAt + 50)).toEqual([]);
-  expect(await fleet.call((host) => BatchSubmission.end(host, "E", "caller"))).toEqual({
+  expect(await fleet.call((host) => new BatchSubmission(host).end("E", "caller"))).toEqual({
     ok: true,
     value: { ended: true },
   });
@@ -97,11 +98,11 @@
   expect(after.results.slice(0, before.results.length)).toEqual(before.results);
   expect(after).toMatchObject({ total: 40, ended: true });
   expect(after.results.length).toBeLessThan(40);
-  expect(await fleet.call((host) => BatchSubmission.end(host, "none", "caller"))).toMatchObject({
+  expect(await fleet.call((host) => new BatchSubmission(host).end("none", "caller"))).toMatchObject({
     ok: false,
     fault: { tag: "notFound" },
   });
-  expect(await fleet.call((host) => BatchSubmission.itemBody(host, "E", "E-i39"))).toMatchObject({
+  expect(await fleet.call((host) => new BatchJobReader(host).itemBody("E", "E-i39"))).toMatchObject({
     ok: false,
     fault: { tag: "notFound" },
   });
@@ -120,7 +121,7 @@
   expect(acceptedCount).toBeGreaterThanOrEqual(10);
   expect(acceptedCount).toBeLessThanOrEqual(11);
   expect(new Set(refused)).toEqual(new Set(["quota"]));
-  expect(await fleet.call((host) => BatchSubmission.end(host, "Q8", "caller"))).toMatchObject({ ok: true });
+  expect(await fleet.call((host) => new BatchSubmission(host).end("Q8", "caller"))).toMatchObject({ ok: true });
   await fleet.world.run(100);
   expect((await fleet.submit("Q20", 5, 100))?.ok).toBe(true);
   expect(await fleet.submit("Q13", 100, 200)).toMatchObject({ ok: false, fault: { step: "quota" } });
@@ -145,11 +146,11 @@
   expect((await fleet.readAll("R", 6000)).results).toHaveLength(5);
   const shard = fleet.host.shardClient.shardOf("S");
   const refuse = await fleet.call((host) =>
-    BatchSubmission.refuse(host, "S", { tag: "unknown", step: "", member: "", detail: "" }),
+    new BatchSubmission(host).refuse("S", { tag: "unknown", step: "", member: "", detail: "" }),
   );
   expect(refuse).toMatchObject({ ok: false, fault: { tag: "busy" } });
   const firstPage = { time: Math.floor(fleet.caller.env.wall()) - 1000, node: "early", seq: 0 };
-  const { lot: job, cause } = BatchSubmission.toJob(fleet.host, "S", "b", BatchJobFleet.route, fleet.items("S", 2));
+  const { job, cause } = new BatchSubmission(fleet.host).prepare("S", "b", BatchJobFleet.route, fleet.items("S", 2));
   const arrivalText = `${firstPage.time}~early~0`;
   const late = await fleet.call((host) =>
     host.shardClient.callLeader(
--- a/test/controlFleet.ts
+++ b/test/controlFleet.ts
@@ -163,7 +163,7 @@
       }
     if (this.world.cutsReset) this.world.resetCut();
   }
-  /** @example fleet.ingress("ingress-1")?.unready() */
+  /** @example fleet.ingress("ingress-1")?.readiness.unreadyReason() */
   ingress = (name: string): IngressNode | undefined => this.running.get(name) as unknown as IngressNode | undefined;
   /** @example fleet.control("control-1")?.group.hasLeaderLease() */
   control = (name: string): ControlNode | undefined => this.running.get(name) as unknown as ControlNode | undefined;
--- a/test/cutOff.test.ts
+++ b/test/cutOff.test.ts
@@ -13,7 +13,8 @@
 };
 const versionAt = (fleet: ControlFleet, name: string): number =>
   fleet.ingress(name)?.snapshot().control?.manifest.version ?? 0;
-const serves = (fleet: ControlFleet, name: string): boolean => fleet.ingress(name)?.unreadyReason() === undefined;
+const serves = (fleet: ControlFleet, name: string): boolean =>
+  fleet.ingress(name)?.readiness.unreadyReason() === undefined;
 const servesVersion = (fleet: ControlFleet, name: string, version: number): boolean =>
   fleet.ingress(name) !== undefined && serves(fleet, name) && versionAt(fleet, name) === version;
 const allServe = (fleet: ControlFleet, version: number): boolean =>
--- a/test/direct.test.ts
+++ b/test/direct.test.ts
@@ -10,7 +10,10 @@
 import { Env, EnvTools, HttpExchange, HttpResponse } from "../src/runtime/env";
 import { RouteTable } from "../src/routing/routeTable";
 import { DirectRequestHandler } from "../src/ingress/directRequestHandler";
-import { IngressNode, CallerResponse } from "../src/ingress/ingressNode";
+import type { CallerResponse } from "../src/adapters/caller/callerOperations";
+import type { DirectContext } from "../src/ingress/directContext";
+import { IngressCounters } from "../src/ingress/ingressCounters";
+import { LookupForwarder } from "../src/ingress/lookupForwarder";
 import { RequestTable } from "../src/ingress/requestTable";
 import { Result } from "../src/common/fault";
 import { SimDisk } from "../src/simulation/simDisk";
@@ -73,21 +76,19 @@
       clockTrusted: true,
     };
     const endpointSelector = new EndpointSelector(env, "i");
-    const ingress = {
+    const context: DirectContext = {
       env,
       id: "i",
-      names,
-      stopping: false,
+      headerNames: names,
       snapshot: () => snapshot,
-      rejectReason: () => undefined,
-      bodyLimitBytes: () => 100_000,
-      note: () => undefined,
-      counts: { lookups: 0, busies: 0, failures: 0 },
+      readiness: { stopping: false, rejectReason: () => undefined },
+      admission: { bodyLimitBytes: () => 100_000, countLive: (_routeName, task) => task() },
+      notes: { add: () => undefined },
+      counters: new IngressCounters(),
       endpointSelector,
       admissionQueue: new AdmissionQueue(env, endpointSelector, () => undefined),
-      countLive: (_name: string, body: () => Task<void>) => body(),
-    } as unknown as IngressNode;
-    const direct = new DirectRequestHandler(ingress);
+    };
+    const direct = new DirectRequestHandler(context);
     Csp.go(env.scope, "serve", () => env.serveHttp("10.0.0.1:80", (incoming) => direct.serve(incoming)));
     behaviours.forEach((behave, at) => {
       const { env: endpointEnv } = this.world.start(`replica-${at}`, new SimDisk(this.world));
@@ -337,7 +338,7 @@
   }
   const pool = [0, 1, 2].map(endpoint);
   const state = ControlState.empty();
-  const fed: ClusterSnapshot = {
+  const snapshot: ClusterSnapshot = {
     revision: 1,
     control: ControlSnapshot.of(state, 1),
     members: [],
@@ -347,23 +348,22 @@
     clockTrusted: true,
   };
   const endpointSelector = new EndpointSelector(env, "i");
-  const room = new AdmissionQueue(env, endpointSelector, () => undefined);
   const requestTable = new RequestTable<Result<CallerResponse>>(4);
-  const counts = { lookups: 0, busies: 0, failures: 0 };
-  const ingress = Object.assign(Object.create(IngressNode.prototype) as IngressNode, { note: () => undefined }, {
+  const lookups = new LookupForwarder({
     env,
     id: "i",
-    fed,
+    admissionQueue: new AdmissionQueue(env, endpointSelector, () => undefined),
     endpointSelector,
-    admissionQueue: room,
     requestTable,
-    counts,
-  } as object);
+    counters: new IngressCounters(),
+    notes: { add: () => undefined },
+    snapshot: () => snapshot,
+  });
   const accepted = { name: "desk", route: route({ rounds: 1 }), caller: "", order: 1, cause: {}, deadlineMs: 3000 };
   await world.run(50);
   const outcomes: Result<CallerResponse>[] = [];
-  const ticket = requestTable.open((outcome) => outcomes.push(outcome))!;
-  Csp.go(env.scope, "lookup", () => ingress.lookup(ticket, "q1", accepted, "{}"));
+  const handle = requestTable.open((outcome) => outcomes.push(outcome))!;
+  Csp.go(env.scope, "lookup", () => lookups.run(handle, "q1", accepted, "{}"));
   await world.run(5000);
   expect([outcomes.length, outcomes[0].ok, runs]).toEqual([1, false, 1]);
 });
--- a/test/kept.test.ts
+++ b/test/kept.test.ts
@@ -1,4 +1,5 @@
-import { OperatorSchemas } from "../src/adapters/operatorSchemas";
+import { parseCalendarEntry } from "../src/adapters/schemas/calendarSchemas";
+import { parseConfiguration } from "../src/adapters/schemas/configurationSchemas";
 import { Constants } from "../src/common/constants";
 import { Stamp } from "../src/common/stamp";
 import { Task } from "../src/runtime/csp";
@@ -236,10 +237,10 @@
   [{ years: 1 }, "/retention/years: must NOT have additional properties"],
 ])("a retention of %j is refused with its path, in a manifest and in the calendar", (retention, path) => {
   const doc = { bindings: { b: { ...route, continues: undefined, prefixBytes: undefined } }, retention };
-  const checked = OperatorSchemas.configuration(JSON.parse(JSON.stringify(doc)));
+  const checked = parseConfiguration(JSON.parse(JSON.stringify(doc)));
   expect(!checked.ok && checked.fault.tag === "invalid" && checked.fault.paths).toContain(path);
   expect(
-    OperatorSchemas.calendarEntry(
+    parseCalendarEntry(
       { due: "now", move: { kind: "manifest", ifVersion: 0, doc: JSON.parse(JSON.stringify(doc)) } },
       0,
     ).ok,
--- a/test/replicaSockets.test.ts
+++ b/test/replicaSockets.test.ts
@@ -6,9 +6,9 @@
 import { EndpointSelector } from "../src/routing/endpointSelector";
 import { ClusterSnapshot, Endpoint } from "../src/node/clusterSnapshot";
 import { AdmissionQueue } from "../src/routing/admissionQueue";
-import { Task } from "../src/runtime/csp";
 import { DirectRequestHandler } from "../src/ingress/directRequestHandler";
-import { IngressNode } from "../src/ingress/ingressNode";
+import type { DirectContext } from "../src/ingress/directContext";
+import { IngressCounters } from "../src/ingress/ingressCounters";
 import { RawClient, RawWorld } from "./rawSockets";
 
 type Asked = { id: string; method: string; target: string; instance: string };
@@ -98,21 +98,19 @@
   };
   const { env } = world;
   const endpointSelector = new EndpointSelector(env, "i");
-  const ingress = {
+  const context: DirectContext = {
     env,
     id: "i",
-    names: ownHeaderNames,
-    stopping: false,
+    headerNames: ownHeaderNames,
     snapshot: () => snapshot,
-    rejectReason: () => undefined,
-    bodyLimitBytes: () => 100_000,
-    note: () => undefined,
-    counts: { lookups: 0, busies: 0, failures: 0 },
+    readiness: { stopping: false, rejectReason: () => undefined },
+    admission: { bodyLimitBytes: () => 100_000, countLive: (_routeName, task) => task() },
+    notes: { add: () => undefined },
+    counters: new IngressCounters(),
     endpointSelector,
     admissionQueue: new AdmissionQueue(env, endpointSelector, () => undefined),
-    countLive: (_name: string, body: () => Task<void>) => body(),
-  } as unknown as IngressNode;
-  const direct = new DirectRequestHandler(ingress);
+  };
+  const direct = new DirectRequestHandler(context);
   port = await world.serve((incoming) => direct.serve(incoming));
 }
 const status = (text: string): number => Number(/^HTTP\/1\.1 (\d+)/.exec(text)?.[1] ?? 0);
--- a/test/surface.test.ts
+++ b/test/surface.test.ts
@@ -123,9 +123,9 @@
   expect(requestTable.open(() => undefined)).toBeUndefined();
   requestTable.cancel(first);
   const second = requestTable.open((outcome) => got.push(`second ${outcome}`))!;
-  expect(requestTable.resume(first, "late")).toBe(false);
-  expect(requestTable.resume(second, "mine")).toBe(true);
-  expect(requestTable.resume(second, "again")).toBe(false);
+  expect(requestTable.complete(first, "late")).toBe(false);
+  expect(requestTable.complete(second, "mine")).toBe(true);
+  expect(requestTable.complete(second, "again")).toBe(false);
   expect(got).toEqual(["second mine"]);
   expect(requestTable.lateOutcomes).toBe(2);
 });
