--- a/src/simulation/simOperator.ts
+++ b/src/simulation/simOperator.ts
@@ -2,8 +2,8 @@
 import { EnvTools } from "../runtime/env";
 import { History } from "../tools/history";
 import { CalendarEntryBody, ChangeBody, LedgerEntryBody } from "../cli/operator/responses";
-import type { SimFleet } from "./simFleet";
-import { SimProcess } from "./simWorld";
+import { Plan } from "../tools/deployment";
+import { SimProcess, SimWorld } from "./simWorld";
 
 const RESPONSE_LIMIT_BYTES = 32_000_000;
 const REQUEST_TIMEOUT_MS = 8000; // ms; of one request
@@ -33,6 +33,14 @@
   outcome: "acknowledged" | "refused" | "unknown" | "unread";
   version: number;
 }
+/** What an operator needs of the fleet that it drives. */
+export interface OperatedFleet {
+  readonly world: SimWorld;
+  readonly plan: Plan;
+  readonly seed: number;
+  /** Wall time, in milliseconds since 1970. */
+  wall(): number;
+}
 /** One request of an operator to a node. */
 export interface OperatorRequest {
   method: string;
@@ -70,7 +78,7 @@
 export class SimOperator {
   private changes = 0;
   constructor(
-    private readonly fleet: SimFleet,
+    private readonly fleet: OperatedFleet,
     readonly process: SimProcess,
     private readonly history: History,
   ) {}
