--- /dev/null
+++ b/src/runtime/environmentTools.ts
@@ -0,0 +1,77 @@
+import { Chan, Csp, Picked, Scope, Task } from "./csp";
+import { Env } from "./environment";
+import { HttpResponse } from "./http";
+
+/** A supervised task that has ended or failed starts again after this time. */
+const RESTART_MS = 100;
+/** Random ids have 48 and 24 bits, written in base 36. */
+const ID_HIGH_RANGE = 2 ** 48;
+const ID_LOW_RANGE = 2 ** 24;
+const ID_RADIX = 36;
+
+function* sleep(env: Env, ms: number): Task<void> {
+  yield* Csp.take(env.timer(ms).chan);
+}
+
+function* takeWithin<T>(env: Env, chan: Chan<T>, ms: number): Task<T | null | undefined> {
+  if (ms <= 0) return Csp.poll(chan);
+  const timer = env.timer(ms);
+  const picked: Picked<T> = yield* Csp.select<T>([chan, timer.chan]);
+  timer.cancel();
+  return picked.index === 0 ? picked.value : undefined;
+}
+
+function* bytesOf(env: Env, response: HttpResponse, limit: number, timeoutMs: number): Task<Buffer | undefined> {
+  const chunks: Buffer[] = [];
+  let size = 0;
+  const deadline = env.mono() + timeoutMs;
+  for (;;) {
+    const chunk = yield* takeWithin(env, response.chunks, deadline - env.mono());
+    if (chunk === null) return response.broken() ? undefined : Buffer.concat(chunks);
+    size += chunk?.length ?? 0;
+    if (chunk === undefined || size > limit) {
+      response.abort();
+      return undefined;
+    }
+    chunks.push(chunk);
+  }
+}
+
+function* bodyOf(env: Env, response: HttpResponse, limit: number, timeoutMs: number): Task<string | undefined> {
+  return (yield* bytesOf(env, response, limit, timeoutMs))?.toString("utf8");
+}
+
+const digits = (env: Env, range: number): string => Math.floor(env.random() * range).toString(ID_RADIX);
+
+/**
+ * What tasks do with an environment again and again.
+ *
+ * @example
+ * yield* EnvTools.sleep(env, 100);
+ * const item = yield* EnvTools.takeWithin(env, chan, 500); // undefined: timed out, null: closed
+ */
+export const EnvTools = {
+  sleep,
+  /** The next item of a channel; undefined after `ms` without one, null if the channel is closed. */
+  takeWithin,
+  /** The complete body, or undefined if it is broken, longer than `limit` bytes or slower than `timeoutMs`. */
+  bytesOf,
+  /** The same as text. */
+  bodyOf,
+  /** A random id. @example EnvTools.id(env, "req") // "req-2k8f0…" */
+  id: (env: Env, prefix: string): string => `${prefix}-${digits(env, ID_HIGH_RANGE)}${digits(env, ID_LOW_RANGE)}`,
+  /** Starts a supervised task: whenever it ends or fails, it starts again. @example EnvTools.keep(env, scope, "probes", run) */
+  keep(env: Env, scope: Scope, name: string, body: () => Task<unknown>): void {
+    Csp.go(scope, name, function* () {
+      for (;;) {
+        try {
+          yield* body();
+        } catch (error) {
+          if (!scope.alive) return;
+          scope.onError(name, error);
+        }
+        yield* sleep(env, RESTART_MS);
+      }
+    });
+  },
+};
