--- a/src/simulation/simOperator.ts
+++ b/src/simulation/simOperator.ts
@@ -68,6 +68,15 @@
   }
 }
 
+/** What an operator needs of the fleet that it operates. */
+export interface OperatedFleet {
+  readonly world: SimWorld;
+  readonly plan: Plan;
+  readonly seed: number;
+  /** Milliseconds since 1970, in the fleet's virtual time. */
+  wall(): number;
+}
+
 /**
  * An operator of a simulated fleet: reads and changes it over HTTP, and notes in the history what was acknowledged.
  *
