--- a/src/consensus/appendEntriesHandler.ts
+++ b/src/consensus/appendEntriesHandler.ts
@@ -4,8 +4,9 @@
 import { ChunkReceiver } from "./chunkReceiver";
 import { ConsensusEvent, ConsensusFaultPoint } from "./consensusEvents";
 import { ConsensusReplica } from "./consensusReplica";
-import { AppendEntriesRequestOnWire, AppendEntriesResponseOnWire, MessageCodec } from "./messageCodec";
+import { MessageCodec } from "./messageCodec";
 import { AppendEntriesRequest, AppendEntriesResponse, PayloadChunk, Snapshot } from "./messages";
+import { AppendEntriesRequestOnWire, AppendEntriesResponseOnWire } from "./wireMessages";
 
 /**
  * The follower's side of log replication: entries, snapshots and chunks of either are checked and put on disk before they
@@ -68,7 +69,7 @@
           receivedBytes: result.receivedBytes,
         });
       case "rejected":
-        return this.reject(body.lead, result.reason);
+        return this.reject(body.lead, result.defect);
       case "complete": {
         const decoded = MessageCodec.decodeAppendEntries({ ...body, ...result.payload, piece: undefined });
         if (!decoded.ok) return this.reject(body.lead, decoded.defect);
--- a/src/consensus/chunkReceiver.ts
+++ b/src/consensus/chunkReceiver.ts
@@ -1,14 +1,14 @@
 import { Constants } from "../common/constants";
 import { ChunkedPayload } from "./chunkedPayload";
-import { AppendPayloadOnWire } from "./messageCodec";
 import { PayloadChunk } from "./messages";
-import { MessageValidation } from "./messageValidation";
+import { MessageDefect, MessageValidation } from "./messageValidation";
+import { AppendPayloadOnWire } from "./wireMessages";
 
 /** What came of a chunk: more are to come, the payload is complete, or the chunk was rejected. */
 export type ChunkResult =
   | { tag: "incomplete"; receivedBytes: number }
   | { tag: "complete"; payload: Partial<AppendPayloadOnWire> }
-  | { tag: "rejected"; reason: string };
+  | { tag: "rejected"; defect: MessageDefect };
 
 /** The payload that is being received. */
 interface Transfer {
@@ -18,7 +18,7 @@
   receivedBytes: number;
 }
 
-const rejected = (reason: string): ChunkResult => ({ tag: "rejected", reason });
+const rejected = (defect: MessageDefect): ChunkResult => ({ tag: "rejected", defect });
 
 /**
  * Puts payloads together from chunks, one payload at a time and in order. A chunk of another payload starts anew; one that
@@ -39,7 +39,7 @@
     const data = Buffer.from(chunk.data, "base64");
     if (data.length === 0 || transfer.receivedBytes + data.length > transfer.totalBytes) {
       this.current = undefined;
-      return rejected("piece of a wrong size");
+      return rejected(MessageDefect.chunkSize);
     }
     transfer.parts.push(data);
     transfer.receivedBytes += data.length;
@@ -47,7 +47,7 @@
       return { tag: "incomplete", receivedBytes: transfer.receivedBytes };
     this.current = undefined;
     const payload = ChunkedPayload.unpack(Buffer.concat(transfer.parts), chunk.checksum);
-    return payload ? { tag: "complete", payload } : rejected("transfer damaged on its way");
+    return payload ? { tag: "complete", payload } : rejected(MessageDefect.payloadDamaged);
   }
 
   private transferOf({ transferId, totalBytes }: PayloadChunk): Transfer {
--- a/src/consensus/chunkedPayload.ts
+++ b/src/consensus/chunkedPayload.ts
@@ -1,7 +1,8 @@
 import { crc32, deflateRawSync, inflateRawSync } from "zlib";
 import { Constants } from "../common/constants";
-import { AppendPayloadOnWire, MessageCodec } from "./messageCodec";
+import { MessageCodec } from "./messageCodec";
 import { AppendPayload, PayloadChunk } from "./messages";
+import { AppendPayloadOnWire } from "./wireMessages";
 
 const checksumOf = crc32 as (data: Buffer) => number;
 /** The fastest level: a payload is packed while followers wait for a heartbeat. */
--- a/src/consensus/consensusGroup.ts
+++ b/src/consensus/consensusGroup.ts
@@ -15,13 +15,13 @@
 import { LogStore } from "./logStore";
 import { LogWriter } from "./logWriter";
 import { MembershipChange } from "./membershipChange";
-import { ConsensusMethod } from "./messageCodec";
 import { LogEntry } from "./messages";
 import { ReplicatedLog } from "./replicatedLog";
 import { Replication } from "./replication";
 import { RaftRole } from "./role";
 import { Recovered, RecoveryOrder, SingleVoterRecovery } from "./singleVoterRecovery";
 import { VoteHandler } from "./voteHandler";
+import { ConsensusMethod } from "./wireMessages";
 
 /** Term and log of one replica at this instant, for tools that compare replicas. */
 export interface ConsensusGroupInspection {
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -5,9 +5,10 @@
 import { ConsensusEvent, ConsensusFaultPoint } from "./consensusEvents";
 import { ConsensusReplica } from "./consensusReplica";
 import { LeaderLease } from "./leaderLease";
-import { ConsensusMethod, MessageCodec } from "./messageCodec";
+import { MessageCodec } from "./messageCodec";
 import { RequestVoteRequest } from "./messages";
 import { Replication } from "./replication";
+import { ConsensusMethod } from "./wireMessages";
 
 /** Pause between two checks of the election timer, ms: shortly after a start, and before the group is bootstrapped. */
 const CHECK_AFTER_START_MS = 10;
--- a/src/consensus/followerReplicator.ts
+++ b/src/consensus/followerReplicator.ts
@@ -6,9 +6,10 @@
 import { ChunkedPayload } from "./chunkedPayload";
 import { ConsensusReplica } from "./consensusReplica";
 import { FollowerProgress } from "./followerProgress";
-import { ConsensusMethod, MessageCodec } from "./messageCodec";
+import { MessageCodec } from "./messageCodec";
 import { AppendEntriesRequest, AppendEntriesResponse, AppendPayload, LogEntry } from "./messages";
 import { SnapshotPackages } from "./snapshotPackages";
+import { ConsensusMethod } from "./wireMessages";
 
 /** Pause after a request without a response, as a share of the heartbeat period. */
 const RETRY_PAUSE_SHARE = 0.5;
--- a/src/consensus/leadershipTransfer.ts
+++ b/src/consensus/leadershipTransfer.ts
@@ -5,7 +5,8 @@
 import { CatchUp } from "./catchUp";
 import { ConsensusReplica } from "./consensusReplica";
 import { LeaderLease } from "./leaderLease";
-import { ConsensusMethod, MessageCodec } from "./messageCodec";
+import { MessageCodec } from "./messageCodec";
+import { ConsensusMethod } from "./wireMessages";
 
 /** Pause between two checks whether the successor has the whole log, ms. */
 const CHECK_PERIOD_MS = 10;
--- a/src/consensus/messageCodec.ts
+++ b/src/consensus/messageCodec.ts
@@ -1,92 +1,27 @@
-import { ControlState } from "../controlState/controlState";
 import {
   AppendEntriesRequest,
   AppendEntriesResponse,
   AppendPayload,
-  LogEntry,
   PayloadChunk,
   RequestVoteRequest,
   RequestVoteResponse,
   Snapshot,
   TimeoutNowRequest,
 } from "./messages";
-import { MessageValidation } from "./messageValidation";
-
-/**
- * Names of the consensus messages on the wire, and nowhere else: older and newer versions of a process understand each
- * other by them. Fields are documented in messages.ts. Bodies are JSON, so the order of the fields is part of the bytes.
- */
-interface SnapshotOnWire {
-  index: number;
-  term: number;
-  state: ControlState;
-}
-interface ChunkOnWire {
-  transfer: string;
-  size: number;
-  checksum: number;
-  offset: number;
-  data: string;
-}
-export interface AppendPayloadOnWire {
-  prevIndex: number;
-  prevTerm: number;
-  entries: LogEntry[];
-  whole?: SnapshotOnWire;
-}
-export interface AppendEntriesRequestOnWire extends AppendPayloadOnWire {
-  to: string;
-  group: string;
-  term: number;
-  lead: string;
-  commit: number;
-  piece?: ChunkOnWire;
-}
-export type AppendEntriesResponseOnWire =
-  { term: number; matched: true; match: number } | { term: number; matched: false; last: number; received?: number };
-export interface RequestVoteRequestOnWire {
-  to: string;
-  group: string;
-  term: number;
-  candidate: string;
-  lastIndex: number;
-  lastTerm: number;
-  ofNewborns: boolean;
-  handedOver?: boolean;
-}
-export interface RequestVoteResponseOnWire {
-  term: number;
-  granted: boolean;
-}
-export interface TimeoutNowRequestOnWire {
-  to: string;
-  group: string;
-  term: number;
-}
-
-declare module "../rpc/methods" {
-  interface RpcMethods {
-    /** Pre-vote. Changes no state, so it may be repeated. Faults: refused (meant for another server). */
-    "group.preVote": RpcMethod<RequestVoteRequestOnWire, RequestVoteResponseOnWire>;
-    /** RequestVote. A repeat in the same term gives the same vote. Faults: refused, disk. */
-    "group.vote": RpcMethod<RequestVoteRequestOnWire, RequestVoteResponseOnWire>;
-    /** AppendEntries. Idempotent: entries are compared by index and term. Faults: refused, invalid, disk. */
-    "group.append": RpcMethod<AppendEntriesRequestOnWire, AppendEntriesResponseOnWire>;
-    /** TimeoutNow. A repeat is refused once the term has passed. Faults: refused, conflict. */
-    "group.takeOver": RpcMethod<TimeoutNowRequestOnWire, true>;
-  }
-}
-
-/** Names of the remote methods. */
-export const ConsensusMethod = {
-  preVote: "group.preVote",
-  requestVote: "group.vote",
-  appendEntries: "group.append",
-  timeoutNow: "group.takeOver",
-} as const;
+import { MessageDefect, MessageValidation } from "./messageValidation";
+import {
+  AppendEntriesRequestOnWire,
+  AppendEntriesResponseOnWire,
+  AppendPayloadOnWire,
+  ChunkOnWire,
+  RequestVoteRequestOnWire,
+  RequestVoteResponseOnWire,
+  SnapshotOnWire,
+  TimeoutNowRequestOnWire,
+} from "./wireMessages";
 
 /** A message that was decoded, or what is wrong with it. */
-export type Decoded<Message> = { ok: true; message: Message } | { ok: false; defect: string };
+export type Decoded<Message> = { ok: true; message: Message } | { ok: false; defect: MessageDefect };
 
 const encodeSnapshot = (snapshot: Snapshot): SnapshotOnWire => ({
   index: snapshot.lastIncludedIndex,
--- a/src/consensus/messageValidation.ts
+++ b/src/consensus/messageValidation.ts
@@ -1,8 +1,29 @@
 /**
  * Checks of messages from other processes, before any field is used. Field names are those on the wire
- * (messageCodec.ts). The reasons are sent back as fault details and logged.
+ * (wireMessages.ts).
  */
 
+/** What can be wrong with a message. The texts are sent back as fault details and logged. */
+export const MessageDefect = {
+  append: "malformed append",
+  appendResponse: "malformed response to an append",
+  voteRequest: "malformed request for a vote",
+  voteResponse: "malformed response to a request for a vote",
+  entry: "malformed entry",
+  entriesNoList: "entries are no list",
+  entriesOutOfOrder: "entries out of order",
+  termsOutOfOrder: "terms out of order",
+  snapshotWithoutPosition: "snapshot without its place",
+  snapshotWithoutVoters: "snapshot without voters",
+  snapshotOfOtherGroup: "snapshot of another group",
+  snapshotIncomplete: "snapshot with a part missing",
+  chunk: "malformed piece",
+  payloadSize: "transfer of a wrong size",
+  chunkSize: "piece of a wrong size",
+  payloadDamaged: "transfer damaged on its way",
+} as const;
+export type MessageDefect = (typeof MessageDefect)[keyof typeof MessageDefect];
+
 type Fields = Record<string, unknown>;
 
 const isObject = (value: unknown): value is Fields => typeof value === "object" && value !== null;
@@ -12,23 +33,26 @@
 /** Parts that the state in a snapshot always has, besides group and voters. */
 const REQUIRED_STATE_PARTS = ["manifest", "policies", "calendar", "views", "releases", "changes"];
 
-function snapshotDefect(snapshot: unknown, groupId: unknown): string | undefined {
-  if (!isObject(snapshot) || !isIndex(snapshot.index) || !isIndex(snapshot.term)) return "snapshot without its place";
+function snapshotDefect(snapshot: unknown, groupId: unknown): MessageDefect | undefined {
+  if (!isObject(snapshot) || !isIndex(snapshot.index) || !isIndex(snapshot.term))
+    return MessageDefect.snapshotWithoutPosition;
   const { state } = snapshot;
-  if (!isObject(state) || !Array.isArray(state.voters) || !state.voters.every(isName)) return "snapshot without voters";
-  if (state.voters.length === 0) return "snapshot without voters";
-  if (state.group !== groupId) return "snapshot of another group";
-  return REQUIRED_STATE_PARTS.every((part) => isObject(state[part])) ? undefined : "snapshot with a part missing";
+  if (!isObject(state) || !Array.isArray(state.voters) || !state.voters.every(isName))
+    return MessageDefect.snapshotWithoutVoters;
+  if (state.voters.length === 0) return MessageDefect.snapshotWithoutVoters;
+  if (state.group !== groupId) return MessageDefect.snapshotOfOtherGroup;
+  return REQUIRED_STATE_PARTS.every((part) => isObject(state[part])) ? undefined : MessageDefect.snapshotIncomplete;
 }
 
 /** Indexes must follow each other; terms must not fall, nor exceed the leader's. */
-function entriesDefect(entries: unknown, prevLogIndex: number, leaderTerm: number): string | undefined {
-  if (!Array.isArray(entries)) return "entries are no list";
+function entriesDefect(entries: unknown, prevLogIndex: number, leaderTerm: number): MessageDefect | undefined {
+  if (!Array.isArray(entries)) return MessageDefect.entriesNoList;
   let previousTerm = 0;
   for (const [position, entry] of (entries as unknown[]).entries()) {
-    if (!isObject(entry) || !isObject(entry.command) || !isName(entry.command.tag)) return "malformed entry";
-    if (entry.index !== prevLogIndex + 1 + position) return "entries out of order";
-    if (!isIndex(entry.term) || entry.term < previousTerm || entry.term > leaderTerm) return "terms out of order";
+    if (!isObject(entry) || !isObject(entry.command) || !isName(entry.command.tag)) return MessageDefect.entry;
+    if (entry.index !== prevLogIndex + 1 + position) return MessageDefect.entriesOutOfOrder;
+    if (!isIndex(entry.term) || entry.term < previousTerm || entry.term > leaderTerm)
+      return MessageDefect.termsOutOfOrder;
     previousTerm = entry.term;
   }
   return undefined;
@@ -42,46 +66,46 @@
  */
 export const MessageValidation = {
   /** Checks an AppendEntries request. The chunk in it is checked by ChunkReceiver. */
-  appendEntriesDefect(body: unknown): string | undefined {
-    if (!isObject(body) || !isName(body.group) || !isName(body.lead)) return "malformed append";
+  appendEntriesDefect(body: unknown): MessageDefect | undefined {
+    if (!isObject(body) || !isName(body.group) || !isName(body.lead)) return MessageDefect.append;
     const { term, prevIndex, prevTerm, commit } = body;
-    if (!isIndex(term) || !isIndex(prevIndex) || !isIndex(prevTerm) || !isIndex(commit)) return "malformed append";
+    if (!isIndex(term) || !isIndex(prevIndex) || !isIndex(prevTerm) || !isIndex(commit)) return MessageDefect.append;
     const defect = body.whole === undefined ? undefined : snapshotDefect(body.whole, body.group);
     return defect ?? entriesDefect(body.entries, prevIndex, term);
   },
 
   /** Checks a request for a vote or a pre-vote. */
-  requestVoteDefect(body: unknown): string | undefined {
+  requestVoteDefect(body: unknown): MessageDefect | undefined {
     const isWellFormed =
       isObject(body) &&
       isName(body.group) &&
       isName(body.candidate) &&
       [body.term, body.lastIndex, body.lastTerm].every(isIndex);
-    return isWellFormed ? undefined : "malformed request for a vote";
+    return isWellFormed ? undefined : MessageDefect.voteRequest;
   },
 
   /** Checks a response to AppendEntries. */
-  appendEntriesResponseDefect(body: unknown): string | undefined {
+  appendEntriesResponseDefect(body: unknown): MessageDefect | undefined {
     const isWellFormed =
       isObject(body) &&
       isIndex(body.term) &&
       (body.matched === true ? isIndex(body.match) : isIndex(body.last)) &&
       (body.received === undefined || isIndex(body.received));
-    return isWellFormed ? undefined : "malformed response to an append";
+    return isWellFormed ? undefined : MessageDefect.appendResponse;
   },
 
   /** Checks a response to a request for a vote or a pre-vote. */
-  requestVoteResponseDefect(body: unknown): string | undefined {
+  requestVoteResponseDefect(body: unknown): MessageDefect | undefined {
     const isWellFormed = isObject(body) && isIndex(body.term) && typeof body.granted === "boolean";
-    return isWellFormed ? undefined : "malformed response to a request for a vote";
+    return isWellFormed ? undefined : MessageDefect.voteResponse;
   },
 
   /** Checks a chunk of a payload; `maxBytes` bounds the payload that it is of. */
-  chunkDefect(body: unknown, maxBytes: number): string | undefined {
-    if (!isObject(body)) return "malformed piece";
+  chunkDefect(body: unknown, maxBytes: number): MessageDefect | undefined {
+    if (!isObject(body)) return MessageDefect.chunk;
     const { transferId, totalBytes, offset, data, checksum } = body;
-    if (typeof transferId !== "string" || typeof data !== "string") return "malformed piece";
-    if (!isIndex(totalBytes) || !isIndex(offset) || !isIndex(checksum)) return "malformed piece";
-    return totalBytes === 0 || totalBytes > maxBytes ? "transfer of a wrong size" : undefined;
+    if (typeof transferId !== "string" || typeof data !== "string") return MessageDefect.chunk;
+    if (!isIndex(totalBytes) || !isIndex(offset) || !isIndex(checksum)) return MessageDefect.chunk;
+    return totalBytes === 0 || totalBytes > maxBytes ? MessageDefect.payloadSize : undefined;
   },
 };
--- a/src/consensus/messages.ts
+++ b/src/consensus/messages.ts
@@ -1,11 +1,10 @@
-import { Command } from "../controlState/command";
-import { ControlState } from "../controlState/controlState";
-
 /**
  * Messages of the consensus protocol as the code uses them, named as in "In Search of an Understandable Consensus
  * Algorithm" (Ongaro and Ousterhout), figure 2, and in Ongaro's thesis "Consensus: Bridging Theory and Practice".
- * messageCodec.ts maps them to the names on the wire.
+ * messageCodec.ts maps them to the names on the wire (wireMessages.ts).
  */
+import { Command } from "../controlState/command";
+import { ControlState } from "../controlState/controlState";
 
 /** One entry of the replicated log. Stored and sent under these names. */
 export interface LogEntry {
--- a/src/consensus/voteHandler.ts
+++ b/src/consensus/voteHandler.ts
@@ -3,13 +3,9 @@
 import { ConsensusEvent, ConsensusFaultPoint } from "./consensusEvents";
 import { ConsensusReplica } from "./consensusReplica";
 import { Election } from "./election";
-import {
-  MessageCodec,
-  RequestVoteRequestOnWire,
-  RequestVoteResponseOnWire,
-  TimeoutNowRequestOnWire,
-} from "./messageCodec";
+import { MessageCodec } from "./messageCodec";
 import { RequestVoteRequest } from "./messages";
+import { RequestVoteRequestOnWire, RequestVoteResponseOnWire, TimeoutNowRequestOnWire } from "./wireMessages";
 
 /**
  * The voter's side of leader election: answers requests for votes and pre-votes (Raft, sections 5.2 and 5.4.1), and a
