--- a/scripts/traceDigest.js
+++ b/scripts/traceDigest.js
@@ -96,6 +96,8 @@
   return hash;
 }
 
+/** What callers observed, in order; builds from before the type had its name call the list `seen`. */
+const observationsOf = (history) => history.observations ?? history.seen;
 const shortDigest = (hash) => hash.digest("hex").slice(0, DIGEST_HEX_DIGITS);
 
 async function main() {
@@ -115,7 +117,7 @@
       const log = crypto.createHash("sha256");
       const logLine = (line) => log.update(`${line}\n`);
       const report = await campaign.run(deployment.value, scenario, options.seed, point, logLine);
-      trace.update(JSON.stringify(report.fleet.history.seen));
+      trace.update(JSON.stringify(observationsOf(report.fleet.history)));
       trace.update(String(report.virtualMs));
       const digests = [trace, log, hashDisks(report.fleet.disks)].map(shortDigest);
       console.log(`${scenario.name} ${options.seed} ${point} ${digests.join(" ")}`);
--- a/src/simulation/diskAudit.ts
+++ b/src/simulation/diskAudit.ts
@@ -1,7 +1,7 @@
 import { CheckpointedLog } from "../runtime/checkpointedLog";
 import { ShardReplica } from "../shard/shardReplica";
 import { ShardView } from "../controlState/shardView";
-import { History, Place } from "../tools/history";
+import { History, LogPosition } from "../tools/history";
 import { SimDisk } from "./simDisk";
 
 const SLOT_COUNT = 2;
@@ -18,14 +18,14 @@
 }
 interface LogRecord {
   tag: string;
-  entry?: Place;
+  entry?: LogPosition;
 }
 interface SavedShard {
   lastEpoch: number;
   seq: number;
 }
 
-const isAfter = (left: Place, right: Place): boolean =>
+const isAfter = (left: LogPosition, right: LogPosition): boolean =>
   left.epoch > right.epoch || (left.epoch === right.epoch && left.seq > right.seq);
 
 /**
@@ -36,7 +36,7 @@
  * audit.recordDisks(history);
  */
 export class DiskAudit {
-  private readonly acknowledged = new Map<number, Place>();
+  private readonly acknowledged = new Map<number, LogPosition>();
   constructor(private readonly fleet: AuditedFleet) {}
 
   /** Remembers the last entry that the leaders on a node have acknowledged. @example audit.noteAcknowledged("store-1"); */
@@ -67,7 +67,7 @@
       }
   }
 
-  private lastEntryOnDisk(name: string, shard: number): Place {
+  private lastEntryOnDisk(name: string, shard: number): LogPosition {
     const files = this.fleet.disks.get(name)!.under(`data/${name}/shard-${shard}`);
     const { state, records } = CheckpointedLog.inspect((file) => files.get(file), [...files.keys()], SLOT_COUNT);
     for (const record of records.reverse()) {
--- a/src/simulation/scenarios/replicaScenarios.ts
+++ b/src/simulation/scenarios/replicaScenarios.ts
@@ -74,12 +74,12 @@
     about: "replicas accept and never reply, or reply nonsense, or never stop",
     run: async (fleet) => {
       fleet.fault("replicas dark", true);
-      const moods = ["dark", "nonsense", "endless", "full"] as const;
+      const behaviors = ["unresponsive", "malformed", "endless", "overloaded"] as const;
       [...fleet.endpoints.values()].forEach(({ replica: endpoint }, at) => {
-        if (at % 3 === 0) endpoint.mood = moods[(at / 3) % moods.length];
+        if (at % 3 === 0) endpoint.behavior = behaviors[(at / 3) % behaviors.length];
       });
       await fleet.run(12_000);
-      for (const { replica: endpoint } of fleet.endpoints.values()) endpoint.mood = "well";
+      for (const { replica: endpoint } of fleet.endpoints.values()) endpoint.behavior = "healthy";
       await fleet.run(8000);
     },
   },
--- a/src/simulation/simFleet.ts
+++ b/src/simulation/simFleet.ts
@@ -10,7 +10,7 @@
 import { CheckOptions, Checker, Violation } from "../tools/checker";
 import { Deployment, Plan, ProcessPlan } from "../tools/deployment";
 import { History } from "../tools/history";
-import { ReplicaSettings, StandInReplica } from "../tools/standIns";
+import { EndpointSettings, StandInEndpoint } from "../tools/standInEndpoint";
 import { MembersBody } from "../cli/operator/responses";
 import { DiskAudit } from "./diskAudit";
 import { SimDisk } from "./simDisk";
@@ -42,7 +42,7 @@
 /** A stand-in endpoint and the process that it runs in. */
 export interface FleetEndpoint {
   process: SimProcess;
-  replica: StandInReplica;
+  replica: StandInEndpoint;
 }
 
 /**
@@ -62,7 +62,7 @@
   readonly disks = new Map<string, SimDisk>();
   readonly running = new Map<string, RunningDaemon>();
   readonly endpoints = new Map<string, FleetEndpoint>();
-  readonly pastEndpoints: StandInReplica[] = [];
+  readonly pastEndpoints: StandInEndpoint[] = [];
   readonly errors: string[] = [];
   callers!: Callers;
   private operator!: SimOperator;
@@ -216,7 +216,7 @@
         throw new Error(`shard ${view.shard} has ${view.members.length} copies in ${[...held].join(", ")}`);
     }
   }
-  private inZone = (zone: string): { processes: string[]; replicas: ReplicaSettings[] } => ({
+  private inZone = (zone: string): { processes: string[]; replicas: EndpointSettings[] } => ({
     processes: this.plan.processes.filter((each) => each.settings.district === zone).map((each) => each.name),
     replicas: this.plan.replicas.filter((each) => each.district === zone),
   });
@@ -387,9 +387,9 @@
   }
 
   // ---------- replicas ----------
-  startEndpoint(settings: ReplicaSettings): void {
+  startEndpoint(settings: EndpointSettings): void {
     const process = this.world.start(`replica-${settings.id}`, new SimDisk(this.world));
-    const endpoint = new StandInReplica(process.env, settings);
+    const endpoint = new StandInEndpoint(process.env, settings);
     this.endpoints.set(settings.id, { process, replica: endpoint });
     this.pastEndpoints.push(endpoint);
     this.history.add({ tag: "replicaStarted", at: this.wall(), replica: settings.id, capacity: settings.capacity });
@@ -403,7 +403,7 @@
   async replaceEndpoint(id: string, version: string): Promise<void> {
     this.acts.push(`replace replica ${id}`);
     const { process, replica: endpoint } = this.endpoints.get(id)!;
-    if (await this.world.finish(process, () => endpoint.goodbye(), 3000))
+    if (await this.world.finish(process, () => endpoint.deregister(), 3000))
       this.history.add({ tag: "goodbye", at: this.wall(), replica: id });
     await this.run(4000);
     this.world.kill(`replica-${id}`);
--- a/src/tools/callers/streamCaller.ts
+++ b/src/tools/callers/streamCaller.ts
@@ -2,7 +2,7 @@
 import { EnvTools, HttpResponse } from "../../runtime/env";
 import { Result } from "../../common/fault";
 import { Mix } from "../deployment";
-import { StandInReplica } from "../standIns";
+import { StandInEndpoint } from "../standInEndpoint";
 import { CallerClient, ProblemBody } from "./callerClient";
 import { readEvents, ServerSentEvent } from "./serverSentEvents";
 
@@ -110,7 +110,7 @@
   private acceptChunk(id: number, chunk: string): void {
     const { client, prompt } = this;
     if (this.firstEventMs === 0) this.firstEventMs = client.env.mono() - this.startedAt;
-    const right = id === this.lastEventId + 1 && chunk === StandInReplica.pieceOf(prompt, id);
+    const right = id === this.lastEventId + 1 && chunk === StandInEndpoint.chunkAt(prompt, id);
     client.history.add({ tag: "streamPiece", stream: this.n, n: id, right });
     this.lastEventId = id;
   }
--- a/src/tools/checker.ts
+++ b/src/tools/checker.ts
@@ -1,8 +1,8 @@
 import { Stamp } from "../common/stamp";
-import { History, Seen } from "./history";
+import { History, Observation } from "./history";
 
-export type RunSeen = { id: string; round: number; at: number; kind: "stream" | "single"; continued: number };
-export type ReplicaSeen = { settings: { id: string; district: string }; runs: RunSeen[] };
+export type ObservedRun = { id: string; attempt: number; at: number; kind: "stream" | "single"; continued: number };
+export type ObservedEndpoint = { settings: { id: string; district: string }; runs: ObservedRun[] };
 export type Violation = { invariant: string; detail: string };
 /** Bounds of the brief, and what "about" is taken to mean. */
 const bounds = {
@@ -30,10 +30,10 @@
 type Rule = {
   name: string;
   sentence: string;
-  check: (history: History, endpoints: ReplicaSeen[], options: CheckOptions) => string[];
+  check: (history: History, endpoints: ObservedEndpoint[], options: CheckOptions) => string[];
 };
 const unsafe = (id: string): boolean => id.includes("/") || id.startsWith("key-");
-const allRuns = (endpoints: ReplicaSeen[]): (RunSeen & { replica: string; district: string })[] =>
+const allRuns = (endpoints: ObservedEndpoint[]): (ObservedRun & { replica: string; district: string })[] =>
   endpoints.flatMap((endpoint) =>
     endpoint.runs.map((run) => ({ ...run, replica: endpoint.settings.id, district: endpoint.settings.district })),
   );
@@ -84,7 +84,7 @@
         if (unsafe(run.id))
           counts.set(run.id, [
             ...(counts.get(run.id) ?? []),
-            `${run.replica} round ${run.round} at ${run.at.toFixed(0)}`,
+            `${run.replica} round ${run.attempt} at ${run.at.toFixed(0)}`,
           ]);
       return [...counts]
         .filter(([, runs]) => runs.length > 1)
@@ -185,7 +185,7 @@
         at.set(`${job}#${position}`, item);
         of.set(`${job}/${item}`, position);
       };
-      for (const seen of history.seen) {
+      for (const seen of history.observations) {
         if (seen.tag === "lotResult") put(seen.lot, seen.position, seen.item);
         if (seen.tag === "lotReread" && seen.order !== "")
           seen.order.split(",").forEach((item, index) => put(seen.lot, index + 1, +item));
@@ -289,7 +289,7 @@
     check: (history) => {
       const acknowledged = history.of("change").filter((seen) => seen.outcome === "acknowledged");
       const last = acknowledged.reduce(
-        (best: Extract<Seen, { tag: "change" }> | undefined, seen) =>
+        (best: Extract<Observation, { tag: "change" }> | undefined, seen) =>
           !best || seen.version > best.version ? seen : best,
         undefined,
       );
@@ -434,15 +434,15 @@
 export const Checker = {
   names: rules.map((rule) => rule.name),
   sentences: rules.map(({ name, sentence }) => ({ name, sentence })),
-  check(history: History, endpoints: ReplicaSeen[], options: CheckOptions = {}): Violation[] {
+  check(history: History, endpoints: ObservedEndpoint[], options: CheckOptions = {}): Violation[] {
     return rules.flatMap((rule) =>
       rule.check(history, endpoints, options).map((detail) => ({ invariant: rule.name, detail })),
     );
   },
   /** How often each invariant had something to judge. @example Checker.judged(history, replicas) */
-  judged(history: History, endpoints: ReplicaSeen[]): Record<string, number> {
+  judged(history: History, endpoints: ObservedEndpoint[]): Record<string, number> {
     const counts: Record<string, number> = {};
-    for (const seen of history.seen) counts[seen.tag] = (counts[seen.tag] ?? 0) + 1;
+    for (const seen of history.observations) counts[seen.tag] = (counts[seen.tag] ?? 0) + 1;
     counts.runs = endpoints.reduce((sum, endpoint) => sum + endpoint.runs.length, 0);
     return counts;
   },
--- a/src/tools/deployment.ts
+++ b/src/tools/deployment.ts
@@ -6,7 +6,7 @@
 import { Fault, Result } from "../common/fault";
 import { Settings } from "../common/settings";
 import { ProxiedProcess } from "./fleet/linkProxies";
-import { ReplicaSettings } from "./standIns";
+import { EndpointSettings } from "./standInEndpoint";
 
 export type Mix = {
   lookups: { binding: string; perSecond: number };
@@ -14,7 +14,7 @@
   singles: { binding: string; perSecond: number };
   lots: { binding: string; everyMs: number; items: number; endOneIn: number };
 };
-type Pool = Omit<ReplicaSettings, "id" | "address" | "district" | "version" | "announceTo"> & { replicas: number };
+type Pool = Omit<EndpointSettings, "id" | "address" | "district" | "version" | "announceTo"> & { replicas: number };
 export type Deployment = {
   cluster: string;
   districts: string[];
@@ -30,7 +30,7 @@
 export type Plan = {
   proxied: ProxiedProcess[];
   processes: ProcessPlan[];
-  replicas: ReplicaSettings[];
+  replicas: EndpointSettings[];
   ingressHttp: string[];
   controlHttp: string[];
 };
@@ -172,7 +172,7 @@
       }
     const ingressHttp = ingresses.map((place) => place.http);
     const endpoints = deployment.pools.flatMap((pool) =>
-      Array.from({ length: pool.replicas }, (_each, at): ReplicaSettings => {
+      Array.from({ length: pool.replicas }, (_each, at): EndpointSettings => {
         const { replicas: _count, ...rest } = pool;
         return {
           ...rest,
--- a/src/tools/fleet/fleet.ts
+++ b/src/tools/fleet/fleet.ts
@@ -4,7 +4,7 @@
 import { Csp, Task } from "../../runtime/csp";
 import { Env, EnvTools } from "../../runtime/env";
 import { Plan, ProcessPlan } from "../deployment";
-import { StandInReplica } from "../standIns";
+import { StandInEndpoint } from "../standInEndpoint";
 import { FleetOperator } from "./fleetOperator";
 import { LinkProxies } from "./linkProxies";
 
@@ -26,7 +26,7 @@
 export class Fleet {
   /** Child processes by their names in the plan. */
   readonly children = new Map<string, ChildProcess>();
-  readonly endpoints: StandInReplica[] = [];
+  readonly endpoints: StandInEndpoint[] = [];
   readonly operator: FleetOperator;
   private proxies: LinkProxies | undefined;
 
@@ -79,7 +79,7 @@
   /** Starts the stand-in endpoints in this process, so that the checker sees their runs. @example yield* fleet.startEndpoints(); */
   *startEndpoints(): Task<void> {
     for (const settings of this.plan.replicas) {
-      const endpoint = new StandInReplica(this.env, settings);
+      const endpoint = new StandInEndpoint(this.env, settings);
       yield* endpoint.start();
       this.endpoints.push(endpoint);
     }
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -1,13 +1,13 @@
-import { Checker, CheckOptions, ReplicaSeen } from "../src/tools/checker";
-import { History, Place, Seen } from "../src/tools/history";
+import { Checker, CheckOptions, ObservedEndpoint } from "../src/tools/checker";
+import { History, LogPosition, Observation } from "../src/tools/history";
 
-const endpoint = (id: string, runs: [string, number][], zone = "north"): ReplicaSeen => ({
+const endpoint = (id: string, runs: [string, number][], zone = "north"): ObservedEndpoint => ({
   settings: { id, district: zone },
-  runs: runs.map(([run, at]) => ({ id: run, round: 1, at, kind: "single" as const, continued: 0 })),
+  runs: runs.map(([run, at]) => ({ id: run, attempt: 1, at, kind: "single" as const, continued: 0 })),
 });
-type Plant = { seen: Seen[]; replicas?: ReplicaSeen[]; options?: CheckOptions };
-const lookup = (mine: boolean): Seen => ({ tag: "lookup", at: 1, tookMs: 1, status: 200, mine, ingress: "i" });
-const result = (position: number, item: number, mine = true): Seen => ({
+type Plant = { seen: Observation[]; replicas?: ObservedEndpoint[]; options?: CheckOptions };
+const lookup = (mine: boolean): Observation => ({ tag: "lookup", at: 1, tookMs: 1, status: 200, mine, ingress: "i" });
+const result = (position: number, item: number, mine = true): Observation => ({
   tag: "lotResult",
   lot: "L",
   position,
@@ -17,7 +17,7 @@
   ingress: "i",
   mine,
 });
-const change = (outcome: "acknowledged" | "refused", version: number, mark: string): Seen => ({
+const change = (outcome: "acknowledged" | "refused", version: number, mark: string): Observation => ({
   tag: "change",
   at: 0,
   what: "manifest",
@@ -26,14 +26,20 @@
   version,
   mark,
 });
-const inForce = (at: number, version: number, mark = ""): Seen => ({ tag: "inForce", at, node: "i", version, mark });
-const served = (at: number, kind: "lookup" | "stream" | "lot"): Seen => ({ tag: "served", at, kind });
-const steady = (from: number, to: number): Seen[] => {
-  const all: Seen[] = [];
+const inForce = (at: number, version: number, mark = ""): Observation => ({
+  tag: "inForce",
+  at,
+  node: "i",
+  version,
+  mark,
+});
+const served = (at: number, kind: "lookup" | "stream" | "lot"): Observation => ({ tag: "served", at, kind });
+const steady = (from: number, to: number): Observation[] => {
+  const all: Observation[] = [];
   for (let at = from; at <= to; at += 500) all.push(served(at, "lookup"), served(at, "stream"), served(at, "lot"));
   return all;
 };
-const onDisk = (stands: Place, acknowledged: Place): Seen => ({
+const onDisk = (stands: LogPosition, acknowledged: LogPosition): Observation => ({
   tag: "onDisk",
   at: 1,
   shard: 0,
@@ -42,7 +48,7 @@
   stands,
   acknowledged,
 });
-const ledger = (ingress: string, stamps: string[]): Seen => ({ tag: "ledger", at: 1, ingress, stamps });
+const ledger = (ingress: string, stamps: string[]): Observation => ({ tag: "ledger", at: 1, ingress, stamps });
 
 /** For every invariant: a history that breaks it, and one close by that does not. */
 const plants: Record<string, { bad: Plant; good: Plant }> = {
--- a/test/golden/goldenFleet.ts
+++ b/test/golden/goldenFleet.ts
@@ -5,7 +5,7 @@
 import { SimDisk } from "../../src/simulation/simDisk";
 import { SimProcess } from "../../src/simulation/simWorld";
 import { EventStandIn } from "../../src/tools/eventStandIn";
-import { ReplicaSettings, StandInReplica } from "../../src/tools/standIns";
+import { EndpointSettings, StandInEndpoint } from "../../src/tools/standInEndpoint";
 import { Rpc } from "../../src/rpc/rpc";
 import { Answer, ControlFleet } from "../controlFleet";
 import { Exchange } from "./exchange";
@@ -100,7 +100,7 @@
   private startProcess = (name: string): SimProcess => this.fleet.world.start(name, new SimDisk(this.fleet.world));
   /** A replica that speaks the product's own form and announces itself. @example golden.startReplica("model-1", "model", 10, ["ingress-1"]) */
   startReplica(id: string, pool: string, port: number, announceTo: string[]): void {
-    const settings: ReplicaSettings = {
+    const settings: EndpointSettings = {
       id,
       pool,
       address: `127.0.0.1:${port}`,
@@ -115,7 +115,7 @@
       itemMs: 40,
     };
     const process = this.startProcess(`replica-${id}`);
-    const replica = new StandInReplica(process.env, settings);
+    const replica = new StandInEndpoint(process.env, settings);
     Csp.go(process.scope, "main", () => replica.start());
   }
   /** A replica that takes requests as they are; it is announced by whoever starts it. @example golden.startEventReplica("e1", 9001) */
--- a/test/sameSeed.test.ts
+++ b/test/sameSeed.test.ts
@@ -10,7 +10,7 @@
   const run = async (seed: number): Promise<{ seen: string; log: string }> => {
     const lines: string[] = [];
     const report = await Campaign.run(read.value, Scenarios.find("kill-store")!, seed, 0, (line) => lines.push(line));
-    return { seen: JSON.stringify(report.fleet.history.seen), log: lines.join("\n") };
+    return { seen: JSON.stringify(report.fleet.history.observations), log: lines.join("\n") };
   };
   const [first, again] = [await run(7), await run(7)];
   expect(again.seen === first.seen && again.log === first.log).toBe(true);
