--- a/src/adapters/http.ts
+++ b/src/adapters/http.ts
@@ -1,7 +1,8 @@
+import { Fault, Result } from "../common/fault";
 import { Task } from "../runtime/csp";
 import { HttpExchange } from "../runtime/env";
-import { Fault, Result } from "../common/fault";
 
+/** The status of a response to each kind of fault, where a route gives no other. */
 const statuses: Record<Fault["tag"], number> = {
   timeout: 504,
   refused: 503,
@@ -17,46 +18,78 @@
   disk: 500,
   internal: 500,
 };
-export type HttpRoute = { method: string; path: RegExp; run: (incoming: HttpExchange, parts: string[]) => Task<void> };
+const serviceUnavailable = 503;
+const payloadTooLarge = 413;
+const methodNotAllowed = 405;
+const problemType = "application/problem+json";
+
+/** A method and a path, and what handles them; `parts` are the path's captured groups, decoded. */
+export interface HttpRoute {
+  method: string;
+  path: RegExp;
+  run: (exchange: HttpExchange, parts: string[]) => Task<void>;
+}
+
+/** A body that was parsed as JSON, with its text. */
+export interface JsonBody {
+  value: unknown;
+  text: string;
+}
+
+/** A rejected caller is told after how many whole seconds to retry, at least one. */
+function retryAfterHeader(fault: Fault, status: number): Record<string, string> {
+  if (fault.tag === "busy") return { "retry-after": String(Math.max(1, Math.ceil(fault.retryAfterMs / 1000))) };
+  return status === serviceUnavailable ? { "retry-after": "1" } : {};
+}
+
+/** The path's captured groups, decoded; undefined if they are malformed. */
+function decodeParts(match: RegExpExecArray): string[] | undefined {
+  try {
+    return match.slice(1).map(decodeURIComponent);
+  } catch {
+    return undefined;
+  }
+}
+
+function rejectMethod(exchange: HttpExchange, allowed: HttpRoute[]): void {
+  const problem = {
+    title: "method",
+    status: methodNotAllowed,
+    code: "method",
+    detail: `${exchange.method} is not for ${exchange.path}`,
+    step: "find path",
+    member: "caller",
+  };
+  const allow = allowed.map(({ method }) => method).join(", ");
+  exchange.send(methodNotAllowed, { allow, "content-type": problemType }, JSON.stringify(problem));
+}
 
 /**
- * What every HTTP shape shares: JSON replies, problem objects, routes.
+ * What all HTTP surfaces share: JSON responses, problem objects (RFC 9457), routes.
  *
  * @example
- * Http.json(incoming, 200, { version: 3 });
- * Http.problem(incoming, fault);
+ * Http.json(exchange, 200, { version: 3 });
+ * Http.problem(exchange, fault);
  */
 export const Http = {
-  /**
-   * Whether a status promises a caller that its request did not run and never will. A replica says that in a header of its
-   * own; such a status without it has promised nothing and must not reach a caller.
-   * @example Http.promisesNotRun(429) // true
-   */
-  promisesNotRun: (status: number): boolean => status === 408 || status === 421 || status === 429 || status === 503,
-  json(incoming: HttpExchange, status: number, body: unknown, headers: Record<string, string> = {}): void {
-    incoming.send(status, { "content-type": "application/json", ...headers }, JSON.stringify(body));
+  /** Responds with JSON. */
+  json(exchange: HttpExchange, status: number, body: unknown, headers: Record<string, string> = {}): void {
+    exchange.send(status, { "content-type": "application/json", ...headers }, JSON.stringify(body));
   },
-  /** A problem object with a code, the step and the member. @example Http.problem(incoming, fault, 422) */
+
+  /** Responds with a problem object. @example Http.problem(exchange, fault, 422) */
   problem(
-    incoming: HttpExchange,
+    exchange: HttpExchange,
     fault: Fault,
     status = statuses[fault.tag],
     extra: Record<string, unknown> = {},
   ): void {
-    const retry =
-      fault.tag === "busy"
-        ? { "retry-after": String(Math.max(1, Math.ceil(fault.retryAfterMs / 1000))) }
-        : status === 503
-          ? { "retry-after": "1" }
-          : {};
-    const code = status === 503 ? "busy" : fault.tag;
-    incoming.send(
-      status,
-      { "content-type": "application/problem+json", ...(retry as Record<string, string>) },
-      JSON.stringify(Http.problemOf(fault, status, code, extra)),
-    );
+    const code = status === serviceUnavailable ? "busy" : fault.tag;
+    const headers = { "content-type": problemType, ...retryAfterHeader(fault, status) };
+    exchange.send(status, headers, JSON.stringify(Http.problemOf(fault, status, code, extra)));
   },
-  /** @example Http.problemOf(fault, 503, "busy").code */
+
+  /** The problem object of a fault: its code, where it happened, and the fields of `extra`. */
   problemOf: (
     fault: Fault,
     status: number,
@@ -73,62 +106,50 @@
     ...(fault.tag === "busy" ? { retryAfterMs: fault.retryAfterMs } : {}),
     ...extra,
   }),
-  /** Body as JSON; on failure the reply has been sent. @example const body = yield* Http.body(incoming, 1000); if (!body) return; */
-  *body(incoming: HttpExchange, limit: number): Task<{ value: unknown; text: string } | undefined> {
-    const read: Result<Buffer> = yield* incoming.body(limit);
+
+  /**
+   * Reads a body of at most limitBytes as JSON; undefined on failure, and then the response has been sent.
+   * @example
+   * const body = yield* Http.body(exchange, 1000);
+   * if (!body) return;
+   */
+  *body(exchange: HttpExchange, limitBytes: number): Task<JsonBody | undefined> {
+    const read: Result<Buffer> = yield* exchange.body(limitBytes);
     if (!read.ok) {
-      Http.problem(incoming, read.fault, read.fault.tag === "invalid" ? 413 : 400);
+      Http.problem(exchange, read.fault, read.fault.tag === "invalid" ? payloadTooLarge : 400);
       return undefined;
     }
     const text = read.value.toString("utf8");
     try {
       return { value: JSON.parse(text), text };
     } catch {
-      Http.problem(incoming, { tag: "invalid", step: "read body", member: "caller", detail: "body is not JSON" });
+      Http.problem(exchange, { tag: "invalid", step: "read body", member: "caller", detail: "body is not JSON" });
       return undefined;
     }
   },
-  /** Runs the route that fits: 404 for an unknown path, 405 for a known path with another method. @example yield* Http.dispatch(routes, incoming) */
-  *dispatch(routes: HttpRoute[], incoming: HttpExchange): Task<void> {
-    const fitting = routes
-      .map((route) => ({ route, match: route.path.exec(incoming.path) }))
-      .filter(({ match }) => match);
-    const chosen = fitting.find(({ route }) => route.method === incoming.method);
+
+  /** Runs the first route that matches: 404 for an unknown path, 405 for a known path with another method. */
+  *dispatch(routes: HttpRoute[], exchange: HttpExchange): Task<void> {
+    const matching = routes
+      .map((route) => ({ route, match: route.path.exec(exchange.path) }))
+      .flatMap(({ route, match }) => (match ? [{ route, match }] : []));
+    const chosen = matching.find(({ route }) => route.method === exchange.method);
     if (chosen) {
-      let parts: string[];
-      try {
-        parts = chosen.match!.slice(1).map(decodeURIComponent);
-      } catch {
-        return Http.problem(incoming, {
-          tag: "invalid",
-          step: "read path",
-          member: "caller",
-          detail: "path is not well encoded",
-        });
-      }
-      return yield* chosen.route.run(incoming, parts);
+      const parts = decodeParts(chosen.match);
+      if (parts) return yield* chosen.route.run(exchange, parts);
+      const detail = "path is not well encoded";
+      return Http.problem(exchange, { tag: "invalid", step: "read path", member: "caller", detail });
     }
-    if (fitting.length === 0)
-      return Http.problem(incoming, {
-        tag: "notFound",
-        step: "find path",
-        member: "caller",
-        detail: `no ${incoming.path}`,
-      });
-    incoming.send(
-      405,
-      { allow: fitting.map(({ route }) => route.method).join(", "), "content-type": "application/problem+json" },
-      JSON.stringify({
-        title: "method",
-        status: 405,
-        code: "method",
-        detail: `${incoming.method} is not for ${incoming.path}`,
-        step: "find path",
-        member: "caller",
-      }),
-    );
+    if (matching.length > 0)
+      return rejectMethod(
+        exchange,
+        matching.map(({ route }) => route),
+      );
+    const detail = `no ${exchange.path}`;
+    Http.problem(exchange, { tag: "notFound", step: "find path", member: "caller", detail });
   },
-  /** Metrics as plain lines. @example Http.metricLines({ puts: 3 }) // "petrelbeam_puts 3\n" */
+
+  /** Metrics as lines of text. @example Http.metricLines({ puts: 3 }) // "petrelbeam_puts 3\n" */
   metricLines: (metrics: Record<string, number>): string =>
     Object.entries(metrics)
       .map(([name, value]) => `petrelbeam_${name} ${value}\n`)
--- a/src/adapters/operator/announcementRoutes.ts
+++ b/src/adapters/operator/announcementRoutes.ts
@@ -30,7 +30,7 @@
     return undefined;
   }
   const published = yield* node.announce(announcement.value);
-  if (published.ok) return published.value as object;
+  if (published.ok) return published.value;
   Http.problem(exchange, published.fault, published.fault.tag === "conflict" ? 409 : undefined);
   return undefined;
 }
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -9,7 +9,12 @@
 import { IngressNode } from "../ingress/ingressNode";
 import { StorageNode } from "../storage/storageNode";
 
-export type RunningDaemon = { stop(): Task<void> };
+/** A program that runs. */
+export interface RunningDaemon {
+  /** Shuts the program down gracefully. */
+  stop(): Task<void>;
+}
+
 /**
  * Starts the program that the settings name, in any environment.
  *
@@ -18,16 +23,17 @@
  * if (running.ok) yield* running.value.stop();
  */
 export const Daemon = {
-  *start(env: Env, settings: Settings, shapes: ProtocolAdapters = {}): Task<Result<RunningDaemon>> {
+  /** The faults are those of the program's start; "invalid" for an unknown program. */
+  *start(env: Env, settings: Settings, adapters: ProtocolAdapters = {}): Task<Result<RunningDaemon>> {
     switch (settings.program) {
       case "agent":
         return yield* AgentNode.start(env, settings);
       case "ingress":
-        return yield* IngressNode.start(env, settings, shapes);
+        return yield* IngressNode.start(env, settings, adapters);
       case "store":
-        return yield* StorageNode.start(env, settings, shapes.names ?? ownHeaderNames);
+        return yield* StorageNode.start(env, settings, adapters.names ?? ownHeaderNames);
       case "control":
-        return yield* ControlNode.start(env, settings, shapes);
+        return yield* ControlNode.start(env, settings, adapters);
       default: {
         const never: never = settings.program;
         return Fault.fail("invalid", "start", String(never), "unknown program");
--- a/src/forwarding/directHttp.ts
+++ b/src/forwarding/directHttp.ts
@@ -1,24 +1,37 @@
 import { Constants } from "../common/constants";
+import { Fault, Result } from "../common/fault";
+import type { Endpoint } from "../node/clusterSnapshot";
 import { Task } from "../runtime/csp";
 import { Env, EnvTools, HttpRequest, HttpResponse } from "../runtime/env";
-import { Fault, Result } from "../common/fault";
-import { Endpoint } from "../node/clusterSnapshot";
 import { HeaderNames } from "./headerNames";
 
-/** A request that is passed on as it is: target is path and query, headers are the end-to-end ones. */
-export type DirectRequest = {
+/** A request that is forwarded unchanged. */
+export interface DirectRequest {
   method: string;
+  /** Path and query. */
   target: string;
+  /** The end-to-end headers. */
   headers: Record<string, string>;
   body: Buffer;
   id: string;
+  /** How long the caller waits, in ms. */
   remainingMs: number;
+  /** A stream goes on after this event; 0 for its beginning. */
   lastEventId: number;
+  /** 0 is served first. */
   priority: number;
-};
-export type DirectResponse = { status: number; headers: Record<string, string>; response: HttpResponse };
+}
+
+/** The head of an endpoint's response, with its end-to-end headers. */
+export interface DirectResponse {
+  status: number;
+  headers: Record<string, string>;
+  /** For the body. */
+  response: HttpResponse;
+}
 
-const perConnection = new Set([
+/** Headers of one connection, which a proxy does not forward (RFC 9110, section 7.6.1), and those of its framing. */
+const connectionHeaders = new Set([
   "connection",
   "keep-alive",
   "proxy-connection",
@@ -29,68 +42,83 @@
   "content-length",
   "expect",
 ]);
+const misdirectedRequest = 421;
+const notModified = 304;
+
+/** What the endpoint gets: the caller's headers, and those that name the request, its target and its limits. */
+function requestHeaders(names: HeaderNames, endpoint: Endpoint, request: DirectRequest): Record<string, string> {
+  const headers: Record<string, string> = { ...request.headers };
+  headers[names.requestId] = request.id;
+  headers[names.remainingMs] = String(Math.max(1, Math.floor(request.remainingMs)));
+  headers[names.targetInstance] = endpoint.instance;
+  headers[names.priority] = String(request.priority);
+  if (request.lastEventId > 0) headers[names.lastEventId] = String(request.lastEventId);
+  return headers;
+}
+
+/** What the caller gets. */
+function responseHeaders(request: DirectRequest, response: HttpResponse): Record<string, string> {
+  const headers = DirectHttp.endToEnd(response.headers);
+  const length = response.headers["content-length"];
+  // here the length is that of a body that does not follow, so it belongs to the response and not to its framing
+  const hasNoBody = request.method === "HEAD" || response.status === notModified;
+  if (length !== undefined && hasNoBody) headers["content-length"] = length;
+  return headers;
+}
 
 /**
- * Requests passed to a replica without a change of method, path and body. The fault tells whether it may have run:
- * "refused" means that it provably has not.
+ * Forwards requests to endpoints without a change of method, path and body. A fault "refused" means that the request
+ * provably did not run; after any other fault it may have run.
  *
  * @example
- * const opened = yield* DirectHttp.open(env, names, replica, direct, 2000);
+ * const opened = yield* DirectHttp.open(env, headerNames, endpoint, request, 2000);
  */
 export const DirectHttp = {
-  /** Headers without those of one connection. @example DirectHttp.endToEnd(incoming.headers) */
+  /** The headers without those of one connection. */
   endToEnd(headers: Record<string, string>): Record<string, string> {
-    const named = (headers.connection ?? "")
+    const namedByConnection = (headers.connection ?? "")
       .toLowerCase()
       .split(",")
       .map((name) => name.trim());
-    const kept: Record<string, string> = {};
-    for (const [name, value] of Object.entries(headers))
-      if (!perConnection.has(name.toLowerCase()) && !named.includes(name.toLowerCase())) kept[name] = value;
-    return kept;
+    const isEndToEnd = (name: string): boolean => !connectionHeaders.has(name) && !namedByConnection.includes(name);
+    const forwarded: Record<string, string> = {};
+    for (const [name, value] of Object.entries(headers)) if (isEndToEnd(name.toLowerCase())) forwarded[name] = value;
+    return forwarded;
   },
-  /** The head of the reply, its id checked. @example yield* DirectHttp.open(env, names, replica, direct, 2000) */
+
+  /** Sends the request and waits up to headTimeoutMs for the head of the response; checks that it is this request's. */
   *open(
     env: Env,
     names: HeaderNames,
     endpoint: Endpoint,
-    direct: DirectRequest,
-    headWithinMs: number,
+    request: DirectRequest,
+    headTimeoutMs: number,
     cancellation?: HttpRequest["cancellation"],
   ): Task<Result<DirectResponse>> {
-    const headers: Record<string, string> = { ...direct.headers };
-    headers[names.requestId] = direct.id;
-    headers[names.remainingMs] = String(Math.max(1, Math.floor(direct.remainingMs)));
-    headers[names.targetInstance] = endpoint.instance;
-    headers[names.priority] = String(direct.priority);
-    if (direct.lastEventId > 0) headers[names.lastEventId] = String(direct.lastEventId);
-    const response = yield* env.http(endpoint.address, {
-      method: direct.method,
-      path: direct.target,
-      headers,
-      body: direct.body,
-      timeoutMs: Math.max(1, headWithinMs),
+    const sent = yield* env.http(endpoint.address, {
+      method: request.method,
+      path: request.target,
+      headers: requestHeaders(names, endpoint, request),
+      body: request.body,
+      timeoutMs: Math.max(1, headTimeoutMs),
       connectMs: Constants.connectMs,
       cancellation,
     });
-    if (!response.ok) return response;
-    const reply = response.value;
-    // first of all: a late refusal of another request says nothing about this one, which may be running
-    if (reply.headers[names.requestId] !== direct.id) {
-      reply.abort();
+    if (!sent.ok) return sent;
+    const response = sent.value;
+    // checked first: a late refusal of another request says nothing about this one, which may be running
+    if (response.headers[names.requestId] !== request.id) {
+      response.abort();
       return Fault.fail("broken", "check reply", endpoint.id, "the reply is another request's");
     }
-    if (reply.headers[names.notExecuted] !== undefined || reply.status === 421) {
-      reply.finish();
-      return Fault.fail("refused", "deliver", endpoint.id, `replica replied ${reply.status}: not run`);
+    if (response.headers[names.notExecuted] !== undefined || response.status === misdirectedRequest) {
+      response.finish();
+      return Fault.fail("refused", "deliver", endpoint.id, `replica replied ${response.status}: not run`);
     }
-    const kept = DirectHttp.endToEnd(reply.headers);
-    const length = reply.headers["content-length"];
-    // here the length tells of a body that does not come: it is part of the response and not of its framing
-    if (length !== undefined && (direct.method === "HEAD" || reply.status === 304)) kept["content-length"] = length;
-    return Fault.ok({ status: reply.status, headers: kept, response: reply });
+    return Fault.ok({ status: response.status, headers: responseHeaders(request, response), response });
   },
-  /** The whole body, or undefined if it was cut, too long or too slow. @example yield* DirectHttp.whole(env, opened, 500) */
+
+  /** Reads the whole body; undefined if it was cut off, too long or too slow. */
   readBody: (env: Env, opened: DirectResponse, withinMs: number): Task<Buffer | undefined> =>
     EnvTools.bytesOf(env, opened.response, Constants.responseLimitBytes, withinMs),
 };
--- a/src/forwarding/endpointHttp.ts
+++ b/src/forwarding/endpointHttp.ts
@@ -1,136 +1,109 @@
 import { Constants } from "../common/constants";
+import { Fault, Result } from "../common/fault";
+import type { Endpoint } from "../node/clusterSnapshot";
 import { Task } from "../runtime/csp";
 import { Env, EnvTools, HttpResponse } from "../runtime/env";
-import { Fault, Result } from "../common/fault";
-import { Endpoint } from "../node/clusterSnapshot";
-import { Http } from "../adapters/http";
+import { EndpointStream } from "./endpointStream";
+import { promisesNotExecuted } from "./notExecutedStatus";
 
-export type ForwardedRequest = {
+/** A JSON request as one endpoint gets it. */
+export interface ForwardedRequest {
   path: string;
   id: string;
+  /** The number of this attempt, from 1. */
   attempt: number;
+  /** JSON text. */
   body: string;
+  /** Chunks of a stream that earlier attempts have received; the endpoint continues after them. */
   receivedChunks: string[];
+  /** Time for the request, in ms. */
   deadlineMs: number;
+  /** A request that is not idempotent gets a connection of its own, so that an unsent one is known to be unsent. */
   idempotent: boolean;
-};
+}
 
-/** One opened stream of a replica: pieces one by one. */
-export class EndpointStream {
-  private buffer = "";
-  private receivedBytes = 0;
-  constructor(
-    private readonly env: Env,
-    private readonly endpoint: Endpoint,
-    private readonly response: HttpResponse,
-  ) {}
-  /** Next pieces, or undefined at the proper end. @example const pieces = yield* stream.next(3000); */
-  *next(withinMs: number): Task<Result<string[] | undefined>> {
-    const until = this.env.mono() + withinMs;
-    const pieces: string[] = [];
-    for (;;) {
-      for (let at = this.buffer.indexOf("\n"); at >= 0; at = this.buffer.indexOf("\n")) {
-        const line = this.buffer.slice(0, at);
-        this.buffer = this.buffer.slice(at + 1);
-        if (line.trim() === "") continue;
-        let told: { piece?: unknown; end?: unknown };
-        try {
-          told = JSON.parse(line);
-        } catch {
-          return this.fail("invalid", "reply is not JSON lines");
-        }
-        if (told && typeof told.piece === "string") pieces.push(told.piece);
-        else if (told && told.end === true) {
-          if (pieces.length === 0) return Fault.ok(undefined);
-          this.buffer = line + "\n" + this.buffer; // the end is told after its pieces
-          return Fault.ok(pieces);
-        } else return this.fail("invalid", "line is neither piece nor end");
-      }
-      if (pieces.length > 0) return Fault.ok(pieces);
-      const chunk = yield* EnvTools.takeWithin(this.env, this.response.chunks, until - this.env.mono());
-      if (chunk === undefined) return this.fail("timeout", "replica fell silent");
-      if (chunk === null) return this.fail("broken", "replica ended without saying so");
-      this.receivedBytes += chunk.length;
-      if (this.receivedBytes > Constants.responseLimitBytes) return this.fail("invalid", "reply over the limit");
-      this.buffer += chunk.toString("utf8");
-    }
-  }
-  /** @example stream.abort(); */
-  abort(): void {
-    this.response.abort();
-  }
-  private fail(tag: "invalid" | "timeout" | "broken", detail: string): Result<undefined> {
-    this.response.abort();
-    return Fault.fail(tag, "read replica", this.endpoint.id, detail);
-  }
+/** The response of a single request. */
+export interface SingleResponse {
+  status: number;
+  /** JSON text. */
+  body: string;
 }
 
-const head = (delivery: ForwardedRequest): Record<string, string> => ({
+const headersOf = (delivery: ForwardedRequest): Record<string, string> => ({
   "x-request-id": delivery.id,
   "x-round": String(delivery.attempt),
   "x-deadline-ms": String(Math.max(1, Math.round(delivery.deadlineMs))),
 });
-/** Only a replica's plain word counts as "not accepted"; any other refusal may have run. */
-const notAccepted = (response: HttpResponse): boolean =>
-  (response.status === 429 || response.status === 503) && response.headers["x-accepted"] === "no";
+
+function bodyOf(delivery: ForwardedRequest): string {
+  if (delivery.receivedChunks.length === 0) return delivery.body;
+  const body = JSON.parse(delivery.body) as object;
+  return JSON.stringify({ ...body, continueFrom: delivery.receivedChunks });
+}
+
+/** Whether the endpoint says explicitly that it did not accept the request; after any other refusal it may have run. */
+const isNotAccepted = ({ status, headers }: HttpResponse): boolean =>
+  (status === 429 || status === 503) && headers["x-accepted"] === "no";
+
+function isJson(text: string): boolean {
+  try {
+    JSON.parse(text);
+    return true;
+  } catch {
+    return false;
+  }
+}
 
 /**
- * How replicas are spoken to: JSON in; for a stream JSON lines of pieces and an end, else one JSON body.
+ * Sends JSON requests to endpoints. The response is a stream of JSON lines, or one JSON body. A fault "refused" means that
+ * the request provably did not run.
  *
  * @example
- * const opened = yield* ReplicaHttp.stream(env, replica, delivery);
- * const looked = yield* ReplicaHttp.single(env, replica, delivery);
+ * const opened = yield* EndpointHttp.stream(env, endpoint, request);
+ * const response = yield* EndpointHttp.single(env, endpoint, request);
  */
 export const EndpointHttp = {
+  /** Opens a stream; the fault's step is "deliver" if the endpoint responded with another status. */
   *stream(env: Env, endpoint: Endpoint, delivery: ForwardedRequest): Task<Result<EndpointStream>> {
-    const body =
-      delivery.receivedChunks.length > 0
-        ? JSON.stringify({ ...JSON.parse(delivery.body), continueFrom: delivery.receivedChunks })
-        : delivery.body;
     const response = yield* env.http(endpoint.address, {
       method: "POST",
       path: delivery.path,
-      headers: { ...head(delivery), accept: "application/x-ndjson" },
-      body,
+      headers: { ...headersOf(delivery), accept: "application/x-ndjson" },
+      body: bodyOf(delivery),
       timeoutMs: Math.min(delivery.deadlineMs, Constants.firstPieceMs),
       fresh: !delivery.idempotent,
     });
     if (!response.ok) return response;
-    if (response.value.status === 200) return Fault.ok(new EndpointStream(env, endpoint, response.value));
-    const refused = notAccepted(response.value);
+    const { status } = response.value;
+    if (status === 200) return Fault.ok(new EndpointStream(env, endpoint, response.value));
     response.value.abort();
-    return Fault.fail(
-      refused ? "refused" : "broken",
-      "deliver",
-      endpoint.id,
-      `replica replied ${response.value.status}`,
-    );
+    const tag = isNotAccepted(response.value) ? "refused" : "broken";
+    return Fault.fail(tag, "deliver", endpoint.id, `replica replied ${status}`);
   },
-  *single(env: Env, endpoint: Endpoint, delivery: ForwardedRequest): Task<Result<{ status: number; body: string }>> {
-    const response = yield* env.http(endpoint.address, {
+
+  /** Sends a request and reads its body; statuses from 500, and those that promise something, are faults. */
+  *single(env: Env, endpoint: Endpoint, delivery: ForwardedRequest): Task<Result<SingleResponse>> {
+    const sent = yield* env.http(endpoint.address, {
       method: "POST",
       path: delivery.path,
-      headers: head(delivery),
+      headers: headersOf(delivery),
       body: delivery.body,
       timeoutMs: delivery.deadlineMs,
       fresh: !delivery.idempotent,
     });
-    if (!response.ok) return response;
-    const reply = response.value;
-    if (notAccepted(reply)) {
-      reply.abort();
+    if (!sent.ok) return sent;
+    const response = sent.value;
+    if (isNotAccepted(response)) {
+      response.abort();
       return Fault.fail("refused", "deliver", endpoint.id, "not accepted");
     }
-    const body = yield* EnvTools.bodyOf(env, reply, Constants.responseLimitBytes, delivery.deadlineMs);
+    const body = yield* EnvTools.bodyOf(env, response, Constants.responseLimitBytes, delivery.deadlineMs);
     if (body === undefined)
       return Fault.fail("broken", "read replica", endpoint.id, "reply broken, too long or too slow");
-    if (reply.status >= 500 || Http.promisesNotRun(reply.status))
-      return Fault.fail("broken", "deliver", endpoint.id, `replica replied ${reply.status}`);
-    try {
-      JSON.parse(body);
-    } catch {
-      return Fault.fail("invalid", "read replica", endpoint.id, "reply is not JSON");
-    }
-    return Fault.ok({ status: reply.status, body });
+    const { status } = response;
+    if (status >= 500 || promisesNotExecuted(status))
+      return Fault.fail("broken", "deliver", endpoint.id, `replica replied ${status}`);
+    if (!isJson(body)) return Fault.fail("invalid", "read replica", endpoint.id, "reply is not JSON");
+    return Fault.ok({ status, body });
   },
 };
--- /dev/null
+++ b/src/forwarding/endpointStream.ts
@@ -0,0 +1,92 @@
+import { Constants } from "../common/constants";
+import { Fault, Result } from "../common/fault";
+import type { Endpoint } from "../node/clusterSnapshot";
+import { Task } from "../runtime/csp";
+import { Env, EnvTools, HttpResponse } from "../runtime/env";
+
+/** One line of a stream: a chunk, or the end. */
+type StreamLine = { chunk: string } | { isEnd: true };
+
+/** The meaning of a line; undefined if it is not JSON, and null if it is JSON of another form. */
+function parseLine(line: string): StreamLine | null | undefined {
+  let value: unknown;
+  try {
+    value = JSON.parse(line);
+  } catch {
+    return undefined;
+  }
+  const { piece, end } = (value ?? {}) as { piece?: unknown; end?: unknown };
+  if (typeof piece === "string") return { chunk: piece };
+  return end === true ? { isEnd: true } : null;
+}
+
+/**
+ * The response stream of an endpoint as JSON lines: `{"piece": TEXT}` for each chunk, `{"end": true}` last.
+ *
+ * @example
+ * const chunks = yield* stream.next(3000);
+ */
+export class EndpointStream {
+  private buffer = "";
+  private receivedBytes = 0;
+  private hasEnded = false;
+  constructor(
+    private readonly env: Env,
+    private readonly endpoint: Endpoint,
+    private readonly response: HttpResponse,
+  ) {}
+
+  /**
+   * The chunks that have arrived, at least one; undefined at the end. Faults, after which the response is aborted: "timeout"
+   * without a chunk in time, "broken" if the stream was cut off, "invalid" for malformed or too long ones.
+   */
+  *next(withinMs: number): Task<Result<string[] | undefined>> {
+    const until = this.env.mono() + withinMs;
+    for (;;) {
+      const chunks = this.readLines();
+      if (!chunks.ok) return chunks;
+      if (chunks.value.length > 0) return chunks;
+      if (this.hasEnded) return Fault.ok(undefined);
+      const received = yield* this.receive(until - this.env.mono());
+      if (!received.ok) return received;
+    }
+  }
+
+  /** Gives up the rest of the stream. */
+  abort(): void {
+    this.response.abort();
+  }
+
+  /** The chunks of all whole lines in the buffer, up to the end of the stream. */
+  private readLines(): Result<string[]> {
+    const chunks: string[] = [];
+    while (!this.hasEnded) {
+      const lineEnd = this.buffer.indexOf("\n");
+      if (lineEnd < 0) break;
+      const line = this.buffer.slice(0, lineEnd);
+      this.buffer = this.buffer.slice(lineEnd + 1);
+      if (line.trim() === "") continue;
+      const parsed = parseLine(line);
+      if (parsed === undefined) return this.fail("invalid", "reply is not JSON lines");
+      if (parsed === null) return this.fail("invalid", "line is neither piece nor end");
+      if ("isEnd" in parsed) this.hasEnded = true;
+      else chunks.push(parsed.chunk);
+    }
+    return Fault.ok(chunks);
+  }
+
+  private *receive(withinMs: number): Task<Result<true>> {
+    const received = yield* EnvTools.takeWithin(this.env, this.response.chunks, withinMs);
+    if (received === undefined) return this.fail("timeout", "replica fell silent");
+    if (received === null) return this.fail("broken", "replica ended without saying so");
+    this.receivedBytes += received.length;
+    if (this.receivedBytes > Constants.responseLimitBytes) return this.fail("invalid", "reply over the limit");
+    this.buffer += received.toString("utf8");
+    return Fault.ok(true);
+  }
+
+  private fail(tag: "invalid" | "timeout" | "broken", detail: string): Result<never> {
+    this.response.abort();
+    return Fault.fail(tag, "read replica", this.endpoint.id, detail);
+  }
+}
--- a/src/forwarding/headerNames.ts
+++ b/src/forwarding/headerNames.ts
@@ -1,22 +1,31 @@
-/** What the headers between callers, us and replicas are called; another shape of the same brings a table of its own. */
-export type HeaderNames = {
-  requestId: string; // in requests, and given back in replies
-  remainingMs: string; // how long the caller will wait
-  targetInstance: string; // the only instance that may run the request
-  lastEventId: string; // a stream goes on after this piece
-  promptParts: string; // the parts of a prompt in order, ID:TOKENS with commas
-  tokens: string; // of the prompt, and the most out
+/** The names of the headers between callers, this product and endpoints; another protocol brings names of its own. */
+export interface HeaderNames {
+  /** In requests, and repeated in responses. */
+  requestId: string;
+  /** How long the caller waits, in ms. */
+  remainingMs: string;
+  /** The only instance that may run the request. */
+  targetInstance: string;
+  /** A stream goes on after this event. */
+  lastEventId: string;
+  /** The parts of a prompt in order, ID:TOKENS separated by commas. */
+  promptParts: string;
+  /** The tokens of the prompt, and the most to generate. */
+  tokens: string;
   model: string;
-  priority: string; // 0 first
-  notExecuted: string; // in replies: the replica did not run the request
-  endpointSignature: string; // in replies: the replica's own mark, without which a success is none ("" where there is none)
-};
+  /** 0 is served first. */
+  priority: string;
+  /** In responses: the endpoint did not run the request. */
+  notExecuted: string;
+  /** In responses: the endpoint's signature, without which no success is accepted; "" for none. */
+  endpointSignature: string;
+}
 
 /**
  * The product's own names.
  *
  * @example
- * incoming.headers[ownHeaderNames.requestId];
+ * const requestId = exchange.headers[ownHeaderNames.requestId];
  */
 export const ownHeaderNames: HeaderNames = {
   requestId: "x-request-id",
--- a/src/storage/liveRequests/liveRequestForwarder.ts
+++ b/src/storage/liveRequests/liveRequestForwarder.ts
@@ -1,4 +1,5 @@
-import { EndpointHttp, EndpointStream, ForwardedRequest } from "../../forwarding/endpointHttp";
+import { EndpointHttp, ForwardedRequest } from "../../forwarding/endpointHttp";
+import { EndpointStream } from "../../forwarding/endpointStream";
 import { Constants } from "../../common/constants";
 import { Endpoint } from "../../node/clusterSnapshot";
 import { Node } from "../../node/node";
