--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -22,7 +22,9 @@
   "src/routing/",
   "src/rpc/",
   "src/shard/",
+  "src/simulation/",
   "src/storage/",
+  "src/tools/",
 ];
 
 const sizeLimits = (severity) => ({
