--- a/src/common/constants/shards.ts
+++ b/src/common/constants/shards.ts
@@ -3,7 +3,7 @@
   /** Shards; twice the storage machines, so that a lost one spreads its work. */
   shardCount: 8,
   /** Replicas of a shard; two storage nodes may be lost at once. */
-  replicas: 3,
+  replicasPerShard: 3,
   /** Replicas; below this, new batch jobs are rejected as busy. */
   minReplicasForJobs: 2,
   /** ms; the leader's lease from every other member of its view; the lease of a lost leader must run out. */
@@ -29,7 +29,7 @@
   /**
    * ms; a node that does not have the sealed end by then is left out of the next view; a missing tail takes a few ms.
    */
-  levelTimeoutMs: 1500,
+  logSyncTimeoutMs: 1500,
   /** ms; the leader polls every storage node this often; at once when one requests a check. */
   statusPeriodMs: 400,
   /** ms; a storage node whose status is older counts as down. */
@@ -42,32 +42,32 @@
   claimOldMs: 1000,
   /** ms; the first views wait this long for storage nodes to be discovered. */
   storeDiscoveryMs: 2500,
-  /** Entries; the log is folded into a checkpoint past this length. */
-  shardLogKeep: 500,
+  /** Entries; a longer log is folded into a checkpoint, and so many stay in memory for others to catch up by. */
+  shardLogMaxEntries: 500,
   /** bytes; or past this size, so that a start reads no more than two such logs. */
-  shardLogBytes: 4_194_304,
+  shardLogMaxBytes: 4_194_304,
   /** Puts; ordered and synced together. */
-  putBatch: 256,
+  putBatchMax: 256,
   /** Puts that wait for their order; past this, busy. */
-  shardBufferPuts: 2048,
-  /** Buckets that are compared by digest. */
-  rangeBuckets: 16,
+  queuedPutsMax: 2048,
+  /** Ranges of object ids that are compared by digest. */
+  digestRanges: 16,
   /** bytes; below this free, nothing new is accepted; what was accepted can finish. */
   diskReserveBytes: 67_108_864,
   /** s; pause between attempts to use a failed disk, well inside the twelve seconds after it was freed. */
   diskRetrySeconds: 3,
   /** Entries; in one catch-up message. */
-  fillEntries: 200,
+  catchUpEntriesMax: 200,
   /** ms; pause between two comparisons of the replicas of a shard. */
   repairPeriodMs: 10_000,
   /** Objects; in one segment: a few hundred KB, so that writing one takes a few ms. */
   segmentObjects: { works: 256, lots: 64, ledger: 1024 },
   /** Objects; the same in the simulator, so that half a minute of work seals, fills and reads segments. */
   simSegmentObjects: { works: 5, lots: 1, ledger: 48 },
-  /** bits; of a ledger segment's filter: about one false hit in two hundred. */
+  /** bits; of a ledger segment's Bloom filter: about one false positive in two hundred. */
   segmentBitsPerSubject: 12,
   /** ms; put ids are kept so long past the stamp or deadline of their put; nobody retries for longer than 20 s. */
-  putIdKeepMs: 30_000,
+  putOutcomeKeepMs: 30_000,
   /**
    * ms; a refusal is kept for longer than the longest deadline, and so outlives every late attempt to open its
    * request.
@@ -78,13 +78,13 @@
   /** Entries of sealed segments in one response about a subject of a shard. */
   aboutEntriesMax: 2000,
   /** bytes of a segment in one message. */
-  fillPieceBytes: 1_048_576,
+  segmentChunkBytes: 1_048_576,
   /**
    * bytes a second that a replica takes from the source of its state transfer, so that live traffic has the disk.
    */
-  fillBytesPerSecond: 16_777_216,
+  segmentBytesPerSecond: 16_777_216,
   /** Attempts; a late put gets a new stamp at most this often. */
-  lateAttempts: 8,
+  restampAttempts: 8,
   /** ms; a read past the frontier waits at most this long. */
   readWaitMs: 2500,
   /** ms; pause between attempts while a shard's leader is being found. */
--- a/src/control/viewChange.ts
+++ b/src/control/viewChange.ts
@@ -153,7 +153,7 @@
       members: [longest.id],
       method: "shard.level",
       body: { shard: view.shard, epoch, targets },
-      timeoutMs: Constants.levelTimeoutMs + Constants.sealTimeoutMs,
+      timeoutMs: Constants.logSyncTimeoutMs + Constants.sealTimeoutMs,
       cancelIfUnresponsive: true,
     });
     return response?.ids;
--- a/src/shard/replica/logReplication.ts
+++ b/src/shard/replica/logReplication.ts
@@ -58,7 +58,7 @@
   private refusalOf(put: Put): Result<never> | undefined {
     const { state, leadership, stablePrefix } = this;
     const { selfId } = state.context;
-    if (leadership.puts.length >= Constants.shardBufferPuts)
+    if (leadership.puts.length >= Constants.queuedPutsMax)
       return Fault.busy("put", selfId, "shard buffer full", Constants.retryAfterMs);
     if (opensWork(put) && leadership.isAnyDiskLow())
       return Fault.busy("put", selfId, "a store's disk is nearly full", 5 * Constants.retryAfterMs);
@@ -76,7 +76,7 @@
       if (leadership.puts.length === 0) yield* EnvTools.takeWithin(state.context.env, leadership.wake, IDLE_LOOK_MS);
       if (!leadership.isLeaderOf(epoch)) return;
       if (leadership.puts.length === 0) continue;
-      const isReplicated = yield* this.replicateBatch(epoch, leadership.puts.takeBatch(Constants.putBatch));
+      const isReplicated = yield* this.replicateBatch(epoch, leadership.puts.takeBatch(Constants.putBatchMax));
       if (!isReplicated) return;
       yield* state.locked(() => this.storage.compactIfLong());
     }
--- a/src/shard/replica/replicaStorage.ts
+++ b/src/shard/replica/replicaStorage.ts
@@ -114,7 +114,8 @@
   /** Writes a snapshot once the log is long. @example yield* storage.compactIfLong(); */
   *compactIfLong(): Task<void> {
     const { log, diskLog, appliedSeq } = this.state;
-    const isLong = log.entriesSinceSnapshot >= Constants.shardLogKeep || diskLog.logBytes >= Constants.shardLogBytes;
+    const isLong =
+      log.entriesSinceSnapshot >= Constants.shardLogMaxEntries || diskLog.logBytes >= Constants.shardLogMaxBytes;
     if (!isLong || appliedSeq !== log.lastSeq) return;
     log.entriesSinceSnapshot = 0;
     yield* this.writeSnapshot();
--- a/src/shard/replica/sealedLogSync.ts
+++ b/src/shard/replica/sealedLogSync.ts
@@ -32,7 +32,7 @@
     env.point(50, { shard, joiners: targetIds.filter((id) => !state.view?.members.includes(id)) });
     const syncedIds = [selfId];
     const done = Csp.chan<true>(TARGETS_MAX);
-    const deadline = env.mono() + Constants.levelTimeoutMs;
+    const deadline = env.mono() + Constants.logSyncTimeoutMs;
     const sync = this;
     for (const { id, address } of targets)
       Csp.go(env.scope, `level ${id}`, function* () {
@@ -60,7 +60,7 @@
         epoch,
         prevSeq: from,
         prevEpoch: log.epochAt(from),
-        entries: log.entriesAfter(from, Constants.fillEntries),
+        entries: log.entriesAfter(from, Constants.catchUpEntriesMax),
       };
       const timeoutMs = Math.min(Constants.sealTimeoutMs, deadline - env.mono());
       const response = yield* rpc.call(address, "shard.catchUp", request, timeoutMs);
--- a/src/shard/replica/segmentTransfer.ts
+++ b/src/shard/replica/segmentTransfer.ts
@@ -52,7 +52,7 @@
       offset += bytes.length;
       size = chunk.value.size;
       state.counts.transferredBytes += bytes.length;
-      yield* EnvTools.sleep(env, (bytes.length * 1000) / Constants.fillBytesPerSecond);
+      yield* EnvTools.sleep(env, (bytes.length * 1000) / Constants.segmentBytesPerSecond);
     }
     env.point(17);
     return yield* state.segments.files.writeReceived(kind, number, part, Buffer.concat(chunks));
--- a/src/shard/replica/shardLog.ts
+++ b/src/shard/replica/shardLog.ts
@@ -47,7 +47,8 @@
       this.lastSeq = entry.seq;
       this.lastEpoch = entry.epoch;
     }
-    if (this.tail.length > Constants.shardLogKeep) this.tail.splice(0, this.tail.length - Constants.shardLogKeep);
+    if (this.tail.length > Constants.shardLogMaxEntries)
+      this.tail.splice(0, this.tail.length - Constants.shardLogMaxEntries);
     this.entriesSinceSnapshot += entries.length;
   }
   /** Starts anew behind a snapshot. @example log.reset(snapshot.seq, snapshot.lastEpoch); */
--- a/src/shard/segments/segmentStore.ts
+++ b/src/shard/segments/segmentStore.ts
@@ -231,7 +231,7 @@
     if (!file.ok) return file;
     if (!file.value) return Fault.fail("notFound", "segment part", this.env.name, this.files.path(kind, number, part));
     return Fault.ok({
-      data: file.value.subarray(from, from + Constants.fillPieceBytes).toString("base64"),
+      data: file.value.subarray(from, from + Constants.segmentChunkBytes).toString("base64"),
       size: file.value.length,
     });
   }
--- a/src/shard/state/rangeDigests.ts
+++ b/src/shard/state/rangeDigests.ts
@@ -33,11 +33,11 @@
   rangeOf(id: string): number {
     let hash = 0;
     for (let index = 0; index < id.length; index += 1) hash = (hash * 31 + id.charCodeAt(index)) >>> 0;
-    return hash % Constants.rangeBuckets;
+    return hash % Constants.digestRanges;
   },
   /** One digest a range. @example RangeDigests.of(data)[3] */
   of(data: ShardData): string[] {
-    const ranges: string[][] = Array.from({ length: Constants.rangeBuckets }, () => []);
+    const ranges: string[][] = Array.from({ length: Constants.digestRanges }, () => []);
     for (const object of [...data.liveRequests.values(), ...data.jobs.values()])
       ranges[RangeDigests.rangeOf(object.id)].push(comparedText(object));
     return ranges.map((texts) => Hash.text(texts.sort().join("\n")));
--- a/src/shard/state/shardState.ts
+++ b/src/shard/state/shardState.ts
@@ -68,7 +68,7 @@
 /** Until when a put may be repeated: its repeats come as long as somebody waits for the first, ms of wall time. */
 function repeatableUntil(put: Put): number {
   const deadlines = put.ops.map((op) => (op.op === "open" ? op.work.deadlineAt : 0));
-  return Math.max(put.stamp.time, ...deadlines) + Constants.putIdKeepMs;
+  return Math.max(put.stamp.time, ...deadlines) + Constants.putOutcomeKeepMs;
 }
 
 /** Closed jobs whose item bodies nobody reads any more lose them. */
--- a/src/simulation/simFleet.ts
+++ b/src/simulation/simFleet.ts
@@ -206,7 +206,7 @@
   expectSpread(lost?: string): void {
     const zones = this.deployment.districts.filter((zone) => zone !== lost).length;
     const wanted = Math.min(
-      Constants.replicas,
+      Constants.replicasPerShard,
       zones,
       this.names("store").filter((name) => this.planOf(name).settings.district !== lost).length,
     );
--- a/src/storage/liveRequests/liveRequestAdmission.ts
+++ b/src/storage/liveRequests/liveRequestAdmission.ts
@@ -115,7 +115,7 @@
     for (let attempt = 0; ; attempt += 1) {
       const cause = { ...body.cause, view: replica.view?.epoch };
       put = yield* replica.put({ putId, stamp, ops, cause }, OPEN_PUT_MS);
-      if (put.ok || put.fault.tag !== "late" || attempt >= Constants.lateAttempts) break;
+      if (put.ok || put.fault.tag !== "late" || attempt >= Constants.restampAttempts) break;
       stamp = this.shardClient.stamp(this.env.wall());
       yield* EnvTools.sleep(this.env, RESTAMP_PAUSE_MS);
     }
--- a/src/storage/shardWriter.ts
+++ b/src/storage/shardWriter.ts
@@ -30,7 +30,7 @@
   /** Faults as of `ShardClient.put`. A put id is applied at most once, whichever leaders see it. */
   *put(shard: number, putId: string, ops: ShardOperation[], cause: Cause, withinMs: number): Task<Result<PutOutcome>> {
     const replica = this.replicas.get(shard);
-    for (let attempt = 0; attempt < Constants.lateAttempts && replica?.holdsLease(); attempt += 1) {
+    for (let attempt = 0; attempt < Constants.restampAttempts && replica?.holdsLease(); attempt += 1) {
       const stamp = this.shardClient.stamp(this.env.wall());
       const put = yield* replica.put({ putId, stamp, ops, cause }, Math.min(withinMs, LOCAL_PUT_MS));
       if (put.ok) {
--- a/test/golden/shortLogs.ts
+++ b/test/golden/shortLogs.ts
@@ -6,11 +6,11 @@
 
 /** Runs `body` with logs that are folded into a snapshot early, and small segments. */
 export async function withShortLogs<T>(body: () => Promise<T>): Promise<T> {
-  const limits = Constants as { logEntriesUntilSnapshot: number; shardLogKeep: number };
+  const limits = Constants as { logEntriesUntilSnapshot: number; shardLogMaxEntries: number };
   const segments = Constants.segmentObjects as { ledger: number };
   const before = { ...limits };
   limits.logEntriesUntilSnapshot = shortLogEntries.group;
-  limits.shardLogKeep = shortLogEntries.shard;
+  limits.shardLogMaxEntries = shortLogEntries.shard;
   Object.assign(segments, Constants.simSegmentObjects);
   segments.ledger = ledgerSegmentEntries;
   try {
@@ -18,6 +18,6 @@
   } finally {
     Object.assign(segments, Constants.simSegmentObjects);
     limits.logEntriesUntilSnapshot = before.logEntriesUntilSnapshot;
-    limits.shardLogKeep = before.shardLogKeep;
+    limits.shardLogMaxEntries = before.shardLogMaxEntries;
   }
 }
--- a/test/shardLog.test.ts
+++ b/test/shardLog.test.ts
@@ -45,10 +45,10 @@
 });
 test("only the last entries stay in memory, and all are counted until the next snapshot", () => {
   const log = new ShardLog();
-  for (let seq = 1; seq <= Constants.shardLogKeep + 10; seq += 1) log.append([entry(seq, 1)]);
+  for (let seq = 1; seq <= Constants.shardLogMaxEntries + 10; seq += 1) log.append([entry(seq, 1)]);
   expect([log.firstSeq, log.lastSeq, log.entriesSinceSnapshot]).toEqual([
     11,
-    Constants.shardLogKeep + 10,
-    Constants.shardLogKeep + 10,
+    Constants.shardLogMaxEntries + 10,
+    Constants.shardLogMaxEntries + 10,
   ]);
 });
