--- a/scripts/guardMutations/mutations.js
+++ b/scripts/guardMutations/mutations.js
@@ -192,7 +192,7 @@
     expectedInvariants: ["config-in-force"],
     edits: [
       {
-        file: "common/constants.js",
+        file: "common/constants/node.js",
         find: "frameStaleMs: 1500",
         replacement: "frameStaleMs: 60000",
       },
@@ -268,7 +268,7 @@
     expectedInvariants: ["service-returns"],
     edits: [
       {
-        file: "common/constants.js",
+        file: "common/constants/membership.js",
         find: "suspicionMs: 1500",
         replacement: "suspicionMs: 30000",
       },
