--- a/src/common/constants/shards.ts
+++ b/src/common/constants/shards.ts
@@ -39,7 +39,7 @@
   /** ms; shortest pause between two polls, so that requested checks share one. */
   statusPollGapMs: 60,
   /** ms; a claim that waited longer for its delivery is released: another may be the owner by now. */
-  claimOldMs: 1000,
+  claimMaxAgeMs: 1000,
   /** ms; the first views wait this long for storage nodes to be discovered. */
   storeDiscoveryMs: 2500,
   /** Entries; a longer log is folded into a checkpoint, and so many stay in memory for others to catch up by. */
@@ -88,7 +88,7 @@
   /** ms; a read past the frontier waits at most this long. */
   readWaitMs: 2500,
   /** ms; pause between attempts while a shard's leader is being found. */
-  storeAttemptMs: 100,
+  leaderSearchPauseMs: 100,
   /** ms; a shard's leader that cannot be reached is searched for so long, then the response is busy. */
   openPatienceMs: 1500,
   /** ms; ledger entries about lookups are batched for so long. */
--- a/src/ingress/batchSubmission.ts
+++ b/src/ingress/batchSubmission.ts
@@ -166,7 +166,7 @@
       shardClient.shardOf(id),
       "lot.end",
       () => ({ id, stamp: shardClient.stamp(env.wall()), by }),
-      Constants.jobHoldMs,
+      Constants.jobCallMs,
     );
     if (response.ok) return response;
     const { tag, member, detail } = response.fault;
--- a/src/storage/abandonedClaims.ts
+++ b/src/storage/abandonedClaims.ts
@@ -18,7 +18,7 @@
 /** One such request's time-out, ms. */
 const OWNER_RESPONSE_MS = 500;
 /** An owner that doesn't respond for so long has lost its claims, ms: it gives up older ones itself. */
-const OWNER_SILENCE_MAX_MS = 2 * Constants.claimOldMs;
+const OWNER_SILENCE_MAX_MS = 2 * Constants.claimMaxAgeMs;
 /** For how long the put that closes an abandoned request is repeated, ms. */
 const CLOSE_WITHIN_MS = 10_000;
 /** For how long the put that releases an abandoned claim is repeated, ms. */
@@ -88,7 +88,7 @@
   /** Finds also what was accepted or claimed by a put that took longer than its request waited. */
   private *recoveryLoop(): Task<void> {
     for (;;) {
-      yield* EnvTools.sleep(this.env, Constants.orphanPeriodMs);
+      yield* EnvTools.sleep(this.env, Constants.abandonedClaimSearchMs);
       for (const replica of this.replicas.values()) {
         if (!replica.holdsLease()) continue;
         this.scheduler.addJobsOf(replica);
--- a/src/storage/batchJobs/itemEndpointChoice.ts
+++ b/src/storage/batchJobs/itemEndpointChoice.ts
@@ -94,7 +94,7 @@
     const endpoints = this.endpointsOf(pass, pool, routeName);
     const capacity = endpoints.reduce((sum, endpoint) => sum + endpoint.capacity, 0);
     const isRestricted = pass.snapshot.overloadedPools[pool] && !isUrgent;
-    const batchShare = Constants.jobShare * (isRestricted ? Constants.jobOverloadedShare : 1);
+    const batchShare = Constants.itemCapacityShare * (isRestricted ? Constants.itemOverloadedShare : 1);
     return Math.max(Constants.jobWindowMin, Math.ceil(capacity * batchShare * pass.share));
   }
 
@@ -123,7 +123,7 @@
     const isSameZone = ({ district }: Endpoint): boolean => district === this.zone;
     const sameZone = endpoints.filter((endpoint) => isSameZone(endpoint) && !exclude.has(endpoint.key));
     const running = sameZone.reduce((sum, endpoint) => sum + this.usage.at(endpoint), 0);
-    const capacity = sameZone.reduce((sum, endpoint) => sum + endpoint.capacity, 0) * Constants.jobNearShare;
+    const capacity = sameZone.reduce((sum, endpoint) => sum + endpoint.capacity, 0) * Constants.itemSameZoneShare;
     if (running >= capacity) return exclude;
     const otherZones = endpoints.filter((endpoint) => !isSameZone(endpoint));
     return new Set([...exclude, ...otherZones.map(({ key }) => key)]);
--- a/src/storage/batchJobs/itemExecution.ts
+++ b/src/storage/batchJobs/itemExecution.ts
@@ -50,7 +50,7 @@
     const after = open.progress.get(item)?.lastEventId ?? 0;
     const request = this.requestFor(job, item, after);
     this.env.point(57);
-    const opened = yield* DirectHttp.open(this.env, this.names, endpoint, request, Constants.jobHeadMs);
+    const opened = yield* DirectHttp.open(this.env, this.names, endpoint, request, Constants.itemResponseHeadMs);
     if (!opened.ok) {
       const { tag, step, detail } = opened.fault;
       this.endpointSelector.requestEnded(endpoint, tag === "refused" && step === "deliver");
--- a/src/storage/batchJobs/itemResults.ts
+++ b/src/storage/batchJobs/itemResults.ts
@@ -65,7 +65,7 @@
   /** Puts what is pending, until there is nothing more. */
   private *flush(shard: number): Task<void> {
     for (;;) {
-      yield* EnvTools.sleep(this.env, Constants.jobResultsMs);
+      yield* EnvTools.sleep(this.env, Constants.itemResultBatchMs);
       const batch = this.pendingByShard.get(shard) ?? [];
       this.pendingByShard.delete(shard);
       if (batch.length === 0) return;
--- a/src/storage/batchJobs/itemScheduler.ts
+++ b/src/storage/batchJobs/itemScheduler.ts
@@ -66,8 +66,12 @@
   private *scheduleLoop(): Task<void> {
     for (let searchedAt = this.env.mono(); ;) {
       const hasWaiting = this.openJobs.all().some((open) => open.ready.length + open.delayed.length > 0);
-      yield* EnvTools.takeWithin(this.env, this.openJobs.changed, hasWaiting ? Constants.jobTickMs : IDLE_PASS_MS);
-      if (this.env.mono() - searchedAt > Constants.orphanPeriodMs) {
+      yield* EnvTools.takeWithin(
+        this.env,
+        this.openJobs.changed,
+        hasWaiting ? Constants.jobSchedulingPeriodMs : IDLE_PASS_MS,
+      );
+      if (this.env.mono() - searchedAt > Constants.abandonedClaimSearchMs) {
         searchedAt = this.env.mono();
         // a job may have been accepted by a put that took longer than its request waited
         for (const replica of this.replicas.values()) if (replica.holdsLease()) this.openJobs.addJobsOf(replica);
@@ -175,10 +179,10 @@
         progress.failures += 1;
         if (progress.failures >= (route.rounds ?? Constants.lookupAttempts))
           return this.results.add(open, { item, state: "abandoned", result: "" }, outcome.why);
-        return this.retryLater(open, item, endpoint, Constants.jobFailedMs);
+        return this.retryLater(open, item, endpoint, Constants.itemFailureBackoffMs);
       case "interrupted":
         this.counters.again += 1;
-        return this.retryLater(open, item, endpoint, Constants.jobAgainMs);
+        return this.retryLater(open, item, endpoint, Constants.itemRetryMs);
       case "cancelled":
         open.running.delete(item);
         return;
--- a/src/storage/batchJobs/jobDemand.ts
+++ b/src/storage/batchJobs/jobDemand.ts
@@ -37,7 +37,7 @@
     const ageMs = now - this.announced.at;
     const hasChanged = Math.abs(items - this.announced.items) > this.announced.items * SIGNIFICANT_CHANGE;
     const isDue = hasChanged || ageMs > Constants.jobDemandLeaseMs / 2;
-    if (items < Constants.jobDemandItems || !isDue || ageMs < Constants.jobDemandMs) return;
+    if (items < Constants.jobDemandItems || !isDue || ageMs < Constants.jobDemandPeriodMs) return;
     this.announced = { items, at: now };
     this.node.gossip.publish(this.gossipKey(), { items }, Constants.jobDemandLeaseMs, true);
   }
--- a/src/storage/batchJobs/openJobs.ts
+++ b/src/storage/batchJobs/openJobs.ts
@@ -90,7 +90,8 @@
   mayContinue(open: OpenJob): boolean {
     const { view, data } = open.replica;
     const job = data.jobs.get(open.id);
-    const leads = view?.lead === this.node.self.id && this.env.mono() - open.leadershipLostAt < Constants.jobRegainMs;
+    const leads =
+      view?.lead === this.node.self.id && this.env.mono() - open.leadershipLostAt < Constants.leadershipRegainMs;
     return !!job && job.open > 0 && !job.ended && leads && this.jobs.get(open.id) === open;
   }
 
--- a/src/storage/claimedItems/claimedItemExecution.ts
+++ b/src/storage/claimedItems/claimedItemExecution.ts
@@ -105,7 +105,7 @@
     const replica = this.replicas.get(shard);
     const job = replica?.data.jobs.get(jobId);
     return (
-      this.env.mono() - claimedAt > Constants.claimOldMs ||
+      this.env.mono() - claimedAt > Constants.claimMaxAgeMs ||
       !replica?.holdsLease() ||
       !job ||
       job.ended ||
--- a/src/storage/claimedItems/claimedItemScheduler.ts
+++ b/src/storage/claimedItems/claimedItemScheduler.ts
@@ -74,7 +74,7 @@
   private *scheduleLoop(): Task<void> {
     for (;;) {
       if (this.openJobs.size === 0) yield* Csp.take(this.jobAdded);
-      yield* EnvTools.sleep(this.env, Constants.jobTickMs);
+      yield* EnvTools.sleep(this.env, Constants.jobSchedulingPeriodMs);
       if (this.node.stopping || !this.node.mayHoldLeases()) continue;
       this.schedulingPass();
     }
--- a/src/storage/liveRequests/liveRequestForwarder.ts
+++ b/src/storage/liveRequests/liveRequestForwarder.ts
@@ -57,7 +57,7 @@
 
   /** Whether the deadline has passed; or, after a freeze, the claim may be another node's and the endpoint may have left. */
   private isTooLate(request: ExecutingRequest, endpoint: Endpoint, remainingMs: number): boolean {
-    if (this.env.mono() - request.claimedAt > Constants.claimOldMs || remainingMs <= 0) return true;
+    if (this.env.mono() - request.claimedAt > Constants.claimMaxAgeMs || remainingMs <= 0) return true;
     return !isStillEligible(endpoint, liveRequestCriteria(this.node.snapshot(), request, new Set()));
   }
 
--- a/src/storage/quota/quotaOwner.ts
+++ b/src/storage/quota/quotaOwner.ts
@@ -65,7 +65,7 @@
       return usage.total() + tokens <= limit || limit <= 0;
     };
     if (!usage.isComplete() || !fits()) {
-      while (count.refreshedAt < askedAt - Constants.quotaFreshMs) yield* this.refresh(count, route);
+      while (count.refreshedAt < askedAt - Constants.usageReportFreshMs) yield* this.refresh(count, route);
       if (!replica.holdsLease()) return notLeaderFault(this.node, replica, "quota");
       if (!usage.isComplete()) return this.busy("count what waits", "not every shard told what waits with it");
     }
@@ -156,7 +156,7 @@
     if (id === this.node.self.id) return this.reports.reports(body);
     const address = this.node.addressOf(id);
     if (!address) return [];
-    const response = yield* this.node.rpc.call(address, "quota.tallies", body, Constants.quotaAskMs);
+    const response = yield* this.node.rpc.call(address, "quota.tallies", body, Constants.usageReportTimeoutMs);
     return response.ok ? response.value.tallies : [];
   }
 }
--- a/src/storage/quota/routeUsage.ts
+++ b/src/storage/quota/routeUsage.ts
@@ -29,7 +29,7 @@
     const report = this.reports.get(shard)!;
     this.reports.set(shard, { ...report, tokens: report.tokens + tokens });
     this.reservations.add(`${shard}/${job}`);
-    if (this.reservations.size > Constants.quotaLeasesKept)
+    if (this.reservations.size > Constants.quotaReservationsMax)
       this.reservations.delete(this.reservations.values().next().value!);
   }
 
--- a/src/storage/shardClient.ts
+++ b/src/storage/shardClient.ts
@@ -88,7 +88,7 @@
         }
         if (retry === "mayHaveArrived") mayHaveArrived = true;
       }
-      const pauseMs = Math.min(Constants.storeAttemptMs, Math.max(1, until - this.env.mono()));
+      const pauseMs = Math.min(Constants.leaderSearchPauseMs, Math.max(1, until - this.env.mono()));
       yield* EnvTools.sleep(this.env, pauseMs * (attempt === 0 ? FIRST_PAUSE_SHARE : 1));
     }
   }
