--- a/src/cli/simCommand.ts
+++ b/src/cli/simCommand.ts
@@ -2,7 +2,7 @@
 import type { Sade } from "sade";
 import { Campaign } from "../simulation/campaign";
 import { Scenario, Scenarios } from "../simulation/scenarios/scenarios";
-import { Checker } from "../tools/checker";
+import { Checker } from "../tools/checker/checker";
 import { Deployment } from "../tools/deployment";
 import { Report } from "../tools/report";
 import { readJsonFile } from "./jsonFile";
--- a/src/simulation/campaign.ts
+++ b/src/simulation/campaign.ts
@@ -1,4 +1,4 @@
-import { Violation } from "../tools/checker";
+import { Violation } from "../tools/checker/checker";
 import { Deployment } from "../tools/deployment";
 import { Scenario } from "./scenarios/scenarios";
 import { SimFleet } from "./simFleet";
--- a/src/simulation/simFleet.ts
+++ b/src/simulation/simFleet.ts
@@ -7,7 +7,7 @@
 import { ShardView } from "../controlState/shardView";
 import { ShardReplica } from "../shard/shardReplica";
 import { Callers } from "../tools/callers/callers";
-import { CheckOptions, Checker, Violation } from "../tools/checker";
+import { CheckOptions, Checker, Violation } from "../tools/checker/checker";
 import { Deployment, Plan, ProcessPlan } from "../tools/deployment";
 import { History } from "../tools/history";
 import { EndpointSettings, StandInEndpoint } from "../tools/standInEndpoint";
--- a/src/tools/batchJobChecker.ts
+++ b/src/tools/batchJobChecker.ts
@@ -1,4 +1,4 @@
-import { Violation } from "./checker";
+import { Violation } from "./checker/checker";
 
 /** What a caller of a batch job observed; times are wall time at the caller, ms. */
 export type JobObservation =
--- /dev/null
+++ b/src/tools/checker/endpointInvariants.ts
@@ -0,0 +1,62 @@
+/** Invariants of the work that endpoints get: none after deregistration or drain, little after a start. */
+
+import { Invariant, runsOf, TOLERANCE_MS } from "./invariant";
+
+const DEREGISTERED_MS = 2000;
+const DRAINED_MS = 5000;
+const SLOW_START_MS = 1000;
+
+export const deregisteredRespected: Invariant = {
+  name: "goodbye-respected",
+  sentence: "A replica that has said goodbye gets no new work after about two seconds",
+  check: (history, endpoints) => {
+    const deregisteredAt = new Map(history.of("goodbye").map(({ replica, at }) => [replica, at]));
+    const startedAt = new Map(history.of("replicaStarted").map(({ replica, at }) => [replica, at]));
+    const found: string[] = [];
+    for (const { id, at, replica } of runsOf(endpoints)) {
+      const deregistered = deregisteredAt.get(replica) ?? Infinity;
+      const restarted = startedAt.get(replica) ?? -1;
+      const isBack = restarted > deregistered && at >= restarted;
+      if (at > deregistered + DEREGISTERED_MS + TOLERANCE_MS && !isBack)
+        found.push(`replica ${replica} got ${id} ${(at - deregistered).toFixed(0)} ms after its goodbye`);
+    }
+    return found;
+  },
+};
+
+export const drainRespected: Invariant = {
+  name: "drain-respected",
+  sentence: "A drained zone gets none after about five",
+  check: (history, endpoints) => {
+    const runs = runsOf(endpoints);
+    return history.of("drained").flatMap((drain) => {
+      const end = history.of("undrained").find(({ district, at }) => district === drain.district && at > drain.at);
+      const from = drain.at + DRAINED_MS + TOLERANCE_MS;
+      const to = end?.at ?? Infinity;
+      return runs
+        .filter(({ district, at }) => district === drain.district && at > from && at < to)
+        .map(
+          ({ replica, district, id, at }) =>
+            `replica ${replica} in drained ${district} got ${id} after ${(at - drain.at).toFixed(0)} ms`,
+        );
+    });
+  },
+};
+
+export const slowStartRespected: Invariant = {
+  name: "not-flooded",
+  sentence: "A replica that has just started is not flooded",
+  check: (history, endpoints, { settledAt = 0 }) => {
+    const runs = runsOf(endpoints);
+    const found: string[] = [];
+    for (const { replica, at: startedAt, capacity } of history.of("replicaStarted")) {
+      if (startedAt <= settledAt) continue;
+      const early = runs.filter(
+        (run) => run.replica === replica && run.at >= startedAt && run.at < startedAt + SLOW_START_MS,
+      );
+      if (early.length > capacity)
+        found.push(`replica ${replica} got ${early.length} in its first second, capacity ${capacity}`);
+    }
+    return found;
+  },
+};
--- a/src/tools/fleet/checkedRun.ts
+++ b/src/tools/fleet/checkedRun.ts
@@ -1,7 +1,7 @@
 import { Task } from "../../runtime/csp";
 import { Env, EnvTools } from "../../runtime/env";
 import { Callers } from "../callers/callers";
-import { Checker } from "../checker";
+import { Checker } from "../checker/checker";
 import { Deployment, Plan } from "../deployment";
 import { History } from "../history";
 import { Report } from "../report";
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -1,4 +1,4 @@
-import { Checker, CheckOptions, ObservedEndpoint } from "../src/tools/checker";
+import { Checker, CheckOptions, ObservedEndpoint } from "../src/tools/checker/checker";
 import { History, LogPosition, Observation } from "../src/tools/history";
 
 const endpoint = (id: string, runs: [string, number][], zone = "north"): ObservedEndpoint => ({
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -4,7 +4,7 @@
 import { WhyBody } from "../src/cli/operator/responses";
 import { EnvTools } from "../src/runtime/env";
 import { Callers } from "../src/tools/callers/callers";
-import { Checker } from "../src/tools/checker";
+import { Checker } from "../src/tools/checker/checker";
 import { Deployment } from "../src/tools/deployment";
 import { Fleet } from "../src/tools/fleet/fleet";
 import { History } from "../src/tools/history";
