--- a/src/adapters/caller/callerOperations.ts
+++ b/src/adapters/caller/callerOperations.ts
@@ -33,11 +33,11 @@
   order: number;
   /** The configuration and policy that admitted it, for the ledger. */
   cause: Cause;
-  /** Time for the whole request in ms. */
+  /** Time for the entire request in ms. */
   deadlineMs: number;
 }
 
-/** An item of a batch job as a caller submits it: a whole request, its body in base64. */
+/** An item of a batch job as a caller submits it: a complete request, its body in base64. */
 export type SubmittedItem = ItemRequest & { body: string };
 
 /** A job whose items are JSON values of a named route. */
@@ -87,7 +87,7 @@
 /** Submits and ends batch jobs at their shards. */
 export interface JobSubmission {
   /**
-   * Submits a job of whole requests; ok once every replica of its shard has it. "busy" promises that this submission never
+   * Submits a job of complete requests; ok once every replica of its shard has it. "busy" promises that this submission never
    * takes effect, with the step "quota" if it did not fit; "unknown" promises nothing.
    */
   submit(
@@ -107,7 +107,7 @@
 
 /** Reads batch jobs from the replicas of their shards. "notFound" and "gone" are certain, all else is "busy". */
 export interface JobReader {
-  /** The results of a job of whole requests from a position on; waits up to waitMs for the first. */
+  /** The results of a job of complete requests from a position on; waits up to waitMs for the first. */
   list(id: string, from: number, waitMs: number): Task<Result<JobResultPage>>;
   /** Results of a job of JSON items after a position, at most `limit`; waits up to waitMs for the first. */
   results(id: string, after: number, limit: number, waitMs: number): Task<Result<JobResultsResponse>>;
--- a/src/adapters/caller/jobRequest.ts
+++ b/src/adapters/caller/jobRequest.ts
@@ -10,7 +10,7 @@
   binding: string;
   /** Items that are JSON values. */
   items?: unknown[];
-  /** Items that are whole requests. */
+  /** Items that are complete requests. */
   requests?: SubmittedItem[];
 }
 
--- a/src/adapters/caller/jobRoutes.ts
+++ b/src/adapters/caller/jobRoutes.ts
@@ -61,7 +61,7 @@
     else yield* this.submitJsonItems(exchange, id, admitted.value, job.value.items!);
   }
 
-  /** A job of whole requests: 202 also for a repeat, since its caller may have lost the first response. */
+  /** A job of complete requests: 202 also for a repeat, since its caller may have lost the first response. */
   private *submitRequests(
     exchange: HttpExchange,
     id: string,
--- a/src/adapters/http.ts
+++ b/src/adapters/http.ts
@@ -36,7 +36,7 @@
   text: string;
 }
 
-/** A rejected caller is told after how many whole seconds to retry, at least one. */
+/** The seconds after which a rejected caller should retry, rounded up, at least one. */
 function retryAfterHeader(fault: Fault, status: number): Record<string, string> {
   if (fault.tag === "busy") return { "retry-after": String(Math.max(1, Math.ceil(fault.retryAfterMs / 1000))) };
   return status === serviceUnavailable ? { "retry-after": "1" } : {};
--- a/src/adapters/operator/configurationRoutes.ts
+++ b/src/adapters/operator/configurationRoutes.ts
@@ -37,7 +37,7 @@
 }
 
 /**
- * The configuration and the policies: read, replaced whole, and (the configuration) patched.
+ * The configuration and the policies: read, replaced as a whole, and (the configuration) patched.
  *
  * @example
  * const routes = configurationRoutes(context);
--- a/src/adapters/schemas/configurationSchemas.ts
+++ b/src/adapters/schemas/configurationSchemas.ts
@@ -93,7 +93,7 @@
     },
   },
 };
-/** The JSON schema of a whole configuration. */
+/** The JSON schema of a complete configuration. */
 export const configurationSchema = {
   type: "object",
   additionalProperties: false,
@@ -131,7 +131,7 @@
 const parseVersionedSchema = schemaParser<Configuration & { version?: number }>(resource, versionedSchema);
 const parsePatchSchema = schemaParser<ConfigurationPatch & { version?: number }>("manifest patch", patchSchema);
 
-/** A whole configuration, with the operator's own version if one is given. */
+/** A complete configuration, with the operator's own version if one is given. */
 export interface ConfigurationChange {
   version?: number;
   doc: Configuration;
@@ -164,7 +164,7 @@
   return invalidResource(resource, paths);
 }
 
-/** Parses a whole configuration with its version. @example parseConfigurationChange({ version: 7, bindings: {} }) */
+/** Parses a complete configuration with its version. @example parseConfigurationChange({ version: 7, bindings: {} }) */
 export function parseConfigurationChange(candidate: unknown): Result<ConfigurationChange> {
   const parsed = parseVersionedSchema(candidate);
   if (!parsed.ok) return parsed;
--- a/src/forwarding/directHttp.ts
+++ b/src/forwarding/directHttp.ts
@@ -118,7 +118,7 @@
     return Fault.ok({ status: response.status, headers: responseHeaders(request, response), response });
   },
 
-  /** Reads the whole body; undefined if it was cut off, too long or too slow. */
+  /** Reads the entire body; undefined if it was cut off, too long or too slow. */
   readBody: (env: Env, opened: DirectResponse, withinMs: number): Task<Buffer | undefined> =>
     EnvTools.bytesOf(env, opened.response, Constants.responseLimitBytes, withinMs),
 };
--- a/src/forwarding/endpointStream.ts
+++ b/src/forwarding/endpointStream.ts
@@ -57,7 +57,7 @@
     this.response.abort();
   }
 
-  /** The chunks of all whole lines in the buffer, up to the end of the stream. */
+  /** The chunks of all complete lines in the buffer, up to the end of the stream. */
   private readLines(): Result<string[]> {
     const chunks: string[] = [];
     while (!this.hasEnded) {
--- a/src/ingress/jobLeaderCall.ts
+++ b/src/ingress/jobLeaderCall.ts
@@ -5,7 +5,7 @@
 import { ShardClient } from "../storage/shardClient";
 
 const timeoutMs = 5000;
-/** Faults that a caller is told as they are; for all others it should retry. */
+/** Faults that a caller gets as they are; for all others it should retry. */
 const definiteFaults: Fault["tag"][] = ["notFound", "gone", "busy", "unknown"];
 
 /**
--- a/src/routing/admissionQueue.ts
+++ b/src/routing/admissionQueue.ts
@@ -14,7 +14,7 @@
   wake: Chan<true>;
 }
 
-/** How many queued requests double the pause that a rejected caller is told. */
+/** How many queued requests double the pause that a rejected caller gets. */
 const queueLengthThatDoublesPause = 8;
 
 const goesBefore = (one: QueuedRequest, other: QueuedRequest): boolean =>
--- a/test/direct.test.ts
+++ b/test/direct.test.ts
@@ -134,7 +134,7 @@
   }
 }
 
-test("the longest prefix of the host is found, whole segments only", () => {
+test("the longest path prefix of the host is found, by complete segments only", () => {
   const table = RouteTable.of({
     bindings: {
       a: route({ prefix: "/" }),
@@ -151,7 +151,7 @@
     name("none.example", "/x/"),
   ]).toEqual(["c", "b", "a", undefined]);
 });
-test("method, path, query, body and end-to-end headers pass unchanged; the reply comes back as it was", async () => {
+test("method, path, query, body, end-to-end headers and the response are forwarded unchanged", async () => {
   const bench = new Bench({ desk: route({}) }, [
     function* (incoming) {
       incoming.send(201, { ...echo(incoming), "x-own": "7", connection: "close" }, "done");
@@ -163,7 +163,7 @@
   expect(bench.seen[0].headers["x-hop"]).toBeUndefined();
   expect(got).toMatchObject({ status: 201, body: "done", headers: { "x-own": "7" } });
 });
-test("what may not be repeated is delivered once: a lost reply is no promise, a plain refusal frees the next round", async () => {
+test("a request that is not idempotent is delivered once: a lost response is no promise, an explicit refusal allows another attempt", async () => {
   const cut: Behaviour = function* (incoming) {
     incoming.abort();
   };
@@ -180,7 +180,7 @@
   const second = new Bench({ desk: route({ safe: false }) }, [notRun, whole]);
   expect(await second.ask("/desk/1")).toMatchObject({ status: 200, body: "reply" });
 });
-test("a reply of another request reaches nobody; what is safe is tried elsewhere", async () => {
+test("a response to another request reaches nobody; an idempotent request is retried at another endpoint", async () => {
   const stranger: Behaviour = function* (incoming) {
     incoming.send(200, { "x-request-id": "another" }, "not yours");
   };
@@ -189,7 +189,7 @@
   const safe = new Bench({ desk: route({}) }, [stranger, whole]);
   expect(await safe.ask("/desk/1")).toMatchObject({ status: 200, body: "reply" });
 });
-test("an exact stream goes on at another replica from the last piece, each piece once", async () => {
+test("a resumable stream continues at another endpoint after the last chunk, with each chunk once", async () => {
   const half: Behaviour = function* (incoming, seen, env) {
     const after = Number(seen.headers["last-event-id"] ?? 0);
     incoming.open(200, { ...echo(incoming), ...sse });
@@ -209,7 +209,7 @@
   expect((await ended.ask("/desk/1")).body).toBeUndefined(); // cut, never ended as if whole
   expect(ended.seen).toHaveLength(1);
 });
-test("a stream that skips or repeats a piece is not passed on past it", async () => {
+test("a stream that skips or repeats an event is not relayed past it", async () => {
   const skips: Behaviour = function* (incoming) {
     incoming.open(200, { ...echo(incoming), ...sse });
     incoming.write(event(1) + event(3));
@@ -218,7 +218,7 @@
   const bench = new Bench({ desk: route({ kind: "stream", safe: false }) }, [skips]);
   expect((await bench.ask("/desk/1")).body).toBeUndefined();
 });
-test("a silent replica is left for another, where that is safe, and is not asked again at once", async () => {
+test("an idempotent request leaves a silent endpoint for another one, and is not asked again at once", async () => {
   const dark: Behaviour = function* (incoming) {
     yield* Csp.take(incoming.gone);
   };
@@ -232,7 +232,7 @@
   function* (incoming) {
     incoming.send(status, { ...echo(incoming), "x-signature": "s1", ...more }, "no");
   };
-test("a promise that a replica did not give is not passed on: 502 without its signature; other failures keep status and signature", async () => {
+test("a promise that an endpoint did not give is not relayed: 502 without its signature; other failures keep status and signature", async () => {
   for (const kind of ["lookup", "stream"] as const)
     for (const status of [503, 429, 408]) {
       const bench = new Bench({ desk: route({ kind, safe: false }) }, [failing(status), failing(status)], signed);
@@ -250,7 +250,7 @@
     expect(await bench.ask("/desk/1")).toMatchObject({ status, headers: { "x-signature": "s1" }, body: "no" });
   }
 });
-test("what may be repeated is tried elsewhere after such a failure, and ends without a promise once no attempt is left", async () => {
+test("an idempotent request is retried elsewhere after such a failure, and ends without a promise once no attempt is left", async () => {
   for (const status of [503, 429, 408]) {
     const saved = new Bench({ desk: route({}) }, [failing(status), failing(200)], signed);
     expect((await saved.ask("/desk/1")).status).toBe(200);
@@ -263,7 +263,7 @@
     expect([got.status, got.headers["x-signature"], bench.seen.length]).toEqual([502, undefined, 2]);
   }
 });
-test("only a refusal with this request's id frees another attempt: one of another request does not", async () => {
+test("only a refusal with this request's id allows another attempt: one of another request does not", async () => {
   const others: Behaviour = function* (incoming) {
     incoming.send(503, { "x-request-id": "another", "x-not-run": "1" }, "");
   };
@@ -273,7 +273,7 @@
   const moved = new Bench({ desk: route({ safe: false }) }, [failing(421), whole]);
   expect((await moved.ask("/desk/1")).status).toBe(200);
 });
-test("a single reply with a status that promises, and not the replica's refusal, is a failure and no reply", async () => {
+test("a single response with a status that promises, but without the endpoint's refusal, is a failure and no response", async () => {
   const world = new SimWorld(5, () => undefined);
   const server = world.start("replica", new SimDisk(world));
   let status = 0;
@@ -297,7 +297,7 @@
     expect(response).toMatchObject({ ok: false, fault: { tag: "broken" } });
   }
 });
-test("no more replicas run one request than its route's attempts, counting resumed streams and attempts that may have run", async () => {
+test("no more endpoints run one request than its route's attempts, counting resumed streams and attempts that may have run", async () => {
   const oneEvent: Behaviour = function* (incoming, seen, env) {
     incoming.open(200, { ...echo(incoming), ...sse });
     incoming.write(event(Number(seen.headers["last-event-id"] ?? 0) + 1));
@@ -323,7 +323,7 @@
     }
   }
 });
-test("a lookup by name keeps to its binding's attempts too", async () => {
+test("a lookup by route name is limited to its route's attempts too", async () => {
   const world = new SimWorld(5, () => undefined);
   const { env } = world.start("ingress", new SimDisk(world));
   let runs = 0;
@@ -367,7 +367,7 @@
   await world.run(5000);
   expect([outcomes.length, outcomes[0].ok, runs]).toEqual([1, false, 1]);
 });
-test("no request is held past its route's time, nor refused later than a quarter of its aim where no replica has room", async () => {
+test("no request is pending past its route's deadline, nor rejected later than a quarter of its latency target where no endpoint has capacity", async () => {
   const dark: Behaviour = function* (incoming) {
     yield* Csp.take(incoming.gone);
   };
--- a/test/replicaSockets.test.ts
+++ b/test/replicaSockets.test.ts
@@ -118,7 +118,7 @@
 const once = (id: string, path?: string, method?: string): Promise<string> =>
   new RawClient(port).write(ask(id, path, method, "Connection: close\r\n")).end();
 
-test("a kept connection that is reset before the first byte: not sent again, or tried again, by what may be repeated", async () => {
+test("a request on a kept-alive connection that is reset before the first byte is retried only if it is idempotent", async () => {
   const resets: Behave = (socket, { id }, nth) => void (nth === 1 ? socket.write(ok(id)) : socket.resetAndDestroy());
   await ingressBefore({}, [resets]);
   expect(status(await once("q1"))).toBe(200);
@@ -209,7 +209,7 @@
   client.write(ask("q4"));
   expect(status((await client.until((text) => text.endsWith("for q4"))).slice(from))).toBe(200);
 });
-test("two lengths, or a length with chunks, get 400 and a closed connection, and nothing is passed on", async () => {
+test("two lengths, or a length with chunks, get 400 and a closed connection, and nothing is forwarded", async () => {
   await ingressBefore({}, [(socket, { id }) => void socket.write(ok(id))]);
   const smuggled = "GET /desk/smuggled HTTP/1.1\r\nHost: kiln.example\r\nX-Request-Id: s\r\n\r\n";
   for (const more of [
@@ -244,7 +244,7 @@
   const broken = await new RawClient(port).write(`${ask("q4", "/desk/slow")}NO HTTP\r\n\r\n`).end();
   expect([0, 200]).toContain(status(broken)); // its own response or none, never the other's 400
 });
-test("a caller that goes away in the middle ends the replica's connection", async () => {
+test("a caller that disconnects in the middle ends the endpoint's connection", async () => {
   let dropped = 0;
   const never: Behave = (socket) => void socket.once("close", () => (dropped += 1));
   await ingressBefore({ deadlineMs: 60_000, targetMs: 60_000 }, [never]);
@@ -255,7 +255,7 @@
   while (dropped === 0 && Date.now() < until) await new Promise((done) => setTimeout(done, 5));
   expect(dropped).toBe(1);
 });
-test("an address that another service has taken over refuses, and the request runs at another replica", async () => {
+test("an address that another service has taken over refuses, and the request runs at another endpoint", async () => {
   const foreign: Behave = (socket, { id, instance }) =>
     void socket.write(instance === "elsewhere" ? ok(id, "not yours") : notRun(id));
   const right: Behave = (socket, { id }) => void socket.write(ok(id));
