--- a/src/shard/replica/leader.ts
+++ b/src/shard/replica/leader.ts
@@ -5,12 +5,9 @@
 import type { Leadership } from "./leadership";
 import type { LogReplication } from "./logReplication";
 import { MemberSender, RESEND_MS } from "./memberSender";
-import type { ReplicaState } from "./replicaState";
+import { MEMBERS_MAX, ReplicaState } from "./replicaState";
 import type { StablePrefix } from "./stablePrefix";
 
-/** Most other members of a view. */
-const MEMBERS_MAX = 16;
-
 /** The time of one leadership: acquires the leases of all members, serves, and renews the leases. */
 export class Leader {
   constructor(
--- a/src/shard/replica/logReplication.ts
+++ b/src/shard/replica/logReplication.ts
@@ -9,15 +9,13 @@
 import type { Leadership } from "./leadership";
 import type { MemberSender } from "./memberSender";
 import type { QueuedPut } from "./putQueue";
-import type { ReplicaState } from "./replicaState";
+import { MEMBERS_MAX, ReplicaState } from "./replicaState";
 import type { ReplicaStorage } from "./replicaStorage";
 import type { ShardLogEntry } from "./shardLog";
 import type { StablePrefix } from "./stablePrefix";
 
 /** How often an idle leader looks whether it still leads, ms. */
 const IDLE_LOOK_MS = 1000;
-/** Most other members of a view. */
-const MEMBERS_MAX = 16;
 
 /** Whether a put brings new work, which is refused while a disk is nearly full. */
 const opensWork = (put: Put): boolean => put.ops.some((op) => op.op === "open" || op.op === "lot");
--- a/src/shard/replica/replicaState.ts
+++ b/src/shard/replica/replicaState.ts
@@ -55,6 +55,8 @@
   transferredBytes: number;
 }
 
+/** Most members of a view: capacity of the channels on which their responses are collected. */
+export const MEMBERS_MAX = 16;
 /** Format of a shard's snapshots and logs on disk. */
 const DISK_FORMAT = 2;
 
--- a/src/shard/replica/sealedLogSync.ts
+++ b/src/shard/replica/sealedLogSync.ts
@@ -5,12 +5,9 @@
 import type { CatchUpRequest, CatchUpResponse } from "../messages/replicationMessages";
 import type { Leadership } from "./leadership";
 import type { LogRecord } from "./replicaSnapshot";
-import type { ReplicaState } from "./replicaState";
+import { MEMBERS_MAX, ReplicaState } from "./replicaState";
 import type { ReplicaStorage } from "./replicaStorage";
 
-/** Most targets of one request. */
-const TARGETS_MAX = 16;
-
 /**
  * Brings the members of the next view to the end of the longest sealed log, synced on each, before that view is
  * committed: so every entry that was acknowledged is on all of them.
@@ -31,7 +28,7 @@
     const targetIds = targets.map(({ id }) => id);
     env.point(50, { shard, joiners: targetIds.filter((id) => !state.view?.members.includes(id)) });
     const syncedIds = [selfId];
-    const done = Csp.chan<true>(TARGETS_MAX);
+    const done = Csp.chan<true>(MEMBERS_MAX);
     const deadline = env.mono() + Constants.logSyncTimeoutMs;
     const sync = this;
     for (const { id, address } of targets)
--- a/src/shard/state/batchJobOperations.ts
+++ b/src/shard/state/batchJobOperations.ts
@@ -1,7 +1,7 @@
 /** Operations on batch jobs and their items. Texts of refusals and of ledger entries are stored and don't change. */
 import { Stamp } from "../../common/stamp";
 import type { BatchItem, BatchJob, ItemOutcome } from "./batchJob";
-import type { OperationContext } from "./operationContext";
+import { OperationContext, sealedOutcome } from "./operationContext";
 import type { OperationOf, PutOutcome } from "./operations";
 import type { ShardData } from "./shardData";
 
@@ -9,13 +9,8 @@
 
 /** Accepts a batch job, once by its id. */
 export function acceptJob({ data, note, put }: OperationContext, op: OperationOf<"lot">): PutOutcome {
-  const sealed = data.sealedObjects.find("lots", op.lot.id);
-  if (sealed)
-    return {
-      tag: "exists",
-      same: data.sealedObjects.hasSameBody(sealed, op.lot.bodyHash),
-      state: sealed.trimmed ? "trimmed" : sealed.state,
-    };
+  const sealed = sealedOutcome(data, "lots", op.lot.id, op.lot.bodyHash);
+  if (sealed) return sealed;
   const known = data.jobs.get(op.lot.id);
   if (known)
     return {
--- a/src/shard/state/liveRequestOperations.ts
+++ b/src/shard/state/liveRequestOperations.ts
@@ -1,20 +1,15 @@
 /** Operations on live requests. Texts of refusals and of ledger entries are stored and don't change. */
 import { Stamp } from "../../common/stamp";
 import { isClosed, LiveRequest } from "./liveRequest";
-import type { OperationContext } from "./operationContext";
+import { OperationContext, sealedOutcome } from "./operationContext";
 import type { OperationOf, PutOutcome } from "./operations";
 
 const NOT_CLAIMED: PutOutcome = { tag: "no", why: "not claimed in this round" };
 
 /** Opens a request, once by its id; a refused one may be opened again by an arrival later than the refusal. */
 export function openRequest({ data, note, put }: OperationContext, op: OperationOf<"open">): PutOutcome {
-  const sealed = data.sealedObjects.find("works", op.work.id);
-  if (sealed)
-    return {
-      tag: "exists",
-      same: data.sealedObjects.hasSameBody(sealed, op.work.bodyHash),
-      state: sealed.trimmed ? "trimmed" : sealed.state,
-    };
+  const sealed = sealedOutcome(data, "works", op.work.id, op.work.bodyHash);
+  if (sealed) return sealed;
   const known = data.liveRequests.get(op.work.id);
   const reopens =
     known?.state === "refused" &&
--- a/src/shard/state/operationContext.ts
+++ b/src/shard/state/operationContext.ts
@@ -1,5 +1,5 @@
 import type { Cause } from "../../common/ledgerEntry";
-import type { Put } from "./operations";
+import type { Put, PutOutcome } from "./operations";
 import type { ShardData, UnstablePut } from "./shardData";
 
 /** What an operation is applied with. */
@@ -12,3 +12,16 @@
   /** Where the put's ledger entries and results go until the frontier has passed it. */
   readonly unstable: UnstablePut;
 }
+
+/** The outcome of a submission whose object is closed and sealed already; undefined if it isn't. */
+export function sealedOutcome(
+  { sealedObjects }: ShardData,
+  kind: "works" | "lots",
+  id: string,
+  bodyHash: string,
+): PutOutcome | undefined {
+  const sealed = sealedObjects.find(kind, id);
+  if (!sealed) return undefined;
+  const state = sealed.trimmed ? "trimmed" : sealed.state;
+  return { tag: "exists", same: sealedObjects.hasSameBody(sealed, bodyHash), state };
+}
