--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -10,6 +10,7 @@
   "scripts/",
   "src/adapters/",
   "src/agent/",
+  "src/common/",
   "src/cli/",
   "src/consensus/",
   "src/control/",
--- a/src/common/fault.ts
+++ b/src/common/fault.ts
@@ -1,39 +1,61 @@
-/** What went wrong, at which step, with which member. */
+/** What all faults say. */
+interface FaultFields {
+  /** What was being done, as an operation or the name of a remote method. */
+  readonly step: string;
+  /** Id or address of the member or endpoint concerned. */
+  readonly member: string;
+  /** For operators; never the base of a decision. */
+  readonly detail: string;
+}
+
+/**
+ * What went wrong. Faults are values, not exceptions, and go over the wire in this form. Callers decide by the tag:
+ *
+ * | Tag | Meaning |
+ * |---|---|
+ * | timeout | no response in time; the request may have run |
+ * | refused | nothing was sent: the request certainly did not run |
+ * | broken | sent, and the connection ended before the response; the request may have run |
+ * | busy | rejected for now; it may be repeated after `retryAfterMs` |
+ * | late | a timestamp is behind the frontier or out of bounds, or a deadline is over |
+ * | notLead | the member is not the leader; `detail` may have the leader's address |
+ * | invalid | the request is malformed, at `paths` where that is known |
+ * | conflict | the request contradicts the current state |
+ * | notFound | there is no such object |
+ * | unknown | the outcome is not known; never reported as success |
+ * | gone | the object was removed by an operator's retention |
+ * | disk | the disk failed or its content is damaged |
+ * | internal | a fault of the program |
+ */
 export type Fault =
-  | { tag: "timeout"; step: string; member: string; detail: string }
-  | { tag: "refused"; step: string; member: string; detail: string } // nothing was sent: provably not run
-  | { tag: "broken"; step: string; member: string; detail: string } // sent, and the reply never came
-  | { tag: "busy"; step: string; member: string; detail: string; retryAfterMs: number }
-  | { tag: "late"; step: string; member: string; detail: string } // stamp behind the frontier or outside the bounds
-  | { tag: "notLead"; step: string; member: string; detail: string }
-  | { tag: "invalid"; step: string; member: string; detail: string; paths?: string[] }
-  | { tag: "conflict"; step: string; member: string; detail: string }
-  | { tag: "notFound"; step: string; member: string; detail: string }
-  | { tag: "unknown"; step: string; member: string; detail: string } // fate not known; never called success
-  | { tag: "gone"; step: string; member: string; detail: string } // was kept, and trimmed by an operator's retention
-  | { tag: "disk"; step: string; member: string; detail: string }
-  | { tag: "internal"; step: string; member: string; detail: string };
+  | ({ tag: "busy"; retryAfterMs: number } & FaultFields)
+  | ({ tag: "invalid"; paths?: string[] } & FaultFields)
+  | ({ tag: Exclude<PlainTag, "invalid"> } & FaultFields);
 
+const plainTags = [
+  "timeout",
+  "refused",
+  "broken",
+  "late",
+  "notLead",
+  "invalid",
+  "conflict",
+  "notFound",
+  "unknown",
+  "gone",
+  "disk",
+  "internal",
+] as const;
+/** Tags of faults without a field of their own that is required. */
+type PlainTag = (typeof plainTags)[number];
+
+const tags: ReadonlySet<unknown> = new Set([...plainTags, "busy"]);
+
+/** The value of an operation, or its fault. */
 export type Result<T> = { ok: true; value: T } | { ok: false; fault: Fault };
-const tags: Record<Fault["tag"], true> = {
-  timeout: true,
-  refused: true,
-  broken: true,
-  busy: true,
-  late: true,
-  notLead: true,
-  invalid: true,
-  conflict: true,
-  notFound: true,
-  unknown: true,
-  gone: true,
-  disk: true,
-  internal: true,
-};
-type Plain = Exclude<Fault["tag"], "busy">;
 
 /**
- * Makers of results.
+ * Makes and recognizes results and faults.
  *
  * @example
  * if (size > limit) return Fault.fail("invalid", "read body", caller, "too long");
@@ -41,7 +63,7 @@
  */
 export const Fault = {
   ok: <T>(value: T): { ok: true; value: T } => ({ ok: true, value }),
-  fail: (tag: Plain, step: string, member: string, detail: string): { ok: false; fault: Fault } => ({
+  fail: (tag: PlainTag, step: string, member: string, detail: string): { ok: false; fault: Fault } => ({
     ok: false,
     fault: { tag, step, member, detail },
   }),
@@ -54,8 +76,7 @@
   is(candidate: unknown): candidate is Fault {
     if (typeof candidate !== "object" || candidate === null) return false;
     const { tag, step, member, detail, retryAfterMs } = candidate as Record<string, unknown>;
-    const known = typeof tag === "string" && Object.prototype.hasOwnProperty.call(tags, tag);
-    const texts = [step, member, detail].every((text) => typeof text === "string");
-    return known && texts && (tag !== "busy" || Number.isFinite(retryAfterMs));
+    const hasTexts = [step, member, detail].every((text) => typeof text === "string");
+    return tags.has(tag) && hasTexts && (tag !== "busy" || Number.isFinite(retryAfterMs));
   },
 };
--- a/src/common/latencySummary.ts
+++ b/src/common/latencySummary.ts
@@ -1,29 +1,39 @@
 import { Constants } from "./constants";
 
+/** Quantiles that the metrics show. */
+const MEDIAN = 0.5;
+const HIGH_QUANTILE = 0.99;
+
 /**
- * The last thousand of a measured time, and their spread.
+ * The newest values of a measured time, and their quantiles.
  *
  * @example
- * const puts = new Spread();
+ * const puts = new LatencySummary();
  * puts.add(3.2);
  * puts.metrics("put_ms").put_ms_p99;
  */
 export class LatencySummary {
-  private readonly kept: number[] = [];
+  private readonly values: number[] = [];
   private next = 0;
-  private greatest = 0;
-  /** @example spread.add(12.5); */
+  private maximum = 0;
+
+  /** Adds a measurement, ms. @example relays.add(12.5); */
   add(value: number): void {
-    if (this.kept.length < Constants.spreadKept) this.kept.push(value);
-    else this.kept[this.next] = value;
+    if (this.values.length < Constants.spreadKept) this.values.push(value);
+    else this.values[this.next] = value;
     this.next = (this.next + 1) % Constants.spreadKept;
-    this.greatest = Math.max(this.greatest, value);
+    this.maximum = Math.max(this.maximum, value);
   }
-  /** Median, 99th of a hundred, and the greatest ever. @example spread.metrics("relay_ms") */
+
+  /** Median and 99th percentile of the newest values, and the maximum of all, ms. @example relays.metrics("relay_ms") */
   metrics(name: string): Record<string, number> {
-    const sorted = [...this.kept].sort((left, right) => left - right);
-    const at = (share: number): number =>
+    const sorted = [...this.values].sort((left, right) => left - right);
+    const quantile = (share: number): number =>
       +(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0).toFixed(2);
-    return { [`${name}_p50`]: at(0.5), [`${name}_p99`]: at(0.99), [`${name}_max`]: +this.greatest.toFixed(2) };
+    return {
+      [`${name}_p50`]: quantile(MEDIAN),
+      [`${name}_p99`]: quantile(HIGH_QUANTILE),
+      [`${name}_max`]: +this.maximum.toFixed(2),
+    };
   }
 }
--- a/src/common/settings.ts
+++ b/src/common/settings.ts
@@ -1,21 +1,35 @@
-import Ajv from "ajv";
+import Ajv, { ErrorObject } from "ajv";
 import { Fault, Result } from "./fault";
 
-export type Settings = {
+/** Settings of a process, under the names of the settings file. */
+export interface Settings {
   program: "ingress" | "agent" | "store" | "control";
+  /** Name of the cluster; members of another are ignored. */
   cluster: string;
+  /** Failure domain (region and zone) of the process. */
   district: string;
-  address: string; // TCP and UDP, between the processes; what the others are told
-  bind?: string; // where to listen, if not at that address
-  http: string; // callers and operators
-  seeds?: string[]; // all but ingress, which has its agent
-  data?: string; // data folder: store and control
-  agent?: string; // ingress: its agent's address; without it, and with seeds, the agent is a branch of the ingress itself
-  founders?: string[]; // control: every founder's address, our own among them; none: never founds a group
-  name?: string; // the machine's name, by which operators know it
-  losses?: number; // machines with a disk that may be lost at once: 2 x losses + 1 voters, losses + 2 copies
+  /** Where other members reach it, over TCP and UDP. */
+  address: string;
+  /** Where it listens, if not at `address`. */
+  bind?: string;
+  /** Where it serves HTTP to callers and operators. */
+  http: string;
+  /** Addresses of members to join by; all programs but an ingress with an agent. */
+  seeds?: string[];
+  /** Data folder; store and control. */
+  data?: string;
+  /** Ingress: address of its agent. Without it, and with seeds, the agent runs within the ingress. */
+  agent?: string;
+  /** Control: addresses of all that bootstrap the consensus group, its own among them; empty: it never does. */
+  founders?: string[];
+  /** Name of the machine, by which operators know it. */
+  name?: string;
+  /** Machines with a disk that may be lost at once: 2 × losses + 1 voters, losses + 2 replicas of each shard. */
+  losses?: number;
+  /** The lowest level that is logged. */
   log?: "debug" | "info" | "warn" | "error";
-};
+}
+
 const address = { type: "string", pattern: "^[0-9.]+:[0-9]{1,5}$" };
 const schema = {
   type: "object",
@@ -46,7 +60,17 @@
     { if: { properties: { program: { const: "control" } } }, then: { required: ["data", "founders"] } },
   ],
 };
-const check = new Ajv({ allErrors: true, strict: false }).compile(schema);
+const isValid = new Ajv({ allErrors: true, strict: false }).compile<Settings>(schema);
+
+/** One line on what is wrong and where. */
+function describe(error: ErrorObject): string {
+  const path = error.instancePath.slice(1).replace(/\//g, ".");
+  const params = error.params as Record<string, unknown>;
+  if (error.keyword === "additionalProperties") return `${path}${String(params.additionalProperty)}: unknown key`;
+  if (error.keyword === "required") return `${String(params.missingProperty)}: missing`;
+  const allowed = Array.isArray(params.allowedValues) ? ` (${params.allowedValues.join(", ")})` : "";
+  return `${path || "settings"}: ${error.message}${allowed}`;
+}
 
 /**
  * The settings of a process, from a file and flags, checked before anything starts.
@@ -56,17 +80,10 @@
  * if (!settings.ok) console.error(settings.fault.paths);
  */
 export const Settings = {
+  /** Fault: invalid, with one path for each error. */
   check(candidate: unknown): Result<Settings> {
-    if (check(candidate)) return Fault.ok(candidate as Settings);
-    const paths = (check.errors ?? [])
-      .filter((error) => error.keyword !== "if")
-      .map((error) => {
-        const where = error.instancePath.slice(1).replace(/\//g, ".");
-        if (error.keyword === "additionalProperties") return `${where}${error.params.additionalProperty}: unknown key`;
-        if (error.keyword === "required") return `${error.params.missingProperty}: missing`;
-        const allowed = error.params.allowedValues ? ` (${error.params.allowedValues.join(", ")})` : "";
-        return `${where || "settings"}: ${error.message}${allowed}`;
-      });
+    if (isValid(candidate)) return Fault.ok(candidate);
+    const paths = (isValid.errors ?? []).filter((error) => error.keyword !== "if").map(describe);
     return {
       ok: false,
       fault: { tag: "invalid", step: "check settings", member: "settings", detail: "settings are wrong", paths },
