--- a/test/direct.test.ts
+++ b/test/direct.test.ts
@@ -218,7 +218,7 @@
   const bench = new Bench({ desk: route({ kind: "stream", safe: false }) }, [skips]);
   expect((await bench.ask("/desk/1")).body).toBeUndefined();
 });
-test("an idempotent request leaves a silent endpoint for another one, and is not asked again at once", async () => {
+test("a silent endpoint is replaced by another one for an idempotent request, and is not asked again at once", async () => {
   const dark: Behaviour = function* (incoming) {
     yield* Csp.take(incoming.gone);
   };
