--- a/src/cli/scale/fullScaleCommand.ts
+++ b/src/cli/scale/fullScaleCommand.ts
@@ -1,7 +1,7 @@
 import * as os from "os";
 import type { Sade } from "sade";
 import { Bound, Sizes } from "../../tools/scale/sizes";
-import { WholeRun } from "../../tools/scale/wholeRun";
+import { FullScaleRun } from "../../tools/scale/fullScaleRun";
 import { exitWithUsageError, printLine } from "../output";
 import { readInteger, ScaleOptions } from "./sizeOptions";
 
@@ -23,7 +23,7 @@
   const fits = Sizes.fits(members, endpoints);
   if (!fits.ok) exitWithUsageError(fits.fault.detail);
   const plan = { members, replicas: endpoints, processes, seconds, memoryLimit: Sizes.memoryLimit() };
-  const run = new WholeRun(plan, printLine);
+  const run = new FullScaleRun(plan, printLine);
   process.on("SIGINT", () => (run.cut = true));
   process.on("SIGTERM", () => (run.cut = true));
   await run.run();
--- a/src/tools/scale/choiceScale.ts
+++ b/src/tools/scale/choiceScale.ts
@@ -4,7 +4,7 @@
 import { Scope } from "../../runtime/csp";
 import { NodeEnv } from "../../runtime/nodeEnv";
 import { Experiment } from "./experiment";
-import { HollowWorld } from "./hollowWorld";
+import { SimulatedMembership } from "./simulatedMembership";
 
 const rounds = 7;
 const roundMs = 60;
@@ -73,7 +73,7 @@
     measure(count) {
       const snapshot: ClusterSnapshot = {
         revision: 1,
-        control: HollowWorld.snapshot(1, 1),
+        control: SimulatedMembership.snapshot(1, 1),
         members: [],
         endpoints: candidates(count),
         overloadedPools: {},
--- a/src/tools/scale/controlScale.ts
+++ b/src/tools/scale/controlScale.ts
@@ -1,7 +1,7 @@
 import { Command } from "../../controlState/command";
 import { Experiment, Processor } from "./experiment";
 import { GroupWorld } from "./groupWorld";
-import { HollowWorld } from "./hollowWorld";
+import { SimulatedMembership } from "./simulatedMembership";
 import { Meter } from "./meter";
 
 const changes = 10;
@@ -11,7 +11,7 @@
   changeId: `change-${version}`,
   ifVersion: version,
   by: "operator",
-  doc: HollowWorld.snapshot(routes, version).manifest.doc,
+  doc: SimulatedMembership.snapshot(routes, version).manifest.doc,
 });
 
 async function changesOf(routes: number, seed: number): Promise<Record<string, number>> {
--- a/src/tools/scale/wholeRun.ts
+++ b/src/tools/scale/fullScaleRun.ts
@@ -1,36 +1,44 @@
 import { ChildProcess, fork } from "child_process";
 import * as path from "path";
-import { WorkerOrder, WorkerSaid } from "./wholeWorker";
+import { WorkerOrder, WorkerReport } from "./fullScaleWorker";
 
-export type WholePlan = { members: number; replicas: number; processes: number; seconds: number; memoryLimit: number };
+export type FullScalePlan = {
+  members: number;
+  replicas: number;
+  processes: number;
+  seconds: number;
+  memoryLimit: number;
+};
 const zones = 25;
 const regions = 7;
-const lookEveryMs = 1000;
-const startEveryMs = 40; // a member in each process: all at once would only show how long they need to warm up
-const heapShare = 0.8; // of a process's part of the memory, which its heap may take
+const REPORT_INTERVAL_MS = 1000;
+const START_INTERVAL_MS = 40; // a member in each process: all at once would only show how long they need to warm up
+const HEAP_FRACTION = 0.8; // of a process's part of the memory, which its heap may take
 
 /**
- * All members and replicas at once: hollow members over the real wire, in a few processes that end with this one.
+ * All members and endpoints at once: lightweight members over real sockets, in a few processes that end with this one.
  *
  * @example
- * await new WholeRun({ members: 780, replicas: 10_000, processes: 3, seconds: 60, memoryLimit: 12e9 }, say).run();
+ * await new FullScaleRun({ members: 780, replicas: 10_000, processes: 3, seconds: 60, memoryLimit: 12e9 }, say).run();
  */
-export class WholeRun {
+export class FullScaleRun {
   private readonly children: ChildProcess[] = [];
-  private readonly said: (WorkerSaid | undefined)[] = [];
+  private readonly reports: (WorkerReport | undefined)[] = [];
   private ended: string | undefined;
   cut = false;
   constructor(
-    private readonly plan: WholePlan,
+    private readonly plan: FullScalePlan,
     private readonly say: (text: string) => void,
   ) {}
   private start(): void {
     const { members, replicas: endpoints, processes, memoryLimit } = this.plan;
-    const heapMB = Math.floor((memoryLimit / processes / 2 ** 20) * heapShare);
+    const heapMB = Math.floor((memoryLimit / processes / 2 ** 20) * HEAP_FRACTION);
     for (let part = 0; part < processes; part += 1) {
-      const child = fork(path.join(__dirname, "wholeWorker.js"), [], { execArgv: [`--max-old-space-size=${heapMB}`] });
+      const child = fork(path.join(__dirname, "fullScaleWorker.js"), [], {
+        execArgv: [`--max-old-space-size=${heapMB}`],
+      });
       this.children.push(child);
-      child.on("message", (said) => (this.said[part] = said as WorkerSaid));
+      child.on("message", (said) => (this.reports[part] = said as WorkerReport));
       child.on("exit", (code, signal) => (this.ended ??= `process ${part + 1} ended with ${signal ?? code}`));
       const share = (at: number): number => Math.floor((members * at) / processes);
       const order: WorkerOrder = {
@@ -40,15 +48,15 @@
         replicas: endpoints,
         zones,
         regions,
-        startEveryMs,
+        startEveryMs: START_INTERVAL_MS,
       };
       child.send({ tag: "start", order });
     }
   }
-  private async look(): Promise<WorkerSaid[]> {
+  private async collectReports(): Promise<WorkerReport[]> {
     for (const child of this.children) if (child.connected) child.send({ tag: "say" });
-    await new Promise((resolve) => setTimeout(resolve, lookEveryMs));
-    return this.said.filter((said): said is WorkerSaid => said !== undefined);
+    await new Promise((resolve) => setTimeout(resolve, REPORT_INTERVAL_MS));
+    return this.reports.filter((said): said is WorkerReport => said !== undefined);
   }
   /** @example await run.run() */
   async run(): Promise<void> {
@@ -60,15 +68,15 @@
       NaN,
       NaN,
       NaN,
-      undefined as WorkerSaid[] | undefined,
+      undefined as WorkerReport[] | undefined,
     ];
     let [beforeAt, rss] = [0, 0];
     this.start();
-    let said: WorkerSaid[] = [];
+    let said: WorkerReport[] = [];
     while (passed() < seconds && !this.cut && !this.ended) {
-      said = await this.look();
-      const sum = (pick: (each: WorkerSaid) => number): number => said.reduce((total, each) => total + pick(each), 0);
-      const least = (pick: (each: WorkerSaid) => number): number => Math.min(...said.map(pick));
+      said = await this.collectReports();
+      const sum = (pick: (each: WorkerReport) => number): number => said.reduce((total, each) => total + pick(each), 0);
+      const least = (pick: (each: WorkerReport) => number): number => Math.min(...said.map(pick));
       const up = sum((each) => each.members);
       rss = Math.max(
         rss,
@@ -104,8 +112,8 @@
     this.end();
   }
   private report(found: {
-    said: WorkerSaid[];
-    before: WorkerSaid[] | undefined;
+    said: WorkerReport[];
+    before: WorkerReport[] | undefined;
     secondsBetween: number;
     allKnown: number;
     allReplicas: number;
@@ -115,7 +123,7 @@
   }): void {
     const { members, replicas: endpoints, processes } = this.plan;
     const time = (seconds: number): string => (Number.isNaN(seconds) ? "not in this run" : `${seconds.toFixed(0)} s`);
-    const sum = (all: WorkerSaid[], pick: (each: WorkerSaid) => number): number =>
+    const sum = (all: WorkerReport[], pick: (each: WorkerReport) => number): number =>
       all.reduce((total, each) => total + pick(each), 0);
     if (this.ended) this.say(`ended early: ${this.ended}`);
     if (this.cut) this.say(`cut short after ${found.passed.toFixed(0)} s of ${this.plan.seconds}`);
@@ -128,7 +136,7 @@
     );
     const { before } = found;
     if (!before) return this.say("no rates: the run did not reach its second half");
-    const rate = (pick: (each: WorkerSaid) => number): number =>
+    const rate = (pick: (each: WorkerReport) => number): number =>
       (sum(found.said, pick) - sum(before, pick)) / members / found.secondsBetween;
     const bytes = rate((each) => each.counts.bytes);
     this.say(
--- a/src/tools/scale/wholeWorker.ts
+++ b/src/tools/scale/fullScaleWorker.ts
@@ -2,8 +2,8 @@
 import { EnvTools } from "../../runtime/env";
 import { NodeEnv } from "../../runtime/nodeEnv";
 import { Program } from "../../membership/member";
-import { HollowMember } from "./hollowMember";
-import { HollowWorld } from "./hollowWorld";
+import { LightweightMember } from "./lightweightMember";
+import { SimulatedMembership } from "./simulatedMembership";
 import { Counts, Meter } from "./meter";
 
 export type WorkerOrder = {
@@ -15,7 +15,7 @@
   regions: number;
   startEveryMs: number;
 };
-export type WorkerSaid = {
+export type WorkerReport = {
   counts: Counts;
   members: number;
   othersLeast: number;
@@ -33,14 +33,14 @@
 const addressOf = (at: number): string => `127.${20 + (at >> 14)}.${(at >> 7) & 127}.${1 + (at & 127)}:7100`;
 
 /**
- * The part of a run of hollow members that one operating system process holds; its parent orders and asks over IPC.
+ * The lightweight members of a full-scale run that one operating system process runs; its parent controls it over IPC.
  *
  * @example
- * new WholeWorker(order).start();
+ * new FullScaleWorker(order).start();
  */
-export class WholeWorker {
+export class FullScaleWorker {
   private readonly meter = new Meter();
-  private readonly members: HollowMember[] = [];
+  private readonly members: LightweightMember[] = [];
   private readonly scope: Scope;
   private suspicions = 0;
   private deaths = 0;
@@ -71,7 +71,7 @@
       const env = this.meter.around(NodeEnv.make(`hollow-${at}`, scope, (event) => this.count(event)));
       const zone = `r${(at % zones) % regions}-z${at % zones}`;
       const program: Program = at < 3 ? "control" : "agent";
-      const started = yield* HollowMember.start(env, { program, district: zone, address: addressOf(at), seeds });
+      const started = yield* LightweightMember.start(env, { program, district: zone, address: addressOf(at), seeds });
       if (!started.ok) {
         process.stderr.write(`hollow ${at}: ${started.fault.detail}\n`);
         continue;
@@ -90,14 +90,14 @@
   }
   /** Makes a configuration known at the first member. @example worker.offer(100, 1); */
   offer(routes: number, index: number): void {
-    this.members[0]?.node.gossip.offerSnapshot(HollowWorld.snapshot(routes, index));
+    this.members[0]?.node.gossip.offerSnapshot(SimulatedMembership.snapshot(routes, index));
   }
   /** @example worker.say().rss */
-  say(): WorkerSaid {
+  report(): WorkerReport {
     const used = process.cpuUsage();
     const stallMs = this.stallMs;
     this.stallMs = 0;
-    const least = (pick: (member: HollowMember) => number): number =>
+    const least = (pick: (member: LightweightMember) => number): number =>
       this.members.reduce((low, member) => Math.min(low, pick(member)), Infinity);
     return {
       counts: this.meter.copy(),
@@ -113,9 +113,9 @@
       dropped: this.members.reduce((sum, member) => sum + member.node.membership.droppedDatagramCount, 0),
     };
   }
-  /** What a forked process does: obeys its parent and ends with it. @example WholeWorker.serve(); */
+  /** Runs in the forked process: handles its parent's messages and ends with it. @example FullScaleWorker.serve(); */
   static serve(): void {
-    let worker: WholeWorker | undefined;
+    let worker: FullScaleWorker | undefined;
     process.on("disconnect", () => process.exit(0));
     process.on(
       "message",
@@ -125,14 +125,14 @@
       ) => {
         switch (message.tag) {
           case "start":
-            worker = new WholeWorker(message.order);
+            worker = new FullScaleWorker(message.order);
             worker.start();
             break;
           case "offer":
             worker?.offer(message.bindings, message.index);
             break;
           case "say":
-            if (worker) process.send?.(worker.say());
+            if (worker) process.send?.(worker.report());
             break;
           default: {
             const never: never = message;
@@ -143,4 +143,4 @@
     );
   }
 }
-if (require.main === module) WholeWorker.serve();
+if (require.main === module) FullScaleWorker.serve();
--- a/src/tools/scale/quietFleet.ts
+++ b/src/tools/scale/idleFleet.ts
@@ -35,13 +35,13 @@
 }));
 
 /**
- * A whole simulated fleet that nobody calls, every process's messages, bytes and wake-ups counted.
+ * A simulated fleet without callers; the messages, bytes and wake-ups of each process are counted.
  *
  * @example
- * const quiet = await QuietFleet.boot({ ingresses: 3, stores: 4, controls: 4 }, 1);
- * const spent = await quiet.over(10_000);
+ * const idleFleet = await IdleFleet.boot({ ingresses: 3, stores: 4, controls: 4 }, 1);
+ * const spent = await idleFleet.over(10_000);
  */
-export class QuietFleet {
+export class IdleFleet {
   private readonly meters = new Map<string, Meter>();
   private constructor(readonly fleet: SimFleet) {
     fleet.world.around = (env) => {
@@ -50,8 +50,8 @@
       return meter.around(env);
     };
   }
-  /** @example await QuietFleet.boot({ ingresses: 3, stores: 4, controls: 4 }, 1) */
-  static async boot(sizes: { ingresses: number; stores: number; controls: number }, seed: number): Promise<QuietFleet> {
+  /** @example await IdleFleet.boot({ ingresses: 3, stores: 4, controls: 4 }, 1) */
+  static async boot(sizes: { ingresses: number; stores: number; controls: number }, seed: number): Promise<IdleFleet> {
     const checked = Deployment.check({
       cluster: "quiet",
       districts: ["north", "east", "south", "west"],
@@ -62,20 +62,20 @@
       mix,
     });
     if (!checked.ok) throw new Error(JSON.stringify(checked.fault));
-    const quiet = new QuietFleet(new SimFleet(checked.value, seed));
-    await quiet.fleet.boot();
-    quiet.fleet.callers.stopNew();
-    quiet.fleet.world.kill("callers");
-    await quiet.fleet.run(6000);
-    return quiet;
+    const idleFleet = new IdleFleet(new SimFleet(checked.value, seed));
+    await idleFleet.fleet.boot();
+    idleFleet.fleet.callers.stopNew();
+    idleFleet.fleet.world.kill("callers");
+    await idleFleet.fleet.run(6000);
+    return idleFleet;
   }
-  /** What the processes of a program spent until now, each. @example quiet.spent("store") */
+  /** What the processes of a program spent until now, each. @example idleFleet.spent("store") */
   spent(program: string): Counts {
     const all = this.fleet.names(program).map((name) => this.meters.get(name)!.copy());
     const sum = Meter.sum(all);
     return Object.fromEntries(Object.entries(sum).map(([name, value]) => [name, value / all.length])) as Counts;
   }
-  /** What a process of each program spends a second. @example (await quiet.over(10_000)).store.bytes */
+  /** What a process of each program spends a second. @example (await idleFleet.over(10_000)).store.bytes */
   async over(ms: number): Promise<Record<string, Counts>> {
     const programs = ["control", "store", "agent", "ingress"].filter((program) => this.fleet.names(program).length > 0);
     const before = programs.map((program) => this.spent(program));
@@ -91,7 +91,7 @@
     };
     return Object.fromEntries(programs.map((program, at) => [program, rate(program, at)]));
   }
-  /** @example quiet.end(); */
+  /** @example idleFleet.end(); */
   end(): void {
     for (const name of [...this.fleet.world.processes.keys()]) this.fleet.world.kill(name);
   }
--- a/src/tools/scale/hollowMember.ts
+++ b/src/tools/scale/lightweightMember.ts
@@ -5,42 +5,42 @@
 import { Env, EnvTools } from "../../runtime/env";
 import { Program } from "../../membership/member";
 
-export type HollowSettings = { program: Program; district: string; address: string; seeds: string[] };
-/** How often a stand-in replica announces itself, ms. */
-const announceEveryMs = 900;
-/** How often a member looks at its frame, ms, as live work would make it. */
-const lookEveryMs = 250;
+export type LightweightMemberSettings = { program: Program; district: string; address: string; seeds: string[] };
+/** How often an endpoint announces itself, ms. */
+const ANNOUNCE_INTERVAL_MS = 900;
+/** How often a member reads its cluster snapshot, ms, as requests would make it. */
+const READ_SNAPSHOT_INTERVAL_MS = 250;
 
 /**
- * A member without traffic: the real membership, news and frame over whatever wire its environment has.
+ * A member without traffic: the real membership, gossip and control snapshots over the network of its environment.
  *
  * @example
- * const started = yield* HollowMember.start(env, { program: "agent", district: "r1-z1", address, seeds });
- * if (started.ok) started.value.knows(780);
+ * const started = yield* LightweightMember.start(env, { program: "agent", district: "r1-z1", address, seeds });
+ * if (started.ok) started.value.others();
  */
-export class HollowMember {
+export class LightweightMember {
   private constructor(readonly node: Node) {}
-  /** @example yield* HollowMember.start(env, settings) */
-  static *start(env: Env, settings: HollowSettings): Task<Result<HollowMember>> {
+  /** @example yield* LightweightMember.start(env, settings) */
+  static *start(env: Env, settings: LightweightMemberSettings): Task<Result<LightweightMember>> {
     const { program, ...place } = settings;
     const started = yield* Node.start(env, { program, cluster: "scale", ...place, http: settings.address }, program);
     if (!started.ok) return started;
-    const member = new HollowMember(started.value);
-    EnvTools.keep(env, env.scope, "look", () => member.lookLoop());
+    const member = new LightweightMember(started.value);
+    EnvTools.keep(env, env.scope, "look", () => member.readSnapshotLoop());
     return Fault.ok(member);
   }
-  private *lookLoop(): Task<void> {
+  private *readSnapshotLoop(): Task<void> {
     for (;;) {
-      yield* EnvTools.sleep(this.node.env, lookEveryMs);
+      yield* EnvTools.sleep(this.node.env, READ_SNAPSHOT_INTERVAL_MS);
       this.node.snapshot();
     }
   }
-  /** Announces replicas, each with a load that changes from one time to the next. @example member.announce(["r1", "r2"], "r1-z1"); */
+  /** Announces endpoints, each with a load that changes from one time to the next. @example member.announce(["r1", "r2"], "r1-z1"); */
   announce(ids: string[], zone: string): void {
     const { node } = this;
     const host = NodeContext.of(node);
     EnvTools.keep(node.env, node.env.scope, "announce", function* () {
-      yield* EnvTools.sleep(node.env, announceEveryMs * node.env.random()); // no two in step
+      yield* EnvTools.sleep(node.env, ANNOUNCE_INTERVAL_MS * node.env.random()); // no two in step
       for (let turn = 0; ; turn += 1) {
         for (const id of ids) {
           const number = Number(id.replace(/^\D+/, ""));
@@ -56,30 +56,30 @@
             instance: "1",
           };
           yield* host.announce(announcement);
-          yield* EnvTools.sleep(node.env, announceEveryMs / ids.length);
+          yield* EnvTools.sleep(node.env, ANNOUNCE_INTERVAL_MS / ids.length);
         }
       }
     });
   }
-  /** How many other members it holds for alive. @example member.others() */
+  /** How many other members it considers alive. @example member.others() */
   others(): number {
     return this.node.membership.alive().length - 1;
   }
-  /** How many replicas it may choose from. @example member.replicas() */
+  /** How many endpoints it may select from. @example member.endpoints() */
   endpoints(): number {
     return this.node.gossip.live("replica/").length;
   }
-  /** Starts members in a scope of each one's own, one after the other. @example yield* HollowMember.all(envs, settings) */
-  static *all(envs: Env[], settings: HollowSettings[]): Task<HollowMember[]> {
-    const members: HollowMember[] = [];
+  /** Starts members in a scope of each one's own, one after the other. @example yield* LightweightMember.all(envs, settings) */
+  static *all(envs: Env[], settings: LightweightMemberSettings[]): Task<LightweightMember[]> {
+    const members: LightweightMember[] = [];
     for (const [at, env] of envs.entries()) {
-      const started = yield* HollowMember.start(env, settings[at]);
+      const started = yield* LightweightMember.start(env, settings[at]);
       if (!started.ok) throw new Error(`hollow member ${settings[at].address}: ${started.fault.detail}`);
       members.push(started.value);
     }
     return members;
   }
-  /** Ends the member at once, without a word. @example member.end(); */
+  /** Stops the member at once, without leaving the cluster. @example member.end(); */
   end(): void {
     this.node.env.scope.stop();
   }
--- a/src/tools/scale/lossScale.ts
+++ b/src/tools/scale/lossScale.ts
@@ -1,4 +1,4 @@
-import { HollowWorld } from "./hollowWorld";
+import { SimulatedMembership } from "./simulatedMembership";
 
 export type Loss = "rack" | "zone" | "regions";
 export type LossFound = {
@@ -26,18 +26,18 @@
 export const LossScale = {
   /** @example await LossScale.measure("regions", 100, 17, 120_000, 1) */
   async measure(loss: Loss, members: number, endpoints: number, forMs: number, seed: number): Promise<LossFound> {
-    const hollow = new HollowWorld({ members, replicas: endpoints, zones, regions, seed });
-    await hollow.boot(120_000);
-    await hollow.world.run(5000);
-    const calm = await hollow.over(calmMs);
-    const suspicions = hollow.suspicions;
-    const from = hollow.world.now;
+    const membership = new SimulatedMembership({ members, replicas: endpoints, zones, regions, seed });
+    await membership.boot(120_000);
+    await membership.world.run(5000);
+    const calm = await membership.over(calmMs);
+    const suspicions = membership.suspicions;
+    const from = membership.world.now;
     let lost = 0;
     let knownMs: number | undefined;
     switch (loss) {
       case "rack": {
         // half of a zone, one in fifty of the members
-        const found = await hollow.lose(
+        const found = await membership.killMembers(
           (each) => each.zone === 3 && Math.floor((Number(each.name.slice(7)) - 1) / zones) % 2 === 0,
           60_000,
         );
@@ -45,43 +45,44 @@
         break;
       }
       case "zone": {
-        const found = await hollow.lose((each) => each.zone === 3, 60_000);
+        const found = await membership.killMembers((each) => each.zone === 3, 60_000);
         [lost, knownMs] = [found.lost, found.tookMs];
         break;
       }
       case "regions":
-        hollow.cutRegions(0, 1);
+        membership.cutRegions(0, 1);
         break;
       default: {
         const never: never = loss;
         throw new Error(String(never));
       }
     }
-    const falseSuspicions = loss === "regions" ? 0 : LossScale.falselySuspected(hollow);
-    const left = Math.max(1000, forMs - (hollow.world.now - from));
-    const troubled = await hollow.over(left);
-    hollow.world.heal();
-    const healedAt = hollow.world.now;
-    const whole = (): boolean => hollow.alive().every((member) => member.others() === hollow.alive().length - 1);
-    const mending = await hollow.over(mendMs);
-    const mendedMs = loss === "regions" ? await hollow.until(60_000, whole) : undefined;
+    const falseSuspicions = loss === "regions" ? 0 : LossScale.falselySuspected(membership);
+    const left = Math.max(1000, forMs - (membership.world.now - from));
+    const troubled = await membership.over(left);
+    membership.world.heal();
+    const healedAt = membership.world.now;
+    const whole = (): boolean =>
+      membership.alive().every((member) => member.others() === membership.alive().length - 1);
+    const mending = await membership.over(mendMs);
+    const mendedMs = loss === "regions" ? await membership.until(60_000, whole) : undefined;
     const found: LossFound = {
       loss,
       members,
       lost,
       knownMs,
-      falseSuspicions: loss === "regions" ? hollow.suspicions - suspicions : falseSuspicions,
+      falseSuspicions: loss === "regions" ? membership.suspicions - suspicions : falseSuspicions,
       calmBytes: calm.bytes,
       troubledBytes: troubled.bytes,
       mendingBytes: mending.bytes,
-      mendedMs: mendedMs === undefined ? undefined : hollow.world.now - healedAt,
+      mendedMs: mendedMs === undefined ? undefined : membership.world.now - healedAt,
     };
-    hollow.end();
+    membership.end();
     return found;
   },
   /** Members that live and that somebody holds for suspect or dead. @example LossScale.falselySuspected(hollow) */
-  falselySuspected(hollow: HollowWorld): number {
-    const living = hollow.alive();
+  falselySuspected(membership: SimulatedMembership): number {
+    const living = membership.alive();
     return living.filter((member) =>
       living.some((other) => (other.node.membership.find(member.node.self.id)?.state ?? "alive") !== "alive"),
     ).length;
--- a/src/tools/scale/manifestScale.ts
+++ b/src/tools/scale/manifestScale.ts
@@ -1,5 +1,5 @@
 import { Experiment, Processor } from "./experiment";
-import { HollowWorld } from "./hollowWorld";
+import { SimulatedMembership } from "./simulatedMembership";
 
 const members = 30;
 const rounds = 3;
@@ -9,20 +9,20 @@
 
 /** One configuration after another at one member: what each costs a member until all have it. */
 async function spread(
-  hollow: HollowWorld,
+  membership: SimulatedMembership,
   idleBytes: number,
   one: (round: number) => Promise<number | undefined>,
 ): Promise<Spread> {
   const times: number[] = [];
   const processor = Processor.now();
-  const before = hollow.placed.map((each) => each.meter.copy());
-  const from = hollow.world.now;
+  const before = membership.placed.map((each) => each.meter.copy());
+  const from = membership.world.now;
   for (let round = 1; round <= rounds; round += 1) {
     times.push((await one(round)) ?? NaN);
-    await hollow.world.run(500);
+    await membership.world.run(500);
   }
-  const bytes = hollow.placed.reduce((sum, each, at) => sum + each.meter.since(before[at]).bytes, 0) / members;
-  const idle = (idleBytes * (hollow.world.now - from)) / 1000;
+  const bytes = membership.placed.reduce((sum, each, at) => sum + each.meter.since(before[at]).bytes, 0) / members;
+  const idle = (idleBytes * (membership.world.now - from)) / 1000;
   return {
     bytes: Math.max(0, bytes - idle) / rounds,
     processorMs: Processor.since(processor) / members / rounds,
@@ -30,13 +30,13 @@
   };
 }
 async function measure(routes: number, seed: number): Promise<Record<string, number>> {
-  const hollow = new HollowWorld({ members, replicas: 0, zones: 25, regions: 7, seed });
-  await hollow.boot(60_000);
-  await hollow.world.run(12_000);
-  const quiet = await hollow.over(10_000);
-  const whole = await spread(hollow, quiet.bytes, (round) => hollow.spread(routes, round, waitMs));
-  const one = await spread(hollow, quiet.bytes, (round) => hollow.spreadChange(rounds + round, waitMs));
-  hollow.end();
+  const membership = new SimulatedMembership({ members, replicas: 0, zones: 25, regions: 7, seed });
+  await membership.boot(60_000);
+  await membership.world.run(12_000);
+  const quiet = await membership.over(10_000);
+  const whole = await spread(membership, quiet.bytes, (round) => membership.spread(routes, round, waitMs));
+  const one = await spread(membership, quiet.bytes, (round) => membership.spreadChange(rounds + round, waitMs));
+  membership.end();
   return {
     wholeBytes: whole.bytes,
     wholeProcessorMs: whole.processorMs,
--- a/src/tools/scale/memberScale.ts
+++ b/src/tools/scale/memberScale.ts
@@ -1,6 +1,6 @@
 import { Experiment, Processor } from "./experiment";
 import { Heap } from "./heap";
-import { HollowWorld } from "./hollowWorld";
+import { SimulatedMembership } from "./simulatedMembership";
 
 const bound = { name: "members", least: 10, most: 1000, why: "virtual time holds all of them in one process" };
 const settleMs = (members: number): number => 6000 + 180 * members; // who joined is passed on in datagrams for so long
@@ -8,18 +8,18 @@
 
 async function measure(members: number, endpoints: number, seed: number): Promise<Record<string, number>> {
   const before = Heap.used();
-  const hollow = new HollowWorld({ members, replicas: endpoints, zones: 25, regions: 7, seed });
-  const allKnown = await hollow.boot(120_000);
-  await hollow.world.run(settleMs(members));
+  const membership = new SimulatedMembership({ members, replicas: endpoints, zones: 25, regions: 7, seed });
+  const allKnown = await membership.boot(120_000);
+  await membership.world.run(settleMs(members));
   const processor = Processor.now();
-  const suspicions = hollow.suspicions;
-  const spent = await hollow.over(overMs);
+  const suspicions = membership.suspicions;
+  const spent = await membership.over(overMs);
   const processorMs = Processor.since(processor) / members / (overMs / 1000);
-  const falseSuspicions = hollow.suspicions - suspicions;
+  const falseSuspicions = membership.suspicions - suspicions;
   const heap = (Heap.used() - before) / members / 1000;
-  const known = hollow.alive().map((member) => member.endpoints());
-  const dead = await hollow.lose((each) => each.name === "hollow-9", 30_000);
-  hollow.end();
+  const known = membership.alive().map((member) => member.endpoints());
+  const dead = await membership.killMembers((each) => each.name === "hollow-9", 30_000);
+  membership.end();
   return {
     datagrams: spent.datagrams,
     frames: spent.frames,
--- a/src/tools/scale/hollowWorld.ts
+++ b/src/tools/scale/simulatedMembership.ts
@@ -4,26 +4,33 @@
 import { Csp } from "../../runtime/csp";
 import { SimDisk } from "../../simulation/simDisk";
 import { SimWorld } from "../../simulation/simWorld";
-import { HollowMember } from "./hollowMember";
+import { LightweightMember } from "./lightweightMember";
 import { Counts, Meter } from "./meter";
 
-export type HollowPlan = { members: number; replicas: number; zones: number; regions: number; seed: number };
-type Placed = { name: string; zone: number; region: number; meter: Meter; member: HollowMember | undefined };
-const kept = (each: Placed): each is Placed & { member: HollowMember } => each.member !== undefined;
+export type SimulatedMembershipPlan = {
+  members: number;
+  replicas: number;
+  zones: number;
+  regions: number;
+  seed: number;
+};
+type PlacedMember = { name: string; zone: number; region: number; meter: Meter; member: LightweightMember | undefined };
+const hasStarted = (each: PlacedMember): each is PlacedMember & { member: LightweightMember } =>
+  each.member !== undefined;
 
 /**
- * Hollow members in virtual time, spread over zones and regions, their messages and bytes counted.
+ * Lightweight members (membership and gossip without traffic) in virtual time, spread over zones and regions, their messages and bytes counted.
  *
  * @example
- * const hollow = new HollowWorld({ members: 60, replicas: 17, zones: 25, regions: 7, seed: 1 });
- * await hollow.boot(60_000);
+ * const membership = new SimulatedMembership({ members: 60, replicas: 17, zones: 25, regions: 7, seed: 1 });
+ * await membership.boot(60_000);
  */
-export class HollowWorld {
+export class SimulatedMembership {
   readonly world: SimWorld;
-  readonly placed: Placed[] = [];
+  readonly placed: PlacedMember[] = [];
   suspicions = 0;
   private readonly meters = new Map<string, Meter>();
-  constructor(readonly plan: HollowPlan) {
+  constructor(readonly plan: SimulatedMembershipPlan) {
     this.world = new SimWorld(plan.seed, (line) => {
       if (line.includes(" PB1102")) this.suspicions += 1;
     });
@@ -34,7 +41,7 @@
     };
   }
   private address = (at: number): string => `10.${at >> 8}.${at & 255}.1:7000`;
-  /** Starts all; how long until each knows each, or undefined if not in time. @example await hollow.boot(60_000) */
+  /** Starts all; how long until each knows each, or undefined if not in time. @example await membership.boot(60_000) */
   async boot(withinMs: number): Promise<number | undefined> {
     const { members, replicas: endpoints, zones, regions } = this.plan;
     const seeds = [0, 1, 2].filter((at) => at < members).map(this.address);
@@ -42,7 +49,13 @@
       const zone = at % zones;
       const [name, place] = [`hollow-${at + 1}`, this.address(at)];
       const process = this.world.start(name, new SimDisk(this.world));
-      const placed: Placed = { name, zone, region: zone % regions, meter: this.meters.get(name)!, member: undefined };
+      const placed: PlacedMember = {
+        name,
+        zone,
+        region: zone % regions,
+        meter: this.meters.get(name)!,
+        member: undefined,
+      };
       this.placed.push(placed);
       Csp.go(process.scope, "main", function* () {
         const settings = {
@@ -51,7 +64,7 @@
           address: place,
           seeds,
         };
-        const started = yield* HollowMember.start(process.env, settings);
+        const started = yield* LightweightMember.start(process.env, settings);
         if (started.ok) placed.member = started.value;
       });
     }
@@ -59,7 +72,7 @@
       withinMs,
       () => this.alive().length === members && this.alive().every((each) => each.others() === members - 1),
     );
-    for (const [at, each] of this.placed.filter(kept).entries()) {
+    for (const [at, each] of this.placed.filter(hasStarted).entries()) {
       const ids = Array.from({ length: endpoints }, (_none, endpoint) => endpoint)
         .filter((endpoint) => endpoint % members === at)
         .map((endpoint) => `replica-${endpoint}`);
@@ -67,14 +80,14 @@
     }
     return took;
   }
-  /** Members whose processes run. @example hollow.alive().length */
-  alive(): HollowMember[] {
+  /** Members whose processes run. @example membership.alive().length */
+  alive(): LightweightMember[] {
     return this.placed
-      .filter(kept)
+      .filter(hasStarted)
       .filter((each) => this.world.processes.get(each.name)!.alive)
       .map((each) => each.member);
   }
-  /** Lets time pass until something holds; how long it took. @example await hollow.until(5000, () => true) */
+  /** Lets time pass until something holds; how long it took. @example await membership.until(5000, () => true) */
   async until(withinMs: number, reached: () => boolean, stepMs = 10): Promise<number | undefined> {
     const from = this.world.now;
     while (!reached()) {
@@ -83,7 +96,7 @@
     }
     return this.world.now - from;
   }
-  /** What all members did over so long, a member and second. @example (await hollow.over(10_000)).bytes */
+  /** What all members did over so long, a member and second. @example (await membership.over(10_000)).bytes */
   async over(ms: number): Promise<Counts> {
     const before = this.placed.map((each) => each.meter.copy());
     await this.world.run(ms);
@@ -93,9 +106,9 @@
       Object.entries(spent).map(([name, value]) => [name, value / members / (ms / 1000)]),
     ) as Counts;
   }
-  /** Ends the members that are chosen; how long until all others know. @example await hollow.lose((each) => each.zone === 3, 20_000) */
-  async lose(
-    chosen: (each: Placed) => boolean,
+  /** Ends the members that are chosen; how long until all others know. @example await membership.killMembers((each) => each.zone === 3, 20_000) */
+  async killMembers(
+    chosen: (each: PlacedMember) => boolean,
     withinMs: number,
   ): Promise<{ lost: number; tookMs: number | undefined }> {
     const lost = this.placed.filter(chosen);
@@ -105,25 +118,25 @@
       this.alive().every((member) => ids.every((id) => (member.node.membership.find(id)?.state ?? "dead") === "dead"));
     return { lost: lost.length, tookMs: await this.until(withinMs, known) };
   }
-  /** Cuts two regions from each other. @example hollow.cutRegions(0, 1); */
+  /** Cuts two regions from each other. @example membership.cutRegions(0, 1); */
   cutRegions(left: number, right: number): void {
-    const of = (region: number): Placed[] => this.placed.filter((each) => each.region === region);
+    const of = (region: number): PlacedMember[] => this.placed.filter((each) => each.region === region);
     for (const one of of(left))
       for (const other of of(right)) {
         this.world.cut(one.name, other.name);
         this.world.cut(other.name, one.name);
       }
   }
-  /** Offers a frame with so many bindings at one member; how long until all have it. @example await hollow.spread(1000, 2, 10_000) */
+  /** Offers a control snapshot with that many routes at one member; how long until all have it. @example await membership.spread(1000, 2, 10_000) */
   async spread(routes: number, index: number, withinMs: number): Promise<number | undefined> {
-    this.alive()[0].node.gossip.offerSnapshot(HollowWorld.snapshot(routes, index));
+    this.alive()[0].node.gossip.offerSnapshot(SimulatedMembership.snapshot(routes, index));
     return this.inForce(index, withinMs);
   }
-  /** The same for a change of one binding of the frame before. @example await hollow.spreadChange(3, 10_000) */
+  /** The same for a change of one route of the previous snapshot. @example await membership.spreadChange(3, 10_000) */
   async spreadChange(index: number, withinMs: number): Promise<number | undefined> {
     const { gossip: news } = this.alive()[0].node;
     const snapshot = news.snapshot!;
-    const changed = { ...HollowWorld.route(0), deadlineMs: 10_000 + index };
+    const changed = { ...SimulatedMembership.route(0), deadlineMs: 10_000 + index };
     const doc = ConfigurationPatch.apply(snapshot.manifest.doc, {
       upsert: { bindings: { "tenant-0": changed } },
       remove: {},
@@ -136,19 +149,19 @@
       this.alive().every((member) => (member.node.gossip.snapshot?.index ?? 0) >= index),
     );
   }
-  /** A control frame with so many bindings. @example HollowWorld.frame(12_000, 7) */
+  /** A control snapshot with that many routes. @example SimulatedMembership.snapshot(12_000, 7) */
   static snapshot(routes: number, index: number): ControlSnapshot {
     const state = ControlState.empty();
     state.group = "group-scale";
     const doc = {
       bindings: Object.fromEntries(
-        Array.from({ length: routes }, (_none, at) => [`tenant-${at}`, HollowWorld.route(at)]),
+        Array.from({ length: routes }, (_none, at) => [`tenant-${at}`, SimulatedMembership.route(at)]),
       ),
     };
     state.manifest = { version: index, doc };
     return ControlSnapshot.of(state, index);
   }
-  /** @example HollowWorld.binding(7).pool */
+  /** @example SimulatedMembership.route(7).pool */
   static route(at: number): ControlSnapshot["manifest"]["doc"]["bindings"][string] {
     return {
       kind: "stream",
@@ -162,7 +175,7 @@
       prefix: "/v1/",
     };
   }
-  /** Ends everything. @example hollow.end(); */
+  /** Ends everything. @example membership.end(); */
   end(): void {
     for (const name of [...this.world.processes.keys()]) this.world.kill(name);
   }
--- a/src/tools/scale/sizes.ts
+++ b/src/tools/scale/sizes.ts
@@ -2,8 +2,8 @@
 import { Fault, Result } from "../../common/fault";
 
 export type Bound = { name: string; least: number; most: number; why: string };
-const hollowMember = 1_500_000; // bytes; one hollow member at rest, measured by `scale members`
-const heldFact = 1_100; // bytes; one replica known to one member, measured by `scale replicas`
+const LIGHTWEIGHT_MEMBER_BYTES = 1_500_000; // one lightweight member without load, measured by `scale members`
+const ENDPOINT_FACT_BYTES = 1_100; // one endpoint known to one member, measured by `scale replicas`
 
 /**
  * Sizes as they are typed, checked against what is possible before anything starts.
@@ -25,10 +25,11 @@
     }
     return Fault.ok(sizes);
   },
-  /** Half of the machine's memory, which all hollow members together may take. @example Sizes.memoryLimit() */
+  /** Half of the machine's memory, which all lightweight members together may take. @example Sizes.memoryLimit() */
   memoryLimit: (): number => os.totalmem() / 2,
-  /** What hollow members will need, bytes. @example Sizes.needed(780, 10_000) */
-  needed: (members: number, endpoints: number): number => members * (hollowMember + endpoints * heldFact),
+  /** Memory that lightweight members will need, bytes. @example Sizes.needed(780, 10_000) */
+  needed: (members: number, endpoints: number): number =>
+    members * (LIGHTWEIGHT_MEMBER_BYTES + endpoints * ENDPOINT_FACT_BYTES),
   /** Refused when the members with so many replicas can't be held. @example Sizes.fits(780, 10_000).ok */
   fits(members: number, endpoints: number, limit: number = os.totalmem() / 2): Result<true> {
     const needed = Sizes.needed(members, endpoints);
--- a/src/tools/scale/storeScale.ts
+++ b/src/tools/scale/storeScale.ts
@@ -1,14 +1,14 @@
 import { Experiment } from "./experiment";
-import { QuietFleet } from "./quietFleet";
+import { IdleFleet } from "./idleFleet";
 
 const overMs = 10_000;
 
 async function idle(stores: number, seed: number): Promise<Record<string, number>> {
-  const quiet = await QuietFleet.boot({ ingresses: 3, stores, controls: 4 }, seed);
-  quiet.fleet.world.kill("operator");
-  await quiet.fleet.run(1000);
-  const spent = await quiet.over(overMs);
-  quiet.end();
+  const idleFleet = await IdleFleet.boot({ ingresses: 3, stores, controls: 4 }, seed);
+  idleFleet.fleet.world.kill("operator");
+  await idleFleet.fleet.run(1000);
+  const spent = await idleFleet.over(overMs);
+  idleFleet.end();
   return {
     bytes: spent.store.bytes,
     frames: spent.store.frames,
@@ -20,39 +20,39 @@
 }
 /** One lot, from its acceptance until all its results are read; what the stores spent on it, idle time taken off. */
 async function job(items: number, seed: number): Promise<Record<string, number>> {
-  const quiet = await QuietFleet.boot({ ingresses: 2, stores: 4, controls: 4 }, seed);
-  const idleRate = (await quiet.over(5000)).store;
-  const before = quiet.spent("store");
-  const from = quiet.fleet.world.now;
-  const put = await quiet.fleet.operate(
+  const idleFleet = await IdleFleet.boot({ ingresses: 2, stores: 4, controls: 4 }, seed);
+  const idleRate = (await idleFleet.over(5000)).store;
+  const before = idleFleet.spent("store");
+  const from = idleFleet.fleet.world.now;
+  const put = await idleFleet.fleet.operate(
     "POST",
     "/v1/lots",
     { id: "L1", binding: "confirm", items: Array.from({ length: items }, (_none, at) => ({ n: at })) },
     {},
-    quiet.fleet.plan.ingressHttp[0],
+    idleFleet.fleet.plan.ingressHttp[0],
   );
   if (put?.status !== 202) {
-    quiet.end();
+    idleFleet.end();
     throw new Error(`a lot of ${items} items was not taken: ${put?.status} ${JSON.stringify(put?.body)}`);
   }
-  const acceptedMs = quiet.fleet.world.now - from;
+  const acceptedMs = idleFleet.fleet.world.now - from;
   let finished = false;
   for (let round = 0; round < 600 && !finished; round += 1) {
-    const read = await quiet.fleet.operate(
+    const read = await idleFleet.fleet.operate(
       "GET",
       `/v1/lots/L1/results?after=${items - 1}`,
       undefined,
       {},
-      quiet.fleet.plan.ingressHttp[0],
+      idleFleet.fleet.plan.ingressHttp[0],
     );
     finished = (read?.body as { finished?: boolean } | undefined)?.finished === true;
-    await quiet.fleet.run(250);
+    await idleFleet.fleet.run(250);
   }
-  const tookS = (quiet.fleet.world.now - from) / 1000;
-  const now = quiet.spent("store");
+  const tookS = (idleFleet.fleet.world.now - from) / 1000;
+  const now = idleFleet.spent("store");
   const cost = (name: "bytes" | "frames" | "writtenBytes" | "writes"): number =>
     (now[name] - before[name] - idleRate[name] * tookS) * 4;
-  quiet.end();
+  idleFleet.end();
   return {
     bytes: cost("bytes"),
     frames: cost("frames"),
--- a/test/gossip.test.ts
+++ b/test/gossip.test.ts
@@ -1,4 +1,4 @@
-import { HollowWorld } from "../src/tools/scale/hollowWorld";
+import { SimulatedMembership } from "../src/tools/scale/simulatedMembership";
 import { Gossip } from "../src/membership/gossip";
 
 const endpoint = (active: number, more: Record<string, unknown> = {}): Record<string, unknown> => ({
@@ -14,15 +14,15 @@
   ...more,
 });
 const leaseMs = 20_000;
-async function fleet(members: number, seed: number): Promise<{ hollow: HollowWorld; gossip: Gossip[] }> {
-  const hollow = new HollowWorld({ members, replicas: 0, zones: 5, regions: 2, seed });
-  expect(await hollow.boot(30_000)).toBeDefined();
-  return { hollow, gossip: hollow.alive().map((member) => member.node.gossip) };
+async function fleet(members: number, seed: number): Promise<{ membership: SimulatedMembership; gossip: Gossip[] }> {
+  const membership = new SimulatedMembership({ members, replicas: 0, zones: 5, regions: 2, seed });
+  expect(await membership.boot(30_000)).toBeDefined();
+  return { membership, gossip: membership.alive().map((member) => member.node.gossip) };
 }
 const values = (gossip: Gossip[], key: string): unknown[] => gossip.map((each) => each.find(key)?.value);
 
 test("a renewal carries only changed fields and is applied wherever its base version is known", async () => {
-  const { hollow, gossip } = await fleet(12, 1);
+  const { membership: hollow, gossip } = await fleet(12, 1);
   gossip[0].publish("replica/r1/1", endpoint(0), leaseMs, true);
   expect(await hollow.until(3000, () => gossip.every((each) => each.find("replica/r1/1")))).toBeDefined();
   await hollow.world.run(1000);
@@ -44,7 +44,7 @@
   hollow.end();
 }, 60_000);
 test("facts published during a partition reach every member soon after it heals, and a removed fact stays removed", async () => {
-  const { hollow, gossip } = await fleet(12, 2);
+  const { membership: hollow, gossip } = await fleet(12, 2);
   gossip[0].publish("replica/gone/1", endpoint(0, { id: "gone" }), leaseMs, true);
   await hollow.world.run(2000);
   hollow.world.cutOff(["hollow-12"], "both");
@@ -60,7 +60,7 @@
   hollow.end();
 }, 60_000);
 test("of two versions published on both sides of a partition one wins everywhere, and renewals continue from it", async () => {
-  const { hollow, gossip } = await fleet(10, 3);
+  const { membership: hollow, gossip } = await fleet(10, 3);
   hollow.world.cutOff(["hollow-9", "hollow-10"], "both");
   gossip[0].publish("replica/r1/1", endpoint(1), leaseMs, true);
   await hollow.world.run(700);
@@ -82,7 +82,7 @@
 }, 60_000);
 test("digests cost the same with many facts as with few while nothing differs", async () => {
   const idleWith = async (facts: number): Promise<number> => {
-    const { hollow, gossip } = await fleet(10, 4);
+    const { membership: hollow, gossip } = await fleet(10, 4);
     for (let at = 0; at < facts; at += 1)
       gossip[at % 10].publish(`replica/r${at}/1`, endpoint(0, { id: `r${at}` }), 600_000, true);
     expect(
@@ -97,7 +97,7 @@
   expect(many).toBeLessThan(few * 1.25); // one lost probe with its indirect probes is a tenth of it
 }, 120_000);
 test("one differing fact among many is found and repaired, and only facts of its bucket are compared", async () => {
-  const { hollow, gossip } = await fleet(10, 5);
+  const { membership: hollow, gossip } = await fleet(10, 5);
   for (let at = 0; at < 300; at += 1)
     gossip[0].publish(`replica/r${at}/1`, endpoint(0, { id: `r${at}` }), 600_000, true);
   const all = (facts: number): boolean => gossip.every((each) => each.live("replica/").length === facts);
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -1,7 +1,7 @@
 import { spawnSync } from "child_process";
 import * as path from "path";
 import { Experiment } from "../src/tools/scale/experiment";
-import { HollowWorld } from "../src/tools/scale/hollowWorld";
+import { SimulatedMembership } from "../src/tools/scale/simulatedMembership";
 import { LossScale } from "../src/tools/scale/lossScale";
 import { Sizes } from "../src/tools/scale/sizes";
 import { Slope } from "../src/tools/scale/slope";
@@ -167,12 +167,12 @@
     err: expect.stringContaining("rack, zone, regions"),
   });
 }, 60_000);
-test("one seed gives one run: the counts of hollow members are the same again", async () => {
+test("one seed gives one run: the counts of lightweight members are the same again", async () => {
   const counts = async (): Promise<unknown> => {
-    const hollow = new HollowWorld({ members: 12, replicas: 5, zones: 5, regions: 2, seed: 4 });
-    const known = await hollow.boot(30_000);
-    const spent = await hollow.over(3000);
-    hollow.end();
+    const membership = new SimulatedMembership({ members: 12, replicas: 5, zones: 5, regions: 2, seed: 4 });
+    const known = await membership.boot(30_000);
+    const spent = await membership.over(3000);
+    membership.end();
     return { known, spent };
   };
   expect(await counts()).toEqual(await counts());
