--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -23,6 +23,7 @@
   "src/node/",
   "src/routing/",
   "src/rpc/",
+  "src/runtime/",
   "src/shard/",
   "src/simulation/",
   "src/storage/",
--- a/src/runtime/csp.ts
+++ b/src/runtime/csp.ts
@@ -1,14 +1,13 @@
-/* eslint-disable @typescript-eslint/no-explicit-any */
 // The one place that knows js-csp, which is old and untyped: our typings and our task runner.
 // js-csp's own process starts each step with a timer turn and lets a throw escape into its dispatcher;
 // our runner steps generators over js-csp channels, keeps every error, and counts its turns so that
 // the simulator knows when nothing more can run.
 const lib = require("js-csp") as {
-  chan(buffer?: unknown): any;
+  chan(buffer?: unknown): Chan<never>;
   buffers: { fixed(n: number): unknown; sliding(n: number): unknown; dropping(n: number): unknown };
-  putAsync(channel: any, value: unknown, callback?: (done: boolean) => void): void;
-  offer(channel: any, value: unknown): boolean;
-  poll(channel: any): unknown;
+  putAsync(channel: Chan<unknown>, value: unknown, callback?: (done: boolean) => void): void;
+  offer(channel: Chan<unknown>, value: unknown): boolean;
+  poll(channel: Chan<unknown>): unknown;
   NO_VALUE: unknown;
 };
 
@@ -21,11 +20,14 @@
 }
 type Instruction = { op: "take"; chans: Chan<unknown>[] } | { op: "put"; chan: Chan<unknown>; value: unknown };
 /** A task's code: a generator that yields to channels. */
-export type Task<T> = Generator<Instruction, T, any>;
+export type Task<T> = Generator<Instruction, T, unknown>;
 export type Picked<T> = { index: number; value: T | null };
 
 type Handler = { isActive(): boolean; isBlockable(): boolean; commit(): (value: unknown) => void };
 
+/** The side of a channel that our runner uses. */
+type TakeableChan = Chan<unknown> & { take(handler: Handler): { value: unknown } | null };
+
 /** A channel that carries nothing and is closed once: what a timer is, at a tenth of the memory and work of a full one. */
 class Alarm {
   private handlers: Handler[] = [];
@@ -120,7 +122,7 @@
             return (taken) => resume({ index, value: taken });
           },
         };
-        const box = (instruction.chans[index] as any).take(handler);
+        const box = (instruction.chans[index] as TakeableChan).take(handler);
         if (box) resume({ index, value: box.value });
       }
     }
@@ -130,13 +132,14 @@
 }
 
 function* takeOne<T>(chan: Chan<T>): Task<T | null> {
-  return (yield { op: "take", chans: [chan] }).value;
+  const picked = (yield { op: "take", chans: [chan] }) as Picked<T>;
+  return picked.value;
 }
 function* putOne<T>(chan: Chan<T>, value: T): Task<boolean> {
-  return yield { op: "put", chan, value };
+  return (yield { op: "put", chan, value }) as boolean;
 }
 function* selectFirst<T>(chans: Chan<T>[]): Task<Picked<T>> {
-  return yield { op: "take", chans };
+  return (yield { op: "take", chans }) as Picked<T>;
 }
 
 /**
