--- a/src/rpc/methods.ts
+++ b/src/rpc/methods.ts
@@ -41,12 +41,8 @@
 /** A method without an entry: its name is any other text. */
 export type UntypedMethod<Method extends string> = Method extends TypedMethod ? never : Method;
 
-/** A body of a method without an entry; becomes `unknown` once all methods have theirs. */
-// eslint-disable-next-line @typescript-eslint/no-explicit-any -- the owners of the methods add the entries one by one
-export type UntypedBody = any;
-
 /** A handler whose method has no entry: the type that it gives its parameter isn't checked. */
-export type UntypedHandler = (body: UntypedBody, sender: string) => Task<Result<unknown>>;
+export type UntypedHandler = (body: never, sender: string) => Task<Result<unknown>>;
 
 /** Handles a request of a member; `sender` is the id of that member. */
 export type RpcHandler<Method extends string> = Method extends TypedMethod
--- a/src/rpc/rpc.ts
+++ b/src/rpc/rpc.ts
@@ -1,7 +1,7 @@
 import { Result } from "../common/fault";
 import { Task } from "../runtime/csp";
 import { Env } from "../runtime/env";
-import { RequestOf, ResponseOf, RpcHandler, TypedMethod, UntypedBody, UntypedMethod } from "./methods";
+import { RequestOf, ResponseOf, RpcHandler, TypedMethod, UntypedMethod } from "./methods";
 import { RpcClient } from "./rpcClient";
 import { RpcServer } from "./rpcServer";
 
@@ -61,7 +61,7 @@
     isCancelled?: () => boolean,
   ): Task<Result<ResponseOf<Method>>>;
   /** The same for a method without an entry in `RpcMethods`: the response's type is the caller's claim. */
-  call<Response = UntypedBody, Method extends string = string>(
+  call<Response = unknown, Method extends string = string>(
     address: string,
     method: UntypedMethod<Method>,
     body: unknown,
--- a/src/rpc/rpcServer.ts
+++ b/src/rpc/rpcServer.ts
@@ -80,7 +80,7 @@
     if (!handler) return Fault.fail("invalid", method, this.selfId, "unknown verb");
     try {
       // The body's type is the promise of the method's entry; a handler that meets another body may throw.
-      return yield* handler(body, sender);
+      return yield* handler(body as never, sender);
     } catch (error) {
       if (!this.env.scope.alive) throw error;
       const described = error instanceof Error ? (error.stack ?? error) : error;
