--- a/src/adapters/caller/callerOperations.ts
+++ b/src/adapters/caller/callerOperations.ts
@@ -3,7 +3,7 @@
 import type { Route } from "../../controlState/configuration";
 import type { MatchedRoute } from "../../routing/routeTable";
 import type { Task } from "../../runtime/csp";
-import type { Env, HttpExchange } from "../../runtime/env";
+import type { Environment, HttpExchange } from "../../runtime/env";
 import type { Cause, ItemRequest, PutOutcome } from "../../shard/shardTypes";
 import type {
   EndJobResponse,
@@ -146,7 +146,7 @@
 
 /** What the HTTP surfaces for callers need of the ingress they run in. */
 export interface CallerOperations {
-  readonly env: Env;
+  readonly env: Environment;
   /** The member id of this node. */
   readonly id: string;
   readonly counters: CallerCounters;
--- a/src/adapters/caller/jobRoutes.ts
+++ b/src/adapters/caller/jobRoutes.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../../common/constants";
 import { Fault, Result } from "../../common/fault";
 import { Task } from "../../runtime/csp";
-import { EnvTools, HttpExchange } from "../../runtime/env";
+import { EnvironmentTools, HttpExchange } from "../../runtime/env";
 import type { PutOutcome } from "../../shard/shardTypes";
 import type { SubmitJobResponse } from "../../storage/messages/batchJobMessages";
 import { Http, HttpRoute } from "../http";
@@ -56,7 +56,7 @@
       const detail = `binding ${routeName} is not of kind item`;
       return Http.problem(exchange, { tag: "invalid", step: "accept lot", member, detail });
     }
-    const id = job.value.id ?? EnvTools.id(env, "lot");
+    const id = job.value.id ?? EnvironmentTools.id(env, "lot");
     if (job.value.requests) yield* this.submitRequests(exchange, id, admitted.value, job.value.requests);
     else yield* this.submitJsonItems(exchange, id, admitted.value, job.value.items!);
   }
--- a/src/adapters/caller/requestRoutes.ts
+++ b/src/adapters/caller/requestRoutes.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../../common/constants";
 import { Result } from "../../common/fault";
 import { Csp, Task } from "../../runtime/csp";
-import { EnvTools, HttpExchange } from "../../runtime/env";
+import { EnvironmentTools, HttpExchange } from "../../runtime/env";
 import type { OpenResponse } from "../../storage/messages/liveRequestMessages";
 import { Http, HttpRoute } from "../http";
 import type { AdmittedRequest, CallerOperations, CallerResponse } from "./callerOperations";
@@ -57,7 +57,7 @@
 
   /** An idempotent single request: no shard takes part. */
   private *lookup(exchange: HttpExchange, request: AdmittedRequest, body: string): Task<void> {
-    const requestId = EnvTools.id(this.operations.env, "req");
+    const requestId = EnvironmentTools.id(this.operations.env, "req");
     const responded = Csp.chan<true>(1);
     const respond = (outcome: Result<CallerResponse>): void => {
       if (outcome.ok) {
@@ -77,7 +77,7 @@
     const { operations } = this;
     const { env, liveRequests } = operations;
     const key = exchange.headers["idempotency-key"];
-    const requestId = key ? liveRequests.idOfKey(request.name, key) : EnvTools.id(env, "req");
+    const requestId = key ? liveRequests.idOfKey(request.name, key) : EnvironmentTools.id(env, "req");
     const untilMono = env.mono() + request.deadlineMs;
     operations.counters.streams += 1;
     const opened = yield* liveRequests.open(requestId, request, body, key !== undefined, arrival);
--- a/src/adapters/operator/changePreconditions.ts
+++ b/src/adapters/operator/changePreconditions.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../../common/constants";
 import { Hash } from "../../common/hash";
 import { Task } from "../../runtime/csp";
-import { Env, EnvTools, HttpExchange } from "../../runtime/env";
+import { Environment, EnvironmentTools, HttpExchange } from "../../runtime/env";
 import { Http } from "../http";
 
 const preconditionRequired = 428;
@@ -34,8 +34,8 @@
    * Whether the caller is still connected. A process that was frozen reads a request and the end of its connection at
    * once: a change that names no version must not be carried out for a caller that left before.
    */
-  *callerStillWaits(env: Env, exchange: HttpExchange): Task<boolean> {
-    const disconnected = yield* EnvTools.takeWithin(env, exchange.gone, Constants.callerGoneLookMs);
+  *callerStillWaits(env: Environment, exchange: HttpExchange): Task<boolean> {
+    const disconnected = yield* EnvironmentTools.takeWithin(env, exchange.gone, Constants.callerGoneLookMs);
     return disconnected === undefined;
   },
 };
--- a/src/adapters/operator/operatorChanges.ts
+++ b/src/adapters/operator/operatorChanges.ts
@@ -3,7 +3,7 @@
 import { ControlRequest } from "../../node/controlRequest";
 import { NodeContext } from "../../node/nodeContext";
 import { Task } from "../../runtime/csp";
-import { EnvTools, HttpExchange } from "../../runtime/env";
+import { EnvironmentTools, HttpExchange } from "../../runtime/env";
 import { Http } from "../http";
 import { ChangePreconditions } from "./changePreconditions";
 
@@ -63,7 +63,7 @@
   makeRequest: (base: UnversionedOrder) => ControlRequest,
 ): Task<void> {
   const givenId = exchange.headers["x-change-id"];
-  const changeId = givenId || EnvTools.id(node.env, "change");
+  const changeId = givenId || EnvironmentTools.id(node.env, "change");
   if (!(yield* ChangePreconditions.callerStillWaits(node.env, exchange))) return;
   const request = makeRequest({
     changeId,
--- a/src/adapters/operatorHttp.ts
+++ b/src/adapters/operatorHttp.ts
@@ -2,7 +2,7 @@
 import { Node } from "../node/node";
 import { NodeContext } from "../node/nodeContext";
 import { Task } from "../runtime/csp";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { Http, HttpRoute } from "./http";
 import { announcementRoutes } from "./operator/announcementRoutes";
 import { calendarRoutes } from "./operator/calendarRoutes";
@@ -21,7 +21,7 @@
  */
 export const OperatorHttp = {
   /** Serves the routes at HOST:PORT. */
-  *serve(env: Env, address: string, node: Node, hooks: OperatorHooks): Task<Result<true>> {
+  *serve(env: Environment, address: string, node: Node, hooks: OperatorHooks): Task<Result<true>> {
     const routes = OperatorHttp.routes(NodeContext.of(node), hooks);
     return yield* env.serveHttp(address, (exchange) => Http.dispatch(routes, exchange));
   },
--- a/src/agent/agentNode.ts
+++ b/src/agent/agentNode.ts
@@ -1,6 +1,6 @@
 import { Constants } from "../common/constants";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { Fault, Result } from "../common/fault";
 import { EndpointAnnouncements } from "../node/endpointAnnouncements";
 import { Node } from "../node/node";
@@ -20,13 +20,13 @@
   private feedCount = 0;
 
   private constructor(
-    readonly env: Env,
+    readonly env: Environment,
     readonly settings: Settings,
     readonly node: Node,
   ) {}
 
   /** Starts the node and its HTTP server. @example yield* AgentNode.start(env, settings) */
-  static *start(env: Env, settings: Settings): Task<Result<AgentNode>> {
+  static *start(env: Environment, settings: Settings): Task<Result<AgentNode>> {
     const started = yield* Node.start(env, settings, "agent");
     if (!started.ok) return started;
     const agent = new AgentNode(env, settings, started.value);
@@ -60,7 +60,7 @@
     this.feedCount += 1;
     const deadline = this.env.mono() + Constants.feedWaitMs;
     while (this.node.snapshot().revision === request.seen && this.env.mono() < deadline)
-      yield* EnvTools.sleep(this.env, Constants.feedTickMs);
+      yield* EnvironmentTools.sleep(this.env, Constants.feedTickMs);
     return Fault.ok(SnapshotFeed.encode(this.node.snapshot(), request.controlIndex, this.node.stopping));
   }
 
--- a/src/cli/daemonCommands.ts
+++ b/src/cli/daemonCommands.ts
@@ -4,7 +4,7 @@
 import { Settings } from "../common/settings";
 import { Daemon, RunningDaemon } from "../daemon/daemon";
 import { Csp, Scope } from "../runtime/csp";
-import { NodeEnv } from "../runtime/nodeEnv";
+import { NodeEnvironment } from "../runtime/nodeEnvironment";
 import { printError, printLine, USAGE_EXIT_CODE } from "./output";
 import { checkSettingsFile, DaemonOptions, readSettings, settingFlags } from "./settingsOptions";
 
@@ -49,7 +49,7 @@
   const onError = (task: string, error: unknown): void =>
     log(TASK_FAILED_EVENT, { task, error: String((error as Error).stack ?? error) });
   const scope = new Scope(program, onError);
-  const env = NodeEnv.make(program, scope, log);
+  const env = NodeEnvironment.make(program, scope, log);
   Csp.go(scope, "main", function* () {
     const started = yield* Daemon.start(env, settings.value);
     if (!started.ok) {
--- a/src/cli/developerTool.ts
+++ b/src/cli/developerTool.ts
@@ -2,8 +2,8 @@
 
 import { Logger } from "../common/logger";
 import { Csp, Scope, Task } from "../runtime/csp";
-import { Env } from "../runtime/env";
-import { NodeEnv } from "../runtime/nodeEnv";
+import { Environment } from "../runtime/env";
+import { NodeEnvironment } from "../runtime/nodeEnvironment";
 import { Deployment } from "../tools/deployment";
 import { readJsonFile } from "./jsonFile";
 import { exitWithUsageError, INTERRUPTED_EXIT_CODE } from "./output";
@@ -20,15 +20,15 @@
 }
 
 /** Environment of a tool: the real clock, network and disk; warnings are logged. @example const env = makeToolEnv("fleet"); */
-export function makeToolEnv(name: string): Env {
+export function makeToolEnv(name: string): Environment {
   const log = Logger.make(name, "warn");
   const onError = (task: string, error: unknown): void =>
     log(TASK_FAILED_EVENT, { task, error: String((error as Error).stack ?? error) });
-  return NodeEnv.make(name, new Scope(name, onError), log);
+  return NodeEnvironment.make(name, new Scope(name, onError), log);
 }
 
 /** Runs a tool's task and ends the process with the exit code that it returns. @example runTool(env, task, () => fleet.stopAll()); */
-export function runTool(env: Env, task: () => Task<number>, cleanUp: () => void = () => undefined): void {
+export function runTool(env: Environment, task: () => Task<number>, cleanUp: () => void = () => undefined): void {
   process.on("SIGINT", () => {
     cleanUp();
     process.exit(INTERRUPTED_EXIT_CODE);
--- a/src/cli/fleetCommand.ts
+++ b/src/cli/fleetCommand.ts
@@ -1,7 +1,7 @@
 import * as path from "path";
 import type { Sade } from "sade";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { Deployment } from "../tools/deployment";
 import { runChecked } from "../tools/fleet/checkedRun";
 import { Fleet } from "../tools/fleet/fleet";
@@ -38,7 +38,7 @@
 }
 
 /** Starts the fleet and waits until it serves; false, with a message, where it does not in time. */
-function* startFleet(env: Env, fleet: Fleet, deployment: Deployment): Task<boolean> {
+function* startFleet(env: Environment, fleet: Fleet, deployment: Deployment): Task<boolean> {
   yield* fleet.startProxies();
   fleet.startAll();
   yield* fleet.startEndpoints();
@@ -70,7 +70,7 @@
   const load = Number(options.load);
   const task = function* (): Task<number> {
     if (!(yield* startFleet(env, fleet, deployment))) return ExitCode.failed;
-    if (seconds <= 0 && faultNames.length === 0) for (;;) yield* EnvTools.sleep(env, IDLE_POLL_MS);
+    if (seconds <= 0 && faultNames.length === 0) for (;;) yield* EnvironmentTools.sleep(env, IDLE_POLL_MS);
     const run = { plan, deployment, seconds, load, fleet, faultNames, print: printLine };
     return (yield* runChecked(env, run)) ? ExitCode.passed : ExitCode.failed;
   };
--- a/src/consensus/consensusGroup.ts
+++ b/src/consensus/consensusGroup.ts
@@ -4,7 +4,7 @@
 import { ShardView } from "../controlState/shardView";
 import { Rpc } from "../rpc/rpc";
 import { Csp, Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { CheckpointedLog } from "../runtime/checkpointedLog";
 import { AppendEntriesHandler } from "./appendEntriesHandler";
 import { CatchUp } from "./catchUp";
@@ -50,7 +50,7 @@
   private readonly election: Election;
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly rpc: Rpc,
     private readonly selfId: string,
     storage: CheckpointedLog,
@@ -81,8 +81,8 @@
     // A restarted voter may have acknowledged a leader just before: it votes only once that lease has ended.
     replica.lastLeaderContactAt = env.mono();
     replica.resetRestartElectionTimer();
-    EnvTools.keep(env, env.scope, "election", () => this.election.run());
-    EnvTools.keep(env, env.scope, "log writer", () => logWriter.run());
+    EnvironmentTools.keep(env, env.scope, "election", () => this.election.run());
+    EnvironmentTools.keep(env, env.scope, "log writer", () => logWriter.run());
   }
 
   // ---------- state ----------
@@ -211,7 +211,7 @@
     const entry = this.replication.append(command);
     const outcome = Csp.chan<Result<Outcome>>(1);
     replica.pendingProposals.set(entry.index, { term: entry.term, outcome });
-    const result = yield* EnvTools.takeWithin(this.env, outcome, timeoutMs);
+    const result = yield* EnvironmentTools.takeWithin(this.env, outcome, timeoutMs);
     replica.pendingProposals.delete(entry.index);
     return result ?? Fault.fail("unknown", "propose", this.selfId, "no majority answered in time");
   }
--- a/src/consensus/consensusReplica.ts
+++ b/src/consensus/consensusReplica.ts
@@ -5,7 +5,7 @@
 import { ControlState } from "../controlState/controlState";
 import { ControlStateMachine } from "../controlState/controlStateMachine";
 import { Chan, Csp, Task } from "../runtime/csp";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { ConsensusEvent } from "./consensusEvents";
 import { FollowerProgress } from "./followerProgress";
 import { groupBootstrappedBy } from "./membershipCommand";
@@ -67,7 +67,7 @@
   private readonly rejectionLoggedAt = new Map<string, number>();
 
   constructor(
-    readonly env: Env,
+    readonly env: Environment,
     readonly selfId: string,
     readonly log: ReplicatedLog,
     readonly hooks: ConsensusGroupHooks,
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../common/constants";
 import { Rpc } from "../rpc/rpc";
 import { Csp, Task } from "../runtime/csp";
-import { EnvTools } from "../runtime/env";
+import { EnvironmentTools } from "../runtime/env";
 import { ConsensusEvent, ConsensusFaultPoint } from "./consensusEvents";
 import { ConsensusReplica } from "./consensusReplica";
 import { LeaderLease } from "./leaderLease";
@@ -28,7 +28,7 @@
  *
  * @example
  * const election = new Election(replica, replication, lease, rpc);
- * EnvTools.keep(env, env.scope, "election", () => election.run());
+ * EnvironmentTools.keep(env, env.scope, "election", () => election.run());
  */
 export class Election {
   /** How often this server asked for votes or pre-votes. */
@@ -47,7 +47,7 @@
   *run(): Task<void> {
     const { replica } = this;
     for (;;) {
-      yield* EnvTools.sleep(replica.env, this.msUntilNextCheck());
+      yield* EnvironmentTools.sleep(replica.env, this.msUntilNextCheck());
       if (replica.role === "leader") yield* this.stepDownWithoutMajority();
       else if (this.isElectionDue()) yield* this.standForElection();
     }
--- a/src/consensus/followerReplicator.ts
+++ b/src/consensus/followerReplicator.ts
@@ -2,7 +2,7 @@
 import { Fault, Result } from "../common/fault";
 import { Rpc } from "../rpc/rpc";
 import { Task } from "../runtime/csp";
-import { EnvTools } from "../runtime/env";
+import { EnvironmentTools } from "../runtime/env";
 import { ChunkedPayload } from "./chunkedPayload";
 import { ConsensusReplica } from "./consensusReplica";
 import { FollowerProgress } from "./followerProgress";
@@ -45,7 +45,7 @@
       const address = replica.hooks.addressOf(followerId);
       if (!address) {
         if (!this.isFollowerWanted()) return void replica.followers.delete(followerId);
-        yield* EnvTools.sleep(replica.env, Constants.heartbeatMs);
+        yield* EnvironmentTools.sleep(replica.env, Constants.heartbeatMs);
         continue;
       }
       const payload = this.nextPayload(follower);
@@ -61,7 +61,7 @@
         if (follower.nextIndex <= this.lastIndexToSend()) continue;
       }
       const pauseMs = response.ok ? Constants.heartbeatMs : Constants.heartbeatMs * RETRY_PAUSE_SHARE;
-      yield* EnvTools.takeWithin(replica.env, follower.wakeUp, pauseMs);
+      yield* EnvironmentTools.takeWithin(replica.env, follower.wakeUp, pauseMs);
     }
   }
 
@@ -173,7 +173,7 @@
         failuresInARow += 1;
         if (response.fault.tag === "invalid" || failuresInARow >= Constants.payloadChunkAttempts) return response;
         chunkBytes = Math.max(Constants.payloadChunkMinBytes, chunkBytes / 2);
-        yield* EnvTools.sleep(replica.env, Constants.heartbeatMs * RETRY_PAUSE_SHARE);
+        yield* EnvironmentTools.sleep(replica.env, Constants.heartbeatMs * RETRY_PAUSE_SHARE);
         continue;
       }
       if (response.value.term > this.term) return response;
--- a/src/consensus/leadershipTransfer.ts
+++ b/src/consensus/leadershipTransfer.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../common/constants";
 import { Rpc } from "../rpc/rpc";
 import { Task } from "../runtime/csp";
-import { EnvTools } from "../runtime/env";
+import { EnvironmentTools } from "../runtime/env";
 import { CatchUp } from "./catchUp";
 import { ConsensusReplica } from "./consensusReplica";
 import { LeaderLease } from "./leaderLease";
@@ -41,7 +41,7 @@
     const { env } = this.replica;
     const until = env.mono() + Constants.leadershipTransferTimeoutMs;
     while (this.lease.isHeld() && !this.isSuccessorReady() && env.mono() < until)
-      yield* EnvTools.sleep(env, CHECK_PERIOD_MS);
+      yield* EnvironmentTools.sleep(env, CHECK_PERIOD_MS);
   }
   private isSuccessorReady(): boolean {
     const { commitIndex, log } = this.replica;
--- a/src/consensus/logWriter.ts
+++ b/src/consensus/logWriter.ts
@@ -1,5 +1,5 @@
 import { Csp, Task } from "../runtime/csp";
-import { EnvTools } from "../runtime/env";
+import { EnvironmentTools } from "../runtime/env";
 import { ConsensusEvent } from "./consensusEvents";
 import { ConsensusReplica } from "./consensusReplica";
 import { Replication } from "./replication";
@@ -18,7 +18,7 @@
   *run(): Task<void> {
     const { env, log } = this.replica;
     for (;;) {
-      yield* EnvTools.takeWithin(env, log.writeRequests, CHECK_PERIOD_MS);
+      yield* EnvironmentTools.takeWithin(env, log.writeRequests, CHECK_PERIOD_MS);
       yield* Csp.take(log.diskLock);
       try {
         yield* this.writeAndCompact();
--- a/src/consensus/replication.ts
+++ b/src/consensus/replication.ts
@@ -2,7 +2,7 @@
 import { Command } from "../controlState/command";
 import { Rpc } from "../rpc/rpc";
 import { Csp, Task } from "../runtime/csp";
-import { EnvTools } from "../runtime/env";
+import { EnvironmentTools } from "../runtime/env";
 import { ConsensusFaultPoint } from "./consensusEvents";
 import { ConsensusReplica } from "./consensusReplica";
 import { initialProgress } from "./followerProgress";
@@ -44,7 +44,7 @@
       const followers = new Set([...replica.log.voters(), ...replica.hooks.otherNodes()]);
       followers.delete(replica.selfId);
       for (const id of followers) if (!running.has(id)) this.startReplicator(id, term, running);
-      yield* EnvTools.sleep(replica.env, Constants.heartbeatMs);
+      yield* EnvironmentTools.sleep(replica.env, Constants.heartbeatMs);
     }
     this.snapshotPackages.clear();
   }
--- a/src/control/calendarRunner.ts
+++ b/src/control/calendarRunner.ts
@@ -9,7 +9,7 @@
 } from "../controlState/calendarEntry";
 import { Node } from "../node/node";
 import { Csp, Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { StoreRetirement } from "./storeRetirement";
 
 /** Log events for the states that a transition can reach. */
@@ -36,7 +36,7 @@
   private readonly running = new Set<string>();
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly group: ConsensusGroup,
     private readonly storeRetirement: StoreRetirement,
@@ -44,12 +44,12 @@
 
   /** @example calendar.start(); */
   start(): void {
-    EnvTools.keep(this.env, this.env.scope, "calendar", () => this.loop());
+    EnvironmentTools.keep(this.env, this.env.scope, "calendar", () => this.loop());
   }
 
   private *loop(): Task<void> {
     for (;;) {
-      yield* EnvTools.sleep(
+      yield* EnvironmentTools.sleep(
         this.env,
         this.group.role === "leader" ? Constants.calendarPeriodMs : Constants.leaderTaskPeriodMs,
       );
@@ -100,7 +100,7 @@
       return;
     }
     const isBusy = this.node.snapshot().endpoints.some((endpoint) => endpoint.district === zone && endpoint.active > 0);
-    if (isBusy) yield* EnvTools.sleep(this.env, Constants.drainSettleMs);
+    if (isBusy) yield* EnvironmentTools.sleep(this.env, Constants.drainSettleMs);
     else yield* this.transition(entry, CalendarEntryState.finished, "no work left in the district");
   }
 
--- a/src/control/changeProposals.ts
+++ b/src/control/changeProposals.ts
@@ -4,7 +4,7 @@
 import type { Command, Outcome } from "../controlState/command";
 import { Node } from "../node/node";
 import { Task } from "../runtime/csp";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { VoterManager } from "./voterManager";
 
 /** What an operator gets for an accepted change. */
@@ -16,7 +16,7 @@
 /** Proposes operators' changes to the consensus group, and turns outcomes into responses. */
 export class ChangeProposals {
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly group: ConsensusGroup,
     private readonly voterManager: VoterManager,
--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -10,7 +10,7 @@
 import { Node } from "../node/node";
 import { NodeContext } from "../node/nodeContext";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { CheckpointedLog } from "../runtime/checkpointedLog";
 import { ShardClient } from "../storage/shardClient";
 import { CalendarRunner } from "./calendarRunner";
@@ -67,7 +67,7 @@
   private readonly ledgerDelivery: LedgerDelivery;
 
   private constructor(
-    readonly env: Env,
+    readonly env: Environment,
     readonly settings: Settings,
     readonly node: Node,
   ) {
@@ -111,7 +111,7 @@
    * Starts a control process; the fault says which part failed.
    * @example yield* ControlNode.start(env, settings)
    */
-  static *start(env: Env, settings: Settings, adapters: ProtocolAdapters = {}): Task<Result<ControlNode>> {
+  static *start(env: Environment, settings: Settings, adapters: ProtocolAdapters = {}): Task<Result<ControlNode>> {
     const node = yield* Node.start(env, settings, "control");
     if (!node.ok) return node;
     const control = new ControlNode(env, settings, node.value);
@@ -147,9 +147,9 @@
   private startTasks(): void {
     const { env } = this;
     this.group.start();
-    EnvTools.keep(env, env.scope, "bootstrap", () => this.bootstrap.run());
-    EnvTools.keep(env, env.scope, "voter management", () => this.voterManager.run());
-    EnvTools.keep(env, env.scope, "ledger delivery", () => this.ledgerDelivery.run());
+    EnvironmentTools.keep(env, env.scope, "bootstrap", () => this.bootstrap.run());
+    EnvironmentTools.keep(env, env.scope, "voter management", () => this.voterManager.run());
+    EnvironmentTools.keep(env, env.scope, "ledger delivery", () => this.ledgerDelivery.run());
     this.shardPlacement.start();
     this.calendar.start();
   }
@@ -203,7 +203,7 @@
     const control = this;
     return this.node.shutDown(function* () {
       yield* control.group.transferLeadership();
-      yield* EnvTools.sleep(control.env, Constants.leadershipTransferTimeoutMs);
+      yield* EnvironmentTools.sleep(control.env, Constants.leadershipTransferTimeoutMs);
     });
   }
 }
--- a/src/control/controlRequestHandler.ts
+++ b/src/control/controlRequestHandler.ts
@@ -5,7 +5,7 @@
 import { Node } from "../node/node";
 import { LeaderClock, OrderDeadline } from "../node/orderDeadline";
 import { Task } from "../runtime/csp";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { ChangeProposals } from "./changeProposals";
 import { Leadership } from "./leadership";
 import { RetirementOrders } from "./retirementOrders";
@@ -35,7 +35,7 @@
   private readonly clockId: string;
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly group: ConsensusGroup,
     private readonly leadership: Leadership,
--- a/src/control/groupBootstrap.ts
+++ b/src/control/groupBootstrap.ts
@@ -4,7 +4,7 @@
 import { ConsensusGroup } from "../consensus/consensusGroup";
 import { Node } from "../node/node";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 
 /** Response to "found.status": what a founder knows of a group. */
 interface FounderStatus {
@@ -62,7 +62,7 @@
 
   /** @param voterCount voters that the group should have */
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly settings: Settings,
     private readonly node: Node,
     private readonly group: ConsensusGroup,
@@ -97,13 +97,13 @@
     return yield* this.group.bootstrap(body.group, body.voters);
   }
 
-  /** Tries until this node belongs to a group. @example EnvTools.keep(env, env.scope, "bootstrap", () => bootstrap.run()); */
+  /** Tries until this node belongs to a group. @example EnvironmentTools.keep(env, env.scope, "bootstrap", () => bootstrap.run()); */
   *run(): Task<void> {
     while (!this.group.isBootstrapped()) {
-      yield* EnvTools.sleep(this.env, Constants.bootstrapRetryMs);
+      yield* EnvironmentTools.sleep(this.env, Constants.bootstrapRetryMs);
       yield* this.attempt();
     }
-    for (;;) yield* EnvTools.sleep(this.env, IDLE_SLEEP_MS);
+    for (;;) yield* EnvironmentTools.sleep(this.env, IDLE_SLEEP_MS);
   }
 
   private *attempt(): Task<void> {
@@ -157,7 +157,7 @@
   }
 
   private *bootstrap(ids: string[]): Task<void> {
-    const group = EnvTools.id(this.env, "group");
+    const group = EnvironmentTools.id(this.env, "group");
     const voters = ids.slice(0, this.voterCount);
     const own = yield* this.group.bootstrap(group, voters);
     if (!own.ok) {
--- a/src/control/ledgerDelivery.ts
+++ b/src/control/ledgerDelivery.ts
@@ -2,7 +2,7 @@
 import { ConsensusGroup } from "../consensus/consensusGroup";
 import type { Decision } from "../controlState/controlState";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { ShardClient } from "../storage/shardClient";
 
 /** Pause between deliveries of the leader, ms. */
@@ -18,16 +18,16 @@
  */
 export class LedgerDelivery {
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly group: ConsensusGroup,
     private readonly shards: ShardClient,
   ) {}
 
-  /** @example EnvTools.keep(env, env.scope, "ledger delivery", () => delivery.run()); */
+  /** @example EnvironmentTools.keep(env, env.scope, "ledger delivery", () => delivery.run()); */
   *run(): Task<void> {
     for (;;) {
       const isLeader = this.group.role === "leader";
-      yield* EnvTools.sleep(this.env, isLeader ? DELIVERY_INTERVAL_MS : Constants.leaderTaskPeriodMs);
+      yield* EnvironmentTools.sleep(this.env, isLeader ? DELIVERY_INTERVAL_MS : Constants.leaderTaskPeriodMs);
       if (!this.group.hasLeaderLease()) continue;
       const undelivered = this.group.state.untold.slice(0, MAX_BATCH);
       const hasAllShards = Object.keys(this.group.state.views).length >= Constants.shardCount;
--- a/src/control/memberCalls.ts
+++ b/src/control/memberCalls.ts
@@ -1,6 +1,6 @@
 import { Node } from "../node/node";
 import { Csp, Task } from "../runtime/csp";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { StoreStatuses } from "./storeStatuses";
 
 /** A request to several members of a view. */
@@ -20,7 +20,7 @@
 /** Calls members of a view concurrently. */
 export class MemberCalls {
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly statuses: StoreStatuses,
   ) {}
--- a/src/control/rebalancing.ts
+++ b/src/control/rebalancing.ts
@@ -1,6 +1,6 @@
 import type { ShardView } from "../controlState/shardView";
 import { Member } from "../membership/member";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { StoreSelection } from "./storeSelection";
 
 /** Shortest time between two moves of a replica, ms. */
@@ -20,7 +20,7 @@
   private lastMoveAt = -Infinity;
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly selection: StoreSelection,
   ) {}
 
--- a/src/control/replicaJoin.ts
+++ b/src/control/replicaJoin.ts
@@ -3,7 +3,7 @@
 import { Member } from "../membership/member";
 import { Node } from "../node/node";
 import { Task } from "../runtime/csp";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { StoreStatuses } from "./storeStatuses";
 import { ViewChange } from "./viewChange";
 
@@ -15,7 +15,7 @@
 /** Adds a replica to a shard: it copies the state from the leader, then joins by a view change. */
 export class ReplicaJoin {
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly group: ConsensusGroup,
     private readonly statuses: StoreStatuses,
--- a/src/control/retirementOrders.ts
+++ b/src/control/retirementOrders.ts
@@ -6,7 +6,7 @@
 import { RetireRequest } from "../node/controlRequest";
 import { Node } from "../node/node";
 import { Task } from "../runtime/csp";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { AcceptedChange, ChangeProposals } from "./changeProposals";
 import { StoreRetirement } from "./storeRetirement";
 
@@ -15,7 +15,7 @@
 /** Operators' orders to retire a storage node, and reads of their progress. */
 export class RetirementOrders {
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly group: ConsensusGroup,
     private readonly retirement: StoreRetirement,
--- a/src/control/shardPlacement.ts
+++ b/src/control/shardPlacement.ts
@@ -3,7 +3,7 @@
 import type { ShardView } from "../controlState/shardView";
 import { Node } from "../node/node";
 import { Csp, Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { MemberCalls } from "./memberCalls";
 import { Rebalancing } from "./rebalancing";
 import { ReplicaJoin } from "./replicaJoin";
@@ -39,7 +39,7 @@
   private readonly checkRequested = Csp.sliding<true>(1);
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     node: Node,
     private readonly group: ConsensusGroup,
   ) {
@@ -63,7 +63,7 @@
 
   /** @example placement.start(); */
   start(): void {
-    EnvTools.keep(this.env, this.env.scope, "shard placement", () => this.loop());
+    EnvironmentTools.keep(this.env, this.env.scope, "shard placement", () => this.loop());
   }
 
   /** Checks all shards now, not with the next poll; a storage node calls it when a replica has a fault. @example placement.requestCheck(); */
@@ -73,7 +73,7 @@
 
   private *loop(): Task<void> {
     for (;;) {
-      yield* EnvTools.takeWithin(this.env, this.checkRequested, Constants.statusPeriodMs);
+      yield* EnvironmentTools.takeWithin(this.env, this.checkRequested, Constants.statusPeriodMs);
       if (!this.group.hasLeaderLease()) {
         this.statuses.clear();
         continue;
@@ -81,7 +81,7 @@
       yield* this.statuses.poll();
       const polledAt = this.env.mono();
       for (let shard = 0; shard < Constants.shardCount; shard += 1) this.checkShard(shard);
-      yield* EnvTools.sleep(this.env, polledAt + Constants.statusPollGapMs - this.env.mono());
+      yield* EnvironmentTools.sleep(this.env, polledAt + Constants.statusPollGapMs - this.env.mono());
     }
   }
 
--- a/src/control/storeStatuses.ts
+++ b/src/control/storeStatuses.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../common/constants";
 import { Node } from "../node/node";
 import { Csp, Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { ShardReplicaStatus } from "../shard/shardReplica";
 import type { ShardView } from "../controlState/shardView";
 
@@ -43,7 +43,7 @@
   firstStoreAt = Infinity;
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
   ) {}
 
@@ -66,7 +66,7 @@
       });
     const deadline = this.env.mono() + Constants.statusWaitMs;
     for (let received = 0; received < stores.length && this.env.mono() < deadline; received += 1)
-      yield* EnvTools.takeWithin(this.env, done, deadline - this.env.mono());
+      yield* EnvironmentTools.takeWithin(this.env, done, deadline - this.env.mono());
     this.lastPollAt = startedAt;
     if (stores.length > 0 && this.firstStoreAt === Infinity) this.firstStoreAt = this.env.mono();
   }
--- a/src/control/viewChange.ts
+++ b/src/control/viewChange.ts
@@ -3,7 +3,7 @@
 import type { ShardView } from "../controlState/shardView";
 import { Node } from "../node/node";
 import { Task } from "../runtime/csp";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { MemberCalls } from "./memberCalls";
 import { StoreSelection } from "./storeSelection";
 import { StoreStatuses } from "./storeStatuses";
@@ -74,7 +74,7 @@
 
   /** @param replicationFactor members that a view should have */
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly group: ConsensusGroup,
     private readonly statuses: StoreStatuses,
--- a/src/control/viewChangeTrigger.ts
+++ b/src/control/viewChangeTrigger.ts
@@ -2,7 +2,7 @@
 import { ConsensusGroup } from "../consensus/consensusGroup";
 import type { ShardView } from "../controlState/shardView";
 import { Node } from "../node/node";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { ShardReplicaStatus } from "../shard/shardReplica";
 import { StoreStatuses } from "./storeStatuses";
 
@@ -15,7 +15,7 @@
   private readonly idleSince = new Map<number, number>();
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly group: ConsensusGroup,
     private readonly statuses: StoreStatuses,
--- a/src/control/voterManager.ts
+++ b/src/control/voterManager.ts
@@ -2,7 +2,7 @@
 import { ConsensusGroup } from "../consensus/consensusGroup";
 import { Node } from "../node/node";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { VoterSelection, VoterSituation } from "./voterSelection";
 
 /** Replaces lost voters of the consensus group by standbys, while this node leads it. */
@@ -11,7 +11,7 @@
 
   /** @param voterCount voters that the group should have: a majority remains when as many are lost at once as the settings tolerate */
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly group: ConsensusGroup,
     readonly voterCount: number,
@@ -19,10 +19,10 @@
     this.startedAt = env.mono();
   }
 
-  /** @example EnvTools.keep(env, env.scope, "voters", () => voterManager.run()); */
+  /** @example EnvironmentTools.keep(env, env.scope, "voters", () => voterManager.run()); */
   *run(): Task<void> {
     for (;;) {
-      yield* EnvTools.sleep(this.env, Constants.leaderTaskPeriodMs);
+      yield* EnvironmentTools.sleep(this.env, Constants.leaderTaskPeriodMs);
       if (!this.group.hasLeaderLease()) continue;
       const voters = VoterSelection.next(this.situation());
       if (!voters) continue;
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -5,7 +5,7 @@
 import { ownHeaderNames } from "../forwarding/headerNames";
 import { ProtocolAdapters } from "../adapters/protocolAdapters";
 import { Task } from "../runtime/csp";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { IngressNode } from "../ingress/ingressNode";
 import { StorageNode } from "../storage/storageNode";
 
@@ -24,7 +24,7 @@
  */
 export const Daemon = {
   /** The faults are those of the program's start; "invalid" for an unknown program. */
-  *start(env: Env, settings: Settings, adapters: ProtocolAdapters = {}): Task<Result<RunningDaemon>> {
+  *start(env: Environment, settings: Settings, adapters: ProtocolAdapters = {}): Task<Result<RunningDaemon>> {
     switch (settings.program) {
       case "agent":
         return yield* AgentNode.start(env, settings);
--- a/src/forwarding/directHttp.ts
+++ b/src/forwarding/directHttp.ts
@@ -2,7 +2,7 @@
 import { Fault, Result } from "../common/fault";
 import type { Endpoint } from "../node/clusterSnapshot";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools, HttpRequest, HttpResponse } from "../runtime/env";
+import { Environment, EnvironmentTools, HttpRequest, HttpResponse } from "../runtime/env";
 import { HeaderNames } from "./headerNames";
 
 /** A request that is forwarded unchanged. */
@@ -88,7 +88,7 @@
 
   /** Sends the request and waits up to headTimeoutMs for the head of the response; checks that it is this request's. */
   *open(
-    env: Env,
+    env: Environment,
     names: HeaderNames,
     endpoint: Endpoint,
     request: DirectRequest,
@@ -119,6 +119,6 @@
   },
 
   /** Reads the entire body; undefined if it was cut off, too long or too slow. */
-  readBody: (env: Env, opened: DirectResponse, withinMs: number): Task<Buffer | undefined> =>
-    EnvTools.bytesOf(env, opened.response, Constants.responseLimitBytes, withinMs),
+  readBody: (env: Environment, opened: DirectResponse, withinMs: number): Task<Buffer | undefined> =>
+    EnvironmentTools.bytesOf(env, opened.response, Constants.responseLimitBytes, withinMs),
 };
--- a/src/forwarding/endpointHttp.ts
+++ b/src/forwarding/endpointHttp.ts
@@ -2,7 +2,7 @@
 import { Fault, Result } from "../common/fault";
 import type { Endpoint } from "../node/clusterSnapshot";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools, HttpResponse } from "../runtime/env";
+import { Environment, EnvironmentTools, HttpResponse } from "../runtime/env";
 import { EndpointStream } from "./endpointStream";
 import { promisesNotExecuted } from "./notExecutedStatus";
 
@@ -64,7 +64,7 @@
  */
 export const EndpointHttp = {
   /** Opens a stream; the fault's step is "deliver" if the endpoint responded with another status. */
-  *stream(env: Env, endpoint: Endpoint, delivery: ForwardedRequest): Task<Result<EndpointStream>> {
+  *stream(env: Environment, endpoint: Endpoint, delivery: ForwardedRequest): Task<Result<EndpointStream>> {
     const response = yield* env.http(endpoint.address, {
       method: "POST",
       path: delivery.path,
@@ -82,7 +82,7 @@
   },
 
   /** Sends a request and reads its body; statuses from 500, and those that promise something, are faults. */
-  *single(env: Env, endpoint: Endpoint, delivery: ForwardedRequest): Task<Result<SingleResponse>> {
+  *single(env: Environment, endpoint: Endpoint, delivery: ForwardedRequest): Task<Result<SingleResponse>> {
     const sent = yield* env.http(endpoint.address, {
       method: "POST",
       path: delivery.path,
@@ -97,7 +97,7 @@
       response.abort();
       return Fault.fail("refused", "deliver", endpoint.id, "not accepted");
     }
-    const body = yield* EnvTools.bodyOf(env, response, Constants.responseLimitBytes, delivery.deadlineMs);
+    const body = yield* EnvironmentTools.bodyOf(env, response, Constants.responseLimitBytes, delivery.deadlineMs);
     if (body === undefined)
       return Fault.fail("broken", "read replica", endpoint.id, "reply broken, too long or too slow");
     const { status } = response;
--- a/src/forwarding/endpointStream.ts
+++ b/src/forwarding/endpointStream.ts
@@ -2,7 +2,7 @@
 import { Fault, Result } from "../common/fault";
 import type { Endpoint } from "../node/clusterSnapshot";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools, HttpResponse } from "../runtime/env";
+import { Environment, EnvironmentTools, HttpResponse } from "../runtime/env";
 
 /** One line of a stream: a chunk, or the end. */
 type StreamLine = { chunk: string } | { isEnd: true };
@@ -31,7 +31,7 @@
   private receivedBytes = 0;
   private hasEnded = false;
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly endpoint: Endpoint,
     private readonly response: HttpResponse,
   ) {}
@@ -76,7 +76,7 @@
   }
 
   private *receive(withinMs: number): Task<Result<true>> {
-    const received = yield* EnvTools.takeWithin(this.env, this.response.chunks, withinMs);
+    const received = yield* EnvironmentTools.takeWithin(this.env, this.response.chunks, withinMs);
     if (received === undefined) return this.fail("timeout", "replica fell silent");
     if (received === null) return this.fail("broken", "replica ended without saying so");
     this.receivedBytes += received.length;
--- a/src/forwarding/eventStreamReader.ts
+++ b/src/forwarding/eventStreamReader.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../common/constants";
 import { Fault, Result } from "../common/fault";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools, HttpResponse } from "../runtime/env";
+import { Environment, EnvironmentTools, HttpResponse } from "../runtime/env";
 
 /** One server-sent event. */
 export interface StreamEvent {
@@ -50,7 +50,7 @@
   private receivedBytes = 0;
   /** Reads the response of an endpoint; `lastId` is the id before the first event that is expected. */
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly endpointId: string,
     private readonly response: HttpResponse,
     public lastId: number,
@@ -65,7 +65,7 @@
     for (;;) {
       const events = this.readEvents();
       if (!events.ok || events.value.length > 0) return events;
-      const chunk = yield* EnvTools.takeWithin(this.env, this.response.chunks, until - this.env.mono());
+      const chunk = yield* EnvironmentTools.takeWithin(this.env, this.response.chunks, until - this.env.mono());
       if (chunk === undefined) return this.fail("timeout", "replica fell silent");
       if (chunk === null) return this.endOfResponse();
       this.receivedBytes += chunk.length;
--- a/src/ingress/batchJobReader.ts
+++ b/src/ingress/batchJobReader.ts
@@ -3,7 +3,7 @@
 import { Fault, Result } from "../common/fault";
 import { RequestOf, ResponseOf } from "../rpc/methods";
 import { Task } from "../runtime/csp";
-import { EnvTools } from "../runtime/env";
+import { EnvironmentTools } from "../runtime/env";
 import type {
   ItemBodyResponse,
   JobResultPage,
@@ -57,7 +57,7 @@
         last = yield* rpc.call(address, "lot.results", body, waitMs + resultsGraceMs);
         if (last.ok || isCertain(last.fault)) return last;
       }
-      yield* EnvTools.sleep(env, retryPauseMs);
+      yield* EnvironmentTools.sleep(env, retryPauseMs);
     }
     return last.ok ? last : Fault.busy("lot results", last.fault.member, last.fault.detail, Constants.retryAfterMs);
   }
@@ -96,7 +96,7 @@
         if (last.ok || isCertain(last.fault)) return last;
       }
       if (env.mono() + retryPauseMs >= until) break;
-      yield* EnvTools.sleep(env, retryPauseMs);
+      yield* EnvironmentTools.sleep(env, retryPauseMs);
     }
     return last.ok ? last : Fault.busy(method, last.fault.member, last.fault.detail, Constants.retryAfterMs);
   }
--- a/src/ingress/directContext.ts
+++ b/src/ingress/directContext.ts
@@ -3,14 +3,14 @@
 import type { ClusterSnapshot } from "../node/clusterSnapshot";
 import { AdmissionQueue } from "../routing/admissionQueue";
 import { EndpointSelector } from "../routing/endpointSelector";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { IngressCounters } from "./ingressCounters";
 import type { IngressReadiness } from "./ingressReadiness";
 import type { LedgerNotes } from "./ledgerNotes";
 
 /** What the handling of direct requests needs of its ingress. */
 export interface DirectContext {
-  readonly env: Env;
+  readonly env: Environment;
   readonly id: string;
   readonly headerNames: HeaderNames;
   readonly admission: Pick<RequestAdmission, "bodyLimitBytes" | "countLive">;
--- a/src/ingress/ingressNode.ts
+++ b/src/ingress/ingressNode.ts
@@ -12,7 +12,7 @@
 import { AdmissionQueue } from "../routing/admissionQueue";
 import { EndpointSelector } from "../routing/endpointSelector";
 import { Csp, Task } from "../runtime/csp";
-import { Env, EnvTools, HttpExchange } from "../runtime/env";
+import { Environment, EnvironmentTools, HttpExchange } from "../runtime/env";
 import type { Cause } from "../shard/shardTypes";
 import { ShardClient } from "../storage/shardClient";
 import type { AgentLink } from "./agentLink";
@@ -63,7 +63,7 @@
   private inFlight = 0;
 
   private constructor(
-    readonly env: Env,
+    readonly env: Environment,
     private readonly settings: Settings,
     private readonly link: AgentLink,
     readonly headerNames: HeaderNames,
@@ -86,7 +86,7 @@
   }
 
   /** Starts an ingress; with `settings.agent` it uses that agent's process, else it has an agent of its own. */
-  static *start(env: Env, settings: Settings, adapters: ProtocolAdapters = {}): Task<Result<IngressNode>> {
+  static *start(env: Environment, settings: Settings, adapters: ProtocolAdapters = {}): Task<Result<IngressNode>> {
     const link = yield* IngressNode.link(env, settings);
     if (!link.ok) return link;
     const ingress = new IngressNode(env, settings, link.value, adapters.names ?? ownHeaderNames);
@@ -100,7 +100,7 @@
     return Fault.ok(ingress);
   }
 
-  private static *link(env: Env, settings: Settings): Task<Result<AgentLink>> {
+  private static *link(env: Environment, settings: Settings): Task<Result<AgentLink>> {
     if (settings.agent) return Fault.ok(new RemoteAgent(env, settings.cluster, settings.agent));
     const node = yield* Node.start(env, settings, "agent");
     return node.ok ? Fault.ok(new InProcessAgent(node.value)) : node;
@@ -132,8 +132,8 @@
   private startTasks(): void {
     const { env, link, notes, readiness } = this;
     link.start(() => this.admissionQueue.endpointsChanged());
-    EnvTools.keep(env, env.scope, "ledger notes", () => notes.flushLoop());
-    EnvTools.keep(env, env.scope, "clock watch", () => readiness.watchLoop());
+    EnvironmentTools.keep(env, env.scope, "ledger notes", () => notes.flushLoop());
+    EnvironmentTools.keep(env, env.scope, "clock watch", () => readiness.watchLoop());
   }
 
   /** The product's own surface: paths under /v1/ first, then routes by host and path. */
@@ -184,12 +184,12 @@
     this.link.prepareStop();
     const startedAt = this.env.mono();
     // callers go on sending until they have seen that we are unready: those requests are served
-    yield* EnvTools.sleep(this.env, Constants.stopListenMs);
+    yield* EnvironmentTools.sleep(this.env, Constants.stopListenMs);
     // from here on callers find no listener and go elsewhere, so that our end cuts off no request
     this.env.stopServing();
     while (this.env.mono() < startedAt + Constants.stopGraceMs && this.inFlight > 0)
-      yield* EnvTools.sleep(this.env, drainPollMs);
-    yield* EnvTools.sleep(this.env, Constants.ledgerFlushMs + lastNotesMs);
+      yield* EnvironmentTools.sleep(this.env, drainPollMs);
+    yield* EnvironmentTools.sleep(this.env, Constants.ledgerFlushMs + lastNotesMs);
     yield* this.link.depart();
   }
 }
--- a/src/ingress/ingressReadiness.ts
+++ b/src/ingress/ingressReadiness.ts
@@ -1,7 +1,7 @@
 import type { Readiness } from "../adapters/caller/callerOperations";
 import { Constants } from "../common/constants";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import type { AgentLink } from "./agentLink";
 import { IngressCounters } from "./ingressCounters";
 
@@ -18,7 +18,7 @@
   /** Set once the warm-up requests are done. */
   warmedUp = false;
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly link: AgentLink,
     private readonly counters: IngressCounters,
   ) {}
@@ -46,7 +46,7 @@
     let lastCheckAt = this.env.mono();
     let wasStale = false;
     for (;;) {
-      yield* EnvTools.sleep(this.env, Constants.clockWatchMs);
+      yield* EnvironmentTools.sleep(this.env, Constants.clockWatchMs);
       const now = this.env.mono();
       if (now - lastCheckAt > Constants.clockJumpMs + Constants.clockWatchMs) {
         this.env.log(1005, { forMs: Math.round(now - lastCheckAt) });
--- a/src/ingress/ledgerNotes.ts
+++ b/src/ingress/ledgerNotes.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../common/constants";
 import type { ClusterSnapshot } from "../node/clusterSnapshot";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import type { Cause } from "../shard/shardTypes";
 import { ShardClient } from "../storage/shardClient";
 import { IngressCounters } from "./ingressCounters";
@@ -27,7 +27,7 @@
   private readonly pending: LedgerNote[] = [];
   private batchCount = 0;
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly shardClient: ShardClient,
     private readonly selfId: string,
     private readonly snapshot: () => ClusterSnapshot,
@@ -45,7 +45,7 @@
   /** Puts what is pending at each flush interval; never returns. */
   *flushLoop(): Task<void> {
     for (;;) {
-      yield* EnvTools.sleep(this.env, Constants.ledgerFlushMs);
+      yield* EnvironmentTools.sleep(this.env, Constants.ledgerFlushMs);
       if (this.pending.length > 0 && this.snapshot().control) yield* this.flush();
     }
   }
--- a/src/ingress/lookupForwarder.ts
+++ b/src/ingress/lookupForwarder.ts
@@ -7,7 +7,7 @@
 import { EndpointSelector } from "../routing/endpointSelector";
 import { SelectionCriteria } from "../routing/selectionCriteria";
 import { Csp, Task } from "../runtime/csp";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { IngressCounters } from "./ingressCounters";
 import type { LedgerNotes } from "./ledgerNotes";
 import { RequestHandle, RequestTable } from "./requestTable";
@@ -19,7 +19,7 @@
 
 /** What a lookup forwarder needs of its ingress. */
 export interface LookupContext {
-  readonly env: Env;
+  readonly env: Environment;
   readonly id: string;
   readonly admissionQueue: AdmissionQueue;
   readonly endpointSelector: EndpointSelector;
--- a/src/ingress/overloadSignal.ts
+++ b/src/ingress/overloadSignal.ts
@@ -1,5 +1,5 @@
 import { Constants } from "../common/constants";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 
 /** The shortest time between two signals for the same pool. */
 const minIntervalMs = 200;
@@ -15,7 +15,7 @@
   private readonly signalledAt = new Map<string, number>();
   /** `publish` publishes a gossip fact that expires after leaseMs. */
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly selfId: string,
     private readonly publish: (key: string, value: unknown, leaseMs: number) => void,
   ) {}
--- a/src/ingress/pendingDirectRequest.ts
+++ b/src/ingress/pendingDirectRequest.ts
@@ -7,7 +7,7 @@
 import { SelectionCriteria } from "../routing/selectionCriteria";
 import { weightedPool } from "../routing/weightedSplit";
 import type { ClusterSnapshot } from "../node/clusterSnapshot";
-import { Env, EnvTools, HttpExchange } from "../runtime/env";
+import { Environment, EnvironmentTools, HttpExchange } from "../runtime/env";
 import { Cause } from "../shard/shardTypes";
 
 /** Priority in the header for endpoints: 0 is served first, this number last. */
@@ -48,7 +48,7 @@
  * const pending = readDirectRequest(env, headerNames, exchange, match, body, arrivedAt, configurationVersion);
  */
 export function readDirectRequest(
-  env: Env,
+  env: Environment,
   headerNames: HeaderNames,
   exchange: HttpExchange,
   { name: routeName, route }: MatchedRoute,
@@ -65,7 +65,7 @@
     target: exchange.target,
     headers: DirectHttp.endToEnd(headers),
     body,
-    id: headers[headerNames.requestId] ?? EnvTools.id(env, "req"),
+    id: headers[headerNames.requestId] ?? EnvironmentTools.id(env, "req"),
     remainingMs: leftMs,
     lastEventId: +lastEventId,
     priority: Math.min(lowestPriority, route.order ?? defaultPriority),
--- a/src/ingress/remoteAgent.ts
+++ b/src/ingress/remoteAgent.ts
@@ -6,7 +6,7 @@
 import { ReadIndexConfirmation } from "../node/readIndexConfirmation";
 import { Rpc } from "../rpc/rpc";
 import { Csp, Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import type { AgentLink } from "./agentLink";
 
 const publishTimeoutMs = 500;
@@ -40,11 +40,11 @@
   /** Monotonic ms when the latest snapshot was asked for. */
   private latestAskedAt = -Infinity;
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     cluster: string,
     private readonly address: string,
   ) {
-    this.id = EnvTools.id(env, "ingress");
+    this.id = EnvironmentTools.id(env, "ingress");
     this.rpc = new Rpc(env, cluster, this.id);
     this.confirmation = new ReadIndexConfirmation(env, this.rpc, {
       own: () => undefined,
@@ -68,7 +68,7 @@
 
   start(onChange: () => void): void {
     this.confirmation.start();
-    EnvTools.keep(this.env, this.env.scope, "feed", () => this.feedLoop(onChange));
+    EnvironmentTools.keep(this.env, this.env.scope, "feed", () => this.feedLoop(onChange));
   }
 
   processThawed(): void {
@@ -111,7 +111,7 @@
       const timeoutMs = Constants.feedWaitMs + feedGraceMs;
       const response = yield* this.rpc.call(this.address, "agent.feed", request, timeoutMs);
       if (!response.ok) {
-        yield* EnvTools.sleep(this.env, feedRetryMs);
+        yield* EnvironmentTools.sleep(this.env, feedRetryMs);
         continue;
       }
       this.accept(SnapshotFeed.decode(response.value));
--- a/src/ingress/shardLiveRequests.ts
+++ b/src/ingress/shardLiveRequests.ts
@@ -4,7 +4,7 @@
 import { Hash } from "../common/hash";
 import { Stamp } from "../common/stamp";
 import { Task } from "../runtime/csp";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import type { OpenResponse, ReadResponse } from "../storage/messages/liveRequestMessages";
 import { ShardClient } from "../storage/shardClient";
 import type { AgentLink } from "./agentLink";
@@ -26,7 +26,7 @@
  */
 export class ShardLiveRequests implements LiveRequests {
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly link: AgentLink,
     private readonly shardClient: ShardClient,
     private readonly admission: IngressAdmission,
--- a/src/ingress/warmUpRequests.ts
+++ b/src/ingress/warmUpRequests.ts
@@ -1,6 +1,6 @@
 import { Constants } from "../common/constants";
 import { Csp, Task } from "../runtime/csp";
-import { Env, EnvTools, HttpExchange } from "../runtime/env";
+import { Environment, EnvironmentTools, HttpExchange } from "../runtime/env";
 import { DirectHttp, DirectRequest } from "../forwarding/directHttp";
 import { EventStreamReader } from "../forwarding/eventStreamReader";
 import { HeaderNames } from "../forwarding/headerNames";
@@ -43,7 +43,7 @@
 });
 
 /** Sends one request and reads its stream to the end; false if that fails. */
-function* sendOne(env: Env, headerNames: HeaderNames, self: Endpoint, id: string): Task<boolean> {
+function* sendOne(env: Environment, headerNames: HeaderNames, self: Endpoint, id: string): Task<boolean> {
   const opened = yield* DirectHttp.open(env, headerNames, self, requestWithId(id), requestTimeoutMs);
   if (!opened.ok) return false;
   const events = new EventStreamReader(env, self.id, opened.value.response, 0);
@@ -79,7 +79,7 @@
   ],
 
   /** Sends the requests to this ingress at `address`, until all are done, the time is up, or `isNeeded` says that callers wait. */
-  *run(env: Env, headerNames: HeaderNames, address: string, isNeeded: () => boolean): Task<void> {
+  *run(env: Environment, headerNames: HeaderNames, address: string, isNeeded: () => boolean): Task<void> {
     const until = env.mono() + Constants.warmUpMs;
     const self = endpointAt(address);
     const finished = Csp.chan<true>(concurrency);
@@ -90,6 +90,6 @@
         Csp.offer(finished, true);
       });
     for (let worker = 0; worker < concurrency; worker += 1)
-      yield* EnvTools.takeWithin(env, finished, until - env.mono());
+      yield* EnvironmentTools.takeWithin(env, finished, until - env.mono());
   },
 };
--- a/src/membership/antiEntropy.ts
+++ b/src/membership/antiEntropy.ts
@@ -2,7 +2,7 @@
 import { Fault, Result } from "../common/fault";
 import { Rpc } from "../rpc/rpc";
 import { Csp, Task } from "../runtime/csp";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { differingBuckets, totalChecksum } from "./checksums";
 import { FactStore } from "./factStore";
 import { Digest, DigestResponse, FactDiffRequest, FactDiffResponse } from "./gossipMessages";
@@ -20,7 +20,7 @@
   lastExchangeAt = -Infinity;
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly rpc: Rpc,
     private readonly membership: Membership,
     private readonly facts: FactStore,
--- a/src/membership/clockSkew.ts
+++ b/src/membership/clockSkew.ts
@@ -1,5 +1,5 @@
 import { Constants } from "../common/constants";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 
 /** How far our wall clock is ahead of the others', ms, and by how much that may be wrong. */
 export interface ClockSkew {
@@ -25,7 +25,7 @@
   private needsSamples = false;
   private wasTrusted = true;
 
-  constructor(private readonly env: Env) {}
+  constructor(private readonly env: Environment) {}
 
   /**
    * A round trip to a member.
--- a/src/membership/factStore.ts
+++ b/src/membership/factStore.ts
@@ -1,6 +1,6 @@
 import { Constants } from "../common/constants";
 import { Hash } from "../common/hash";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { FactMessage, FactRenewal, FactVersion } from "./gossipMessages";
 
 /** One fact of the cluster under its key, with the version that this member knows. */
@@ -90,7 +90,7 @@
   readonly bucketChecksums: number[] = Array<number>(Constants.gossipBuckets).fill(0);
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly ownId: string,
     private readonly listener: FactStoreListener,
   ) {}
--- a/src/membership/failureDetector.ts
+++ b/src/membership/failureDetector.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../common/constants";
 import { shuffle } from "../common/shuffle";
 import { Chan, Csp, Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { ClockSkewEstimator } from "./clockSkew";
 import { isActive, Member } from "./member";
 import { MemberList } from "./memberList";
@@ -34,7 +34,7 @@
 
   /** @param periodMs turns a usual period into the one that applies now */
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly self: Member,
     private readonly members: MemberList,
     private readonly clockSkew: ClockSkewEstimator,
@@ -53,7 +53,7 @@
       if (spentMs > Constants.clockJumpMs + Constants.probePeriodMs) this.members.restartSuspicions();
       const jitter = PERIOD_JITTER_LOW + PERIOD_JITTER_SPREAD * this.env.random();
       const pauseMs = this.periodMs(Constants.probePeriodMs) * jitter - spentMs;
-      yield* EnvTools.sleep(this.env, Math.max(SHORTEST_PERIOD_MS, pauseMs));
+      yield* EnvironmentTools.sleep(this.env, Math.max(SHORTEST_PERIOD_MS, pauseMs));
     }
   }
 
@@ -71,7 +71,7 @@
       updates: this.members.takeUpdates(),
       wantsMembers,
     });
-    const response = yield* EnvTools.takeWithin(this.env, acknowledged, timeoutMs);
+    const response = yield* EnvironmentTools.takeWithin(this.env, acknowledged, timeoutMs);
     this.pendingAcks.delete(sequence);
     return response === true;
   }
@@ -160,7 +160,7 @@
       const [helper] = helpers.splice(Math.floor(this.env.random() * helpers.length), 1);
       this.send(helper.address, { type: "pingRequest", sequence, sender: this.self, target, updates: [] });
     }
-    const response = yield* EnvTools.takeWithin(this.env, acknowledged, Constants.indirectTimeoutMs);
+    const response = yield* EnvironmentTools.takeWithin(this.env, acknowledged, Constants.indirectTimeoutMs);
     this.pendingAcks.delete(sequence);
     return response === true;
   }
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -3,7 +3,7 @@
 import { ControlSnapshot } from "../controlState/controlSnapshot";
 import { Rpc } from "../rpc/rpc";
 import { Chan, Csp, Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { AntiEntropy } from "./antiEntropy";
 import { FactStore, GossipFact } from "./factStore";
 import { ConfigurationStep, Push } from "./gossipMessages";
@@ -36,7 +36,7 @@
   private readonly listeners: (() => void)[] = [];
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly rpc: Rpc,
     private readonly membership: Membership,
   ) {
@@ -70,8 +70,8 @@
   start(): void {
     this.rpc.handle("news.push", (push, sender) => this.onPush(push, sender));
     this.antiEntropy.serve();
-    EnvTools.keep(this.env, this.env.scope, "news push", () => this.pushLoop());
-    EnvTools.keep(this.env, this.env.scope, "news digest", () => this.digestLoop());
+    EnvironmentTools.keep(this.env, this.env.scope, "news push", () => this.pushLoop());
+    EnvironmentTools.keep(this.env, this.env.scope, "news digest", () => this.digestLoop());
   }
 
   /** Calls the listener after every change of a fact or of the snapshot. @example gossip.onChange(() => rebuild()); */
@@ -114,7 +114,7 @@
         const response = yield* rpc.call(address, "news.push", push, Constants.goodbyeToldMs);
         if (response.ok) Csp.offer(acknowledged, true);
       });
-    yield* EnvTools.takeWithin(this.env, acknowledged, Constants.goodbyeToldMs);
+    yield* EnvironmentTools.takeWithin(this.env, acknowledged, Constants.goodbyeToldMs);
   }
 
   /** Facts whose lease runs, by key prefix. @example gossip.live("replica/") */
@@ -175,7 +175,7 @@
     let pushedIndex = 0;
     for (;;) {
       yield* Csp.take(this.pushDue);
-      yield* EnvTools.takeWithin(this.env, this.pushUrgent, Constants.gossipFlushMs);
+      yield* EnvironmentTools.takeWithin(this.env, this.pushUrgent, Constants.gossipFlushMs);
       const { index, snapshot } = this.transfer;
       if (!this.facts.hasUnsent && index === pushedIndex) continue;
       const push: Push = { ...this.facts.takeUnsent(), frameIndex: index, group: snapshot?.group };
@@ -187,7 +187,7 @@
   private *digestLoop(): Task<void> {
     for (;;) {
       const jitter = DIGEST_JITTER_LOW + DIGEST_JITTER_SPREAD * this.env.random();
-      yield* EnvTools.sleep(this.env, this.membership.periodMs(Constants.digestPeriodMs) * jitter);
+      yield* EnvironmentTools.sleep(this.env, this.membership.periodMs(Constants.digestPeriodMs) * jitter);
       this.facts.expire();
       yield* this.exchangeDigests();
     }
--- a/src/membership/gossipPeers.ts
+++ b/src/membership/gossipPeers.ts
@@ -1,6 +1,6 @@
 import { Constants } from "../common/constants";
 import { shuffle } from "../common/shuffle";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { Membership } from "./membership";
 
 /** Chooses whom to gossip with: each peer once before any comes again, in random order. */
@@ -9,7 +9,7 @@
   private remaining: string[] = [];
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly membership: Membership,
   ) {}
 
--- a/src/membership/memberList.ts
+++ b/src/membership/memberList.ts
@@ -1,6 +1,6 @@
 import { Constants } from "../common/constants";
 import { Hash } from "../common/hash";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { MemberDiffResponse, MemberVersion } from "./gossipMessages";
 import { isActive, isActiveRank, isMember, Member, MemberState, Program, rankOf } from "./member";
 
@@ -32,7 +32,7 @@
   private checksums: number[] | undefined;
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly self: Member,
   ) {
     this.records.set(self.id, { member: self, changedAt: env.mono(), sentCount: 0 });
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,6 +1,6 @@
 import { Constants } from "../common/constants";
 import { Csp, Task } from "../runtime/csp";
-import { DatagramSocket, Env, EnvTools } from "../runtime/env";
+import { DatagramSocket, Environment, EnvironmentTools } from "../runtime/env";
 import { ClockSkew, ClockSkewEstimator } from "./clockSkew";
 import { FailureDetector } from "./failureDetector";
 import { MemberDiffResponse, MemberVersion } from "./gossipMessages";
@@ -36,7 +36,7 @@
    * @param bind address of the UDP socket
    */
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly cluster: string,
     readonly self: Member,
     private readonly seeds: () => string[],
@@ -64,9 +64,9 @@
     }
     this.socket = bound.value;
     const { scope } = this.env;
-    EnvTools.keep(this.env, scope, "datagrams", () => this.receive());
-    EnvTools.keep(this.env, scope, "probes", () => this.detector.probeLoop());
-    EnvTools.keep(this.env, scope, "join", () => this.joinLoop());
+    EnvironmentTools.keep(this.env, scope, "datagrams", () => this.receive());
+    EnvironmentTools.keep(this.env, scope, "probes", () => this.detector.probeLoop());
+    EnvironmentTools.keep(this.env, scope, "join", () => this.joinLoop());
     return true;
   }
 
@@ -204,7 +204,10 @@
       const candidates = this.joinCandidates();
       const address = candidates[Math.floor(this.env.random() * candidates.length)];
       if (address !== undefined) yield* this.detector.ping({ address }, Constants.probeTimeoutMs, true);
-      yield* EnvTools.sleep(this.env, this.periodMs(this.hasJoined() ? Constants.rejoinMs : Constants.joinRetryMs));
+      yield* EnvironmentTools.sleep(
+        this.env,
+        this.periodMs(this.hasJoined() ? Constants.rejoinMs : Constants.joinRetryMs),
+      );
     }
   }
 
--- a/src/membership/snapshotTransfer.ts
+++ b/src/membership/snapshotTransfer.ts
@@ -4,7 +4,7 @@
 import { ControlSnapshot } from "../controlState/controlSnapshot";
 import { GroupRecovery } from "../controlState/groupRecovery";
 import { Rpc } from "../rpc/rpc";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { Task } from "../runtime/csp";
 import { ConfigurationStep, SnapshotRequest, SnapshotResponse } from "./gossipMessages";
 
@@ -22,7 +22,7 @@
 
   /** @param onReplaced called after a newer snapshot was taken in */
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly rpc: Rpc,
     private readonly onReplaced: () => void,
   ) {}
--- a/src/model/actionRunner.ts
+++ b/src/model/actionRunner.ts
@@ -105,17 +105,18 @@
     const { world, network } = group;
     switch (action.tag) {
       case "isolate":
-        return world.cutOff([this.machineAt(action.machine).name], action.way);
+        return world.isolate([this.machineAt(action.machine).name], action.way);
       case "isolateLeader": {
         const leader = group.leaseHolder();
-        return leader && world.cutOff([leader.name], action.way);
+        return leader && world.isolate([leader.name], action.way);
       }
       case "split": {
         const names = group.machines.filter((_machine, at) => (action.mask >> at) & 1).map(({ name }) => name);
-        return world.cutOff(names, "both");
+        return world.isolate(names, "both");
       }
       case "cutOneWay":
-        if (action.from !== action.to) world.cut(this.machineAt(action.from).name, this.machineAt(action.to).name);
+        if (action.from !== action.to)
+          world.partition(this.machineAt(action.from).name, this.machineAt(action.to).name);
         return;
       case "heal":
         world.heal();
--- a/src/model/faultyNetwork.ts
+++ b/src/model/faultyNetwork.ts
@@ -1,6 +1,6 @@
 import { Fault, Result } from "../common/fault";
 import { Chan, Csp, Task } from "../runtime/csp";
-import { Env, Link } from "../runtime/env";
+import { Environment, Link } from "../runtime/env";
 import type { SimWorld } from "../simulation/simWorld";
 
 /** Accepted connections that wait to be taken, at most. */
@@ -31,7 +31,7 @@
   }
 
   /** The same environment, with its connections through this network. */
-  wrap(env: Env): Env {
+  wrap(env: Environment): Environment {
     const network = this;
     return {
       ...env,
@@ -45,7 +45,7 @@
       },
     };
   }
-  private wrapLinks(env: Env, accepted: Chan<Link>): Chan<Link> {
+  private wrapLinks(env: Environment, accepted: Chan<Link>): Chan<Link> {
     const network = this;
     const links = Csp.chan<Link>(ACCEPT_BACKLOG);
     Csp.go(env.scope, "faulty links", function* () {
--- a/src/model/machine.ts
+++ b/src/model/machine.ts
@@ -1,6 +1,6 @@
 import type { ConsensusGroup } from "../consensus/consensusGroup";
 import type { Rpc } from "../rpc/rpc";
-import type { Env } from "../runtime/env";
+import type { Environment } from "../runtime/env";
 import type { SimDisk } from "../simulation/simDisk";
 import type { SimProcess } from "../simulation/simProcess";
 
@@ -26,7 +26,7 @@
 
 /** Faults of the product itself, which a test puts between the group and its world to see that an invariant notices. */
 export interface FaultInjection {
-  env?: (env: Env) => Env;
+  env?: (env: Environment) => Environment;
   rpc?: (rpc: Rpc, id: string) => void;
   group?: (group: ConsensusGroup) => void;
 }
--- a/src/model/voterMaintenance.ts
+++ b/src/model/voterMaintenance.ts
@@ -1,6 +1,6 @@
 import { Constants } from "../common/constants";
 import { Task } from "../runtime/csp";
-import { EnvTools } from "../runtime/env";
+import { EnvironmentTools } from "../runtime/env";
 import type { DiskLossLimit } from "./diskLossLimit";
 import type { Incarnation, Machine } from "./machine";
 
@@ -19,7 +19,7 @@
   *run(incarnation: Incarnation): Task<void> {
     const { process, group } = incarnation;
     for (;;) {
-      yield* EnvTools.sleep(process.env, Constants.leaderTaskPeriodMs);
+      yield* EnvironmentTools.sleep(process.env, Constants.leaderTaskPeriodMs);
       if (!group.hasLeaderLease()) continue;
       const voters = this.nextVoters(incarnation);
       if (voters && this.diskLoss.allows(voters))
--- a/src/node/clockWatch.ts
+++ b/src/node/clockWatch.ts
@@ -1,6 +1,6 @@
 import { Constants } from "../common/constants";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 
 /** Called by the clock watch. */
 export interface ClockWatchListener {
@@ -22,7 +22,7 @@
   private checkedAt: number;
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly listener: ClockWatchListener,
   ) {
     this.checkedAt = env.mono();
@@ -37,7 +37,7 @@
   *run(): Task<void> {
     let lastOffset = this.env.wall() - this.checkedAt;
     for (;;) {
-      yield* EnvTools.sleep(this.env, Constants.clockWatchMs);
+      yield* EnvironmentTools.sleep(this.env, Constants.clockWatchMs);
       const now = this.env.mono();
       this.listener.checking(now);
       const offset = this.env.wall() - now;
--- a/src/node/clusterSnapshotCache.ts
+++ b/src/node/clusterSnapshotCache.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../common/constants";
 import { Gossip } from "../membership/gossip";
 import { Membership } from "../membership/membership";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { ClusterSnapshot, Endpoint } from "./clusterSnapshot";
 
 /** A snapshot is built anew after this time also without a known change: leases run out by time alone. */
@@ -35,7 +35,7 @@
   private lastRevision = 0;
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly gossip: Gossip,
     private readonly membership: Membership,
     private readonly health: NodeHealth,
--- a/src/node/controlClient.ts
+++ b/src/node/controlClient.ts
@@ -2,7 +2,7 @@
 import { Fault, Result } from "../common/fault";
 import { Rpc } from "../rpc/rpc";
 import { Csp, Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { ControlRequest } from "./controlRequest";
 import { OrderDeadline, OrderDeadlines } from "./orderDeadline";
 
@@ -51,7 +51,7 @@
   private readonly deadlines: OrderDeadlines;
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly rpc: Rpc,
     private readonly memberAddresses: () => string[],
   ) {
@@ -102,7 +102,10 @@
   }
 
   private pause(deadline: number): Task<void> {
-    return EnvTools.sleep(this.env, Math.max(0, Math.min(Constants.controlRetryMs, deadline - this.env.mono())));
+    return EnvironmentTools.sleep(
+      this.env,
+      Math.max(0, Math.min(Constants.controlRetryMs, deadline - this.env.mono())),
+    );
   }
 
   /** One attempt, given up at the deadline even while a connection is still being made. */
@@ -112,7 +115,7 @@
     Csp.go(this.env.scope, "ask control", function* () {
       Csp.offer(response, yield* client.send<Response>(address, request, deadline));
     });
-    const inTime = yield* EnvTools.takeWithin(this.env, response, Math.max(0, deadline - this.env.mono()));
+    const inTime = yield* EnvironmentTools.takeWithin(this.env, response, Math.max(0, deadline - this.env.mono()));
     return inTime ?? Fault.fail("timeout", "control", address, "no response while its caller waits");
   }
 
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -8,7 +8,7 @@
 import { Rpc } from "../rpc/rpc";
 import { Csp, Task } from "../runtime/csp";
 import { DataFolder } from "../runtime/dataFolder";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { ClockWatch } from "./clockWatch";
 import { ClusterSnapshot } from "./clusterSnapshot";
 import { ClusterSnapshotCache } from "./clusterSnapshotCache";
@@ -25,8 +25,8 @@
 const ANY_MEMBER_INTERVAL = 3;
 
 /** The id of the node: from its data folder, or a new one. */
-function* openIdentity(env: Env, settings: Settings, program: Program): Task<Result<string>> {
-  const newId = EnvTools.id(env, program);
+function* openIdentity(env: Environment, settings: Settings, program: Program): Task<Result<string>> {
+  const newId = EnvironmentTools.id(env, program);
   if (!settings.data) return Fault.ok(newId);
   const identity = { id: newId, cluster: settings.cluster, program };
   return yield* DataFolder.open(env, settings.data, settings.address, identity);
@@ -60,7 +60,7 @@
   private connectionsCheckedAt: number;
 
   private constructor(
-    readonly env: Env,
+    readonly env: Environment,
     readonly settings: Settings,
     readonly self: Member,
     readonly rpc: Rpc,
@@ -88,7 +88,7 @@
   }
 
   /** Starts a node: opens its data folder, listens, and joins the cluster. @example yield* Node.start(env, settings, "agent") */
-  static *start(env: Env, settings: Settings, program: Program): Task<Result<Node>> {
+  static *start(env: Environment, settings: Settings, program: Program): Task<Result<Node>> {
     const opened = yield* openIdentity(env, settings, program);
     if (!opened.ok) return opened;
     const id = opened.value;
@@ -121,12 +121,12 @@
    * Graceful shutdown, on SIGTERM: becomes unready, lets `finish` complete what is in flight, and leaves the cluster.
    * @example yield* node.shutDown();
    */
-  *shutDown(finish: () => Task<void> = () => EnvTools.sleep(this.env, IDLE_DRAIN_MS)): Task<void> {
+  *shutDown(finish: () => Task<void> = () => EnvironmentTools.sleep(this.env, IDLE_DRAIN_MS)): Task<void> {
     this.env.log(1002);
     this.stopping = true;
     yield* finish();
     this.membership.leave();
-    yield* EnvTools.sleep(this.env, LEAVE_GRACE_MS);
+    yield* EnvironmentTools.sleep(this.env, LEAVE_GRACE_MS);
     this.env.log(1003);
   }
 
@@ -173,7 +173,7 @@
     this.gossip.onChange(() => this.snapshots.invalidate());
     this.confirmation.serve();
     this.confirmation.start();
-    EnvTools.keep(this.env, this.env.scope, "clock watch", () => this.clockWatch.run());
+    EnvironmentTools.keep(this.env, this.env.scope, "clock watch", () => this.clockWatch.run());
   }
 
   private closeUnusedConnections(now: number): void {
@@ -197,7 +197,7 @@
   private *synchronize(): Task<void> {
     for (let exchanged = 0; exchanged < EXCHANGES_AFTER_FREEZE && this.membership.alive().length > 1;) {
       if (yield* this.gossip.exchangeDigests()) exchanged += 1;
-      else yield* EnvTools.sleep(this.env, EXCHANGE_RETRY_MS);
+      else yield* EnvironmentTools.sleep(this.env, EXCHANGE_RETRY_MS);
     }
     this.isSynchronized = true;
     this.snapshots.invalidate();
--- a/src/node/nodeContext.ts
+++ b/src/node/nodeContext.ts
@@ -1,7 +1,7 @@
 import { Result } from "../common/fault";
 import { Rpc } from "../rpc/rpc";
 import { Task } from "../runtime/csp";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { ClusterSnapshot } from "./clusterSnapshot";
 import { ControlClient } from "./controlClient";
 import { Announcement, AnnouncementResult, EndpointAnnouncements } from "./endpointAnnouncements";
@@ -9,7 +9,7 @@
 
 /** What the HTTP adapters need of the process that they run in: a node, or an ingress with an agent. */
 export interface NodeContext {
-  readonly env: Env;
+  readonly env: Environment;
   readonly rpc: Rpc;
   /** The member's id. */
   readonly id: string;
--- a/src/node/orderDeadline.ts
+++ b/src/node/orderDeadline.ts
@@ -1,6 +1,6 @@
 import { Constants } from "../common/constants";
 import { Task } from "../runtime/csp";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { Rpc } from "../rpc/rpc";
 import { Result } from "../common/fault";
 
@@ -41,7 +41,7 @@
   private reading: ClockReading | undefined;
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly rpc: Rpc,
   ) {}
 
--- a/src/node/readIndexConfirmation.ts
+++ b/src/node/readIndexConfirmation.ts
@@ -2,7 +2,7 @@
 import { ControlSnapshot } from "../controlState/controlSnapshot";
 import { GroupRecovery } from "../controlState/groupRecovery";
 import { Chan, Csp, Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { Rpc } from "../rpc/rpc";
 import { Fault, Result } from "../common/fault";
 
@@ -80,7 +80,7 @@
   private readonly confirmationDue: Chan<true> = Csp.sliding(1);
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly rpc: Rpc,
     private readonly hooks: ReadIndexConfirmationHooks,
   ) {
@@ -90,7 +90,7 @@
   /** Starts to ask for a read index, and does so again after each freeze. @example confirmation.start(); */
   start(): void {
     Csp.offer(this.confirmationDue, true);
-    EnvTools.keep(this.env, this.env.scope, "configuration confirmation", () => this.confirmLoop());
+    EnvironmentTools.keep(this.env, this.env.scope, "configuration confirmation", () => this.confirmLoop());
   }
 
   /** Responds to other processes that ask. @example confirmation.serve(); */
@@ -134,7 +134,7 @@
         const confirmation = this;
         if (address !== undefined && !this.pendingAddresses.has(address))
           Csp.go(this.env.scope, "ask for a read index", () => confirmation.askAt(address));
-        yield* EnvTools.sleep(
+        yield* EnvironmentTools.sleep(
           this.env,
           Constants.confirmRetryMs * (RETRY_JITTER_LOW + RETRY_JITTER_SPREAD * this.env.random()),
         );
@@ -183,7 +183,7 @@
     for (let own = this.hooks.own(); own; own = this.hooks.own()) {
       if (own.at > requiredAfter) return own;
       if (this.env.mono() > deadline) return undefined;
-      yield* EnvTools.sleep(this.env, Constants.readIndexTickMs);
+      yield* EnvironmentTools.sleep(this.env, Constants.readIndexTickMs);
     }
     return undefined;
   }
--- a/src/routing/admissionQueue.ts
+++ b/src/routing/admissionQueue.ts
@@ -1,6 +1,6 @@
 import { Constants } from "../common/constants";
 import { Chan, Csp, Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { EndpointSelector } from "./endpointSelector";
 import { SelectionCriteria } from "./selectionCriteria";
 import { Endpoint } from "../node/clusterSnapshot";
@@ -33,7 +33,7 @@
   private readonly queues = new Map<string, QueuedRequest[]>();
   /** `onOverload` is called with the pool whenever a request cannot be sent at once. */
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly endpointSelector: EndpointSelector,
     private readonly onOverload: (pool: string) => void,
   ) {}
@@ -85,7 +85,7 @@
       // nothing signals the next turn of a slow start or the end of an ejection: the head polls for them
       const leftMs = until - this.env.mono();
       const waitMs = queue[0] === request ? Math.min(Constants.roomTurnMs, leftMs) : leftMs;
-      yield* EnvTools.takeWithin(this.env, request.wake, waitMs);
+      yield* EnvironmentTools.takeWithin(this.env, request.wake, waitMs);
       const endpoint = queue[0] === request ? this.select(makeCriteria()) : undefined;
       if (endpoint) return endpoint;
     }
--- a/src/routing/endpointEligibility.ts
+++ b/src/routing/endpointEligibility.ts
@@ -1,4 +1,4 @@
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { Endpoint } from "../node/clusterSnapshot";
 import { PoolCriteria } from "./selectionCriteria";
 import { firstMatchingRule } from "./policyRules";
@@ -27,7 +27,7 @@
    * The same, narrowed to one side of a release: a gradual release sends a growing share of requests to the new version,
    * and a withdrawn version gets none. A side without endpoints falls back to the whole pool.
    */
-  inRelease(env: Env, criteria: PoolCriteria): Endpoint[] {
+  inRelease(env: Environment, criteria: PoolCriteria): Endpoint[] {
     const release = criteria.snapshot.control?.releases[criteria.pool];
     const announced = EndpointEligibility.inPool(criteria);
     const notWithdrawn = announced.filter(
--- a/src/routing/endpointSelector.ts
+++ b/src/routing/endpointSelector.ts
@@ -1,5 +1,5 @@
 import { Constants } from "../common/constants";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { Endpoint } from "../node/clusterSnapshot";
 import { EndpointEligibility } from "./endpointEligibility";
 import { EndpointStates } from "./endpointStates";
@@ -28,7 +28,7 @@
   private readonly longPromptIsolation: LongPromptIsolation;
   /** `self` is this node's id among the senders. */
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     self = "",
   ) {
     this.states = new EndpointStates(env);
--- a/src/routing/endpointStates.ts
+++ b/src/routing/endpointStates.ts
@@ -1,5 +1,5 @@
 import { Constants } from "../common/constants";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { Endpoint } from "../node/clusterSnapshot";
 
 /** What this node knows of one endpoint from the requests that it has sent there itself. */
@@ -40,7 +40,7 @@
 export class EndpointStates {
   private readonly states = new Map<string, EndpointState>();
   private sweptAt = 0;
-  constructor(private readonly env: Env) {}
+  constructor(private readonly env: Environment) {}
 
   /** The state of an endpoint as it is announced now; created on first use. */
   of(endpoint: Endpoint): EndpointState {
--- a/src/routing/longPromptIsolation.ts
+++ b/src/routing/longPromptIsolation.ts
@@ -1,5 +1,5 @@
 import { Constants } from "../common/constants";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { Endpoint } from "../node/clusterSnapshot";
 import { Hash } from "../common/hash";
 
@@ -45,7 +45,7 @@
  */
 export class LongPromptIsolation {
   private readonly prefillByPool = new Map<string, DecayingTokens>();
-  constructor(private readonly env: Env) {}
+  constructor(private readonly env: Environment) {}
 
   /** Reads the parts of a prompt from a header; malformed parts are left out. @example LongPromptIsolation.parse("5c1e:800,91bd:410").tokens // 1210 */
   static parse(text: string): Prompt {
--- a/src/routing/outlierEjection.ts
+++ b/src/routing/outlierEjection.ts
@@ -1,5 +1,5 @@
 import { Constants } from "../common/constants";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { EndpointState } from "./endpointStates";
 
 /**
@@ -11,7 +11,7 @@
  * ejection.recordFailure(state, "replica/r1/i1", false);
  */
 export class OutlierEjection {
-  constructor(private readonly env: Env) {}
+  constructor(private readonly env: Environment) {}
 
   isEjected(state: EndpointState, now: number): boolean {
     return state.ejectedUntil > now;
--- a/src/routing/prefixAffinity.ts
+++ b/src/routing/prefixAffinity.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../common/constants";
 import { Hash } from "../common/hash";
 import { Endpoint } from "../node/clusterSnapshot";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { EndpointStates } from "./endpointStates";
 import { SlowStart } from "./slowStart";
 
@@ -19,7 +19,7 @@
   /** Requests that went elsewhere, because the preferred endpoint was loaded or starting. */
   misses = 0;
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly states: EndpointStates,
     private readonly slowStart: SlowStart,
   ) {}
--- a/src/routing/slowStart.ts
+++ b/src/routing/slowStart.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../common/constants";
 import { Hash } from "../common/hash";
 import { Endpoint } from "../node/clusterSnapshot";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { EndpointStates } from "./endpointStates";
 
 const minWarmUpRate = 1e-6;
@@ -18,7 +18,7 @@
 export class SlowStart {
   private readonly startedAt: number;
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly self: string,
     private readonly states: EndpointStates,
   ) {
--- a/src/rpc/rpc.ts
+++ b/src/rpc/rpc.ts
@@ -1,6 +1,6 @@
 import { Result } from "../common/fault";
 import { Task } from "../runtime/csp";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { RequestOf, ResponseOf, RpcHandler, TypedMethod, UntypedMethod } from "./methods";
 import { RpcClient } from "./rpcClient";
 import { RpcServer } from "./rpcServer";
@@ -19,7 +19,7 @@
   private readonly client: RpcClient;
   private readonly server: RpcServer;
 
-  constructor(env: Env, cluster: string, selfId: string) {
+  constructor(env: Environment, cluster: string, selfId: string) {
     this.client = new RpcClient(env, cluster, selfId);
     this.server = new RpcServer(env, cluster, selfId);
   }
--- a/src/rpc/rpcClient.ts
+++ b/src/rpc/rpcClient.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../common/constants";
 import { Fault, Result } from "../common/fault";
 import { Chan, Csp, Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { Envelope, EnvelopeCodec } from "./envelopeCodec";
 import { PendingCall, RpcConnection } from "./rpcConnection";
 
@@ -32,7 +32,7 @@
   notificationCount = 0;
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly cluster: string,
     private readonly selfId: string,
   ) {}
@@ -101,9 +101,9 @@
   ): Task<Result<unknown> | null | undefined> {
     const waitMs = (): number =>
       Math.min(deadline - this.env.mono(), isCancelled ? Constants.leaderChangedMs : Infinity);
-    let response = yield* EnvTools.takeWithin(this.env, pending.result, waitMs());
+    let response = yield* EnvironmentTools.takeWithin(this.env, pending.result, waitMs());
     while (!response && isCancelled && !isCancelled() && this.env.mono() < deadline)
-      response = yield* EnvTools.takeWithin(this.env, pending.result, waitMs());
+      response = yield* EnvironmentTools.takeWithin(this.env, pending.result, waitMs());
     return response;
   }
 
--- a/src/rpc/rpcServer.ts
+++ b/src/rpc/rpcServer.ts
@@ -1,6 +1,6 @@
 import { Fault, Result } from "../common/fault";
 import { Csp, Task } from "../runtime/csp";
-import { Env, Link } from "../runtime/env";
+import { Environment, Link } from "../runtime/env";
 import { Envelope, EnvelopeCodec } from "./envelopeCodec";
 import { UntypedHandler } from "./methods";
 import { NO_RESPONSE } from "./rpcClient";
@@ -14,7 +14,7 @@
   failedNotificationCount = 0;
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly cluster: string,
     private readonly selfId: string,
   ) {}
--- a/src/runtime/checkpointedLog.ts
+++ b/src/runtime/checkpointedLog.ts
@@ -1,6 +1,6 @@
 import { Fault, Result } from "../common/fault";
 import { Task } from "./csp";
-import { Env } from "./env";
+import { Environment } from "./env";
 import { decodeFrame, decodeFrames, encodeFrame, scanLog } from "./recordFrames";
 
 /** What a start finds. */
@@ -69,7 +69,7 @@
 
   /** @param format number of the format of the files; a file of another format is refused */
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly folder: string,
     private readonly format = 1,
   ) {}
--- a/src/runtime/dataFolder.ts
+++ b/src/runtime/dataFolder.ts
@@ -1,6 +1,6 @@
 import { crc32 } from "zlib";
 import { Task } from "./csp";
-import { Env } from "./env";
+import { Environment } from "./env";
 import { Program } from "../membership/member";
 import { Fault, Result } from "../common/fault";
 
@@ -38,13 +38,13 @@
  */
 export const DataFolder = {
   /** The node's id: the one that stands in the folder, or the one given, once it is on disk. @example yield* DataFolder.open(env, folder, address, identity) */
-  *open(env: Env, folder: string, address: string, first: Identity): Task<Result<string>> {
+  *open(env: Environment, folder: string, address: string, first: Identity): Task<Result<string>> {
     const opened = yield* openFolder(env, folder, address, first);
     if (!opened.ok) env.log(1006, { reason: opened.fault.detail, folder });
     return opened;
   },
 };
-function* openFolder(env: Env, folder: string, address: string, first: Identity): Task<Result<string>> {
+function* openFolder(env: Environment, folder: string, address: string, first: Identity): Task<Result<string>> {
   const locked = yield* env.disk.lock(folder, address);
   if (!locked.ok) return locked;
   const file = `${folder}/identity`;
--- a/src/runtime/env.ts
+++ b/src/runtime/env.ts
@@ -1,6 +1,6 @@
 /** The environment of a process and the interfaces that it consists of. */
 export type { Disk } from "./disk";
-export type { Env, FaultPointContext, Timer } from "./environment";
-export { EnvTools } from "./environmentTools";
+export type { Environment, FaultPointContext, Timer } from "./environment";
+export { EnvironmentTools } from "./environmentTools";
 export type { HttpExchange, HttpLimits, HttpRequest, HttpResponse } from "./http";
 export type { DatagramSocket, Link } from "./network";
--- a/src/runtime/environment.ts
+++ b/src/runtime/environment.ts
@@ -21,7 +21,7 @@
  * All of the outside world that a task may use: clocks, random numbers, network, HTTP, disk and log. Production binds it
  * to Node.js, the simulator to virtual time and simulated machines.
  */
-export interface Env {
+export interface Environment {
   /** Name of the process, in logs. */
   readonly name: string;
   /** The process: all its tasks end with it. */
--- a/src/runtime/environmentTools.ts
+++ b/src/runtime/environmentTools.ts
@@ -1,5 +1,5 @@
 import { Chan, Csp, Picked, Scope, Task } from "./csp";
-import { Env } from "./environment";
+import { Environment } from "./environment";
 import { HttpResponse } from "./http";
 
 /** A supervised task that has ended or failed starts again after this time. */
@@ -9,11 +9,11 @@
 const ID_LOW_RANGE = 2 ** 24;
 const ID_RADIX = 36;
 
-function* sleep(env: Env, ms: number): Task<void> {
+function* sleep(env: Environment, ms: number): Task<void> {
   yield* Csp.take(env.timer(ms).chan);
 }
 
-function* takeWithin<T>(env: Env, chan: Chan<T>, ms: number): Task<T | null | undefined> {
+function* takeWithin<T>(env: Environment, chan: Chan<T>, ms: number): Task<T | null | undefined> {
   if (ms <= 0) return Csp.poll(chan);
   const timer = env.timer(ms);
   const picked: Picked<T> = yield* Csp.select<T>([chan, timer.chan]);
@@ -21,7 +21,12 @@
   return picked.index === 0 ? picked.value : undefined;
 }
 
-function* bytesOf(env: Env, response: HttpResponse, limit: number, timeoutMs: number): Task<Buffer | undefined> {
+function* bytesOf(
+  env: Environment,
+  response: HttpResponse,
+  limit: number,
+  timeoutMs: number,
+): Task<Buffer | undefined> {
   const chunks: Buffer[] = [];
   let size = 0;
   const deadline = env.mono() + timeoutMs;
@@ -37,20 +42,20 @@
   }
 }
 
-function* bodyOf(env: Env, response: HttpResponse, limit: number, timeoutMs: number): Task<string | undefined> {
+function* bodyOf(env: Environment, response: HttpResponse, limit: number, timeoutMs: number): Task<string | undefined> {
   return (yield* bytesOf(env, response, limit, timeoutMs))?.toString("utf8");
 }
 
-const digits = (env: Env, range: number): string => Math.floor(env.random() * range).toString(ID_RADIX);
+const digits = (env: Environment, range: number): string => Math.floor(env.random() * range).toString(ID_RADIX);
 
 /**
  * What tasks do with an environment again and again.
  *
  * @example
- * yield* EnvTools.sleep(env, 100);
- * const item = yield* EnvTools.takeWithin(env, chan, 500); // undefined: timed out, null: closed
+ * yield* EnvironmentTools.sleep(env, 100);
+ * const item = yield* EnvironmentTools.takeWithin(env, chan, 500); // undefined: timed out, null: closed
  */
-export const EnvTools = {
+export const EnvironmentTools = {
   sleep,
   /** The next item of a channel; undefined after `ms` without one, null if the channel is closed. */
   takeWithin,
@@ -58,10 +63,11 @@
   bytesOf,
   /** The same as text. */
   bodyOf,
-  /** A random id. @example EnvTools.id(env, "req") // "req-2k8f0…" */
-  id: (env: Env, prefix: string): string => `${prefix}-${digits(env, ID_HIGH_RANGE)}${digits(env, ID_LOW_RANGE)}`,
-  /** Starts a supervised task: whenever it ends or fails, it starts again. @example EnvTools.keep(env, scope, "probes", run) */
-  keep(env: Env, scope: Scope, name: string, body: () => Task<unknown>): void {
+  /** A random id. @example EnvironmentTools.id(env, "req") // "req-2k8f0…" */
+  id: (env: Environment, prefix: string): string =>
+    `${prefix}-${digits(env, ID_HIGH_RANGE)}${digits(env, ID_LOW_RANGE)}`,
+  /** Starts a supervised task: whenever it ends or fails, it starts again. @example EnvironmentTools.keep(env, scope, "probes", run) */
+  keep(env: Environment, scope: Scope, name: string, body: () => Task<unknown>): void {
     Csp.go(scope, name, function* () {
       for (;;) {
         try {
--- a/src/runtime/nodeEnv.ts
+++ b/src/runtime/nodeEnvironment.ts
@@ -6,7 +6,7 @@
 import { NodeDisk } from "./nodeDisk";
 import { NodeLibs } from "./nodeLibs";
 import { addressParts, pump, wait } from "./callbacks";
-import { DatagramSocket, Env, Link } from "./env";
+import { DatagramSocket, Environment, Link } from "./env";
 import { HttpClient } from "./httpClient";
 import { HttpServer } from "./httpServer";
 
@@ -55,10 +55,10 @@
  * The environment of production: Node's clocks, sockets and files.
  *
  * @example
- * const env = NodeEnv.make("store-1", scope, Logger.make("store-1", "info"));
+ * const env = NodeEnvironment.make("store-1", scope, Logger.make("store-1", "info"));
  */
-export const NodeEnv = {
-  make(name: string, scope: Scope, log: Env["log"]): Env {
+export const NodeEnvironment = {
+  make(name: string, scope: Scope, log: Environment["log"]): Environment {
     const timers = new Set<NodeJS.Timeout>();
     const servers: HttpServer[] = [];
     scope.whenStopped(() => timers.forEach((handle) => clearTimeout(handle)));
--- a/src/shard/replica/leader.ts
+++ b/src/shard/replica/leader.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../../common/constants";
 import type { ShardView } from "../../controlState/shardView";
 import { Csp, Task } from "../../runtime/csp";
-import { EnvTools } from "../../runtime/env";
+import { EnvironmentTools } from "../../runtime/env";
 import type { Leadership } from "./leadership";
 import type { LogReplication } from "./logReplication";
 import { MemberSender, RESEND_MS } from "./memberSender";
@@ -25,7 +25,7 @@
     leadership.reset();
     yield* this.acquireLeases(epoch);
     while (env.mono() < leadership.mayStartAt && leadership.isLeaderOf(epoch))
-      yield* EnvTools.takeWithin(env, leadership.wake, leadership.mayStartAt - env.mono());
+      yield* EnvironmentTools.takeWithin(env, leadership.wake, leadership.mayStartAt - env.mono());
     if (!leadership.isLeaderOf(epoch)) return;
     env.point(44);
     state.applyLog();
@@ -47,7 +47,7 @@
       Csp.go(env.scope, `grant of ${id}`, function* () {
         // Every member's log ends where this one does: the view was committed only then.
         while (leadership.isLeaderOf(epoch) && (yield* sender.renewLease(id, epoch, state.log.lastSeq)) !== "synced")
-          yield* EnvTools.sleep(env, RESEND_MS);
+          yield* EnvironmentTools.sleep(env, RESEND_MS);
         Csp.offer(done, true);
       });
     for (let answered = 0; answered < state.otherMembers().length; answered += 1) yield* Csp.take(done);
@@ -65,7 +65,7 @@
           const outcome = yield* sender.renewLease(id, epoch, state.appliedSeq);
           if (outcome === "behind") leadership.memberFailed(id, env.mono());
         });
-      yield* EnvTools.sleep(env, Constants.leaseRenewMs);
+      yield* EnvironmentTools.sleep(env, Constants.leaseRenewMs);
     }
   }
 }
--- a/src/shard/replica/logReplication.ts
+++ b/src/shard/replica/logReplication.ts
@@ -3,7 +3,7 @@
 import { Stamp } from "../../common/stamp";
 import { EnvelopeCodec } from "../../rpc/envelopeCodec";
 import { Csp, Task } from "../../runtime/csp";
-import { EnvTools } from "../../runtime/env";
+import { EnvironmentTools } from "../../runtime/env";
 import type { ReplicateRequest } from "../messages/replicationMessages";
 import type { Put, PutOutcome } from "../state/operations";
 import type { Leadership } from "./leadership";
@@ -50,7 +50,7 @@
     if (refusal) return refusal;
     const response = leadership.puts.add(put, env.mono());
     Csp.offer(leadership.wake, true);
-    const outcome = yield* EnvTools.takeWithin(env, response, withinMs);
+    const outcome = yield* EnvironmentTools.takeWithin(env, response, withinMs);
     return outcome ?? Fault.fail("unknown", "put", selfId, "not on every copy in time");
   }
   private refusalOf(put: Put): Result<never> | undefined {
@@ -71,7 +71,8 @@
   *run(epoch: number): Task<void> {
     const { state, leadership } = this;
     while (leadership.isLeaderOf(epoch)) {
-      if (leadership.puts.length === 0) yield* EnvTools.takeWithin(state.context.env, leadership.wake, IDLE_LOOK_MS);
+      if (leadership.puts.length === 0)
+        yield* EnvironmentTools.takeWithin(state.context.env, leadership.wake, IDLE_LOOK_MS);
       if (!leadership.isLeaderOf(epoch)) return;
       if (leadership.puts.length === 0) continue;
       const isReplicated = yield* this.replicateBatch(epoch, leadership.puts.takeBatch(Constants.putBatchMax));
--- a/src/shard/replica/memberSender.ts
+++ b/src/shard/replica/memberSender.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../../common/constants";
 import type { Result } from "../../common/fault";
 import type { Task } from "../../runtime/csp";
-import { EnvTools } from "../../runtime/env";
+import { EnvironmentTools } from "../../runtime/env";
 import type { ReplicateRequest, ReplicateResponse } from "../messages/replicationMessages";
 import type { Leadership } from "./leadership";
 import type { ReplicaState } from "./replicaState";
@@ -65,7 +65,7 @@
       if (outcome === "synced") return true;
       if (outcome === "over") return false;
       if (outcome === "behind") this.leadership.memberFailed(id, sentAt);
-      yield* EnvTools.sleep(env, RESEND_MS);
+      yield* EnvironmentTools.sleep(env, RESEND_MS);
     }
   }
 
--- a/src/shard/replica/replicaReads.ts
+++ b/src/shard/replica/replicaReads.ts
@@ -2,7 +2,7 @@
 import { Fault, Result } from "../../common/fault";
 import { Stamp } from "../../common/stamp";
 import type { Task } from "../../runtime/csp";
-import { EnvTools } from "../../runtime/env";
+import { EnvironmentTools } from "../../runtime/env";
 import type { BatchJob } from "../state/batchJob";
 import type { LiveRequest } from "../state/liveRequest";
 import type { ReplicaState } from "./replicaState";
@@ -41,7 +41,7 @@
     // At the leader the frontier moves with the time itself: it passes the next put that isn't stable yet by then.
     const nextTime = Math.min(...state.data.unstablePuts.map((put) => put.stamp.time));
     const dueMs = state.role === "lead" ? nextTime + Stamp.delay(hooks.bounds()) - env.wall() + 1 : Infinity;
-    yield* EnvTools.takeWithin(env, change, Math.min(ms, dueMs > 0 ? dueMs : Constants.statusPeriodMs));
+    yield* EnvironmentTools.takeWithin(env, change, Math.min(ms, dueMs > 0 ? dueMs : Constants.statusPeriodMs));
     state.removeReader(change);
   }
 }
--- a/src/shard/replica/replicaState.ts
+++ b/src/shard/replica/replicaState.ts
@@ -5,7 +5,7 @@
 import type { ShardReplicaRole } from "../messages/viewChangeMessages";
 import type { Rpc } from "../../rpc/rpc";
 import { Chan, Csp, Task } from "../../runtime/csp";
-import type { Env } from "../../runtime/env";
+import type { Environment } from "../../runtime/env";
 import { CheckpointedLog } from "../../runtime/checkpointedLog";
 import { SegmentStore } from "../segments/segmentStore";
 import type { PutOutcome } from "../state/operations";
@@ -31,7 +31,7 @@
 
 /** Where a replica runs, and which one it is. */
 export interface ReplicaContext {
-  readonly env: Env;
+  readonly env: Environment;
   readonly rpc: Rpc;
   /** Id of this member. */
   readonly selfId: string;
--- a/src/shard/replica/replicaStorage.ts
+++ b/src/shard/replica/replicaStorage.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../../common/constants";
 import { Fault, Result } from "../../common/fault";
 import type { Task } from "../../runtime/csp";
-import { EnvTools } from "../../runtime/env";
+import { EnvironmentTools } from "../../runtime/env";
 import { ShardData } from "../state/shardData";
 import type { Leadership } from "./leadership";
 import type { LogRecord, ReplicaSnapshot } from "./replicaSnapshot";
@@ -22,7 +22,7 @@
     private readonly leadership: Leadership,
   ) {
     const { env, shard } = state.context;
-    EnvTools.keep(env, env.scope, `segments of shard ${shard}`, () => this.segmentLoop());
+    EnvironmentTools.keep(env, env.scope, `segments of shard ${shard}`, () => this.segmentLoop());
   }
 
   /** Whether the disk failed, and has not been read and written anew since. */
@@ -164,7 +164,7 @@
       const [next] = data.pendingSegments;
       if (!next || state.isDiskBroken) {
         if (!state.isDiskBroken) yield* state.segments.removeTrimmed();
-        yield* EnvTools.takeWithin(env, state.segmentsPending, SEGMENT_LOOK_MS);
+        yield* EnvironmentTools.takeWithin(env, state.segmentsPending, SEGMENT_LOOK_MS);
         continue;
       }
       const written = yield* state.segments.write(next);
--- a/src/shard/replica/segmentTransfer.ts
+++ b/src/shard/replica/segmentTransfer.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../../common/constants";
 import { Fault, Result } from "../../common/fault";
 import type { Task } from "../../runtime/csp";
-import { EnvTools } from "../../runtime/env";
+import { EnvironmentTools } from "../../runtime/env";
 import type { SegmentCounts, SegmentKind, SegmentPart } from "../segments/segmentTypes";
 import type { ReplicaState } from "./replicaState";
 
@@ -52,7 +52,7 @@
       offset += bytes.length;
       size = chunk.value.size;
       state.counts.transferredBytes += bytes.length;
-      yield* EnvTools.sleep(env, (bytes.length * 1000) / Constants.segmentBytesPerSecond);
+      yield* EnvironmentTools.sleep(env, (bytes.length * 1000) / Constants.segmentBytesPerSecond);
     }
     env.point(17);
     return yield* state.segments.files.writeReceived(kind, number, part, Buffer.concat(chunks));
--- a/src/shard/segments/segmentFiles.ts
+++ b/src/shard/segments/segmentFiles.ts
@@ -1,6 +1,6 @@
 import { Fault, Result } from "../../common/fault";
 import type { Task } from "../../runtime/csp";
-import type { Env } from "../../runtime/env";
+import type { Environment } from "../../runtime/env";
 import { DecodedFile, SegmentFormat } from "./segmentFormat";
 import type { SegmentChecksum, SegmentIndex, SegmentKind, SegmentPart } from "./segmentTypes";
 
@@ -13,7 +13,7 @@
  */
 export class SegmentFiles {
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly folder: string,
   ) {}
 
--- a/src/shard/segments/segmentStore.ts
+++ b/src/shard/segments/segmentStore.ts
@@ -2,7 +2,7 @@
 import { Fault, Result } from "../../common/fault";
 import { Hash } from "../../common/hash";
 import type { Task } from "../../runtime/csp";
-import type { Env } from "../../runtime/env";
+import type { Environment } from "../../runtime/env";
 import { DigestTable } from "./digestTable";
 import { SealedLedger } from "./sealedLedger";
 import { SegmentFiles } from "./segmentFiles";
@@ -45,7 +45,7 @@
   private removedCounts: SegmentCounts = { works: 0, lots: 0, ledger: 0 };
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     folder: string,
   ) {
     this.files = new SegmentFiles(env, folder);
--- a/src/shard/shardReplica.ts
+++ b/src/shard/shardReplica.ts
@@ -5,7 +5,7 @@
 import type { ShardReplicaRole, ShardReplicaStatus } from "./messages/viewChangeMessages";
 import type { Rpc } from "../rpc/rpc";
 import type { Task } from "../runtime/csp";
-import type { Env } from "../runtime/env";
+import type { Environment } from "../runtime/env";
 import { AntiEntropy } from "./replica/antiEntropy";
 import { Follower } from "./replica/follower";
 import { Leader } from "./replica/leader";
@@ -70,7 +70,7 @@
   private readonly reads: ReplicaReads;
 
   constructor(
-    env: Env,
+    env: Environment,
     rpc: Rpc,
     selfId: string,
     readonly shard: number,
--- a/src/simulation/scenarios/networkScenarios.ts
+++ b/src/simulation/scenarios/networkScenarios.ts
@@ -12,8 +12,8 @@
       const half = names.slice(0, Math.ceil(names.length / 2));
       for (const left of half)
         for (const right of names.filter((name) => !half.includes(name))) {
-          fleet.world.cut(left, right);
-          fleet.world.cut(right, left);
+          fleet.world.partition(left, right);
+          fleet.world.partition(right, left);
         }
       fleet.acts.push("control cut in two");
       await fleet.run(1000);
--- a/src/simulation/scenarios/processScenarios.ts
+++ b/src/simulation/scenarios/processScenarios.ts
@@ -171,7 +171,7 @@
       const name = fleet.busiestStore();
       const second = pick(fleet, others(fleet, "store", name));
       // whatever it answers in this moment, nobody else has
-      for (const other of others(fleet, "store", name)) fleet.world.cut(name, other);
+      for (const other of others(fleet, "store", name)) fleet.world.partition(name, other);
       await fleet.run(300);
       fleet.fault(`disk loss at ${name} and ${second}`, true);
       fleet.kill(name, true);
--- a/src/simulation/simEnvironment.ts
+++ b/src/simulation/simEnvironment.ts
@@ -1,5 +1,5 @@
 import { Chan, Csp, Task } from "../runtime/csp";
-import { DatagramSocket, Env, FaultPointContext, Link, Timer } from "../runtime/env";
+import { DatagramSocket, Environment, FaultPointContext, Link, Timer } from "../runtime/env";
 import { Fault, Result } from "../common/fault";
 import { SimHttp } from "./simHttp";
 import { NetworkClock, SimNetwork } from "./simNetwork";
@@ -51,7 +51,7 @@
     this.host.http.stopServing(process);
   }
   /** The environment of a process. @example environments.of(process).mono() */
-  of(process: SimProcess): Env {
+  of(process: SimProcess): Environment {
     const { host } = this;
     const environments = this;
     return {
--- a/src/simulation/simFleet.ts
+++ b/src/simulation/simFleet.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../common/constants";
 import { Daemon, RunningDaemon } from "../daemon/daemon";
 import { Csp, Task } from "../runtime/csp";
-import { EnvTools } from "../runtime/env";
+import { EnvironmentTools } from "../runtime/env";
 import { ControlNode } from "../control/controlNode";
 import { StorageNode } from "../storage/storageNode";
 import { ShardView } from "../controlState/shardView";
@@ -157,7 +157,7 @@
         const mark = markersOf(manifest.doc);
         this.history.add({ tag: "inForce", at: this.wall(), node: address, version: manifest.version, mark });
       }
-      yield* EnvTools.sleep(this.operator.process.env, SAMPLE_PERIOD_MS);
+      yield* EnvironmentTools.sleep(this.operator.process.env, SAMPLE_PERIOD_MS);
     }
   }
   /** What was read once must stand so at the end of the day. */
@@ -175,7 +175,7 @@
           after = next;
         }
       }
-      yield* EnvTools.sleep(this.operator.process.env, LEDGER_PERIOD_MS);
+      yield* EnvironmentTools.sleep(this.operator.process.env, LEDGER_PERIOD_MS);
     }
   }
 
@@ -366,13 +366,13 @@
   cutOff(names: string[], way: "in" | "out" | "both" = "both"): void {
     this.acts.push(`cut off ${names.join(" ")} ${way}`);
     for (const name of names) this.unreachable.open(this.httpOf(name), this.wall());
-    this.world.cutOff(names, way);
+    this.world.isolate(names, way);
   }
   /** Nothing comes from some processes to another. @example fleet.deafen("ingress-1", ["store-1"]); */
   deafen(name: string, to: string[]): void {
     this.acts.push(`${name} hears nothing from ${to.join(" ")}`);
     this.unreachable.open(this.httpOf(name), this.wall());
-    for (const other of to) this.world.cut(other, name);
+    for (const other of to) this.world.partition(other, name);
   }
   heal(): void {
     this.world.heal();
--- a/src/simulation/simOperator.ts
+++ b/src/simulation/simOperator.ts
@@ -1,5 +1,5 @@
 import { Task } from "../runtime/csp";
-import { EnvTools } from "../runtime/env";
+import { EnvironmentTools } from "../runtime/env";
 import { History } from "../tools/history";
 import { CalendarEntryBody, ChangeBody, LedgerEntryBody } from "../cli/operator/responses";
 import { Plan } from "../tools/deployment";
@@ -104,7 +104,7 @@
       timeoutMs,
     });
     if (!response.ok) return undefined;
-    const text = yield* EnvTools.bodyOf(env, response.value, RESPONSE_LIMIT_BYTES, timeoutMs);
+    const text = yield* EnvironmentTools.bodyOf(env, response.value, RESPONSE_LIMIT_BYTES, timeoutMs);
     if (text === undefined) return undefined;
     return { status: response.value.status, headers: response.value.headers, body: parseBody(text) };
   }
--- a/src/simulation/simProcess.ts
+++ b/src/simulation/simProcess.ts
@@ -1,5 +1,5 @@
 import { Scope } from "../runtime/csp";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { SimDisk } from "./simDisk";
 
 /** Thrown at a fault point to end a process in the middle of its own code. */
@@ -8,7 +8,7 @@
 /** What a simulated process needs of the world it runs in. */
 export interface ProcessHost {
   /** The environment that the process gets. */
-  environmentFor(process: SimProcess): Env;
+  environmentFor(process: SimProcess): Environment;
 }
 
 /**
@@ -31,7 +31,7 @@
   sendFreeAt = 0;
   receiveFreeAt = 0;
   readonly scope: Scope;
-  readonly env: Env;
+  readonly env: Environment;
   /** Its newest log lines. */
   readonly logs: string[] = [];
   /** Errors of its tasks that nobody caught. */
--- a/src/simulation/simWorld.ts
+++ b/src/simulation/simWorld.ts
@@ -1,5 +1,5 @@
 import { Csp, Task } from "../runtime/csp";
-import { Env, FaultPointContext } from "../runtime/env";
+import { Environment, FaultPointContext } from "../runtime/env";
 import { EventQueue } from "./eventQueue";
 import { SimDisk } from "./simDisk";
 import { SimEnvironmentHost, SimEnvironments } from "./simEnvironment";
@@ -41,7 +41,7 @@
   /** Share of disk operations that take much longer than the others. */
   slowDiskShare = 0.004;
   /** Wraps the environment of each process that starts, to count or to disturb what it does. */
-  around: (env: Env) => Env = (env) => env;
+  around: (env: Environment) => Environment = (env) => env;
   /** Called at every fault point that a process reaches. */
   watch: (process: SimProcess, point: number) => void = () => undefined;
   private readonly environments = new SimEnvironments(this);
@@ -115,7 +115,7 @@
     return process;
   }
   /** The environment that a process gets. @example world.environmentFor(process) */
-  environmentFor(process: SimProcess): Env {
+  environmentFor(process: SimProcess): Environment {
     return this.around(this.environments.of(process));
   }
   /** Ends a process at once; with its power, what it had not synced or was sending may be lost. @example world.kill("store-1", true); */
@@ -163,27 +163,27 @@
 
   // ---------- partitions ----------
   /** Whether connections across a partition are refused at once, rather than left without a response. */
-  get cutsReset(): boolean {
+  get partitionsReset(): boolean {
     return this.network.partitionsReset;
   }
-  set cutsReset(reset: boolean) {
+  set partitionsReset(reset: boolean) {
     this.network.partitionsReset = reset;
   }
-  /** Loses all that one process sends to another. @example world.cut("control-1", "control-2"); */
-  cut(from: string, to: string): void {
+  /** Loses all that one process sends to another. @example world.partition("control-1", "control-2"); */
+  partition(from: string, to: string): void {
     this.network.partition(from, to);
   }
-  /** Partitions a set of processes from all others. @example world.cutOff(["store-1"], "both"); */
-  cutOff(names: string[], direction: PartitionDirection): void {
+  /** Partitions a set of processes from all others. @example world.isolate(["store-1"], "both"); */
+  isolate(names: string[], direction: PartitionDirection): void {
     for (const name of names)
       for (const other of this.processes.keys())
         if (!names.includes(other)) {
-          if (direction !== "in") this.cut(name, other);
-          if (direction !== "out") this.cut(other, name);
+          if (direction !== "in") this.partition(name, other);
+          if (direction !== "out") this.partition(other, name);
         }
   }
-  /** Resets the connections that a partition crosses. @example world.resetCut(); */
-  resetCut(): void {
+  /** Resets the connections that a partition crosses. @example world.resetPartitioned(); */
+  resetPartitioned(): void {
     this.network.resetPartitioned();
   }
   /** Ends all partitions. @example world.heal(); */
--- a/src/storage/abandonedClaims.ts
+++ b/src/storage/abandonedClaims.ts
@@ -3,7 +3,7 @@
 import { Route } from "../controlState/configuration";
 import { Node } from "../node/node";
 import { Csp, Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { ShardReplica } from "../shard/shardReplica";
 import { isClosed } from "../shard/state/liveRequest";
 import { LiveRequest, PutOutcome, ShardOperation } from "../shard/shardTypes";
@@ -52,7 +52,7 @@
 
   /** @param running names of all that this node executes under a claim */
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly writer: ShardWriter,
     private readonly replicas: ReadonlyMap<number, ShardReplica>,
@@ -63,7 +63,7 @@
   ) {}
 
   start(): void {
-    EnvTools.keep(this.env, this.env.scope, "orphans", () => this.recoveryLoop());
+    EnvironmentTools.keep(this.env, this.env.scope, "orphans", () => this.recoveryLoop());
   }
 
   /** Recovers, in tasks of their own, all claims of a shard that their owners have abandoned. */
@@ -88,7 +88,7 @@
   /** Finds also what was accepted or claimed by a put that took longer than its request waited. */
   private *recoveryLoop(): Task<void> {
     for (;;) {
-      yield* EnvTools.sleep(this.env, Constants.abandonedClaimSearchMs);
+      yield* EnvironmentTools.sleep(this.env, Constants.abandonedClaimSearchMs);
       for (const replica of this.replicas.values()) {
         if (!replica.holdsLease()) continue;
         this.scheduler.addJobsOf(replica);
@@ -113,7 +113,7 @@
         else yield* this.recoverItem(replica, claim);
       }
       remaining = remaining.filter(({ name }) => executed.has(name));
-      if (remaining.length > 0) yield* EnvTools.sleep(this.env, OWNER_POLL_MS);
+      if (remaining.length > 0) yield* EnvironmentTools.sleep(this.env, OWNER_POLL_MS);
     }
   }
 
--- a/src/storage/batchJobs/batchJobReads.ts
+++ b/src/storage/batchJobs/batchJobReads.ts
@@ -3,7 +3,7 @@
 import { Stamp } from "../../common/stamp";
 import { Node } from "../../node/node";
 import { Task } from "../../runtime/csp";
-import { Env } from "../../runtime/env";
+import { Environment } from "../../runtime/env";
 import { ShardReplica } from "../../shard/shardReplica";
 import { BatchJob } from "../../shard/shardTypes";
 import { KeyedLock } from "../keyedLock";
@@ -28,7 +28,7 @@
 export class BatchJobReads {
   /** @param submissions locks of the jobs that are being submitted, by job id */
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly submissions: KeyedLock,
   ) {}
--- a/src/storage/batchJobs/batchJobs.ts
+++ b/src/storage/batchJobs/batchJobs.ts
@@ -3,7 +3,7 @@
 import { Stamp } from "../../common/stamp";
 import { Node } from "../../node/node";
 import { Task } from "../../runtime/csp";
-import { Env } from "../../runtime/env";
+import { Environment } from "../../runtime/env";
 import { ShardReplica } from "../../shard/shardReplica";
 import { KeyedLock } from "../keyedLock";
 import { EndJobRequest, EndJobResponse, SubmitJobRequest, SubmitJobResponse } from "../messages/batchJobMessages";
@@ -25,7 +25,7 @@
 export class BatchJobs {
   /** @param submissions locks of the jobs that are being submitted, by job id */
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly quota: Quota,
     private readonly openJobs: OpenJobs,
--- a/src/storage/batchJobs/itemEndpointChoice.ts
+++ b/src/storage/batchJobs/itemEndpointChoice.ts
@@ -4,7 +4,7 @@
 import { ClusterSnapshot, Endpoint } from "../../node/clusterSnapshot";
 import { EndpointEligibility } from "../../routing/endpointEligibility";
 import { EndpointSelector } from "../../routing/endpointSelector";
-import { Env } from "../../runtime/env";
+import { Environment } from "../../runtime/env";
 import { BatchJob } from "../../shard/shardTypes";
 import { ITEM_KIND } from "../selectionCriteria";
 import { EndpointUsage } from "./endpointUsage";
@@ -30,7 +30,7 @@
  */
 export class ItemEndpointChoice {
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly zone: string,
     private readonly endpointSelector: EndpointSelector,
     private readonly usage: EndpointUsage,
--- a/src/storage/batchJobs/itemExecution.ts
+++ b/src/storage/batchJobs/itemExecution.ts
@@ -5,7 +5,7 @@
 import { Endpoint } from "../../node/clusterSnapshot";
 import { EndpointSelector } from "../../routing/endpointSelector";
 import { Task } from "../../runtime/csp";
-import { Env } from "../../runtime/env";
+import { Environment } from "../../runtime/env";
 import { BatchJob } from "../../shard/shardTypes";
 import { ItemCounters } from "./itemCounters";
 import { giveUpAt } from "./jobDeadlines";
@@ -38,7 +38,7 @@
  */
 export class ItemExecution {
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly endpointSelector: EndpointSelector,
     private readonly openJobs: OpenJobs,
     private readonly names: HeaderNames,
--- a/src/storage/batchJobs/itemResults.ts
+++ b/src/storage/batchJobs/itemResults.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../../common/constants";
 import { Node } from "../../node/node";
 import { Csp, Task } from "../../runtime/csp";
-import { Env, EnvTools } from "../../runtime/env";
+import { Environment, EnvironmentTools } from "../../runtime/env";
 import { ItemOutcome, ShardOperation } from "../../shard/shardTypes";
 import { ShardWriter } from "../shardWriter";
 import { ItemCounters } from "./itemCounters";
@@ -29,7 +29,7 @@
   private batchNumber = 0;
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly writer: ShardWriter,
     private readonly openJobs: OpenJobs,
@@ -65,7 +65,7 @@
   /** Puts what is pending, until there is nothing more. */
   private *flush(shard: number): Task<void> {
     for (;;) {
-      yield* EnvTools.sleep(this.env, Constants.itemResultBatchMs);
+      yield* EnvironmentTools.sleep(this.env, Constants.itemResultBatchMs);
       const batch = this.pendingByShard.get(shard) ?? [];
       this.pendingByShard.delete(shard);
       if (batch.length === 0) return;
--- a/src/storage/batchJobs/itemScheduler.ts
+++ b/src/storage/batchJobs/itemScheduler.ts
@@ -5,7 +5,7 @@
 import { Node } from "../../node/node";
 import { EndpointSelector } from "../../routing/endpointSelector";
 import { Csp, Task } from "../../runtime/csp";
-import { Env, EnvTools } from "../../runtime/env";
+import { Environment, EnvironmentTools } from "../../runtime/env";
 import { ShardReplica } from "../../shard/shardReplica";
 import { BatchJob } from "../../shard/shardTypes";
 import { EndpointUsage } from "./endpointUsage";
@@ -42,7 +42,7 @@
   private readonly choice: ItemEndpointChoice;
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly endpointSelector: EndpointSelector,
     private readonly replicas: ReadonlyMap<number, ShardReplica>,
@@ -57,7 +57,7 @@
   }
 
   start(): void {
-    EnvTools.keep(this.env, this.env.scope, "items of lots", () => this.scheduleLoop());
+    EnvironmentTools.keep(this.env, this.env.scope, "items of lots", () => this.scheduleLoop());
   }
 
   /** Items that run now. */
@@ -66,7 +66,7 @@
   private *scheduleLoop(): Task<void> {
     for (let searchedAt = this.env.mono(); ;) {
       const hasWaiting = this.openJobs.all().some((open) => open.ready.length + open.delayed.length > 0);
-      yield* EnvTools.takeWithin(
+      yield* EnvironmentTools.takeWithin(
         this.env,
         this.openJobs.changed,
         hasWaiting ? Constants.jobSchedulingPeriodMs : IDLE_PASS_MS,
--- a/src/storage/batchJobs/jobDemand.ts
+++ b/src/storage/batchJobs/jobDemand.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../../common/constants";
 import { ClusterSnapshot } from "../../node/clusterSnapshot";
 import { Node } from "../../node/node";
-import { Env } from "../../runtime/env";
+import { Environment } from "../../runtime/env";
 import { OpenJobs } from "./openJobs";
 
 /** An announced demand is replaced when it has changed by this share. */
@@ -25,7 +25,7 @@
   private announced = { items: 0, at: -Infinity };
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly openJobs: OpenJobs,
   ) {}
--- a/src/storage/batchJobs/openJobs.ts
+++ b/src/storage/batchJobs/openJobs.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../../common/constants";
 import { Node } from "../../node/node";
 import { Chan, Csp } from "../../runtime/csp";
-import { Env } from "../../runtime/env";
+import { Environment } from "../../runtime/env";
 import { ShardReplica } from "../../shard/shardReplica";
 import { BatchJob } from "../../shard/shardTypes";
 import { ItemCounters } from "./itemCounters";
@@ -21,7 +21,7 @@
   readonly changed: Chan<true> = Csp.sliding(1);
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly counters: ItemCounters,
   ) {}
--- a/src/storage/batchWork.ts
+++ b/src/storage/batchWork.ts
@@ -1,7 +1,7 @@
 import { HeaderNames } from "../forwarding/headerNames";
 import { Node } from "../node/node";
 import { EndpointSelector } from "../routing/endpointSelector";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { ShardReplica } from "../shard/shardReplica";
 import { BatchJobReads } from "./batchJobs/batchJobReads";
 import { BatchJobs } from "./batchJobs/batchJobs";
@@ -37,7 +37,7 @@
   private readonly counters = newItemCounters();
 
   constructor(
-    env: Env,
+    env: Environment,
     node: Node,
     shardClient: ShardClient,
     endpointSelector: EndpointSelector,
--- a/src/storage/claimedItems/claimedItemExecution.ts
+++ b/src/storage/claimedItems/claimedItemExecution.ts
@@ -6,7 +6,7 @@
 import { Node } from "../../node/node";
 import { AdmissionQueue } from "../../routing/admissionQueue";
 import { Task } from "../../runtime/csp";
-import { Env } from "../../runtime/env";
+import { Environment } from "../../runtime/env";
 import { ShardReplica } from "../../shard/shardReplica";
 import { PutOutcome, ShardOperation } from "../../shard/shardTypes";
 import { ExecutionCounters } from "../executionCounters";
@@ -46,7 +46,7 @@
 export class ClaimedItemExecution {
   /** @param running names of all that this node executes under a claim: ids of live requests, and `JOB/INDEX` of items */
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly writer: ShardWriter,
     private readonly queue: AdmissionQueue,
--- a/src/storage/claimedItems/claimedItemJobs.ts
+++ b/src/storage/claimedItems/claimedItemJobs.ts
@@ -3,7 +3,7 @@
 import { Stamp } from "../../common/stamp";
 import { Node } from "../../node/node";
 import { Task } from "../../runtime/csp";
-import { Env } from "../../runtime/env";
+import { Environment } from "../../runtime/env";
 import { ShardReplica } from "../../shard/shardReplica";
 import { BatchItemState, PutOutcome } from "../../shard/shardTypes";
 import { AcceptJobRequest, JobStatusRequest, JobStatusResponse } from "../messages/batchJobMessages";
@@ -21,7 +21,7 @@
  */
 export class ClaimedItemJobs {
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly scheduler: ClaimedItemScheduler,
   ) {}
--- a/src/storage/claimedItems/claimedItemScheduler.ts
+++ b/src/storage/claimedItems/claimedItemScheduler.ts
@@ -4,7 +4,7 @@
 import { Node } from "../../node/node";
 import { EndpointSelector } from "../../routing/endpointSelector";
 import { Chan, Csp, Task } from "../../runtime/csp";
-import { Env, EnvTools } from "../../runtime/env";
+import { Environment, EnvironmentTools } from "../../runtime/env";
 import { ShardReplica } from "../../shard/shardReplica";
 import { BatchJob } from "../../shard/shardTypes";
 import { itemCriteria } from "../selectionCriteria";
@@ -38,7 +38,7 @@
   private readonly backoffUntil = new Map<string, number>();
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly endpointSelector: EndpointSelector,
     private readonly replicas: ReadonlyMap<number, ShardReplica>,
@@ -47,7 +47,7 @@
   ) {}
 
   start(): void {
-    EnvTools.keep(this.env, this.env.scope, "lot dispatch", () => this.scheduleLoop());
+    EnvironmentTools.keep(this.env, this.env.scope, "lot dispatch", () => this.scheduleLoop());
   }
 
   get openJobCount(): number {
@@ -74,7 +74,7 @@
   private *scheduleLoop(): Task<void> {
     for (;;) {
       if (this.openJobs.size === 0) yield* Csp.take(this.jobAdded);
-      yield* EnvTools.sleep(this.env, Constants.jobSchedulingPeriodMs);
+      yield* EnvironmentTools.sleep(this.env, Constants.jobSchedulingPeriodMs);
       if (this.node.stopping || !this.node.mayHoldLeases()) continue;
       this.schedulingPass();
     }
--- a/src/storage/claimedItems/claimedItemWindow.ts
+++ b/src/storage/claimedItems/claimedItemWindow.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../../common/constants";
 import { ClusterSnapshot } from "../../node/clusterSnapshot";
 import { Node } from "../../node/node";
-import { Env } from "../../runtime/env";
+import { Environment } from "../../runtime/env";
 
 /** An overload is announced again after this long at the earliest, ms. */
 const ANNOUNCE_PAUSE_MS = 200;
@@ -19,7 +19,7 @@
   private readonly overloadedAt = new Map<string, number>();
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
   ) {}
 
--- a/src/storage/claimedWork.ts
+++ b/src/storage/claimedWork.ts
@@ -2,7 +2,7 @@
 import { AdmissionQueue } from "../routing/admissionQueue";
 import { EndpointSelector } from "../routing/endpointSelector";
 import { Csp } from "../runtime/csp";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { ShardReplica } from "../shard/shardReplica";
 import { AbandonedClaims } from "./abandonedClaims";
 import { ClaimedItemExecution } from "./claimedItems/claimedItemExecution";
@@ -36,7 +36,7 @@
   private readonly counters = newExecutionCounters();
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     node: Node,
     shardClient: ShardClient,
     endpointSelector: EndpointSelector,
--- a/src/storage/ledgerReads.ts
+++ b/src/storage/ledgerReads.ts
@@ -3,7 +3,7 @@
 import { Stamp } from "../common/stamp";
 import { Node } from "../node/node";
 import { Task } from "../runtime/csp";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { ShardReplica } from "../shard/shardReplica";
 import { LedgerIndex } from "../shard/state/ledgerIndex";
 import { LedgerEntry } from "../shard/shardTypes";
@@ -28,7 +28,7 @@
  */
 export class LedgerReads {
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
   ) {}
 
--- a/src/storage/liveRequests/liveRequestAdmission.ts
+++ b/src/storage/liveRequests/liveRequestAdmission.ts
@@ -6,7 +6,7 @@
 import { Node } from "../../node/node";
 import { AdmissionQueue } from "../../routing/admissionQueue";
 import { Csp, Task } from "../../runtime/csp";
-import { Env, EnvTools } from "../../runtime/env";
+import { Environment, EnvironmentTools } from "../../runtime/env";
 import { ShardReplica } from "../../shard/shardReplica";
 import { PutOutcome, ShardOperation } from "../../shard/shardTypes";
 import { ExecutionCounters } from "../executionCounters";
@@ -42,7 +42,7 @@
   private readonly opening = new KeyedLock();
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly shardClient: ShardClient,
     private readonly writer: ShardWriter,
@@ -117,7 +117,7 @@
       put = yield* replica.put({ putId, stamp, ops, cause }, OPEN_PUT_MS);
       if (put.ok || put.fault.tag !== "late" || attempt >= Constants.restampAttempts) break;
       stamp = this.shardClient.stamp(this.env.wall());
-      yield* EnvTools.sleep(this.env, RESTAMP_PAUSE_MS);
+      yield* EnvironmentTools.sleep(this.env, RESTAMP_PAUSE_MS);
     }
     if (put.ok || put.fault.tag !== "unknown") return put;
     // a view change cut in: as nothing was forwarded yet, the same put is repeated until its outcome is known
--- a/src/storage/liveRequests/liveRequestExecution.ts
+++ b/src/storage/liveRequests/liveRequestExecution.ts
@@ -5,7 +5,7 @@
 import { Node } from "../../node/node";
 import { AdmissionQueue } from "../../routing/admissionQueue";
 import { Task } from "../../runtime/csp";
-import { Env } from "../../runtime/env";
+import { Environment } from "../../runtime/env";
 import { PutOutcome, ShardOperation } from "../../shard/shardTypes";
 import { ExecutionCounters } from "../executionCounters";
 import { LiveRequestSpec } from "../messages/liveRequestMessages";
@@ -18,7 +18,7 @@
 const CLAIM_WITHIN_MS = 10_000;
 
 /** For how much longer a request may wait for capacity, all its attempts together, ms; then it is refused. */
-export const remainingWaitMs = (env: Env, spec: LiveRequestSpec): number =>
+export const remainingWaitMs = (env: Environment, spec: LiveRequestSpec): number =>
   Constants.liveWaitMs - (env.wall() - Stamp.parse(spec.life)!.time);
 
 /**
@@ -34,7 +34,7 @@
    * @param onFinished called when this node has finished with a request
    */
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly writer: ShardWriter,
     private readonly queue: AdmissionQueue,
--- a/src/storage/liveRequests/liveRequestForwarder.ts
+++ b/src/storage/liveRequests/liveRequestForwarder.ts
@@ -5,7 +5,7 @@
 import { Node } from "../../node/node";
 import { AdmissionQueue } from "../../routing/admissionQueue";
 import { Task } from "../../runtime/csp";
-import { Env } from "../../runtime/env";
+import { Environment } from "../../runtime/env";
 import { ShardOperation } from "../../shard/shardTypes";
 import { ExecutionCounters } from "../executionCounters";
 import { isStillEligible, liveRequestCriteria } from "../selectionCriteria";
@@ -26,7 +26,7 @@
  */
 export class LiveRequestForwarder {
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly writer: ShardWriter,
     private readonly queue: AdmissionQueue,
--- a/src/storage/liveRequests/liveRequestReader.ts
+++ b/src/storage/liveRequests/liveRequestReader.ts
@@ -1,7 +1,7 @@
 import { Fault, Result } from "../../common/fault";
 import { Node } from "../../node/node";
 import { Chan, Csp, Task } from "../../runtime/csp";
-import { Env, EnvTools } from "../../runtime/env";
+import { Environment, EnvironmentTools } from "../../runtime/env";
 import { ShardReplica } from "../../shard/shardReplica";
 import { isClosed } from "../../shard/state/liveRequest";
 import { LiveRequest } from "../../shard/shardTypes";
@@ -18,7 +18,7 @@
   private readonly waiting = new Map<string, Chan<true>[]>();
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
   ) {}
 
@@ -40,7 +40,7 @@
         if (!request) return Fault.fail("notFound", "read", this.node.self.id, `no request ${id}`);
         if (request.pieces.length > after || isClosed(request) || this.env.mono() >= until)
           return Fault.ok(responseOf(request, after));
-        yield* EnvTools.takeWithin(this.env, wake, until - this.env.mono());
+        yield* EnvironmentTools.takeWithin(this.env, wake, until - this.env.mono());
       }
     } finally {
       this.removeReader(id, wake);
--- a/src/storage/quota/quotaOwner.ts
+++ b/src/storage/quota/quotaOwner.ts
@@ -2,7 +2,7 @@
 import { Fault, Result } from "../../common/fault";
 import { Node } from "../../node/node";
 import { Chan, Csp, Task } from "../../runtime/csp";
-import { Env } from "../../runtime/env";
+import { Environment } from "../../runtime/env";
 import { ShardReplica } from "../../shard/shardReplica";
 import { QuotaReservation, UsageReport } from "../messages/quotaMessages";
 import { notLeaderFault } from "../notLeaderFault";
@@ -43,7 +43,7 @@
   readonly counters: QuotaCounters = { granted: 0, refused: 0, refreshed: 0 };
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly reports: UsageReports,
   ) {}
--- a/src/storage/retention.ts
+++ b/src/storage/retention.ts
@@ -1,6 +1,6 @@
 import { Node } from "../node/node";
 import { Task } from "../runtime/csp";
-import { Env } from "../runtime/env";
+import { Environment } from "../runtime/env";
 import { ShardReplica } from "../shard/shardReplica";
 import { ShardClient } from "./shardClient";
 
@@ -22,7 +22,7 @@
  */
 export class Retention {
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly shardClient: ShardClient,
   ) {}
--- a/src/storage/shardClient.ts
+++ b/src/storage/shardClient.ts
@@ -6,7 +6,7 @@
 import { RequestOf, ResponseOf } from "../rpc/methods";
 import { Rpc } from "../rpc/rpc";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import type { ShardMethod } from "../shard/checkedHandlers";
 import { Cause, PutOutcome, ShardOperation } from "../shard/shardTypes";
 
@@ -31,7 +31,7 @@
   restampedPuts = 0;
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly rpc: Rpc,
     selfId: string,
     private readonly snapshot: () => ClusterSnapshot,
@@ -83,13 +83,13 @@
         if (retry === "restamped") {
           this.restampedPuts += 1;
           this.env.log(1405, { shard, verb: method });
-          yield* EnvTools.sleep(this.env, RESTAMP_PAUSE_MS);
+          yield* EnvironmentTools.sleep(this.env, RESTAMP_PAUSE_MS);
           continue;
         }
         if (retry === "mayHaveArrived") mayHaveArrived = true;
       }
       const pauseMs = Math.min(Constants.leaderSearchPauseMs, Math.max(1, until - this.env.mono()));
-      yield* EnvTools.sleep(this.env, pauseMs * (attempt === 0 ? FIRST_PAUSE_SHARE : 1));
+      yield* EnvironmentTools.sleep(this.env, pauseMs * (attempt === 0 ? FIRST_PAUSE_SHARE : 1));
     }
   }
 
--- a/src/storage/shardMaintenance.ts
+++ b/src/storage/shardMaintenance.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../common/constants";
 import { Node } from "../node/node";
 import { Chan, Csp, Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { ShardReplica } from "../shard/shardReplica";
 import { Retention } from "./retention";
 
@@ -20,7 +20,7 @@
   private readonly viewChangeNeeded: Chan<true> = Csp.sliding(1);
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly node: Node,
     private readonly dataFolder: string,
     private readonly replicas: ReadonlyMap<number, ShardReplica>,
@@ -28,9 +28,9 @@
   ) {}
 
   start(): void {
-    EnvTools.keep(this.env, this.env.scope, "disk watch", () => this.watchDisk());
-    EnvTools.keep(this.env, this.env.scope, "calls for control", () => this.callControlLoop());
-    EnvTools.keep(this.env, this.env.scope, "repair", () => this.repairLoop());
+    EnvironmentTools.keep(this.env, this.env.scope, "disk watch", () => this.watchDisk());
+    EnvironmentTools.keep(this.env, this.env.scope, "calls for control", () => this.callControlLoop());
+    EnvironmentTools.keep(this.env, this.env.scope, "repair", () => this.repairLoop());
   }
 
   /** A replica needs another view: control is called at once. */
@@ -41,13 +41,13 @@
   /** The call is a hint that control should check the shards now; it decides by what it finds. */
   private *callControlLoop(): Task<void> {
     for (;;) {
-      yield* EnvTools.takeWithin(this.env, this.viewChangeNeeded, Constants.leaseRenewMs);
+      yield* EnvironmentTools.takeWithin(this.env, this.viewChangeNeeded, Constants.leaseRenewMs);
       if (![...this.replicas.values()].some((replica) => replica.needsViewChange())) continue;
       for (const member of this.node.membership.alive("control"))
         Csp.go(this.env.scope, "call for control", () =>
           this.node.rpc.call(member.address, "views.call", {}, Constants.replicateTimeoutMs),
         );
-      yield* EnvTools.sleep(this.env, Constants.statusPollGapMs);
+      yield* EnvironmentTools.sleep(this.env, Constants.statusPollGapMs);
     }
   }
 
@@ -62,14 +62,14 @@
         if (checks % Constants.diskRetrySeconds === 0)
           Csp.go(this.env.scope, "try disk again", () => replica.retryDisk());
       }
-      yield* EnvTools.sleep(this.env, DISK_CHECK_MS);
+      yield* EnvironmentTools.sleep(this.env, DISK_CHECK_MS);
     }
   }
 
   private *repairLoop(): Task<void> {
     let pass = 0;
     for (;;) {
-      yield* EnvTools.sleep(this.env, Constants.repairPeriodMs);
+      yield* EnvironmentTools.sleep(this.env, Constants.repairPeriodMs);
       pass += 1;
       for (const replica of this.replicas.values()) {
         yield* replica.scrub(pass);
--- a/src/storage/shardWriter.ts
+++ b/src/storage/shardWriter.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../common/constants";
 import { Result } from "../common/fault";
 import { Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { ShardReplica } from "../shard/shardReplica";
 import { Cause, PutOutcome, ShardOperation } from "../shard/shardTypes";
 import { ShardClient } from "./shardClient";
@@ -21,7 +21,7 @@
 export class ShardWriter {
   /** @param onPut called with the operations of each put that this node's own replica has ordered */
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly shardClient: ShardClient,
     private readonly replicas: ReadonlyMap<number, ShardReplica>,
     private readonly onPut: (operations: readonly ShardOperation[]) => void = () => undefined,
@@ -38,7 +38,7 @@
         return put;
       }
       if (put.fault.tag !== "late") break;
-      yield* EnvTools.sleep(this.env, RESTAMP_PAUSE_MS);
+      yield* EnvironmentTools.sleep(this.env, RESTAMP_PAUSE_MS);
     }
     return yield* this.shardClient.put(shard, putId, ops, cause, withinMs);
   }
--- a/src/storage/storageNode.ts
+++ b/src/storage/storageNode.ts
@@ -7,7 +7,7 @@
 import { Node } from "../node/node";
 import { EndpointSelector } from "../routing/endpointSelector";
 import { Csp, Task } from "../runtime/csp";
-import { Env, EnvTools } from "../runtime/env";
+import { Environment, EnvironmentTools } from "../runtime/env";
 import { CheckedHandlers } from "../shard/checkedHandlers";
 import { registerShardMethods } from "../shard/shardMethods";
 import { ShardReplica } from "../shard/shardReplica";
@@ -50,7 +50,7 @@
   private readonly relayLatency = new LatencySummary();
 
   private constructor(
-    readonly env: Env,
+    readonly env: Environment,
     readonly settings: Settings,
     readonly node: Node,
     names: HeaderNames,
@@ -68,7 +68,7 @@
    * Starts a storage node on the replicas in its data folder. Faults: those of the node's start, and "disk".
    * @example yield* StorageNode.start(env, settings)
    */
-  static *start(env: Env, settings: Settings, names: HeaderNames = ownHeaderNames): Task<Result<StorageNode>> {
+  static *start(env: Environment, settings: Settings, names: HeaderNames = ownHeaderNames): Task<Result<StorageNode>> {
     const started = yield* Node.start(env, settings, "store");
     if (!started.ok) return started;
     const storage = new StorageNode(env, settings, started.value, names);
@@ -204,7 +204,7 @@
     return this.node.shutDown(function* () {
       const until = storage.env.mono() + Constants.stopGraceMs;
       while (storage.env.mono() < until && storage.hasUnfinishedWork())
-        yield* EnvTools.sleep(storage.env, STOP_CHECK_MS);
+        yield* EnvironmentTools.sleep(storage.env, STOP_CHECK_MS);
     });
   }
 
--- a/src/tools/callers/batchCaller.ts
+++ b/src/tools/callers/batchCaller.ts
@@ -1,5 +1,5 @@
 import { Csp, Task } from "../../runtime/csp";
-import { EnvTools } from "../../runtime/env";
+import { EnvironmentTools } from "../../runtime/env";
 import { Mix } from "../deployment";
 import { CallerClient, CallerResponse, ProblemBody } from "./callerClient";
 
@@ -93,20 +93,20 @@
       if (response && (response.status === 202 || response.status === 200)) return true;
       if (attempt === 0) client.recordFailure("lot", startedAt, response);
       if (response && response.status < 500) return false;
-      yield* EnvTools.sleep(client.env, SUBMIT_RETRY_MS);
+      yield* EnvironmentTools.sleep(client.env, SUBMIT_RETRY_MS);
     }
     return false;
   }
   private *end(id: string): Task<void> {
     const { client } = this;
-    yield* EnvTools.sleep(client.env, END_DELAY_MS);
+    yield* EnvironmentTools.sleep(client.env, END_DELAY_MS);
     for (let attempt = 0; attempt < END_ATTEMPTS; attempt += 1) {
       const response = yield* client.post(client.pickIngress(), `/v1/lots/${id}/end`, {}, END_TIMEOUT_MS);
       if (response?.status === 200) {
         client.history.add({ tag: "lotEnded", lot: id, at: client.env.wall() });
         return;
       }
-      yield* EnvTools.sleep(client.env, END_RETRY_MS);
+      yield* EnvironmentTools.sleep(client.env, END_RETRY_MS);
     }
   }
   /** Reads the results at changing nodes until all are there. */
@@ -124,7 +124,7 @@
         return;
       }
       if (response?.status !== 200 || !response.body) {
-        yield* EnvTools.sleep(env, LIST_RETRY_MS);
+        yield* EnvironmentTools.sleep(env, LIST_RETRY_MS);
         continue;
       }
       const { results, finished, ended } = response.body;
@@ -136,7 +136,7 @@
         history.add({ tag: "lotFinished", lot: id, at, tookMs: at - acceptedAt, ended, results: read });
         return;
       }
-      if (results.length === 0) yield* EnvTools.sleep(env, EMPTY_PAGE_PAUSE_MS);
+      if (results.length === 0) yield* EnvironmentTools.sleep(env, EMPTY_PAGE_PAUSE_MS);
     }
     const detail = `${read} of ${items} results after 90 s`;
     history.add({ tag: "lotLost", lot: id, at: env.wall(), detail });
@@ -160,7 +160,7 @@
     for (let attempt = 0; attempt < COMPARE_ATTEMPTS; attempt += 1) {
       const response = yield* this.client.get<ResultsPage>(ingress, path, COMPARE_TIMEOUT_MS);
       if (response?.status === 200 && (response.body?.results.length ?? 0) > 0) break;
-      yield* EnvTools.sleep(env, COMPARE_RETRY_MS);
+      yield* EnvironmentTools.sleep(env, COMPARE_RETRY_MS);
     }
     const at = env.wall();
     history.add({ tag: "lotReadable", lot: id, ingress, at, afterMs: at - firstAt });
@@ -173,7 +173,7 @@
       response = yield* this.client.get<ResultsPage>(ingress, path, LIST_TIMEOUT_MS);
       if (response?.status === 200 && !response.body?.finished) response = undefined;
       if (response?.status === 404) break;
-      if (response?.status !== 200) yield* EnvTools.sleep(this.client.env, REREAD_RETRY_MS);
+      if (response?.status !== 200) yield* EnvironmentTools.sleep(this.client.env, REREAD_RETRY_MS);
     }
     return response;
   }
--- a/src/tools/callers/callerClient.ts
+++ b/src/tools/callers/callerClient.ts
@@ -1,5 +1,5 @@
 import { Task } from "../../runtime/csp";
-import { Env, EnvTools, HttpResponse } from "../../runtime/env";
+import { Environment, EnvironmentTools, HttpResponse } from "../../runtime/env";
 import { Result } from "../../common/fault";
 import { History } from "../history";
 
@@ -40,11 +40,11 @@
   readonly salt: string;
 
   constructor(
-    readonly env: Env,
+    readonly env: Environment,
     readonly ingresses: string[],
     readonly history: History,
   ) {
-    this.salt = EnvTools.id(env, "c").slice(2, 8);
+    this.salt = EnvironmentTools.id(env, "c").slice(2, 8);
   }
 
   /** One of the ingresses, at random. @example client.pickIngress() */
@@ -72,7 +72,7 @@
   *readResponse<Body>(response: Result<HttpResponse>, timeoutMs: number): Task<CallerResponse<Body> | undefined> {
     if (!response.ok) return undefined;
     const { status, headers } = response.value;
-    const text = yield* EnvTools.bodyOf(this.env, response.value, RESPONSE_LIMIT_BYTES, timeoutMs);
+    const text = yield* EnvironmentTools.bodyOf(this.env, response.value, RESPONSE_LIMIT_BYTES, timeoutMs);
     return text === undefined ? undefined : { status, headers, body: parseJson<Body>(text) };
   }
   /** Records a response that is no success: rejected as busy, or failed. @example client.recordFailure("lookup", startedAt, response); */
--- a/src/tools/callers/callers.ts
+++ b/src/tools/callers/callers.ts
@@ -1,5 +1,5 @@
 import { Csp, Task } from "../../runtime/csp";
-import { Env, EnvTools } from "../../runtime/env";
+import { Environment, EnvironmentTools } from "../../runtime/env";
 import { Mix } from "../deployment";
 import { History } from "../history";
 import { AcceptedJob, BatchCaller } from "./batchCaller";
@@ -29,7 +29,7 @@
   private started = 0;
 
   constructor(
-    readonly env: Env,
+    readonly env: Environment,
     private readonly mix: Mix,
     ingresses: string[],
     readonly history: History,
@@ -75,13 +75,13 @@
   private pace(name: string, periodMs: () => number, call: (n: number) => Task<void>): void {
     const callers = this;
     const { env } = this;
-    EnvTools.keep(env, env.scope, `pace ${name}`, function* () {
+    EnvironmentTools.keep(env, env.scope, `pace ${name}`, function* () {
       while (callers.open) {
-        yield* EnvTools.sleep(env, periodMs() * (0.5 + env.random()));
+        yield* EnvironmentTools.sleep(env, periodMs() * (0.5 + env.random()));
         if (!callers.open) break;
         callers.launch(name, call);
       }
-      for (;;) yield* EnvTools.sleep(env, IDLE_MS);
+      for (;;) yield* EnvironmentTools.sleep(env, IDLE_MS);
     });
   }
   private launch(name: string, call: (n: number) => Task<void>): void {
--- a/src/tools/callers/lookupCaller.ts
+++ b/src/tools/callers/lookupCaller.ts
@@ -1,5 +1,5 @@
 import { Task } from "../../runtime/csp";
-import { EnvTools } from "../../runtime/env";
+import { EnvironmentTools } from "../../runtime/env";
 import { Mix } from "../deployment";
 import { CallerClient, ProblemBody } from "./callerClient";
 
@@ -57,7 +57,7 @@
     if (response && response.status !== 503 && outcomeUnknown)
       return client.recordFailure("single", startedAt, response);
     // busy or no response: the same key may be sent again
-    yield* EnvTools.sleep(env, CONFIRMATION_RETRY_MS);
+    yield* EnvironmentTools.sleep(env, CONFIRMATION_RETRY_MS);
   }
   history.add({
     tag: "failed",
--- a/src/tools/callers/serverSentEvents.ts
+++ b/src/tools/callers/serverSentEvents.ts
@@ -1,5 +1,5 @@
 import { Task } from "../../runtime/csp";
-import { Env, EnvTools, HttpResponse } from "../../runtime/env";
+import { Environment, EnvironmentTools, HttpResponse } from "../../runtime/env";
 
 const EVENT_END = "\n\n";
 
@@ -32,7 +32,7 @@
  * const end = yield* readEvents(env, response, 30_000, (event) => event.event !== "end");
  */
 export function* readEvents(
-  env: Env,
+  env: Environment,
   response: HttpResponse,
   timeoutMs: number,
   read: (event: ServerSentEvent) => boolean,
@@ -40,7 +40,7 @@
   let buffered = "";
   const until = env.mono() + timeoutMs;
   for (;;) {
-    const chunk = yield* EnvTools.takeWithin(env, response.chunks, until - env.mono());
+    const chunk = yield* EnvironmentTools.takeWithin(env, response.chunks, until - env.mono());
     if (chunk === undefined) {
       response.abort();
       return "slow";
--- a/src/tools/callers/streamCaller.ts
+++ b/src/tools/callers/streamCaller.ts
@@ -1,5 +1,5 @@
 import { Task } from "../../runtime/csp";
-import { EnvTools, HttpResponse } from "../../runtime/env";
+import { EnvironmentTools, HttpResponse } from "../../runtime/env";
 import { Result } from "../../common/fault";
 import { Mix } from "../deployment";
 import { StandInEndpoint } from "../standInEndpoint";
@@ -53,7 +53,7 @@
       const end = yield* readEvents(env, response.value, EVENTS_TIMEOUT_MS, (event) => this.accept(event));
       if (this.complete || this.problem) continue;
       this.resumptions += 1;
-      yield* EnvTools.sleep(env, end === "broken" ? BROKEN_PAUSE_MS : MOVED_PAUSE_MS);
+      yield* EnvironmentTools.sleep(env, end === "broken" ? BROKEN_PAUSE_MS : MOVED_PAUSE_MS);
     }
     if (this.complete) this.recordEnd();
     else this.recordProblem();
@@ -85,7 +85,7 @@
       return false;
     }
     if (body && body.status !== 503 && body.status !== 504) this.problem = body.body;
-    yield* EnvTools.sleep(client.env, REJECTED_PAUSE_MS);
+    yield* EnvironmentTools.sleep(client.env, REJECTED_PAUSE_MS);
     this.resumptions += 1;
     return true;
   }
--- a/src/tools/eventStandIn.ts
+++ b/src/tools/eventStandIn.ts
@@ -1,5 +1,5 @@
 import { Csp, Task } from "../runtime/csp";
-import { Env, EnvTools, HttpExchange } from "../runtime/env";
+import { Environment, EnvironmentTools, HttpExchange } from "../runtime/env";
 import { HeaderNames, ownHeaderNames } from "../forwarding/headerNames";
 
 export type EndpointRun = {
@@ -38,7 +38,7 @@
   mostActive = 0;
   private attempts = new Map<string, number>();
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     readonly address: string,
     readonly instance: string,
     private readonly size: { events: number; eventMs: number; slots: number },
@@ -87,7 +87,7 @@
       if (behavior.tag === "status") return incoming.send(behavior.status, responseHeaders, "sorry");
       incoming.open(200, { ...responseHeaders, "content-type": "text/event-stream" });
       for (let n = after + 1; n <= this.size.events; n += 1) {
-        yield* EnvTools.sleep(this.env, this.size.eventMs);
+        yield* EnvironmentTools.sleep(this.env, this.size.eventMs);
         if (incoming.gone.isClosed()) return;
         if (behavior.tag === "cut" && n > behavior.after) return incoming.abort();
         run.events += 1;
--- a/src/tools/fleet/checkedRun.ts
+++ b/src/tools/fleet/checkedRun.ts
@@ -1,5 +1,5 @@
 import { Task } from "../../runtime/csp";
-import { Env, EnvTools } from "../../runtime/env";
+import { Environment, EnvironmentTools } from "../../runtime/env";
 import { Callers } from "../callers/callers";
 import { Checker } from "../checker/checker";
 import { Deployment, Plan } from "../deployment";
@@ -35,19 +35,19 @@
 }
 
 /** Lets the mix run and injects the faults. */
-function* injectFaults(env: Env, options: CheckedRunOptions, history: History): Task<void> {
+function* injectFaults(env: Environment, options: CheckedRunOptions, history: History): Task<void> {
   const { fleet, faultNames = [], seconds } = options;
   const leastSeconds = faultNames.length > 0 ? LEAST_SECONDS_BEFORE_FAULTS : 0;
-  yield* EnvTools.sleep(env, Math.max(seconds, leastSeconds) * 1000);
+  yield* EnvironmentTools.sleep(env, Math.max(seconds, leastSeconds) * 1000);
   if (!fleet) return;
   for (const name of faultNames) {
     yield* fleetFaults[name].inject(fleet, history);
-    yield* EnvTools.sleep(env, AFTER_FAULT_MS);
+    yield* EnvironmentTools.sleep(env, AFTER_FAULT_MS);
   }
 }
-function* waitForCalls(env: Env, callers: Callers): Task<void> {
+function* waitForCalls(env: Environment, callers: Callers): Task<void> {
   const deadline = env.mono() + DRAIN_TIMEOUT_MS;
-  while (callers.running > 0 && env.mono() < deadline) yield* EnvTools.sleep(env, DRAIN_POLL_MS);
+  while (callers.running > 0 && env.mono() < deadline) yield* EnvironmentTools.sleep(env, DRAIN_POLL_MS);
 }
 
 function slowestAcceptanceMs(history: History, faultAt: number): number {
@@ -81,7 +81,7 @@
  * @example
  * const passed = yield* runChecked(env, { plan, deployment, seconds: 20, load: 1, print: console.log });
  */
-export function* runChecked(env: Env, options: CheckedRunOptions): Task<boolean> {
+export function* runChecked(env: Environment, options: CheckedRunOptions): Task<boolean> {
   const { plan, deployment, load, fleet, print } = options;
   const history = new History();
   const callers = new Callers(env, deployment.mix, plan.ingressHttp, history);
--- a/src/tools/fleet/fleet.ts
+++ b/src/tools/fleet/fleet.ts
@@ -2,7 +2,7 @@
 import * as fs from "fs";
 import * as path from "path";
 import { Csp, Task } from "../../runtime/csp";
-import { Env, EnvTools } from "../../runtime/env";
+import { Environment, EnvironmentTools } from "../../runtime/env";
 import { Plan, ProcessPlan } from "../deployment";
 import { StandInEndpoint } from "../standInEndpoint";
 import { FleetOperator } from "./fleetOperator";
@@ -32,7 +32,7 @@
 
   /** @param folder folder of the processes' settings, output and data */
   constructor(
-    readonly env: Env,
+    readonly env: Environment,
     readonly plan: Plan,
     private readonly folder: string,
   ) {
@@ -93,7 +93,7 @@
     const child = this.children.get(name);
     if (!child) return true;
     const deadline = this.env.mono() + withinMs;
-    while (!hasExited(child) && this.env.mono() < deadline) yield* EnvTools.sleep(this.env, EXIT_POLL_MS);
+    while (!hasExited(child) && this.env.mono() < deadline) yield* EnvironmentTools.sleep(this.env, EXIT_POLL_MS);
     return hasExited(child);
   }
   /** Kills all processes and closes the proxies. @example fleet.stopAll(); */
--- a/src/tools/fleet/fleetFaults.ts
+++ b/src/tools/fleet/fleetFaults.ts
@@ -1,6 +1,6 @@
 import * as fs from "fs";
 import { Task } from "../../runtime/csp";
-import { EnvTools } from "../../runtime/env";
+import { EnvironmentTools } from "../../runtime/env";
 import { ProcessPlan } from "../deployment";
 import { History } from "../history";
 import type { Fleet } from "./fleet";
@@ -45,7 +45,7 @@
     record(fleet, history, `kill ${name}${losesData ? " and empty its folder" : ""}`);
     yield* killAll(fleet, [name]);
     if (losesData) removeData(planOf(fleet, name));
-    yield* EnvTools.sleep(fleet.env, RESTART_AFTER_MS);
+    yield* EnvironmentTools.sleep(fleet.env, RESTART_AFTER_MS);
     fleet.start(planOf(fleet, name));
   },
 });
@@ -55,7 +55,7 @@
     const name = yield* busiestMember(fleet, program);
     record(fleet, history, `freeze ${name}`);
     fleet.signal(name, "SIGSTOP");
-    yield* EnvTools.sleep(fleet.env, FREEZE_MS);
+    yield* EnvironmentTools.sleep(fleet.env, FREEZE_MS);
     fleet.signal(name, "SIGCONT");
   },
 });
@@ -77,7 +77,7 @@
         if (direction !== "in") proxies.cut(name, other);
         if (direction !== "out") proxies.cut(other, name);
       }
-    yield* EnvTools.sleep(fleet.env, durationMs);
+    yield* EnvironmentTools.sleep(fleet.env, durationMs);
     proxies.heal();
   },
 });
@@ -100,7 +100,7 @@
   *inject(fleet, history) {
     record(fleet, history, "kill ingress-1 and agent-1");
     yield* killAll(fleet, ["ingress-1", "agent-1"]);
-    yield* EnvTools.sleep(fleet.env, INGRESS_RESTART_AFTER_MS);
+    yield* EnvironmentTools.sleep(fleet.env, INGRESS_RESTART_AFTER_MS);
     for (const name of ["agent-1", "ingress-1"]) fleet.start(planOf(fleet, name));
   },
 };
@@ -113,7 +113,7 @@
     const names = [first, second.name];
     record(fleet, history, `kill ${names.join(" and ")}`);
     yield* killAll(fleet, names);
-    yield* EnvTools.sleep(fleet.env, RESTART_AFTER_MS);
+    yield* EnvironmentTools.sleep(fleet.env, RESTART_AFTER_MS);
     for (const name of names) fleet.start(planOf(fleet, name));
   },
 };
--- a/src/tools/fleet/fleetOperator.ts
+++ b/src/tools/fleet/fleetOperator.ts
@@ -1,6 +1,6 @@
 import { ChangeBody, MembersBody } from "../../cli/operator/responses";
 import { Task } from "../../runtime/csp";
-import { Env, EnvTools } from "../../runtime/env";
+import { Environment, EnvironmentTools } from "../../runtime/env";
 import { Deployment, Plan } from "../deployment";
 
 const REQUEST_TIMEOUT_MS = 8000;
@@ -40,7 +40,7 @@
  */
 export class FleetOperator {
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     private readonly plan: Plan,
   ) {}
 
@@ -54,7 +54,7 @@
       timeoutMs: REQUEST_TIMEOUT_MS,
     });
     if (!response.ok) return undefined;
-    const text = yield* EnvTools.bodyOf(this.env, response.value, RESPONSE_LIMIT_BYTES, REQUEST_TIMEOUT_MS);
+    const text = yield* EnvironmentTools.bodyOf(this.env, response.value, RESPONSE_LIMIT_BYTES, REQUEST_TIMEOUT_MS);
     if (text === undefined) return undefined;
     return { status: response.value.status, body: parseBody(text) };
   }
@@ -77,7 +77,7 @@
     const deadline = this.env.mono() + withinMs;
     while (this.env.mono() < deadline) {
       if ((yield* this.ingressesReady()) && (yield* this.clusterReadable())) return true;
-      yield* EnvTools.sleep(this.env, READY_POLL_MS);
+      yield* EnvironmentTools.sleep(this.env, READY_POLL_MS);
     }
     return false;
   }
@@ -112,7 +112,7 @@
         const put = yield* this.request({ address, method: "PUT", path, body: document, headers });
         if (put?.status === 200) return true;
       }
-      yield* EnvTools.sleep(this.env, CONFIGURE_RETRY_MS);
+      yield* EnvironmentTools.sleep(this.env, CONFIGURE_RETRY_MS);
     }
     return false;
   }
--- a/src/tools/scale/choiceScale.ts
+++ b/src/tools/scale/choiceScale.ts
@@ -2,7 +2,7 @@
 import { SelectionCriteria } from "../../routing/selectionCriteria";
 import { ClusterSnapshot, Endpoint } from "../../node/clusterSnapshot";
 import { Scope } from "../../runtime/csp";
-import { NodeEnv } from "../../runtime/nodeEnv";
+import { NodeEnvironment } from "../../runtime/nodeEnvironment";
 import { Experiment } from "./experiment";
 import { SimulatedMembership } from "./simulatedMembership";
 
@@ -28,7 +28,7 @@
 /** Median time of one choice, µs. */
 function perChoice(prefix: boolean, snapshot: SelectionCriteria["snapshot"]): number {
   const scope = new Scope("choice", () => undefined);
-  const endpointSelector = new EndpointSelector(NodeEnv.make("choice", scope, () => undefined));
+  const endpointSelector = new EndpointSelector(NodeEnvironment.make("choice", scope, () => undefined));
   const times: number[] = [];
   for (let round = 0; round < rounds; round += 1) {
     let chosen = 0;
--- a/src/tools/scale/fullScaleWorker.ts
+++ b/src/tools/scale/fullScaleWorker.ts
@@ -1,6 +1,6 @@
 import { Csp, Scope, Task } from "../../runtime/csp";
-import { EnvTools } from "../../runtime/env";
-import { NodeEnv } from "../../runtime/nodeEnv";
+import { EnvironmentTools } from "../../runtime/env";
+import { NodeEnvironment } from "../../runtime/nodeEnvironment";
 import { Program } from "../../membership/member";
 import { LightweightMember } from "./lightweightMember";
 import { SimulatedMembership } from "./simulatedMembership";
@@ -56,10 +56,10 @@
     Csp.go(this.scope, "stalls", () => this.watchStalls());
   }
   private *watchStalls(): Task<void> {
-    const env = NodeEnv.make("stalls", this.scope, () => undefined);
+    const env = NodeEnvironment.make("stalls", this.scope, () => undefined);
     for (;;) {
       const from = env.mono();
-      yield* EnvTools.sleep(env, 50);
+      yield* EnvironmentTools.sleep(env, 50);
       this.stallMs = Math.max(this.stallMs, env.mono() - from - 50);
     }
   }
@@ -68,7 +68,7 @@
     const seeds = [0, 1, 2].map(addressOf);
     for (let at = from; at < to; at += 1) {
       const scope = this.scope.branch(`hollow-${at}`);
-      const env = this.meter.around(NodeEnv.make(`hollow-${at}`, scope, (event) => this.count(event)));
+      const env = this.meter.around(NodeEnvironment.make(`hollow-${at}`, scope, (event) => this.count(event)));
       const zone = `r${(at % zones) % regions}-z${at % zones}`;
       const program: Program = at < 3 ? "control" : "agent";
       const started = yield* LightweightMember.start(env, { program, district: zone, address: addressOf(at), seeds });
@@ -81,7 +81,7 @@
         .filter((endpoint) => endpoint % members === at)
         .map((endpoint) => `replica-${endpoint}`);
       if (ids.length > 0) started.value.announce(ids, zone);
-      yield* EnvTools.sleep(env, startEveryMs);
+      yield* EnvironmentTools.sleep(env, startEveryMs);
     }
   }
   private count(event: number): void {
--- a/src/tools/scale/lightweightMember.ts
+++ b/src/tools/scale/lightweightMember.ts
@@ -2,7 +2,7 @@
 import { NodeContext } from "../../node/nodeContext";
 import { Node } from "../../node/node";
 import { Task } from "../../runtime/csp";
-import { Env, EnvTools } from "../../runtime/env";
+import { Environment, EnvironmentTools } from "../../runtime/env";
 import { Program } from "../../membership/member";
 
 export type LightweightMemberSettings = { program: Program; district: string; address: string; seeds: string[] };
@@ -21,17 +21,17 @@
 export class LightweightMember {
   private constructor(readonly node: Node) {}
   /** @example yield* LightweightMember.start(env, settings) */
-  static *start(env: Env, settings: LightweightMemberSettings): Task<Result<LightweightMember>> {
+  static *start(env: Environment, settings: LightweightMemberSettings): Task<Result<LightweightMember>> {
     const { program, ...place } = settings;
     const started = yield* Node.start(env, { program, cluster: "scale", ...place, http: settings.address }, program);
     if (!started.ok) return started;
     const member = new LightweightMember(started.value);
-    EnvTools.keep(env, env.scope, "look", () => member.readSnapshotLoop());
+    EnvironmentTools.keep(env, env.scope, "look", () => member.readSnapshotLoop());
     return Fault.ok(member);
   }
   private *readSnapshotLoop(): Task<void> {
     for (;;) {
-      yield* EnvTools.sleep(this.node.env, READ_SNAPSHOT_INTERVAL_MS);
+      yield* EnvironmentTools.sleep(this.node.env, READ_SNAPSHOT_INTERVAL_MS);
       this.node.snapshot();
     }
   }
@@ -39,8 +39,8 @@
   announce(ids: string[], zone: string): void {
     const { node } = this;
     const host = NodeContext.of(node);
-    EnvTools.keep(node.env, node.env.scope, "announce", function* () {
-      yield* EnvTools.sleep(node.env, ANNOUNCE_INTERVAL_MS * node.env.random()); // no two in step
+    EnvironmentTools.keep(node.env, node.env.scope, "announce", function* () {
+      yield* EnvironmentTools.sleep(node.env, ANNOUNCE_INTERVAL_MS * node.env.random()); // no two in step
       for (let turn = 0; ; turn += 1) {
         for (const id of ids) {
           const number = Number(id.replace(/^\D+/, ""));
@@ -56,7 +56,7 @@
             instance: "1",
           };
           yield* host.announce(announcement);
-          yield* EnvTools.sleep(node.env, ANNOUNCE_INTERVAL_MS / ids.length);
+          yield* EnvironmentTools.sleep(node.env, ANNOUNCE_INTERVAL_MS / ids.length);
         }
       }
     });
@@ -70,7 +70,7 @@
     return this.node.gossip.live("replica/").length;
   }
   /** Starts members in a scope of each one's own, one after the other. @example yield* LightweightMember.all(envs, settings) */
-  static *all(envs: Env[], settings: LightweightMemberSettings[]): Task<LightweightMember[]> {
+  static *all(envs: Environment[], settings: LightweightMemberSettings[]): Task<LightweightMember[]> {
     const members: LightweightMember[] = [];
     for (const [at, env] of envs.entries()) {
       const started = yield* LightweightMember.start(env, settings[at]);
--- a/src/tools/scale/meter.ts
+++ b/src/tools/scale/meter.ts
@@ -1,4 +1,4 @@
-import { DatagramSocket, Disk, Env, Link } from "../../runtime/env";
+import { DatagramSocket, Disk, Environment, Link } from "../../runtime/env";
 import { Result } from "../../common/fault";
 import { Csp, Task } from "../../runtime/csp";
 
@@ -58,7 +58,7 @@
     };
   }
   /** @example const env = meter.around(process.env); */
-  around(inner: Env): Env {
+  around(inner: Environment): Environment {
     const meter = this;
     const { counts } = this;
     return {
--- a/src/tools/scale/simulatedMembership.ts
+++ b/src/tools/scale/simulatedMembership.ts
@@ -123,8 +123,8 @@
     const of = (region: number): PlacedMember[] => this.placed.filter((each) => each.region === region);
     for (const one of of(left))
       for (const other of of(right)) {
-        this.world.cut(one.name, other.name);
-        this.world.cut(other.name, one.name);
+        this.world.partition(one.name, other.name);
+        this.world.partition(other.name, one.name);
       }
   }
   /** Offers a control snapshot with that many routes at one member; how long until all have it. @example await membership.spread(1000, 2, 10_000) */
--- a/src/tools/shardDay/joiner.ts
+++ b/src/tools/shardDay/joiner.ts
@@ -2,14 +2,14 @@
 // Forked by measureDay.ts with the source's address and a folder.
 import { Rpc } from "../../rpc/rpc";
 import { Task } from "../../runtime/csp";
-import { Env } from "../../runtime/env";
+import { Environment } from "../../runtime/env";
 import { runTask, shardReplica } from "./localReplicas";
 import { rounded } from "./percentiles";
 
 /** What the fill took, as the joiner tells its parent. */
 export type FillReport = { tookMs: number; MB: number };
 
-function* fillReplica(env: Env, sourceAddress: string, folder: string): Task<FillReport> {
+function* fillReplica(env: Environment, sourceAddress: string, folder: string): Task<FillReport> {
   const replica = shardReplica(env, new Rpc(env, "day", "s2"), "s2", folder);
   const startedAt = performance.now();
   for (;;) {
--- a/src/tools/shardDay/liveLoad.ts
+++ b/src/tools/shardDay/liveLoad.ts
@@ -1,6 +1,6 @@
 import { monitorEventLoopDelay } from "perf_hooks";
 import { Csp, Task } from "../../runtime/csp";
-import { Env, EnvTools } from "../../runtime/env";
+import { Environment, EnvironmentTools } from "../../runtime/env";
 import { ShardReplica } from "../../shard/shardReplica";
 import { percentile, rounded } from "./percentiles";
 import { freshId, put, requestOperations } from "./workload";
@@ -13,7 +13,7 @@
 export type LiveLoadReport = { puts: number; p50: number; p99: number; stallMs: number };
 
 /** Puts 100 requests a second until told to stop; their latencies and the longest stall of the event loop. */
-export function* runLiveLoad(env: Env, replica: ShardReplica, isOver: () => boolean): Task<LiveLoadReport> {
+export function* runLiveLoad(env: Environment, replica: ShardReplica, isOver: () => boolean): Task<LiveLoadReport> {
   const latencies: number[] = [];
   const delay = monitorEventLoopDelay({ resolution: 1 });
   delay.enable();
@@ -23,9 +23,9 @@
       yield* put(env, replica, requestOperations(freshId("live")));
       latencies.push(performance.now() - startedAt);
     });
-    yield* EnvTools.sleep(env, PAUSE_BETWEEN_PUTS_MS);
+    yield* EnvironmentTools.sleep(env, PAUSE_BETWEEN_PUTS_MS);
   }
-  yield* EnvTools.sleep(env, LAST_PUTS_MS);
+  yield* EnvironmentTools.sleep(env, LAST_PUTS_MS);
   delay.disable();
   latencies.sort((left, right) => left - right);
   return {
--- a/src/tools/shardDay/localReplicas.ts
+++ b/src/tools/shardDay/localReplicas.ts
@@ -2,17 +2,17 @@
 import { Stamp } from "../../common/stamp";
 import { Rpc } from "../../rpc/rpc";
 import { Csp, Scope, Task } from "../../runtime/csp";
-import { Env } from "../../runtime/env";
-import { NodeEnv } from "../../runtime/nodeEnv";
+import { Environment } from "../../runtime/env";
+import { NodeEnvironment } from "../../runtime/nodeEnvironment";
 import { ShardReplica } from "../../shard/shardReplica";
 
 export const SHARD = 0;
 
 /** Runs a task with an environment of its own; the promise settles with the task's result or its first error. */
-export function runTask<T>(name: string, body: (env: Env) => Task<T>): Promise<T> {
+export function runTask<T>(name: string, body: (env: Environment) => Task<T>): Promise<T> {
   return new Promise((resolve, reject) => {
     const scope = new Scope(name, (_task, error) => reject(error instanceof Error ? error : new Error(String(error))));
-    const env = NodeEnv.make(name, scope, () => undefined);
+    const env = NodeEnvironment.make(name, scope, () => undefined);
     Csp.go(scope, name, function* (): Task<void> {
       resolve(yield* body(env));
     });
@@ -23,9 +23,9 @@
 export type WrittenBytes = { total: number };
 
 /** The environment with a count of the bytes that its disk was told to write. */
-export function countWrittenBytes(env: Env): { env: Env; written: WrittenBytes } {
+export function countWrittenBytes(env: Environment): { env: Environment; written: WrittenBytes } {
   const written = { total: 0 };
-  const disk = Object.create(env.disk) as Env["disk"];
+  const disk = Object.create(env.disk) as Environment["disk"];
   disk.write = (file, data) => {
     written.total += data.length;
     return env.disk.write(file, data);
@@ -38,7 +38,7 @@
 }
 
 /** A replica of the shard with its data in the folder; `self` is the id of the store that holds it. */
-export function shardReplica(env: Env, rpc: Rpc, self: string, folder: string): ShardReplica {
+export function shardReplica(env: Environment, rpc: Rpc, self: string, folder: string): ShardReplica {
   return new ShardReplica(env, rpc, self, SHARD, folder, {
     addressOf: () => undefined,
     bounds: () => Stamp.defaults,
--- a/src/tools/shardDay/measureDay.ts
+++ b/src/tools/shardDay/measureDay.ts
@@ -5,7 +5,7 @@
 import * as path from "path";
 import { Rpc } from "../../rpc/rpc";
 import { Task } from "../../runtime/csp";
-import { Env, EnvTools } from "../../runtime/env";
+import { Environment, EnvironmentTools } from "../../runtime/env";
 import { registerShardMethods } from "../../shard/shardMethods";
 import { ShardReplica } from "../../shard/shardReplica";
 import { RangeDigests } from "../../shard/state/rangeDigests";
@@ -63,19 +63,19 @@
 }
 
 /** Makes the replica the only member and the leader of its shard in this epoch. */
-function* lead(env: Env, replica: ShardReplica, epoch: number): Task<void> {
+function* lead(env: Environment, replica: ShardReplica, epoch: number): Task<void> {
   if (epoch > 1) yield* replica.viewChange.onSeal({ shard: SHARD, epoch });
   const view = { shard: SHARD, epoch, members: [SELF], lead: SELF };
   yield* replica.viewChange.onInstall({ shard: SHARD, view, waitMs: 0 });
-  while (!replica.holdsLease()) yield* EnvTools.sleep(env, LEASE_POLL_MS);
+  while (!replica.holdsLease()) yield* EnvironmentTools.sleep(env, LEASE_POLL_MS);
 }
 
 /** The day was pressed into seconds: put ids and the log's tail of that burst have to pass before anything is measured. */
-function* runPacedLoad(env: Env, replica: ShardReplica): Task<void> {
+function* runPacedLoad(env: Environment, replica: ShardReplica): Task<void> {
   const isOver = after(PACED_MS);
   while (!isOver()) {
     yield* put(env, replica, requestOperations(freshId("paced")));
-    yield* EnvTools.sleep(env, PACED_PAUSE_MS);
+    yield* EnvironmentTools.sleep(env, PACED_PAUSE_MS);
   }
 }
 
@@ -99,7 +99,7 @@
 
 /** Fills a new replica in another process, under live load: what that cost both sides. */
 function* measureFill(
-  env: Env,
+  env: Environment,
   replica: ShardReplica,
   folder: string,
 ): Task<Pick<RestartedReport, "fill" | "whileFilling">> {
@@ -112,7 +112,7 @@
 }
 
 /** A new replica takes the share of a day; its size in memory and on disk. */
-function* measureFilled(env: Env, rpc: Rpc, share: number, folder: string): Task<FilledReport> {
+function* measureFilled(env: Environment, rpc: Rpc, share: number, folder: string): Task<FilledReport> {
   const replica = shardReplica(env, rpc, SELF, folder);
   yield* open(replica);
   yield* lead(env, replica, 1);
@@ -129,7 +129,7 @@
   };
 }
 
-function* measureReplica(bareEnv: Env, share: number, folder: string): Task<DayReport> {
+function* measureReplica(bareEnv: Environment, share: number, folder: string): Task<DayReport> {
   const sourceFolder = `${folder}/a`;
   const { env, written } = countWrittenBytes(bareEnv);
   const rpc = new Rpc(env, "day", SELF);
--- a/src/tools/shardDay/workload.ts
+++ b/src/tools/shardDay/workload.ts
@@ -1,6 +1,6 @@
 // The work of one day for one shard, as puts of operations on requests and batch jobs.
 import { Csp, Task } from "../../runtime/csp";
-import { Env, EnvTools } from "../../runtime/env";
+import { Environment, EnvironmentTools } from "../../runtime/env";
 import { ShardReplica } from "../../shard/shardReplica";
 import { PutOutcome, ShardOperation } from "../../shard/shardTypes";
 
@@ -73,7 +73,7 @@
 }
 
 /** One put, sent again as long as the shard says that it came late or that it is busy. */
-export function* put(env: Env, replica: ShardReplica, ops: ShardOperation[]): Task<PutOutcome> {
+export function* put(env: Environment, replica: ShardReplica, ops: ShardOperation[]): Task<PutOutcome> {
   putCount += 1;
   const putId = `p-${putCount}`;
   for (;;) {
@@ -81,7 +81,7 @@
     const response = yield* replica.put({ putId, stamp, ops, cause: {} }, PUT_TIMEOUT_MS);
     if (response.ok) return response.value;
     if (response.fault.tag !== "late" && response.fault.tag !== "busy") throw new Error(JSON.stringify(response.fault));
-    yield* EnvTools.sleep(env, RETRY_PAUSE_MS);
+    yield* EnvironmentTools.sleep(env, RETRY_PAUSE_MS);
   }
 }
 
@@ -99,7 +99,7 @@
 }
 
 /** Puts this share of a day into the replica, as fast as it takes it. */
-export function* fillDay(env: Env, replica: ShardReplica, share: number): Task<void> {
+export function* fillDay(env: Environment, replica: ShardReplica, share: number): Task<void> {
   const finished = Csp.chan<true>(64);
   const puts = dayOperations(share);
   for (let worker = 0; worker < FILLING_WORKERS; worker += 1)
--- a/src/tools/standInEndpoint.ts
+++ b/src/tools/standInEndpoint.ts
@@ -1,6 +1,6 @@
 import { Result } from "../common/fault";
 import { Csp, Task } from "../runtime/csp";
-import { Env, EnvTools, HttpExchange } from "../runtime/env";
+import { Environment, EnvironmentTools, HttpExchange } from "../runtime/env";
 
 const BODY_LIMIT_BYTES = 4_000_000;
 const ANNOUNCE_INTERVAL_MS = 900;
@@ -82,10 +82,10 @@
   private readonly prefixes = new Set<string>();
 
   constructor(
-    private readonly env: Env,
+    private readonly env: Environment,
     readonly settings: EndpointSettings,
   ) {
-    this.instance = EnvTools.id(env, "i");
+    this.instance = EnvironmentTools.id(env, "i");
   }
 
   /** The n-th chunk of a stream, counted from 1; callers check what they receive by it. @example StandInEndpoint.chunkAt("a prompt", 1) */
@@ -97,7 +97,7 @@
   *start(): Task<Result<true>> {
     const served = yield* this.env.serveHttp(this.settings.address, (exchange) => this.serve(exchange));
     if (!served.ok) return served;
-    EnvTools.keep(this.env, this.env.scope, "announce", () => this.announceLoop());
+    EnvironmentTools.keep(this.env, this.env.scope, "announce", () => this.announceLoop());
     return served;
   }
   /** Withdraws its announcement at some ingress and goes on with the requests it has; whether an ingress took it. @example yield* endpoint.deregister(); */
@@ -110,7 +110,7 @@
         timeoutMs: ANNOUNCE_TIMEOUT_MS,
       });
       if (response.ok && response.value.status === 200) {
-        yield* EnvTools.bodyOf(this.env, response.value, ANNOUNCE_RESPONSE_LIMIT_BYTES, ANNOUNCE_TIMEOUT_MS);
+        yield* EnvironmentTools.bodyOf(this.env, response.value, ANNOUNCE_RESPONSE_LIMIT_BYTES, ANNOUNCE_TIMEOUT_MS);
         return true;
       }
     }
@@ -121,9 +121,9 @@
     const { announceTo } = this.settings;
     for (let turn = Math.floor(this.env.random() * 100); !this.deregistered; turn += 1) {
       const announced = yield* this.announce(announceTo[turn % announceTo.length]);
-      yield* EnvTools.sleep(this.env, announced ? ANNOUNCE_INTERVAL_MS : ANNOUNCE_RETRY_MS);
+      yield* EnvironmentTools.sleep(this.env, announced ? ANNOUNCE_INTERVAL_MS : ANNOUNCE_RETRY_MS);
     }
-    for (;;) yield* EnvTools.sleep(this.env, IDLE_MS);
+    for (;;) yield* EnvironmentTools.sleep(this.env, IDLE_MS);
   }
   private *announce(ingress: string): Task<boolean> {
     const { id, address, pool, district, version, capacity } = this.settings;
@@ -135,7 +135,7 @@
       timeoutMs: ANNOUNCE_TIMEOUT_MS,
     });
     if (response.ok)
-      yield* EnvTools.bodyOf(this.env, response.value, ANNOUNCE_RESPONSE_LIMIT_BYTES, ANNOUNCE_TIMEOUT_MS);
+      yield* EnvironmentTools.bodyOf(this.env, response.value, ANNOUNCE_RESPONSE_LIMIT_BYTES, ANNOUNCE_TIMEOUT_MS);
     return response.ok;
   }
 
@@ -176,7 +176,7 @@
     return run;
   }
   private *respond(exchange: HttpExchange, id: string, body: RequestBody): Task<void> {
-    yield* EnvTools.sleep(this.env, this.settings.itemMs);
+    yield* EnvironmentTools.sleep(this.env, this.settings.itemMs);
     const response = JSON.stringify({ by: this.settings.id, id, echo: body });
     exchange.send(200, { "content-type": "application/json" }, response);
   }
@@ -184,13 +184,13 @@
     const { prefillMs, prefillCachedMs, pieceMs, pieces } = this.settings;
     const prompt = body.prompt ?? "";
     const cached = this.cachePrefix(prompt.slice(0, PREFIX_LENGTH));
-    yield* EnvTools.sleep(this.env, cached ? prefillCachedMs : prefillMs);
+    yield* EnvironmentTools.sleep(this.env, cached ? prefillCachedMs : prefillMs);
     exchange.open(200, { "content-type": "application/x-ndjson" });
     const count = body.pieces ?? pieces;
     for (let n = (body.continueFrom?.length ?? 0) + 1; n <= count; n += 1) {
       if (exchange.gone.isClosed()) return;
       exchange.write(`${JSON.stringify({ piece: StandInEndpoint.chunkAt(prompt, n) })}\n`);
-      yield* EnvTools.sleep(this.env, pieceMs);
+      yield* EnvironmentTools.sleep(this.env, pieceMs);
     }
     exchange.write(`${JSON.stringify({ end: true })}\n`);
     exchange.end();
@@ -199,7 +199,7 @@
     exchange.open(200, {});
     for (let sent = 0; sent < ENDLESS_BODY_BYTES && !exchange.gone.isClosed(); sent += ENDLESS_WRITE_BYTES) {
       exchange.write("x".repeat(ENDLESS_WRITE_BYTES));
-      yield* EnvTools.sleep(this.env, 1);
+      yield* EnvironmentTools.sleep(this.env, 1);
     }
     exchange.end();
   }
--- a/test/batchJobDays.test.ts
+++ b/test/batchJobDays.test.ts
@@ -1,5 +1,5 @@
 import { Csp, Task } from "../src/runtime/csp";
-import { EnvTools } from "../src/runtime/env";
+import { EnvironmentTools } from "../src/runtime/env";
 import type { BatchJobHost } from "../src/ingress/batchJobHost";
 import { BatchJobReader } from "../src/ingress/batchJobReader";
 import { BatchSubmission } from "../src/ingress/batchSubmission";
@@ -46,7 +46,7 @@
     fleet.wake(name);
   },
   "cut off": async (fleet) => {
-    fleet.world.cutOff([pick(fleet, stores)], pick(fleet, ["in", "out", "both"] as const));
+    fleet.world.isolate([pick(fleet, stores)], pick(fleet, ["in", "out", "both"] as const));
     await fleet.world.run(400 + fleet.world.random() * 4000);
     fleet.world.heal();
   },
@@ -145,7 +145,7 @@
         this.observe({ tag: "waiting", at: host.env.wall(), tokens: this.waiting() });
         return true;
       }
-      yield* EnvTools.sleep(host.env, 400);
+      yield* EnvironmentTools.sleep(host.env, 400);
     }
     return false;
   }
@@ -154,7 +154,7 @@
     let from = 0;
     for (let step = 0; step < 80 && from < count; step += 1) {
       const host = this.host();
-      yield* EnvTools.sleep(host.env, 500);
+      yield* EnvironmentTools.sleep(host.env, 500);
       if (ends && from > 2) return yield* this.end(job);
       const position = this.fleet.world.random() < 0.2 ? Math.floor(this.fleet.world.random() * from) : from;
       from = Math.max(from, yield* this.read(host, job, position, 500));
@@ -189,7 +189,7 @@
       const host = this.host();
       const ended = yield* new BatchSubmission(host).end(job, "caller");
       if (ended.ok) return this.observe({ tag: "ended", at: host.env.wall(), job: job });
-      yield* EnvTools.sleep(host.env, 300);
+      yield* EnvironmentTools.sleep(host.env, 300);
     }
   }
   /** Waits for all callers, then reads every job that was accepted and not ended, completely and at both processes. */
--- a/test/batchJobFleet.ts
+++ b/test/batchJobFleet.ts
@@ -6,7 +6,7 @@
 import { Node } from "../src/node/node";
 import { Settings } from "../src/common/settings";
 import { Csp, Task } from "../src/runtime/csp";
-import { EnvTools } from "../src/runtime/env";
+import { EnvironmentTools } from "../src/runtime/env";
 import type { SubmittedItem } from "../src/adapters/caller/callerOperations";
 import type { BatchJobHost } from "../src/ingress/batchJobHost";
 import { BatchJobReader } from "../src/ingress/batchJobReader";
@@ -163,7 +163,7 @@
           waiting: 0,
           instance: `${id}-1`,
         });
-        yield* EnvTools.sleep(fleet.caller.env, 900);
+        yield* EnvironmentTools.sleep(fleet.caller.env, 900);
       }
       yield* NodeContext.of(fleet.node).goodbye(id);
     });
--- a/test/batchJobs.test.ts
+++ b/test/batchJobs.test.ts
@@ -131,7 +131,7 @@
 test("a submission that was given up is never stored, and the job is accepted when it is submitted again", async () => {
   const fleet = await BatchJobFleet.start(5);
   const leader = fleet.leaderOf("R");
-  fleet.world.cut(leader, "caller"); // requests arrive, responses are lost
+  fleet.world.partition(leader, "caller"); // requests arrive, responses are lost
   const abandonedSubmission = fleet.submit("R", 5, 100, 700);
   await fleet.world.run(700);
   fleet.world.heal();
--- a/test/concurrentChanges.test.ts
+++ b/test/concurrentChanges.test.ts
@@ -1,6 +1,6 @@
 import { Fault } from "../src/common/fault";
 import { Csp, Task } from "../src/runtime/csp";
-import { EnvTools } from "../src/runtime/env";
+import { EnvironmentTools } from "../src/runtime/env";
 import { ControlFleet } from "./controlFleet";
 
 const configuration = (version: number, path = "/x"): Record<string, unknown> => ({
@@ -52,7 +52,7 @@
         Csp.go(scope, path, function* () {
           for (let round = 0; ![200, 412].includes(answers.get(path) ?? 0); round += 1) {
             answers.set(path, yield* send(path, ifVersion, round));
-            yield* EnvTools.sleep(env, 50);
+            yield* EnvironmentTools.sleep(env, 50);
           }
         });
       const clear = (...paths: string[]): boolean => paths.every((path) => [200, 412].includes(answers.get(path) ?? 0));
--- a/test/consensusGroups.ts
+++ b/test/consensusGroups.ts
@@ -19,7 +19,7 @@
   for (const { id } of control.voters)
     if (!ids.includes(id))
       for (const isolated of ids) {
-        control.world.cut(id, isolated);
-        control.world.cut(isolated, id);
+        control.world.partition(id, isolated);
+        control.world.partition(isolated, id);
       }
 }
--- a/test/controlFleet.ts
+++ b/test/controlFleet.ts
@@ -3,7 +3,7 @@
 import { ProtocolAdapters } from "../src/adapters/protocolAdapters";
 import { ControlNode } from "../src/control/controlNode";
 import { Csp } from "../src/runtime/csp";
-import { EnvTools } from "../src/runtime/env";
+import { EnvironmentTools } from "../src/runtime/env";
 import { IngressNode } from "../src/ingress/ingressNode";
 import { SimDisk } from "../src/simulation/simDisk";
 import { SimProcess, SimWorld } from "../src/simulation/simWorld";
@@ -158,10 +158,10 @@
   cutOff(island: string[], way: "in" | "out" | "both" = "both"): void {
     for (const inside of island)
       for (const outside of [...this.settings.keys()].filter((name) => !island.includes(name))) {
-        if (way !== "in") this.world.cut(inside, outside);
-        if (way !== "out") this.world.cut(outside, inside);
+        if (way !== "in") this.world.partition(inside, outside);
+        if (way !== "out") this.world.partition(outside, inside);
       }
-    if (this.world.cutsReset) this.world.resetCut();
+    if (this.world.partitionsReset) this.world.resetPartitioned();
   }
   /** @example fleet.ingress("ingress-1")?.readiness.unreadyReason() */
   ingress = (name: string): IngressNode | undefined => this.running.get(name) as unknown as IngressNode | undefined;
@@ -192,7 +192,7 @@
       function* () {
         const response = yield* env.http(to, { method, path, body: text, headers, timeoutMs: 8000 });
         if (!response.ok) return { status: 0, body: response.fault, headers: {} };
-        const got = (yield* EnvTools.bodyOf(env, response.value, 32_000_000, 8000)) ?? "";
+        const got = (yield* EnvironmentTools.bodyOf(env, response.value, 32_000_000, 8000)) ?? "";
         return {
           status: response.value.status,
           headers: response.value.headers,
--- a/test/cutOff.test.ts
+++ b/test/cutOff.test.ts
@@ -64,7 +64,7 @@
     "who starts or thaws there serves nothing, who runs on goes on, all have the newest after the heal: %j",
     async ({ seed, way, resets, leading, cutMs }) => {
       const fleet = await started(seed);
-      fleet.world.cutsReset = resets;
+      fleet.world.partitionsReset = resets;
       const control = victim(fleet, leading);
       const island = [control, "ingress-1", "ingress-2", "ingress-3"];
       fleet.cutOff(island, way);
@@ -227,7 +227,7 @@
     switch (random(8)) {
       case 0:
         inside = ingress;
-        fleet.world.cutsReset = random(2) === 0;
+        fleet.world.partitionsReset = random(2) === 0;
         fleet.cutOff([control, inside], (["in", "out", "both"] as const)[random(3)]);
         break;
       case 1:
--- a/test/direct.test.ts
+++ b/test/direct.test.ts
@@ -7,7 +7,7 @@
 import { ClusterSnapshot, Endpoint } from "../src/node/clusterSnapshot";
 import { AdmissionQueue } from "../src/routing/admissionQueue";
 import { Csp, Task } from "../src/runtime/csp";
-import { Env, EnvTools, HttpExchange, HttpResponse } from "../src/runtime/env";
+import { Environment, EnvironmentTools, HttpExchange, HttpResponse } from "../src/runtime/env";
 import { RouteTable } from "../src/routing/routeTable";
 import { DirectRequestHandler } from "../src/ingress/directRequestHandler";
 import type { CallerResponse } from "../src/adapters/caller/callerOperations";
@@ -20,7 +20,7 @@
 import { SimWorld } from "../src/simulation/simWorld";
 
 type Seen = { method: string; target: string; headers: Record<string, string>; body: string };
-type Behaviour = (incoming: HttpExchange, seen: Seen, env: Env) => Task<void>;
+type Behaviour = (incoming: HttpExchange, seen: Seen, env: Environment) => Task<void>;
 const route = (more: Partial<Route>): Route => ({
   kind: "lookup",
   pool: "desk",
@@ -96,7 +96,7 @@
       Csp.go(endpointEnv.scope, "serve", () => endpointEnv.serveHttp(`10.0.1.${at}:80`, serve));
     });
   }
-  private *serve(incoming: HttpExchange, behave: Behaviour, env: Env): Task<void> {
+  private *serve(incoming: HttpExchange, behave: Behaviour, env: Environment): Task<void> {
     const body = yield* incoming.body(100_000);
     if (!body.ok) return;
     const seen = {
@@ -126,7 +126,11 @@
       });
       if (!response.ok) throw new Error(response.fault.detail);
       const reply: HttpResponse = response.value;
-      got = { status: reply.status, headers: reply.headers, body: yield* EnvTools.bodyOf(env, reply, 100_000, 9000) };
+      got = {
+        status: reply.status,
+        headers: reply.headers,
+        body: yield* EnvironmentTools.bodyOf(env, reply, 100_000, 9000),
+      };
       bench.endedAt = bench.world.now;
     });
     await this.world.run(10_000);
@@ -195,7 +199,7 @@
     incoming.open(200, { ...echo(incoming), ...sse });
     for (let n = after + 1; n <= Math.min(after + 2, 6); n += 1) incoming.write(event(n));
     if (after < 4) incoming.write(event(after + 3).slice(0, 9)); // cut inside an event
-    yield* EnvTools.sleep(env, 20);
+    yield* EnvironmentTools.sleep(env, 20);
     if (after + 2 < 6) incoming.abort();
     else incoming.end();
   };
@@ -301,7 +305,7 @@
   const oneEvent: Behaviour = function* (incoming, seen, env) {
     incoming.open(200, { ...echo(incoming), ...sse });
     incoming.write(event(Number(seen.headers["last-event-id"] ?? 0) + 1));
-    yield* EnvTools.sleep(env, 5);
+    yield* EnvironmentTools.sleep(env, 5);
     incoming.abort();
   };
   const cut: Behaviour = function* (incoming) {
@@ -375,14 +379,14 @@
     incoming.open(200, echo(incoming));
     for (; !incoming.gone.isClosed();) {
       incoming.write("x");
-      yield* EnvTools.sleep(env, 100);
+      yield* EnvironmentTools.sleep(env, 100);
     }
   };
   const dripsEvents: Behaviour = function* (incoming, _seen, env) {
     incoming.open(200, { ...echo(incoming), ...sse });
     for (let n = 1; !incoming.gone.isClosed(); n += 1) {
       incoming.write(event(n));
-      yield* EnvTools.sleep(env, 100);
+      yield* EnvironmentTools.sleep(env, 100);
     }
   };
   const took = async (bench: Bench): Promise<[number | undefined, number]> => {
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -2,7 +2,7 @@
 import * as os from "os";
 import * as path from "path";
 import { WhyBody } from "../src/cli/operator/responses";
-import { EnvTools } from "../src/runtime/env";
+import { EnvironmentTools } from "../src/runtime/env";
 import { Callers } from "../src/tools/callers/callers";
 import { Checker } from "../src/tools/checker/checker";
 import { Deployment } from "../src/tools/deployment";
@@ -33,7 +33,7 @@
         history.of("streamEnd").length >= 5 &&
         history.of("lotFinished").length >= 3 &&
         history.of("single").length >= 2;
-      for (let waited = 0; !enough() && waited < 600; waited += 1) yield* EnvTools.sleep(env, 100);
+      for (let waited = 0; !enough() && waited < 600; waited += 1) yield* EnvironmentTools.sleep(env, 100);
       expect(enough()).toBe(true);
       fleet.signal("store-2", "SIGKILL");
       const finished = history.of("lotFinished").length;
@@ -44,9 +44,9 @@
         waited < 600;
         waited += 1
       )
-        yield* EnvTools.sleep(env, 100);
+        yield* EnvironmentTools.sleep(env, 100);
       callers.stopNew();
-      for (let waited = 0; callers.running > 0 && waited < 1200; waited += 1) yield* EnvTools.sleep(env, 100);
+      for (let waited = 0; callers.running > 0 && waited < 1200; waited += 1) yield* EnvironmentTools.sleep(env, 100);
       for (const ingress of plan.ingressHttp) yield* callers.reread(ingress);
       // what holds at any speed; the bounds in seconds are judged in virtual time
       const timeless = [
