--- a/test/gossip.test.ts
+++ b/test/gossip.test.ts
@@ -47,7 +47,7 @@
   const { membership: hollow, gossip } = await fleet(12, 2);
   gossip[0].publish("replica/gone/1", endpoint(0, { id: "gone" }), leaseMs, true);
   await hollow.world.run(2000);
-  hollow.world.cutOff(["hollow-12"], "both");
+  hollow.world.isolate(["hollow-12"], "both");
   gossip[11].publish("replica/r1/1", endpoint(1), leaseMs, true);
   gossip[0].publish("replica/r2/1", endpoint(2, { id: "r2" }), leaseMs, true);
   gossip[0].remove("replica/gone/1");
@@ -61,7 +61,7 @@
 }, 60_000);
 test("of two versions published on both sides of a partition one wins everywhere, and renewals continue from it", async () => {
   const { membership: hollow, gossip } = await fleet(10, 3);
-  hollow.world.cutOff(["hollow-9", "hollow-10"], "both");
+  hollow.world.isolate(["hollow-9", "hollow-10"], "both");
   gossip[0].publish("replica/r1/1", endpoint(1), leaseMs, true);
   await hollow.world.run(700);
   gossip[9].publish("replica/r1/1", endpoint(2), leaseMs, true);
@@ -105,7 +105,7 @@
   await hollow.world.run(3000);
   const idle = await hollow.over(4000);
   // published while no member can be reached
-  hollow.world.cutOff(["hollow-1"], "both");
+  hollow.world.isolate(["hollow-1"], "both");
   gossip[0].publish("replica/late/1", endpoint(0, { id: "late" }), 600_000, true);
   await hollow.world.run(600);
   hollow.world.heal();
--- a/test/leaderLease.test.ts
+++ b/test/leaderLease.test.ts
@@ -10,7 +10,7 @@
     const age = (): number => leader.process.env.mono() - leader.group.quorumContactAt();
     expect(age()).toBeLessThan(300);
     expect(follower.group.quorumContactAt()).toBe(-Infinity);
-    control.world.cutOff([leader.id], "both");
+    control.world.isolate([leader.id], "both");
     await control.world.run(700);
     expect(age()).toBeGreaterThan(600);
     await control.world.run(4000);
--- a/test/logReplication.test.ts
+++ b/test/logReplication.test.ts
@@ -9,7 +9,7 @@
     await control.boot();
     const cutOff = control.leader()!;
     while (cutOff.group.lastApplied < 394) await control.propose([noop], 2000);
-    control.world.cutOff([cutOff.id], "both");
+    control.world.isolate([cutOff.id], "both");
     await control.propose(noops(own), 300);
     await control.world.run(4000);
     const next = control.leader()!;
@@ -43,13 +43,13 @@
     const control = new GroupWorld(3, 9);
     await control.boot();
     const cutOff = control.leader()!;
-    control.world.cutOff([cutOff.id], "both");
+    control.world.isolate([cutOff.id], "both");
     await control.propose(noops(300), 300);
     await control.world.run(4000);
     const next = control.leader()!;
     await control.propose(noops(290), 2000);
     // a leader elected after them expects its complete log at every follower
-    control.world.cutOff([next.id], "both");
+    control.world.isolate([next.id], "both");
     await control.world.run(4000);
     const before = cutOff.meter.copy();
     control.world.heal();
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -19,7 +19,7 @@
   const accusations: string[] = [];
   for (let attempt = 0; attempt < 40; attempt += 1) {
     // nothing reaches it while it waits for indirect probes, and then it is frozen past their time-out
-    membership.world.cutOff(["hollow-5"], "in");
+    membership.world.isolate(["hollow-5"], "in");
     await membership.world.run(160 + 3 * attempt);
     const rightly = accused(membership, 4);
     process.freeze();
@@ -54,7 +54,7 @@
   const quiet = await membership.over(10_000);
   // two and a half probes and their acknowledgements a second, and little else
   expect(quiet.datagrams).toBeLessThan(6);
-  membership.world.cutOff(["hollow-1", "hollow-2", "hollow-3"], "both");
+  membership.world.isolate(["hollow-1", "hollow-2", "hollow-3"], "both");
   await membership.world.run(90_000); // longer than the dead are remembered
   membership.world.heal();
   expect(
--- a/test/membershipChange.test.ts
+++ b/test/membershipChange.test.ts
@@ -71,7 +71,7 @@
     const leader = control.leader()!;
     const others = leader.group.voters().filter((id) => id !== leader.id);
     // with one of the remaining two partitioned, the leader and the other are no majority of the two
-    control.world.cutOff([others[0]], "both");
+    control.world.isolate([others[0]], "both");
     const unsure = await proposeAt(control, leader, { tag: "voters", voters: others });
     expect(unsure).toMatchObject({ ok: false, fault: { tag: "unknown" } });
     expect(leader.group.hasLeaderLease()).toBe(false);
@@ -90,7 +90,7 @@
     const control = new GroupWorld(4, 8);
     await control.boot();
     const standby = control.voters[3];
-    control.world.cutOff([standby.id], "both");
+    control.world.isolate([standby.id], "both");
     await control.world.run(10_000);
     expect(standby.group.electionsStarted).toBe(0);
     expect(standby.group.role).toBe("follower");
@@ -114,8 +114,8 @@
     await control.boot();
     const leader = control.leader()!;
     const [staying, leaving] = control.voters.filter((voter) => voter !== leader);
-    control.world.cut(leader.id, staying.id);
-    control.world.cut(staying.id, leader.id);
+    control.world.partition(leader.id, staying.id);
+    control.world.partition(staying.id, leader.id);
     // the leader reaches only the voter that it removes, and so no majority of the new voters
     const proposed = await control.propose([{ tag: "voters", voters: [leader.id, staying.id] }], 500);
     expect(proposed.taken).toBe(0);
--- a/test/modelFaults.test.ts
+++ b/test/modelFaults.test.ts
@@ -10,7 +10,7 @@
 import { InvariantName } from "../src/model/violation";
 import { RequestOf, ResponseOf, TypedMethod, UntypedHandler } from "../src/rpc/methods";
 import { Csp, Scope, Task } from "../src/runtime/csp";
-import { Env } from "../src/runtime/env";
+import { Environment } from "../src/runtime/env";
 
 type Handler<Method extends TypedMethod> = (
   body: RequestOf<Method>,
@@ -24,7 +24,7 @@
 ): FaultInjection {
   return {
     rpc(rpc, id) {
-      const handle = rpc.handle.bind(rpc) as (handled: string, handler: UntypedHandler) => void;
+      const handle: (handled: string, handler: UntypedHandler) => void = rpc.handle.bind(rpc);
       rpc.handle = (handled: string, handler: UntypedHandler): void =>
         handle(handled, handled === method ? replace(handler as Handler<Method>, id) : handler);
     },
@@ -50,7 +50,7 @@
 const scopeOf = (group: ConsensusGroup): Scope => replicaOf(group).env.scope;
 
 /** A disk that reports a sync before anything is written, and writes a while later. */
-function lyingDisk(env: Env): Env {
+function lyingDisk(env: Environment): Environment {
   return {
     ...env,
     disk: {
--- a/test/operatorRaceCampaign.ts
+++ b/test/operatorRaceCampaign.ts
@@ -1,5 +1,5 @@
 import { Csp, Task } from "../src/runtime/csp";
-import { EnvTools } from "../src/runtime/env";
+import { EnvironmentTools } from "../src/runtime/env";
 import { ControlFleet } from "./controlFleet";
 import { ConfigurationState, ControlHistory, Judged, Operation } from "./controlHistory";
 
@@ -126,7 +126,7 @@
       fresh: true,
     });
     if (!response.ok) return undefined;
-    const received = yield* EnvTools.bodyOf(env, response.value, 8_000_000, 1000);
+    const received = yield* EnvironmentTools.bodyOf(env, response.value, 8_000_000, 1000);
     if (received === undefined) return undefined;
     return { status: response.value.status, body: JSON.parse(received) as ConfigurationBody, node };
   }
@@ -138,7 +138,7 @@
     const path = `/v1/districts/${zone}/drain`;
     const history = this.zoneHistory(zone);
     for (let drains = true; !this.stopped; drains = !drains) {
-      yield* EnvTools.sleep(operator.env, 300 + this.random() * 5000);
+      yield* EnvironmentTools.sleep(operator.env, 300 + this.random() * 5000);
       const begin = world.now;
       let acknowledged = false;
       while (!acknowledged && world.now - begin < orderBounds.resendMs && !this.stopped) {
@@ -147,7 +147,7 @@
         acknowledged = seen?.status === 200;
         if (seen && seen.status >= 400 && seen.status < 500)
           this.violations.push(`an order for ${zone} was refused with ${seen.status} at ${world.now.toFixed(0)}`);
-        if (!acknowledged) yield* EnvTools.sleep(operator.env, 50 + this.random() * 300);
+        if (!acknowledged) yield* EnvironmentTools.sleep(operator.env, 50 + this.random() * 300);
       }
       const end = acknowledged ? world.now : world.now + orderBounds.takenMs;
       history.push(ControlHistory.order(drains ? "drain" : "undrain", begin, end, acknowledged));
@@ -170,7 +170,7 @@
   }
   private *watchZones(): Task<void> {
     while (!this.stopped) {
-      yield* EnvTools.sleep(this.fleet.operator.env, 500);
+      yield* EnvironmentTools.sleep(this.fleet.operator.env, 500);
       this.sampleZones();
     }
   }
@@ -178,7 +178,7 @@
   private *operator(name: string): Task<void> {
     const { world } = this.fleet;
     for (let turn = 0; !this.stopped; turn += 1) {
-      yield* EnvTools.sleep(this.fleet.operator.env, 200 + this.random() * 900);
+      yield* EnvironmentTools.sleep(this.fleet.operator.env, 200 + this.random() * 900);
       const readAt = world.now;
       const read = yield* this.call("GET", "/v1/manifest", undefined, 0);
       if (read?.status !== 200) continue;
@@ -205,7 +205,7 @@
         } else if (response && response.status >= 400 && response.status < 500) {
           sent.outcome = "refused";
           sent.endedAt = world.now;
-        } else yield* EnvTools.sleep(this.fleet.operator.env, pause);
+        } else yield* EnvironmentTools.sleep(this.fleet.operator.env, pause);
       }
     }
   }
@@ -213,7 +213,7 @@
   private *watchConfiguration(): Task<void> {
     const seen = new Map<object, number>();
     for (;;) {
-      yield* EnvTools.sleep(this.fleet.operator.env, 50);
+      yield* EnvironmentTools.sleep(this.fleet.operator.env, 50);
       const { now } = this.fleet.world;
       for (const [name, running] of this.fleet.running) {
         const { node } = running as unknown as {
@@ -311,7 +311,7 @@
         break;
       case "cut":
       case "deaf":
-        world.cutOff([name], kind === "cut" ? "both" : "in");
+        world.isolate([name], kind === "cut" ? "both" : "in");
         break;
       case "stop":
         await fleet.terminate(name);
--- a/test/powerLoss.test.ts
+++ b/test/powerLoss.test.ts
@@ -2,7 +2,7 @@
 import { Task } from "../src/runtime/csp";
 import { DiskSteps } from "../src/runtime/diskSteps";
 import { DurableDisk } from "../src/runtime/durableDisk";
-import { Disk, Env } from "../src/runtime/env";
+import { Disk, Environment } from "../src/runtime/env";
 import { CheckpointedLog } from "../src/runtime/checkpointedLog";
 import { PowerLoss, SimDisk } from "../src/simulation/simDisk";
 import { SimWorld } from "../src/simulation/simWorld";
@@ -29,7 +29,7 @@
   }
 }
 /** A process on a disk: it ends in the middle of a sync, the one after so many. */
-function lifeOf(disk: SimDisk, syncs: number, without: Without = {}): Env {
+function lifeOf(disk: SimDisk, syncs: number, without: Without = {}): Environment {
   let left = syncs;
   const wait = function* (): Task<void> {
     if ((left -= 1) < 0) throw ended;
@@ -41,7 +41,7 @@
     disk: Object.assign(durable, without.disk?.(durable)),
     log: () => undefined,
     point: () => undefined,
-  } as unknown as Env;
+  } as unknown as Environment;
 }
 /** Runs a task that waits for nothing; false if its process ended on the way. */
 function runs(task: Task<unknown>): boolean {
@@ -63,7 +63,7 @@
 
 type Kept = { acknowledged: number; written: number; id?: string };
 /** One life of a node: takes up its folder, appends numbers one and two at a time, and folds them. */
-function* work(env: Env, kept: Kept, rounds: number): Task<void> {
+function* work(env: Environment, kept: Kept, rounds: number): Task<void> {
   const opened = yield* DataFolder.open(env, folder, "a:1", {
     id: `node-${kept.written}`,
     cluster: "c",
--- a/test/rawSockets.ts
+++ b/test/rawSockets.ts
@@ -1,7 +1,7 @@
 import * as net from "net";
 import { Csp, Scope, Task } from "../src/runtime/csp";
-import { Env, HttpExchange, HttpLimits } from "../src/runtime/env";
-import { NodeEnv } from "../src/runtime/nodeEnv";
+import { Environment, HttpExchange, HttpLimits } from "../src/runtime/env";
+import { NodeEnvironment } from "../src/runtime/nodeEnvironment";
 
 /** A client that writes bytes as they are and keeps what comes. */
 export class RawClient {
@@ -49,7 +49,7 @@
 export class RawWorld {
   readonly errors: string[] = [];
   readonly scope = new Scope("raw", (task, error) => this.errors.push(`${task}: ${String(error)}`));
-  readonly env: Env = NodeEnv.make("raw", this.scope, () => undefined);
+  readonly env: Environment = NodeEnvironment.make("raw", this.scope, () => undefined);
   private readonly servers: net.Server[] = [];
   private readonly sockets = new Set<net.Socket>();
 
--- a/test/segments.test.ts
+++ b/test/segments.test.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../src/common/constants";
 import { Stamp } from "../src/common/stamp";
 import { Task } from "../src/runtime/csp";
-import { EnvTools } from "../src/runtime/env";
+import { EnvironmentTools } from "../src/runtime/env";
 import { ShardReplica } from "../src/shard/shardReplica";
 import { ShardOperation, PutOutcome } from "../src/shard/shardTypes";
 import { SimDisk } from "../src/simulation/simDisk";
@@ -40,7 +40,7 @@
     view: { shard: 0, epoch, members: ["s1"], lead: "s1" },
     waitMs: 0,
   });
-  while (!replica.holdsLease()) yield* EnvTools.sleep(process.env, 20);
+  while (!replica.holdsLease()) yield* EnvironmentTools.sleep(process.env, 20);
   return replica;
 }
 let puts = 0;
@@ -53,7 +53,7 @@
     );
     if (done.ok) return done.value;
     if (done.fault.tag !== "late") throw new Error(JSON.stringify(done.fault));
-    yield* EnvTools.sleep(process.env, 10); // the frontier of a leader that just started is ahead by δ
+    yield* EnvironmentTools.sleep(process.env, 10); // the frontier of a leader that just started is ahead by δ
   }
 }
 const order = (id: string, body = "h"): ShardOperation[] => [
@@ -138,7 +138,7 @@
         yield* single(filled, before, `key-${n}`);
         if (n % 4 === 0) yield* job(filled, before, `lot-${n / 4}`);
       }
-      yield* EnvTools.sleep(before.env, 1000);
+      yield* EnvironmentTools.sleep(before.env, 1000);
       yield* single(filled, before, "key-last"); // its entry carries the clock by which jobs are sealed
     });
     world.kill("day", true);
@@ -175,7 +175,7 @@
     const trimmed = await inWorld(world, process, function* () {
       const below = replica.segments.endOfOlderThan("works", process.env.wall() + 1) - 1;
       yield* put(replica, process, [{ op: "trim", kind: "works", below, detail: "trimmed" }]);
-      yield* EnvTools.sleep(process.env, 6000);
+      yield* EnvironmentTools.sleep(process.env, 6000);
       return below;
     });
     expect(trimmed).toBeGreaterThan(30);
--- a/test/slowLeaderDisk.test.ts
+++ b/test/slowLeaderDisk.test.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../src/common/constants";
 import { GroupUnderTest, Machine } from "../src/model/groupUnderTest";
 import { Csp } from "../src/runtime/csp";
-import { EnvTools } from "../src/runtime/env";
+import { EnvironmentTools } from "../src/runtime/env";
 import { GroupWorld } from "../src/tools/scale/groupWorld";
 import { noop } from "./consensusGroups";
 
@@ -42,7 +42,7 @@
   // found by a random walk: 3 voters, seed 6459
   test("follows another leader before its committed entries are synced", async () => {
     const [group, leader] = await slowLeader(3, 3, 4000);
-    group.world.cutOff([leader.name], "both");
+    group.world.isolate([leader.name], "both");
     await group.pass(2500);
     group.world.heal();
     await expectConverged(group);
@@ -63,7 +63,7 @@
         while (leader.group.lastLogIndex() < last) {
           for (let burst = 0; burst < 8; burst += 1)
             Csp.go(leader.process.scope, "proposal", () => leader.group.propose(noop, 3000));
-          yield* EnvTools.sleep(leader.process.env, 5);
+          yield* EnvironmentTools.sleep(leader.process.env, 5);
         }
         proposing = false;
       });
--- a/test/snapshotTransfer.test.ts
+++ b/test/snapshotTransfer.test.ts
@@ -67,7 +67,7 @@
     const before = leader.meter.copy();
     for (let cut = 0; cut < 3; cut += 1) {
       await control.world.run(500);
-      control.world.cutOff(["c4"], "both");
+      control.world.isolate(["c4"], "both");
       await control.world.run(1000);
       control.world.heal();
     }
--- a/test/stopping.test.ts
+++ b/test/stopping.test.ts
@@ -2,7 +2,7 @@
 import * as os from "os";
 import * as path from "path";
 import { Csp } from "../src/runtime/csp";
-import { EnvTools, HttpExchange } from "../src/runtime/env";
+import { EnvironmentTools, HttpExchange } from "../src/runtime/env";
 import { TestTools } from "./tools";
 
 test("a process that stops serving takes no new connection, and what is in flight is still answered whole", async () => {
@@ -15,7 +15,9 @@
     const responses = Csp.chan<string>(4);
     Csp.go(env.scope, "ask", function* () {
       const response = yield* env.http(address, { method: "GET", path: "/", timeoutMs: 3000 });
-      const body = response.ok ? yield* EnvTools.bodyOf(env, response.value, 1000, 3000) : response.fault.detail;
+      const body = response.ok
+        ? yield* EnvironmentTools.bodyOf(env, response.value, 1000, 3000)
+        : response.fault.detail;
       Csp.offer(responses, `${response.ok && response.value.headers.connection} ${body}`);
     });
     const held = (yield* Csp.take(arrived))!;
--- a/test/voterManagement.test.ts
+++ b/test/voterManagement.test.ts
@@ -88,7 +88,7 @@
     fleet.kill(standby);
     fleet.kill(gone, true);
     fleet.restart(gone, { empty: true });
-    fleet.world.cut(leader, gone); // the others tell of it; the lead can't bring it the log
+    fleet.world.partition(leader, gone); // the others tell of it; the lead can't bring it the log
     await fleet.run(6000);
     expect(voters(fleet).ids).not.toContain(fleet.control(gone)!.node.self.id);
     expect(
