--- a/src/storage/batchWork.ts
+++ b/src/storage/batchWork.ts
@@ -46,7 +46,7 @@
   ) {
     const { counters } = this;
     const openJobs = new OpenJobs(env, node, counters);
-    const writer = new ShardWriter(env, shardClient, replicas);
+    const writer = new ShardWriter(env, shardClient, replicas, "everyAttempt");
     const execution = new ItemExecution(env, endpointSelector, openJobs, names, counters);
     const results = new ItemResults(env, node, writer, openJobs, counters);
     this.openJobs = openJobs;
--- a/src/storage/claimedWork.ts
+++ b/src/storage/claimedWork.ts
@@ -44,7 +44,7 @@
   ) {
     const { running, counters } = this;
     const reader = new LiveRequestReader(env, node);
-    const writer = new ShardWriter(env, shardClient, replicas, (operations) => {
+    const writer = new ShardWriter(env, shardClient, replicas, "firstAttempt", (operations) => {
       for (const operation of operations) if ("id" in operation) reader.wake(operation.id);
     });
     const window = new ClaimedItemWindow(env, node);
--- a/src/storage/shardWriter.ts
+++ b/src/storage/shardWriter.ts
@@ -19,18 +19,24 @@
  * const put = yield* writer.put(3, "close-req-1", [{ op: "close", ... }], {}, 20_000);
  */
 export class ShardWriter {
-  /** @param onPut called with the operations of each put that this node's own replica has ordered */
+  /**
+   * @param leaseCheck when a put that comes late again and again looks at the lease: before its first attempt only, or before
+   *   each
+   * @param onPut called with the operations of each put that this node's own replica has ordered
+   */
   constructor(
     private readonly env: Environment,
     private readonly shardClient: ShardClient,
     private readonly replicas: ReadonlyMap<number, ShardReplica>,
+    private readonly leaseCheck: "firstAttempt" | "everyAttempt",
     private readonly onPut: (operations: readonly ShardOperation[]) => void = () => undefined,
   ) {}
 
   /** Faults as of `ShardClient.put`. A put id is applied at most once, whichever leaders see it. */
   *put(shard: number, putId: string, ops: ShardOperation[], cause: Cause, withinMs: number): Task<Result<PutOutcome>> {
     const replica = this.replicas.get(shard);
-    for (let attempt = 0; attempt < Constants.restampAttempts && replica?.holdsLease(); attempt += 1) {
+    for (let attempt = 0; attempt < Constants.restampAttempts; attempt += 1) {
+      if (!replica || !this.mayPut(replica, attempt)) break;
       const stamp = this.shardClient.stamp(this.env.wall());
       const put = yield* replica.put({ putId, stamp, ops, cause }, Math.min(withinMs, LOCAL_PUT_MS));
       if (put.ok) {
@@ -42,4 +48,8 @@
     }
     return yield* this.shardClient.put(shard, putId, ops, cause, withinMs);
   }
+
+  private mayPut(replica: ShardReplica, attempt: number): boolean {
+    return (attempt > 0 && this.leaseCheck === "firstAttempt") || replica.holdsLease();
+  }
 }
