--- a/src/shard/messages/replicationMessages.ts
+++ b/src/shard/messages/replicationMessages.ts
@@ -72,7 +72,7 @@
   Array.isArray(value.puts);
 
 /** Whether a value is a shard's view. */
-export const isView = (value: unknown): value is ShardView =>
+export const isShardView = (value: unknown): value is ShardView =>
   isObject(value) &&
   isShardIndex(value.shard) &&
   isCount(value.epoch) &&
@@ -83,7 +83,7 @@
   isObject(body) &&
   isShardIndex(body.shard) &&
   isCount(body.epoch) &&
-  isView(body.view) &&
+  isShardView(body.view) &&
   isCount(body.prevSeq) &&
   isInteger(body.prevEpoch) &&
   isListOf(body.entries, isLogEntry) &&
--- a/src/shard/replica/antiEntropy.ts
+++ b/src/shard/replica/antiEntropy.ts
@@ -102,9 +102,9 @@
   }
   /** Handles "shard.mend" at a member that differs. @example yield* antiEntropy.onRepair(request) */
   *onRepair(request: RepairRequest): Task<Result<RepairResponse>> {
-    return yield* this.state.locked(() => this.takeObjects(request));
+    return yield* this.state.withLock(() => this.repairObjects(request));
   }
-  private *takeObjects({ epoch, seq, works, lots }: RepairRequest): Task<Result<RepairResponse>> {
+  private *repairObjects({ epoch, seq, works, lots }: RepairRequest): Task<Result<RepairResponse>> {
     const { state } = this;
     const { env, shard } = state.context;
     if (epoch < state.sealedEpoch || state.isDiskBroken || state.appliedSeq < seq) return Fault.ok({ mended: 0 });
@@ -122,7 +122,7 @@
     const before = state.segments.digest();
     const fetched = yield* this.segmentTransfer.fetchMissing(from);
     if (!fetched.ok) return fetched;
-    const opened = yield* state.locked(() =>
+    const opened = yield* state.withLock(() =>
       state.segments.open(state.data.segmentCounts, state.data.trimmedCounts, state.data.pendingSegments),
     );
     if (!opened.ok) return opened;
--- a/src/shard/replica/follower.ts
+++ b/src/shard/replica/follower.ts
@@ -20,7 +20,7 @@
 
   /** Handles "shard.replicate". @example yield* follower.onReplicate(request) */
   *onReplicate(request: ReplicateRequest): Task<Result<ReplicateResponse>> {
-    return yield* this.state.locked(() => this.append(request));
+    return yield* this.state.withLock(() => this.append(request));
   }
 
   private *append(request: ReplicateRequest): Task<Result<ReplicateResponse>> {
--- a/src/shard/replica/logReplication.ts
+++ b/src/shard/replica/logReplication.ts
@@ -15,10 +15,10 @@
 import type { StablePrefix } from "./stablePrefix";
 
 /** How often an idle leader looks whether it still leads, ms. */
-const IDLE_LOOK_MS = 1000;
+const LEADERSHIP_CHECK_MS = 1000;
 
 /** Whether a put brings new work, which is refused while a disk is nearly full. */
-const opensWork = (put: Put): boolean => put.ops.some((op) => op.op === "open" || op.op === "lot");
+const opensRequestOrJob = (put: Put): boolean => put.ops.some((op) => op.op === "open" || op.op === "lot");
 
 /**
  * The leader's part of replication: orders puts into entries (group commit), and completes a put once every member of
@@ -46,19 +46,19 @@
     if (!leadership.holdsLease()) return Fault.fail("notLead", "put", selfId, state.view?.lead ?? "");
     const earlier = state.data.putOutcomes.get(put.putId);
     if (earlier) return Fault.ok(earlier.outcome);
-    const refusal = this.refusalOf(put);
+    const refusal = this.rejectionOf(put);
     if (refusal) return refusal;
     const response = leadership.puts.add(put, env.mono());
     Csp.offer(leadership.wake, true);
     const outcome = yield* EnvironmentTools.takeWithin(env, response, withinMs);
     return outcome ?? Fault.fail("unknown", "put", selfId, "not on every copy in time");
   }
-  private refusalOf(put: Put): Result<never> | undefined {
+  private rejectionOf(put: Put): Result<never> | undefined {
     const { state, leadership, stablePrefix } = this;
     const { selfId } = state.context;
     if (leadership.puts.length >= Constants.queuedPutsMax)
       return Fault.busy("put", selfId, "shard buffer full", Constants.retryAfterMs);
-    if (opensWork(put) && leadership.isAnyDiskLow())
+    if (opensRequestOrJob(put) && leadership.isAnyDiskLow())
       return Fault.busy("put", selfId, "a store's disk is nearly full", 5 * Constants.retryAfterMs);
     stablePrefix.advance();
     if (put.stamp.time > stablePrefix.published) return undefined;
@@ -72,12 +72,12 @@
     const { state, leadership } = this;
     while (leadership.isLeaderOf(epoch)) {
       if (leadership.puts.length === 0)
-        yield* EnvironmentTools.takeWithin(state.context.env, leadership.wake, IDLE_LOOK_MS);
+        yield* EnvironmentTools.takeWithin(state.context.env, leadership.wake, LEADERSHIP_CHECK_MS);
       if (!leadership.isLeaderOf(epoch)) return;
       if (leadership.puts.length === 0) continue;
       const isReplicated = yield* this.replicateBatch(epoch, leadership.puts.takeBatch(Constants.putBatchMax));
       if (!isReplicated) return;
-      yield* state.locked(() => this.storage.compactIfLong());
+      yield* state.withLock(() => this.storage.compactIfLong());
     }
   }
   /** Replicates one batch as one entry; false once this replica no longer leads. */
@@ -99,7 +99,7 @@
         Csp.offer(acknowledgements, yield* sender.sendUntilSynced(id, request));
       });
     env.point(45);
-    const written = yield* state.locked(() => this.appendOwn(epoch, entry));
+    const written = yield* state.withLock(() => this.appendOwn(epoch, entry));
     if (!written.ok) {
       leadership.stop("entry not written");
       return false;
--- a/src/shard/replica/replicaState.ts
+++ b/src/shard/replica/replicaState.ts
@@ -144,7 +144,7 @@
   }
 
   /** Runs a task while no other one changes the replica. @example yield* state.locked(() => storage.compactIfLong()); */
-  *locked<T>(body: () => Task<T>): Task<T> {
+  *withLock<T>(body: () => Task<T>): Task<T> {
     yield* Csp.take(this.lock);
     try {
       return yield* body();
--- a/src/shard/replica/replicaStorage.ts
+++ b/src/shard/replica/replicaStorage.ts
@@ -8,7 +8,7 @@
 import type { ReplicaState } from "./replicaState";
 
 /** How often trimmed segments are looked for while there is none to write. */
-const SEGMENT_LOOK_MS = 5000;
+const TRIM_CHECK_MS = 5000;
 
 /**
  * A replica on disk: recovery at the start, records of the log, snapshots that compact it, and the segments. A disk that
@@ -22,7 +22,7 @@
     private readonly leadership: Leadership,
   ) {
     const { env, shard } = state.context;
-    EnvironmentTools.keep(env, env.scope, `segments of shard ${shard}`, () => this.segmentLoop());
+    EnvironmentTools.keep(env, env.scope, `segments of shard ${shard}`, () => this.writeSegments());
   }
 
   /** Whether the disk failed, and has not been read and written anew since. */
@@ -104,7 +104,7 @@
     return written;
   }
   /** Replaces the replica by a snapshot of another one, on disk and in memory. @example yield* storage.replaceBy(snapshot) */
-  *replaceBy(snapshot: ReplicaSnapshot): Task<Result<true>> {
+  *replaceWith(snapshot: ReplicaSnapshot): Task<Result<true>> {
     const written = yield* this.writeSnapshot(snapshot);
     if (!written.ok) return written;
     const restored = yield* this.restore(snapshot);
@@ -134,7 +134,7 @@
   *retryDisk(): Task<void> {
     if (!this.state.isDiskBroken || this.isRetrying) return;
     this.isRetrying = true;
-    yield* this.state.locked(() => this.recoverFromFailure());
+    yield* this.state.withLock(() => this.recoverFromFailure());
     this.isRetrying = false;
   }
   private *recoverFromFailure(): Task<void> {
@@ -156,7 +156,7 @@
   }
 
   /** Writes sealed segments in the background; until then the snapshot contains their objects. */
-  private *segmentLoop(): Task<void> {
+  private *writeSegments(): Task<void> {
     const { state } = this;
     const { env } = state.context;
     for (;;) {
@@ -164,7 +164,7 @@
       const [next] = data.pendingSegments;
       if (!next || state.isDiskBroken) {
         if (!state.isDiskBroken) yield* state.segments.removeTrimmed();
-        yield* EnvironmentTools.takeWithin(env, state.segmentsPending, SEGMENT_LOOK_MS);
+        yield* EnvironmentTools.takeWithin(env, state.segmentsPending, TRIM_CHECK_MS);
         continue;
       }
       const written = yield* state.segments.write(next);
--- a/src/shard/replica/viewChange.ts
+++ b/src/shard/replica/viewChange.ts
@@ -21,7 +21,7 @@
 
   /** Handles "shard.seal": from now on the leader of the old epoch is refused. @example yield* viewChange.onSeal({ shard: 3, epoch: 4 }) */
   *onSeal(request: SealRequest): Task<Result<SealResponse>> {
-    return yield* this.state.locked(() => this.seal(request.epoch));
+    return yield* this.state.withLock(() => this.seal(request.epoch));
   }
   private *seal(epoch: number): Task<Result<SealResponse>> {
     const { state } = this;
@@ -52,7 +52,7 @@
   /** Handles "shard.install": the leader among the view's members starts. @example yield* viewChange.onInstall({ shard, view, waitMs: 0 }) */
   *onInstall({ view, waitMs }: InstallRequest): Task<Result<true>> {
     const mayStartAt = this.state.context.env.mono() + waitMs;
-    const installed = yield* this.state.locked(() => this.install(view));
+    const installed = yield* this.state.withLock(() => this.install(view));
     if (installed.ok && this.state.view?.epoch === view.epoch) this.startLeader(view, mayStartAt);
     return installed;
   }
--- a/src/shard/segments/segmentFormat.ts
+++ b/src/shard/segments/segmentFormat.ts
@@ -103,7 +103,7 @@
   /** The index in the body of an `.idx` file. */
   decodeIndex: (body: Buffer): SegmentIndex => JSON.parse(body.toString("utf8")) as SegmentIndex,
   /** The index of a segment whose encoded objects are given. */
-  indexOf(segment: PendingSegment, body: Buffer): SegmentIndex {
+  buildIndex(segment: PendingSegment, body: Buffer): SegmentIndex {
     const common = {
       kind: segment.kind,
       number: segment.number,
--- a/src/shard/segments/segmentStore.ts
+++ b/src/shard/segments/segmentStore.ts
@@ -21,7 +21,7 @@
 import type { SealedObjects } from "../state/shardData";
 
 /** A value of a digest table is the object's number times this, plus the code of its closed state. */
-const STATE_CODES = 8;
+const STATE_CODE_COUNT = 8;
 
 /**
  * The segments of a shard: closed requests and jobs and old ledger entries, in files that are written once. Every
@@ -99,7 +99,7 @@
     if (kind !== "ledger")
       index.ids.forEach(([id, body, state], position) => {
         const objectNumber = number * Constants.segmentObjects[kind] + position;
-        this.tables[kind].set(id, body, objectNumber * STATE_CODES + state);
+        this.tables[kind].set(id, body, objectNumber * STATE_CODE_COUNT + state);
       });
     index.ids = []; // from now on only the table has them
   }
@@ -107,7 +107,7 @@
   /** Adds a segment that isn't written yet; its objects are found from now on. @example segments.add(segment); */
   add(segment: PendingSegment): void {
     this.pending.set(this.files.name(segment.kind, segment.number, "seg"), segment);
-    this.addIndex(SegmentFormat.indexOf(segment, SegmentFormat.encodeObjects(segment)));
+    this.addIndex(SegmentFormat.buildIndex(segment, SegmentFormat.encodeObjects(segment)));
   }
   /** Writes a pending segment, its index last; afterwards snapshots need not contain it. @example yield* segments.write(segment) */
   *write(segment: PendingSegment): Task<Result<true>> {
@@ -118,7 +118,7 @@
       if (!written.ok) return written;
     }
     this.env.point(15);
-    const index = SegmentFormat.encodeIndex(SegmentFormat.indexOf(segment, body));
+    const index = SegmentFormat.encodeIndex(SegmentFormat.buildIndex(segment, body));
     const indexed = yield* this.files.write(kind, number, "idx", index);
     if (!indexed.ok) return indexed;
     this.env.point(16);
@@ -130,14 +130,14 @@
   find(kind: "works" | "lots", id: string): SealedObjectLocation | undefined {
     const entry = this.tables[kind].get(SegmentFormat.idDigest(id));
     if (!entry) return undefined;
-    const state = entry.value % STATE_CODES;
-    const objectNumber = (entry.value - state) / STATE_CODES;
+    const state = entry.value % STATE_CODE_COUNT;
+    const objectNumber = (entry.value - state) / STATE_CODE_COUNT;
     const at = objectNumber % Constants.segmentObjects[kind];
     const number = (objectNumber - at) / Constants.segmentObjects[kind];
     return {
       kind,
       number,
-      at,
+      objectIndex: at,
       body: entry.body,
       state: CLOSED_STATE_NAMES[state],
       trimmed: number < this.trimmedCounts[kind],
@@ -158,7 +158,7 @@
     if (found.trimmed) return Fault.fail("gone", "read segment", this.env.name, `${id} was trimmed by retention`);
     const body = yield* this.readBody(kind, found.number);
     if (!body.ok) return body;
-    const object = SegmentFormat.decodeObject(kind, body.value, found.at);
+    const object = SegmentFormat.decodeObject(kind, body.value, found.objectIndex);
     return Fault.ok(object.id === id ? object : undefined);
   }
   /** The encoded objects of a segment, checked against its index. */
@@ -175,7 +175,7 @@
   }
 
   /** Number of the first segment of a kind with something from a time on. @example segments.endOfOlderThan("lots", now - retentionMs) */
-  endOfOlderThan(kind: SegmentKind, time: number): number {
+  firstSegmentSince(kind: SegmentKind, time: number): number {
     let number = this.trimmedCounts[kind];
     while (number < this.indexes[kind].length && this.indexes[kind][number].to < time) number += 1;
     return number;
@@ -242,7 +242,7 @@
     return Fault.ok(
       SegmentFormat.encodeFile(
         part,
-        part === "seg" ? body : SegmentFormat.encodeIndex(SegmentFormat.indexOf(pending, body)),
+        part === "seg" ? body : SegmentFormat.encodeIndex(SegmentFormat.buildIndex(pending, body)),
       ),
     );
   }
--- a/src/shard/segments/segmentTypes.ts
+++ b/src/shard/segments/segmentTypes.ts
@@ -50,7 +50,7 @@
   /** Number of the segment. */
   number: number;
   /** Index of the object in the segment. */
-  at: number;
+  objectIndex: number;
   /** Digest of the object's body. */
   body: number;
   /** "done", "failed", "unknown", "finished" or "ended". */
--- a/src/shard/state/ledgerOperations.ts
+++ b/src/shard/state/ledgerOperations.ts
@@ -3,7 +3,7 @@
 import type { OperationOf, PutOutcome } from "./operations";
 
 /** Adds ledger entries; those of a source that numbers its entries are deduplicated. */
-export function addNotes({ data, note }: OperationContext, op: OperationOf<"note">): PutOutcome {
+export function addLedgerEntries({ data, note }: OperationContext, op: OperationOf<"note">): PutOutcome {
   if (op.once && (data.notedSources[op.once.source] ?? -1) >= op.once.index)
     return { tag: "exists", same: true, state: "noted" };
   if (op.once) data.notedSources[op.once.source] = op.once.index;
--- a/src/shard/state/liveRequestOperations.ts
+++ b/src/shard/state/liveRequestOperations.ts
@@ -54,7 +54,7 @@
 }
 
 /** Appends chunks of the response stream, in order, by the attempt that has the claim. */
-export function addPieces({ data, put }: OperationContext, op: OperationOf<"pieces">): PutOutcome {
+export function appendChunks({ data, put }: OperationContext, op: OperationOf<"pieces">): PutOutcome {
   const request = data.liveRequests.get(op.id);
   if (!request || request.state !== "claimed" || request.round !== op.round) return NOT_CLAIMED;
   if (op.first !== request.pieces.length + 1) return { tag: "no", why: `next piece is ${request.pieces.length + 1}` };
--- a/src/shard/state/shardState.ts
+++ b/src/shard/state/shardState.ts
@@ -11,9 +11,9 @@
 } from "./batchJobOperations";
 import type { BatchJob } from "./batchJob";
 import type { Cause } from "../../common/ledgerEntry";
-import { addNotes, trimSegments } from "./ledgerOperations";
+import { addLedgerEntries, trimSegments } from "./ledgerOperations";
 import type { LiveRequest } from "./liveRequest";
-import { addPieces, claimRequest, closeRequest, openRequest, releaseRequest } from "./liveRequestOperations";
+import { appendChunks, claimRequest, closeRequest, openRequest, releaseRequest } from "./liveRequestOperations";
 import type { OperationContext } from "./operationContext";
 import type { Put, PutOutcome, ShardOperation } from "./operations";
 import { sealSegments } from "./segmentSealing";
@@ -28,7 +28,7 @@
     case "release":
       return releaseRequest(context, op);
     case "pieces":
-      return addPieces(context, op);
+      return appendChunks(context, op);
     case "close":
       return closeRequest(context, op);
     case "lot":
@@ -46,7 +46,7 @@
     case "lotEnd":
       return endJob(context, op);
     case "note":
-      return addNotes(context, op);
+      return addLedgerEntries(context, op);
     case "trim":
       return trimSegments(context, op);
     default: {
