--- a/src/shard/checkedHandlers.ts
+++ b/src/shard/checkedHandlers.ts
@@ -10,21 +10,21 @@
 }[TypedMethod];
 
 /**
- * Registers handlers that see only bodies of the right form. A malformed body gets the fault "invalid".
+ * Registers RPC handlers that receive only bodies that pass their check. A malformed body gets the fault "invalid".
  *
  * @example
  * const handlers = new CheckedHandlers(rpc, "node-1", (shard) => replicas.get(shard));
  * handlers.forShard("work.read", isReadRequest, (replica, body) => reader.read(replica, body));
  */
 export class CheckedHandlers {
-  /** @param replicaOf this node's replica of a shard, made if there is none */
+  /** @param replicaOf returns this node's replica of a shard, and creates it if there is none */
   constructor(
     private readonly rpc: Rpc,
     private readonly selfId: string,
     private readonly replicaOf: (shard: number) => ShardReplica,
   ) {}
 
-  /** Sets the handler of a method. */
+  /** Registers the handler of a method. */
   add<Method extends TypedMethod>(
     method: Method,
     isRequest: (body: unknown) => body is RequestOf<Method>,
@@ -34,7 +34,9 @@
     this.rpc.handle(name, (body: unknown) => (isRequest(body) ? handler(body) : this.malformed(method)));
   }
 
-  /** Sets the handler of a method about one shard; it gets this node's replica of the shard, made if there is none. */
+  /**
+   * Registers the handler of a method that concerns one shard. The handler receives this node's replica of the shard.
+   */
   forShard<Method extends ShardMethod>(
     method: Method,
     isRequest: (body: unknown) => body is RequestOf<Method> & { shard: number },
--- a/src/shard/messages/repairMessages.ts
+++ b/src/shard/messages/repairMessages.ts
@@ -3,31 +3,31 @@
 import type { BatchJob } from "../state/batchJob";
 import type { LiveRequest } from "../state/liveRequest";
 
-/** Asks for the digests of a replica's state at a position of the log. */
+/** Requests the digests of a replica's state at a position of the log. */
 export interface DigestRequest {
   shard: number;
   seq: number;
 }
 
-/** Without digests where the replica has not applied exactly up to that position. */
+/** Has no digests if the last entry that the replica applied is at another position. */
 export interface DigestResponse {
-  /** One by range of ids. */
+  /** One digest for each range of ids. */
   digests?: string[];
-  /** Of the list of segments. */
+  /** Digest of the list of segments. */
   segments?: string;
 }
 
-/** Sends the leader's objects of the ranges that differ. */
+/** Sends the leader's objects in the ranges whose digests differ. */
 export interface RepairRequest {
   shard: number;
   epoch: number;
-  /** Position up to which the leader had applied the log. */
+  /** Position of the last entry that the leader had applied. */
   seq: number;
   works: LiveRequest[];
   lots: BatchJob[];
 }
 
-/** Makes a replica copy the segments that it lacks from the leader. */
+/** Asks a replica to copy the segments that are missing or damaged there from the leader. */
 export interface RepairSegmentsRequest {
   shard: number;
   /** Address of the leader's node. */
@@ -35,17 +35,17 @@
 }
 
 export interface RepairResponse {
-  /** Objects that differed; of segments 1 or 0. */
+  /** Number of objects repaired; for segments 1 if their list changed, otherwise 0. */
   mended: number;
 }
 
 declare module "../../rpc/methods" {
   interface RpcMethods {
-    /** No faults. A read. */
+    /** No faults. Read-only. */
     "shard.digest": RpcMethod<DigestRequest, DigestResponse>;
-    /** No faults. Idempotent: an object that is the same is left as it is. */
+    /** No faults. Idempotent: an equal object is not replaced. */
     "shard.mend": RpcMethod<RepairRequest, RepairResponse>;
-    /** Faults: disk and those of the leader. Idempotent: files that are intact are not copied. */
+    /** Faults: disk, and those of the calls to the leader. Idempotent: intact files are not copied. */
     "shard.mendSegments": RpcMethod<RepairSegmentsRequest, RepairResponse>;
   }
 }
--- a/src/shard/messages/replicationMessages.ts
+++ b/src/shard/messages/replicationMessages.ts
@@ -1,4 +1,4 @@
-/** Messages by which the leader of a shard replicates its log. */
+/** Messages by which the log of a shard is replicated. */
 import type { ShardView } from "../../controlState/shardView";
 import {
   isCount,
@@ -12,7 +12,7 @@
 } from "../../rpc/bodyChecks";
 import type { ShardLogEntry } from "../replica/shardLog";
 
-/** Appends entries to a member's log; without entries it renews the lease and carries the frontier. */
+/** Appends entries to a member's log. A request without entries renews the lease and carries the frontier. */
 export interface ReplicateRequest {
   shard: number;
   epoch: number;
@@ -21,15 +21,16 @@
   prevSeq: number;
   prevEpoch: number;
   entries: ShardLogEntry[];
-  /** The frontier: wall time, ms. */
+  /** The leader's frontier: wall-clock time, ms. */
   frontier: number;
-  /** Position up to which every member has the log; the frontier counts for whoever has applied it. */
+  /** Last position that every member has synced. A member that has applied it may advance to `frontier`. */
   stable: number;
 }
 
 /**
- * "ok": everything is synced, and the lease is granted anew. "behind": the log ends elsewhere; at −1 where it can't be
- * extended and has to be copied. "sealed": the epoch is over. "broken": the member's disk failed.
+ * "ok": all entries are synced, and the lease is renewed. "behind": the member's log ends at another position; −1 means
+ * that its log can't be extended and must be replaced by state transfer. "sealed": the member rejects this epoch.
+ * "broken": the member's disk failed.
  */
 export type ReplicateResponse =
   | { tag: "ok"; seq: number; lowDisk: boolean }
@@ -40,15 +41,15 @@
 /** Brings a member of the next view to the sealed end of the log, before that view is committed. */
 export interface CatchUpRequest {
   shard: number;
-  /** The epoch of the next view, for which the log is sealed. */
+  /** Epoch of the next view, for which the log is sealed. */
   epoch: number;
-  /** Position and epoch of the last entry that the member is expected to have; no epoch if it is unknown. */
+  /** Expected position and epoch of the member's last entry; the epoch is missing if the sender doesn't know it. */
   prevSeq: number;
   prevEpoch?: number;
   entries: ShardLogEntry[];
 }
 
-/** As {@link ReplicateResponse}; "ok" with the end of the member's log. */
+/** Like {@link ReplicateResponse}; "ok" reports the end of the member's log. */
 export type CatchUpResponse =
   | { tag: "ok"; seq: number; lastEpoch: number }
   | { tag: "behind"; seq: number; lastEpoch: number }
@@ -57,9 +58,9 @@
 
 declare module "../../rpc/methods" {
   interface RpcMethods {
-    /** Faults: conflict (two leaders in one epoch). Idempotent: entries that are there are not appended again. */
+    /** Faults: conflict (two leaders in one epoch). Idempotent: known entries are not appended again. */
     "shard.replicate": RpcMethod<ReplicateRequest, ReplicateResponse>;
-    /** No faults. Idempotent: a repeat gets "behind" with the end of the log. */
+    /** No faults. Idempotent: a repeated request gets "behind" with the end of the log. */
     "shard.catchUp": RpcMethod<CatchUpRequest, CatchUpResponse>;
   }
 }
@@ -71,7 +72,7 @@
   isNumber(value.frontier) &&
   Array.isArray(value.puts);
 
-/** Whether a value is a shard's view. */
+/** Whether a value is the view of a shard. */
 export const isShardView = (value: unknown): value is ShardView =>
   isObject(value) &&
   isShardIndex(value.shard) &&
--- a/src/shard/messages/stateTransferMessages.ts
+++ b/src/shard/messages/stateTransferMessages.ts
@@ -1,12 +1,12 @@
-/** Messages by which a replica copies a shard from another one. */
+/** Messages of state transfer: a replica copies a shard from another replica. */
 import { isCount, isInteger, isObject, isOptional, isShardIndex, isText } from "../../rpc/bodyChecks";
 import type { ReplicaSnapshot } from "../replica/replicaSnapshot";
 import { SEGMENT_KINDS, SegmentChecksum, SegmentCounts, SegmentKind, SegmentPart } from "../segments/segmentTypes";
 
-/** Asks whether a log that ends at a position can be extended by entries that the other replica has in memory. */
+/** Asks whether the receiver can extend a log that ends at a position by entries that it has in memory. */
 export interface CanExtendRequest {
   shard: number;
-  /** Position and epoch of the last entry; none for an empty log. */
+  /** Position and epoch of the last entry; both are missing for an empty log. */
   seq?: number;
   lastEpoch?: number;
 }
@@ -26,7 +26,7 @@
   segments: SegmentChecksum[];
 }
 
-/** Reads a chunk of a segment's file. */
+/** Reads a chunk of a segment file. */
 export interface SegmentChunkRequest {
   shard: number;
   kind: SegmentKind;
@@ -37,16 +37,16 @@
 }
 
 export interface SegmentChunkResponse {
-  /** In base64. */
+  /** Content of the chunk, base64. */
   data: string;
   /** Size of the file, bytes. */
   size: number;
 }
 
-/** Reads the leader's state without its segments. */
+/** Reads the leader's state without its written segments. */
 export interface OpenStateRequest {
   shard: number;
-  /** Id of the member that asks. */
+  /** Id of the requesting node. */
   member: string;
 }
 
@@ -57,13 +57,13 @@
 
 declare module "../../rpc/methods" {
   interface RpcMethods {
-    /** No faults. A read. */
+    /** No faults. Read-only. */
     "shard.goesOn": RpcMethod<CanExtendRequest, CanExtendResponse>;
-    /** No faults. A read. */
+    /** No faults. Read-only. */
     "shard.segments": RpcMethod<SegmentsRequest, SegmentsResponse>;
-    /** Faults: notFound, disk. A read. */
+    /** Faults: notFound, disk. Read-only. */
     "shard.segmentPart": RpcMethod<SegmentChunkRequest, SegmentChunkResponse>;
-    /** Faults: notLead. A read. */
+    /** Faults: notLead. Read-only. */
     "shard.openState": RpcMethod<OpenStateRequest, OpenStateResponse>;
   }
 }
--- a/src/shard/messages/viewChangeMessages.ts
+++ b/src/shard/messages/viewChangeMessages.ts
@@ -1,48 +1,53 @@
-/** Messages that control, which decides on views, sends to the replicas of shards, and what these report. */
+/**
+ * Messages that the control group, which decides on views, sends to shard replicas, and the status that these report.
+ */
 import type { ShardView } from "../../controlState/shardView";
 import { isCount, isListOf, isNumber, isObject, isShardIndex, isText } from "../../rpc/bodyChecks";
 import { isShardView } from "./replicationMessages";
 
-/** "lead": serves as leader; "starting": leader of its view, waits for leases; "out": not in the view, or disk failed. */
+/**
+ * "lead": serves as the leader. "starting": leads the view but still waits for leases. "out": is not a member of the
+ * view, or its disk failed.
+ */
 export type ShardReplicaRole = "member" | "starting" | "lead" | "out";
 
-/** What a replica reports to control. Sent; the field names never change. */
+/** Status that a replica reports to the control group. Sent; the field names never change. */
 export interface ShardReplicaStatus {
   shard: number;
-  /** Epoch of the last view it knows; 0 for none. */
+  /** Epoch of the last view that the replica knows; 0 for none. */
   epoch: number;
   view: ShardView | null;
-  /** Epochs below this one are sealed here: entries of theirs are refused. */
+  /** Epochs below this one are sealed on this replica: it rejects their entries. */
   sealed: number;
   role: ShardReplicaRole;
-  /** Position of the last entry of its log. */
+  /** Position of the last entry of the log. */
   seq: number;
   /** Epoch of that entry. */
   lastEpoch: number;
-  /** Members that have not synced for too long; only at the leader. */
+  /** Members that have failed to sync for too long; only the leader reports them. */
   failing: string[];
-  /** Since the leader was last heard, ms. */
+  /** Time since the last message of the leader, ms. */
   leadSilentMs: number;
-  /** Why it wants a view change; empty if it doesn't. */
+  /** Why the replica requests a view change; empty if it doesn't. */
   wantsView: string;
-  /** Its disk failed. */
+  /** Whether the replica's disk failed. */
   broken: boolean;
-  /** End of its stable prefix: wall time, ms. */
+  /** End of the stable prefix: wall-clock time, ms. */
   frontier: number;
-  /** Batch jobs, sealed ones included. */
+  /** Number of batch jobs, including sealed ones. */
   lots: number;
-  /** Live requests, sealed ones included. */
+  /** Number of live requests, including sealed ones. */
   works: number;
 }
 
-/** Seals a replica's log for a new epoch: entries of older epochs are refused from then on. */
+/** Seals a replica's log for a new epoch. The replica then rejects entries of older epochs. */
 export interface SealRequest {
   shard: number;
-  /** The epoch of the next view. */
+  /** Epoch of the next view. */
   epoch: number;
 }
 
-/** "stopped": the disk failed; the replica's log doesn't count, but it leads no longer. */
+/** "stopped": the disk failed; the replica's log can't be used, but the replica no longer leads. */
 export type SealResponse =
   | { tag: "stopped" }
   | {
@@ -50,54 +55,59 @@
       /** Position and epoch of the last entry. */
       seq: number;
       lastEpoch: number;
-      /** Position of the first entry that is still in memory, for others to catch up by. */
+      /** Position of the first entry that is still in memory and can be sent to other members. */
       tailFrom: number;
-      /** Until the lease that it granted to the former leader has ended, ms. */
+      /** Remaining time of the lease that this replica granted to the former leader, ms. */
       grantLeftMs: number;
     };
 
-/** Brings other members of the next view to the end of the longest sealed log. */
+/** Asks the replica with the longest sealed log to send its entries to the other members of the next view. */
 export interface LogSyncRequest {
   shard: number;
-  /** The epoch of the next view. */
+  /** Epoch of the next view. */
   epoch: number;
   targets: { id: string; address: string }[];
 }
 
 export interface LogSyncResponse {
-  /** Members whose log ends there and is synced, the replica itself included. */
+  /** Members whose synced log has the same end, including the replica itself. */
   ids: string[];
 }
 
-/** Installs a view; its leader starts. */
+/** Installs a view. The replica that leads the view starts its leadership. */
 export interface InstallRequest {
   shard: number;
   view: ShardView;
-  /** Until the former leader's lease has ended, ms. */
+  /** Remaining time of the former leader's lease, ms. */
   waitMs: number;
 }
 
-/** Makes a replica copy the shard from another one. */
+/** Asks a replica to copy the shard from another replica. */
 export interface StateTransferRequest {
   shard: number;
   /** Address of the other replica's node. */
   from: string;
 }
 
-/** "underWay": an earlier request is still being carried out. */
+/** "underWay": the transfer of an earlier request is still running. */
 export interface StateTransferResponse {
   tag: "ok" | "underWay";
 }
 
 declare module "../../rpc/methods" {
   interface RpcMethods {
-    /** Faults: notFound, conflict (sealed for a later epoch), disk. Idempotent: a repeat for the same epoch responds alike. */
+    /**
+     * Faults: notFound, conflict (sealed for a later epoch), disk. Idempotent: a repeated request for an epoch gets the
+     * same kind of response.
+     */
     "shard.seal": RpcMethod<SealRequest, SealResponse>;
-    /** Faults: conflict (not sealed for this epoch), disk. Idempotent: entries that are there are not written again. */
+    /** Faults: conflict (not sealed for this epoch), disk. Idempotent: known entries are not written again. */
     "shard.level": RpcMethod<LogSyncRequest, LogSyncResponse>;
     /** Faults: conflict (a newer epoch is known), notFound, disk. Idempotent by the view's epoch. */
     "shard.install": RpcMethod<InstallRequest, true>;
-    /** Faults: disk, conflict, timeout and those of the source. Idempotent: files that are there are not copied again. */
+    /**
+     * Faults: disk, conflict, timeout, and those of the source replica. Idempotent: intact files are not copied again.
+     */
     "shard.fill": RpcMethod<StateTransferRequest, StateTransferResponse>;
   }
 }
--- a/src/shard/replica/antiEntropy.ts
+++ b/src/shard/replica/antiEntropy.ts
@@ -16,12 +16,12 @@
 const DIGEST_TIMEOUT_MS = 1000;
 const REPAIR_TIMEOUT_MS = 2000;
 const REPAIR_SEGMENTS_TIMEOUT_MS = 10_000;
-/** Under load both replicas must be met at the same entry, which takes a few attempts. */
+/** Replicas are compared only at the same position of the log, which takes several attempts under load. */
 const COMPARE_ATTEMPTS_MAX = 6;
 
 /**
- * Anti-entropy: the leader compares its state with that of every other member by digests and sends what differs; every
- * replica scrubs its segment files and copies damaged ones from another member.
+ * Anti-entropy repair. The leader compares its state with that of every other member by digests and sends the objects
+ * that differ. Every replica scrubs its segment files and copies damaged ones from another member.
  */
 export class AntiEntropy {
   constructor(
@@ -31,7 +31,7 @@
     private readonly segmentTransfer: SegmentTransfer,
   ) {}
 
-  /** Checks one segment file; a damaged one is copied from another member. @example yield* antiEntropy.scrub(7); */
+  /** Checks the files of one segment. If they are damaged, copies the `.seg` file from another member. */
   *scrub(turn: number): Task<void> {
     const { state } = this;
     const { env, hooks, shard } = state.context;
@@ -49,19 +49,21 @@
     }
   }
 
-  /** At the leader: compares with every other member and repairs what differs there. @example const repaired = yield* antiEntropy.repair(); */
+  /**
+   * Compares the leader's state with every other member's and repairs theirs. Returns how many objects were repaired.
+   */
   *repair(): Task<number> {
     let repaired = 0;
     for (const id of this.state.otherMembers())
       for (let attempt = 0; attempt < COMPARE_ATTEMPTS_MAX; attempt += 1) {
-        const found = yield* this.repairMember(id);
-        if (found === undefined) continue;
-        repaired += found;
+        const repairedAtMember = yield* this.repairMember(id);
+        if (repairedAtMember === undefined) continue;
+        repaired += repairedAtMember;
         break;
       }
     return repaired;
   }
-  /** How many objects were repaired at a member; undefined if it was at another entry. */
+  /** Returns how many objects were repaired at a member; undefined if its log was applied to another position. */
   private *repairMember(id: string): Task<number | undefined> {
     const { state } = this;
     const { rpc, hooks, shard } = state.context;
@@ -94,13 +96,13 @@
     env.log(1408, { shard, segmentsOf: id, mended: repaired.ok });
   }
 
-  /** Handles "shard.digest". @example yield* antiEntropy.onDigest({ shard: 3, seq: 100 }) */
+  /** Handles "shard.digest". */
   *onDigest({ seq }: DigestRequest): Task<Result<DigestResponse>> {
     const { state } = this;
     if (state.appliedSeq !== seq) return Fault.ok({});
     return Fault.ok({ digests: RangeDigests.of(state.data), segments: state.segments.digest() });
   }
-  /** Handles "shard.mend" at a member that differs. @example yield* antiEntropy.onRepair(request) */
+  /** Handles "shard.mend" at a member whose objects differ. */
   *onRepair(request: RepairRequest): Task<Result<RepairResponse>> {
     return yield* this.state.withLock(() => this.repairObjects(request));
   }
@@ -116,7 +118,7 @@
     }
     return Fault.ok({ mended: repaired });
   }
-  /** Handles "shard.mendSegments" at a member whose segments differ from the leader's. @example yield* antiEntropy.onRepairSegments(request) */
+  /** Handles "shard.mendSegments" at a member whose segments differ from the leader's. */
   *onRepairSegments({ from }: RepairSegmentsRequest): Task<Result<RepairResponse>> {
     const { state } = this;
     const before = state.segments.digest();
--- a/src/shard/replica/follower.ts
+++ b/src/shard/replica/follower.ts
@@ -7,10 +7,10 @@
 import type { ReplicaState } from "./replicaState";
 import type { ReplicaStorage } from "./replicaStorage";
 
-/** The log has entries that the leader doesn't: it can't be extended, only replaced. */
+/** The log has entries that the leader's log lacks, so that it can't be extended, only replaced by state transfer. */
 const MUST_BE_REPLACED: ReplicateResponse = { tag: "behind", seq: -1, lastEpoch: -1 };
 
-/** A member's part of replication: appends the leader's entries, syncs them, and grants the lease. */
+/** Replication at a member that isn't the leader: appends and syncs the leader's entries, and grants the lease. */
 export class Follower {
   constructor(
     private readonly state: ReplicaState,
@@ -18,7 +18,7 @@
     private readonly storage: ReplicaStorage,
   ) {}
 
-  /** Handles "shard.replicate". @example yield* follower.onReplicate(request) */
+  /** Handles "shard.replicate". */
   *onReplicate(request: ReplicateRequest): Task<Result<ReplicateResponse>> {
     return yield* this.state.withLock(() => this.append(request));
   }
@@ -58,13 +58,14 @@
     env.point(42);
     return Fault.ok({ tag: "ok", seq: state.log.lastSeq, lowDisk: state.isDiskLow });
   }
+  /** The response to a request whose entries can't be appended to this log; undefined if they can. */
   private mismatchOf(request: ReplicateRequest): ReplicateResponse | undefined {
     const { log } = this.state;
     const { entries, prevSeq, prevEpoch } = request;
     if (prevSeq > log.lastSeq || log.epochAt(prevSeq) !== prevEpoch)
       return { tag: "behind", seq: log.lastSeq, lastEpoch: log.lastEpoch };
     const hasOtherEntry = entries.some((entry) => entry.seq <= log.lastSeq && log.epochAt(entry.seq) !== entry.epoch);
-    // Entries of an older epoch that the leader doesn't have were never acknowledged by all members.
+    // Entries of an older epoch that the leader lacks were never acknowledged by all members and must be discarded.
     const hasMore = entries.length === 0 && prevSeq < log.lastSeq && log.lastEpoch < request.epoch;
     return hasOtherEntry || hasMore ? MUST_BE_REPLACED : undefined;
   }
--- a/src/shard/replica/leader.ts
+++ b/src/shard/replica/leader.ts
@@ -8,7 +8,7 @@
 import { MEMBERS_MAX, ReplicaState } from "./replicaState";
 import type { StablePrefix } from "./stablePrefix";
 
-/** The time of one leadership: acquires the leases of all members, serves, and renews the leases. */
+/** Runs a leadership: acquires a lease from every other member, replicates puts, and renews the leases. */
 export class Leader {
   constructor(
     private readonly state: ReplicaState,
@@ -18,7 +18,7 @@
     private readonly sender: MemberSender,
   ) {}
 
-  /** Leads a view until the leadership ends. @example Csp.go(env.scope, "leader", () => leader.run(view)); */
+  /** Leads a view until the leadership ends. */
   *run({ epoch }: ShardView): Task<void> {
     const { state, leadership } = this;
     const { env, hooks, shard } = state.context;
@@ -36,21 +36,21 @@
     if (!leadership.isLeaderOf(epoch)) return;
     env.log(1411, { shard, epoch, seq: state.log.lastSeq });
     hooks.leadershipStarted();
-    Csp.go(env.scope, `renewals of shard ${shard} epoch ${epoch}`, () => this.renewLeases(epoch));
+    Csp.go(env.scope, `renew leases of shard ${shard} epoch ${epoch}`, () => this.renewLeases(epoch));
     yield* this.replication.run(epoch);
   }
   private *acquireLeases(epoch: number): Task<void> {
     const { state, leadership, sender } = this;
     const { env } = state.context;
-    const done = Csp.chan<true>(MEMBERS_MAX);
+    const acquired = Csp.chan<true>(MEMBERS_MAX);
     for (const id of state.otherMembers())
-      Csp.go(env.scope, `grant of ${id}`, function* () {
-        // Every member's log ends where this one does: the view was committed only then.
+      Csp.go(env.scope, `acquire lease of ${id}`, function* () {
+        // The view was committed only after every member's log had the same end as this one.
         while (leadership.isLeaderOf(epoch) && (yield* sender.renewLease(id, epoch, state.log.lastSeq)) !== "synced")
           yield* EnvironmentTools.sleep(env, RESEND_MS);
-        Csp.offer(done, true);
+        Csp.offer(acquired, true);
       });
-    for (let answered = 0; answered < state.otherMembers().length; answered += 1) yield* Csp.take(done);
+    for (let answered = 0; answered < state.otherMembers().length; answered += 1) yield* Csp.take(acquired);
   }
   private *renewLeases(epoch: number): Task<void> {
     const { state, leadership, sender } = this;
@@ -58,10 +58,10 @@
     while (leadership.isLeaderOf(epoch)) {
       this.stablePrefix.advance();
       if (leadership.needsViewChange()) hooks.viewChangeNeeded();
-      // Entries renew the lease as well: only members that got none lately are sent a renewal.
+      // Entries renew the lease too, so that only members that were sent none recently need a renewal.
       const dueBefore = env.mono() + Constants.shardLeaseMs - Constants.shardLeaseMarginMs - Constants.leaseRenewMs / 2;
       for (const id of state.otherMembers().filter((other) => leadership.leaseEnd(other) < dueBefore))
-        Csp.go(env.scope, "renew", function* () {
+        Csp.go(env.scope, "renew lease", function* () {
           const outcome = yield* sender.renewLease(id, epoch, state.appliedSeq);
           if (outcome === "behind") leadership.memberFailed(id, env.mono());
         });
--- a/src/shard/replica/leadership.ts
+++ b/src/shard/replica/leadership.ts
@@ -5,51 +5,50 @@
 import type { ReplicaState } from "./replicaState";
 
 /**
- * Whether this replica leads its shard: its role, the leases that the other members have granted it, and which of them
- * fail. Every other member grants the lease, so that one sealed member is enough to end it, and no member outside the
- * view is needed to keep it.
+ * Tracks whether this replica leads its shard: its role, the leases that the other members granted, and which members
+ * fail. Every other member grants the lease. So sealing one member is enough to end the leadership, and no node outside
+ * the view is needed to keep it.
  */
 export class Leadership {
   readonly puts = new PutQueue();
-  /** Signals puts to order, and the end of the leadership. */
+  /** Signals that puts are queued, that `mayStartAt` changed, or that the leadership ended. */
   readonly wake: Chan<true> = Csp.sliding(1);
-  /** The former leader's lease has ended by then, monotonic ms. */
+  /** Time at which the former leader's lease has certainly ended, monotonic ms. */
   mayStartAt = 0;
-  /** By member, until when its lease counts here, monotonic ms. */
+  /** By member, the time until which its lease is valid, monotonic ms. */
   private readonly leaseEnds = new Map<string, number>();
-  /** By member, since when it has not synced what it was sent, monotonic ms. */
+  /** By member, the time since which it has failed to sync what it was sent, monotonic ms. */
   private readonly failingSince = new Map<string, number>();
-  /** By member, whether it said that its disk is nearly full. */
+  /** By member, whether it reported that its disk is nearly full. */
   private readonly lowDisks = new Map<string, boolean>();
 
   constructor(private readonly state: ReplicaState) {}
 
-  /** Whether this replica leads right now. @example if (!leadership.holdsLease()) return notLead; */
+  /** Whether this replica is the leader and holds an unexpired lease from every other member. */
   holdsLease(): boolean {
     const now = this.state.context.env.mono();
     return this.state.role === "lead" && this.state.otherMembers().every((id) => this.leaseEnd(id) > now);
   }
-  /** Until when a member's lease counts, monotonic ms; 0 for none. @example leadership.leaseEnd("node-2") */
+  /** The time until which a member's lease is valid, monotonic ms; 0 for none. */
   leaseEnd(id: string): number {
     return this.leaseEnds.get(id) ?? 0;
   }
-  /** Whether this replica leads, or starts to lead, the view of an epoch. @example if (!leadership.isLeaderOf(epoch)) return; */
+  /** Whether this replica leads the view of an epoch, or is starting to. */
   isLeaderOf(epoch: number): boolean {
     const { role, view } = this.state;
     return (role === "lead" || role === "starting") && view?.epoch === epoch;
   }
-  /** Forgets what is known of the members, before a new leadership. @example leadership.reset(); */
+  /** Clears the state of the members before a new leadership. */
   reset(): void {
     this.failingSince.clear();
     this.leaseEnds.clear();
   }
 
   /**
-   * Ends the leadership, if there is one: all puts get a fault.
+   * Ends the leadership, if there is one. All queued puts get a fault.
    *
-   * @param reason for the log, the faults and control
-   * @param isViewChanging control is already changing the view, and need not be called
-   * @example leadership.stop("newer view");
+   * @param reason text for the log, for the faults, and for the control group
+   * @param isViewChanging whether the control group is already changing the view and need not be asked to
    */
   stop(reason: string, isViewChanging = false): void {
     const { state } = this;
@@ -65,43 +64,42 @@
     hooks.leadershipStopped();
   }
 
-  /** A member synced what it was sent; its lease counts from the sending on. @example leadership.memberSynced(id, sentAt); */
+  /** Records that a member synced what it was sent. Its lease runs from the time of sending. */
   memberSynced(id: string, sentAt: number): void {
     this.leaseEnds.set(id, sentAt + Constants.shardLeaseMs - Constants.shardLeaseMarginMs);
     this.failingSince.delete(id);
   }
-  /** A member reported whether its disk is nearly full. @example leadership.diskReported(id, response.lowDisk); */
+  /** Records whether a member's disk is nearly full. */
   diskReported(id: string, isLow: boolean): void {
     this.lowDisks.set(id, isLow);
   }
   /**
-   * A member did not sync what it was sent. One that takes no connection is almost certainly down: half of the time
-   * after which it counts as silent is taken as passed.
-   * @example leadership.memberFailed(id, sentAt, response.fault);
+   * Records that a member did not sync what it was sent. One that refuses connections is almost certainly down, so half
+   * of the time after which a member counts as silent is taken as elapsed.
    */
   memberFailed(id: string, sentAt: number, fault?: Fault): void {
     const since = fault?.tag === "refused" ? sentAt - Constants.memberSilentMs / 2 : sentAt;
     if (!this.failingSince.has(id)) this.failingSince.set(id, since);
   }
-  /** A member's disk failed: it counts as silent at once. @example leadership.memberDiskFailed(id); */
+  /** Records that a member's disk failed. The member counts as silent at once. */
   memberDiskFailed(id: string): void {
     this.failingSince.set(id, -Infinity);
   }
-  /** Members that have not synced for too long. @example leadership.silentMembers() */
+  /** Members that have failed to sync for longer than `memberSilentMs`. */
   silentMembers(): string[] {
     const now = this.state.context.env.mono();
     return [...this.failingSince].filter(([, since]) => now - since > Constants.memberSilentMs).map(([id]) => id);
   }
-  /** Whether the disk of any member is nearly full. @example if (leadership.isAnyDiskLow()) return busy; */
+  /** Whether the disk of any member is nearly full. */
   isAnyDiskLow(): boolean {
     return this.state.isDiskLow || [...this.lowDisks.values()].some((isLow) => isLow);
   }
 
-  /** Since when the leader was not heard by this member, ms. @example leadership.leaderSilenceMs() */
+  /** Time since this member last received entries or a renewal from the leader, ms. */
   leaderSilenceMs(): number {
     return this.state.context.env.mono() - (this.state.grantedLeaseEnd - Constants.shardLeaseMs);
   }
-  /** Whether a view change seems to be called for. @example if (leadership.needsViewChange()) hooks.viewChangeNeeded(); */
+  /** Whether this replica has a reason to request a view change. */
   needsViewChange(): boolean {
     const { state } = this;
     if (state.role === "lead") return this.silentMembers().length > 0;
--- a/src/shard/replica/logReplication.ts
+++ b/src/shard/replica/logReplication.ts
@@ -14,15 +14,15 @@
 import type { ShardLogEntry } from "./shardLog";
 import type { StablePrefix } from "./stablePrefix";
 
-/** How often an idle leader looks whether it still leads, ms. */
+/** How often an idle leader checks whether it still leads, ms. */
 const LEADERSHIP_CHECK_MS = 1000;
 
-/** Whether a put brings new work, which is refused while a disk is nearly full. */
+/** Whether a put opens a request or a job, which is rejected while a disk is nearly full. */
 const opensRequestOrJob = (put: Put): boolean => put.ops.some((op) => op.op === "open" || op.op === "lot");
 
 /**
- * The leader's part of replication: orders puts into entries (group commit), and completes a put once every member of
- * the view has synced its entry.
+ * Replication at the leader: orders puts into entries (group commit), and completes a put once every member of the view
+ * has synced its entry.
  */
 export class LogReplication {
   constructor(
@@ -34,11 +34,10 @@
   ) {}
 
   /**
-   * Puts through the leader. Faults: "late", "busy" and "notLead" mean that it was never logged; "unknown" that it may
-   * be, and may be repeated under the same id.
+   * Logs and applies a put. The faults "late", "busy" and "notLead" mean that the put was not logged. "unknown" means
+   * that it may have been; it may be retried under the same id.
    *
-   * @param withinMs time to wait for the outcome
-   * @example const outcome = yield* replication.put(put, 1000);
+   * @param withinMs how long to wait for the outcome, ms
    */
   *put(put: Put, withinMs: number): Task<Result<PutOutcome>> {
     const { state, leadership } = this;
@@ -46,13 +45,14 @@
     if (!leadership.holdsLease()) return Fault.fail("notLead", "put", selfId, state.view?.lead ?? "");
     const earlier = state.data.putOutcomes.get(put.putId);
     if (earlier) return Fault.ok(earlier.outcome);
-    const refusal = this.rejectionOf(put);
-    if (refusal) return refusal;
+    const rejection = this.rejectionOf(put);
+    if (rejection) return rejection;
     const response = leadership.puts.add(put, env.mono());
     Csp.offer(leadership.wake, true);
     const outcome = yield* EnvironmentTools.takeWithin(env, response, withinMs);
     return outcome ?? Fault.fail("unknown", "put", selfId, "not on every copy in time");
   }
+  /** The fault of a put that can't be queued; undefined if it can. */
   private rejectionOf(put: Put): Result<never> | undefined {
     const { state, leadership, stablePrefix } = this;
     const { selfId } = state.context;
@@ -67,7 +67,7 @@
     return Fault.fail("late", "put", selfId, detail);
   }
 
-  /** Replicates queued puts as long as this replica leads the epoch. @example yield* replication.run(epoch); */
+  /** Replicates queued puts until this replica no longer leads the epoch. */
   *run(epoch: number): Task<void> {
     const { state, leadership } = this;
     while (leadership.isLeaderOf(epoch)) {
@@ -80,7 +80,7 @@
       yield* state.withLock(() => this.storage.compactIfLong());
     }
   }
-  /** Replicates one batch as one entry; false once this replica no longer leads. */
+  /** Replicates a batch as one entry. Returns false once this replica no longer leads. */
   private *replicateBatch(epoch: number, batch: QueuedPut[]): Task<boolean> {
     const { state, leadership } = this;
     const { env } = state.context;
--- a/src/shard/replica/memberSender.ts
+++ b/src/shard/replica/memberSender.ts
@@ -8,17 +8,17 @@
 import type { StablePrefix } from "./stablePrefix";
 
 /**
- * "synced": the member has everything up to there. "behind": its log ends elsewhere. "over": this replica no longer
- * leads. "failed": no response, or a broken disk.
+ * "synced": the member has synced the log up to the position sent. "behind": its log ends at another position.
+ * "notLeading": this replica no longer leads. "failed": the member did not respond, or its disk is broken.
  */
-export type SendOutcome = "synced" | "behind" | "over" | "failed";
+export type SendOutcome = "synced" | "behind" | "notLeading" | "failed";
 
-/** Pause before something is sent to a member again, ms. */
+/** Pause before a request is sent to a member again, ms. */
 export const RESEND_MS = 40;
-/** Sent in place of the epoch of an entry that is no longer in memory: matches none. */
+/** Sent as the epoch of an entry that is no longer in memory. It matches no epoch. */
 const UNKNOWN_EPOCH = -2;
 
-/** Sends the leader's log to the other members of the view, and notes what their responses say about them. */
+/** Sends the leader's log to the other members of the view, and records from their responses whether they sync. */
 export class MemberSender {
   constructor(
     private readonly state: ReplicaState,
@@ -26,7 +26,7 @@
     private readonly stablePrefix: StablePrefix,
   ) {}
 
-  /** Renews a member's lease, if its log reaches a position; carries the frontier. @example yield* sender.renewLease(id, epoch, seq) */
+  /** Renews the lease of a member whose log reaches `prevSeq`. The request carries the frontier. */
   *renewLease(id: string, epoch: number, prevSeq: number): Task<SendOutcome> {
     const { state } = this;
     const { env, rpc, shard, hooks } = state.context;
@@ -50,7 +50,7 @@
     return outcome;
   }
 
-  /** Sends a request to a member until it is synced there; false once this replica no longer leads. @example yield* sender.sendUntilSynced(id, request) */
+  /** Sends a request to a member until the member has synced it. Returns false once this replica no longer leads. */
   *sendUntilSynced(id: string, request: ReplicateRequest): Task<boolean> {
     const { env, rpc, hooks } = this.state.context;
     const { epoch } = request;
@@ -63,7 +63,7 @@
         : undefined;
       const outcome = this.outcomeOf(id, epoch, sentAt, response);
       if (outcome === "synced") return true;
-      if (outcome === "over") return false;
+      if (outcome === "notLeading") return false;
       if (outcome === "behind") this.leadership.memberFailed(id, sentAt);
       yield* EnvironmentTools.sleep(env, RESEND_MS);
     }
@@ -76,7 +76,7 @@
     response: Result<ReplicateResponse> | undefined,
   ): SendOutcome {
     const { leadership } = this;
-    if (!leadership.isLeaderOf(epoch)) return "over";
+    if (!leadership.isLeaderOf(epoch)) return "notLeading";
     if (!response?.ok) {
       leadership.memberFailed(id, sentAt, response?.fault);
       return "failed";
@@ -87,7 +87,7 @@
         return "synced";
       case "sealed":
         leadership.stop(`refused by ${id}: sealed for ${response.value.epoch}`);
-        return "over";
+        return "notLeading";
       case "behind":
         return "behind";
       case "broken":
--- a/src/shard/replica/putQueue.ts
+++ b/src/shard/replica/putQueue.ts
@@ -2,16 +2,16 @@
 import { Chan, Csp } from "../../runtime/csp";
 import type { Put, PutOutcome } from "../state/operations";
 
-/** A put whose caller waits for its outcome. */
+/** A put whose caller waits for the outcome. */
 export interface QueuedPut {
   readonly put: Put;
   readonly response: Chan<Result<PutOutcome>>;
-  /** Monotonic ms. */
+  /** Time at which the put was queued, monotonic ms. */
   readonly queuedAt: number;
 }
 
 /**
- * The puts of a leader: those that wait for their order, and the batch that is being replicated.
+ * The puts of a leader: those that wait to be ordered, and the batch that is being replicated.
  *
  * @example
  * const response = queue.add(put, env.mono());
@@ -21,33 +21,30 @@
   private waiting: QueuedPut[] = [];
   private inFlight: QueuedPut[] = [];
 
-  /** Puts that wait for their order. */
+  /** Number of puts that wait to be ordered. */
   get length(): number {
     return this.waiting.length;
   }
-  /** Queues a put; its outcome comes on the channel. @example const response = queue.add(put, env.mono()); */
+  /** Queues a put. Its outcome is sent on the returned channel. */
   add(put: Put, queuedAt: number): Chan<Result<PutOutcome>> {
     const response = Csp.chan<Result<PutOutcome>>(1);
     this.waiting.push({ put, response, queuedAt });
     return response;
   }
-  /** The next puts to replicate; in flight until `batchCompleted`. @example const batch = queue.takeBatch(256); */
+  /** Takes the next puts to replicate. They are in flight until `batchCompleted` is called. */
   takeBatch(limit: number): QueuedPut[] {
     this.inFlight = this.waiting.splice(0, limit);
     return this.inFlight;
   }
-  /** The batch in flight has its outcomes. @example queue.batchCompleted(); */
+  /** Records that the puts in flight have their outcomes. */
   batchCompleted(): void {
     this.inFlight = [];
   }
-  /** Times of the stamps of all puts, ms. @example Math.min(now, ...queue.stampTimes()) */
+  /** Stamp times of all waiting puts and puts in flight, ms. */
   stampTimes(): number[] {
     return [...this.inFlight, ...this.waiting].map(({ put }) => put.stamp.time);
   }
-  /**
-   * Ends all puts with a fault: "notLead" for those that were never logged, "unknown" for those in flight.
-   * @example queue.failAll("node-1", "newer view");
-   */
+  /** Ends all puts with a fault: "notLead" if they were not logged, "unknown" if they are in flight. */
   failAll(selfId: string, reason: string): void {
     for (const { response } of this.waiting) Csp.offer(response, Fault.fail("notLead", "put", selfId, reason));
     for (const { response } of this.inFlight) Csp.offer(response, Fault.fail("unknown", "put", selfId, reason));
--- a/src/shard/replica/replicaReads.ts
+++ b/src/shard/replica/replicaReads.ts
@@ -7,24 +7,23 @@
 import type { LiveRequest } from "../state/liveRequest";
 import type { ReplicaState } from "./replicaState";
 
-/** Reads of a replica's objects, in memory or in segments, and waits for changes. */
+/** Reads a replica's objects from memory or segments, and waits for changes. */
 export class ReplicaReads {
   constructor(private readonly state: ReplicaState) {}
 
-  /** A batch job, open or closed; undefined if there is none. Faults: "gone" if trimmed, "disk". @example const job = yield* reads.job("lot-17"); */
+  /** Reads a batch job, open or closed; undefined if there is none. Faults: "gone" if trimmed, "disk". */
   *job(id: string): Task<Result<BatchJob | undefined>> {
     const job = this.state.data.jobs.get(id);
     return job ? Fault.ok(job) : yield* this.state.segments.readObject("lots", id);
   }
-  /** A live request, open or closed; undefined if there is none. Faults: "gone" if trimmed, "disk". @example const request = yield* reads.liveRequest("req-1"); */
+  /** Reads a live request, open or closed; undefined if there is none. Faults: "gone" if trimmed, "disk". */
   *liveRequest(id: string): Task<Result<LiveRequest | undefined>> {
     const request = this.state.data.liveRequests.get(id);
     return request ? Fault.ok(request) : yield* this.state.segments.readObject("works", id);
   }
   /**
-   * Runs a read of sealed ledger entries; repeated if further ones were sealed meanwhile, so that what is read next in
-   * memory follows without a gap.
-   * @example const sealed = yield* reads.readConsistently(() => segments.ledger.after(stamp, 100));
+   * Runs a read of sealed ledger entries, and repeats it if more were sealed meanwhile. So the entries in memory, which
+   * the caller reads next, follow without a gap.
    */
   *readConsistently<T>(read: () => Task<Result<T>>): Task<Result<T>> {
     for (;;) {
@@ -33,12 +32,12 @@
       if (!done.ok || this.state.data.segmentCounts.ledger === before) return done;
     }
   }
-  /** Waits until something was applied or became stable, at most so many ms. @example yield* reads.waitForChange(800); */
+  /** Waits until an entry is applied or the frontier advances, at most `ms` milliseconds. */
   *waitForChange(ms: number): Task<void> {
     const { state } = this;
     const { env, hooks } = state.context;
     const change = state.addReader();
-    // At the leader the frontier moves with the time itself: it passes the next put that isn't stable yet by then.
+    // The leader's frontier advances with its clock, so the time at which it passes the next unstable put is known.
     const nextTime = Math.min(...state.data.unstablePuts.map((put) => put.stamp.time));
     const dueMs = state.role === "lead" ? nextTime + Stamp.delay(hooks.bounds()) - env.wall() + 1 : Infinity;
     yield* EnvironmentTools.takeWithin(env, change, Math.min(ms, dueMs > 0 ? dueMs : Constants.statusPeriodMs));
--- a/src/shard/replica/replicaSnapshot.ts
+++ b/src/shard/replica/replicaSnapshot.ts
@@ -1,4 +1,4 @@
-/** What a replica writes to disk: snapshots in slot files, and records in the log file behind the last snapshot. */
+/** Data that a replica writes to disk: snapshots, and the log records that follow the last snapshot. */
 import type { ShardView } from "../../controlState/shardView";
 import type { SerializedShard } from "../state/shardData";
 import type { ShardLogEntry } from "./shardLog";
@@ -9,7 +9,7 @@
   seq: number;
   /** Epoch of that entry. */
   lastEpoch: number;
-  /** Epochs below this one are sealed. */
+  /** Epochs below this one are sealed: the replica rejects their entries. */
   sealed: number;
   view: ShardView | null;
   data: SerializedShard;
--- a/src/shard/replica/replicaState.ts
+++ b/src/shard/replica/replicaState.ts
@@ -13,80 +13,82 @@
 import { ShardState } from "../state/shardState";
 import { ShardLog } from "./shardLog";
 
-/** What a replica asks of its storage node, and tells it. */
+/** Queries to and notifications of the storage node that hosts a replica. */
 export interface ReplicaHooks {
-  /** Address of a member; undefined if unknown. */
+  /** Returns the address of a member; undefined if it is unknown. */
   addressOf(id: string): string | undefined;
-  /** The bounds δ, ε and Δ in force. */
+  /** Returns the bounds δ, ε and Δ in force. */
   bounds(): Bounds;
-  /** Whether the node's clock is inside the bounds. */
+  /** Returns whether the skew of the node's clock is within the bounds. */
   isClockTrusted(): boolean;
-  /** A put is on every member, so long after it was queued, ms. */
+  /** Reports that every member has synced a put, this many ms after it was queued. */
   putCompleted(ms: number): void;
   leadershipStarted(): void;
   leadershipStopped(): void;
-  /** Control should look at this shard now. */
+  /** Asks the control group to check at once whether this shard needs a view change. */
   viewChangeNeeded(): void;
 }
 
-/** Where a replica runs, and which one it is. */
+/** Environment and identity of a replica. */
 export interface ReplicaContext {
   readonly env: Environment;
   readonly rpc: Rpc;
-  /** Id of this member. */
+  /** Id of the replica's node. */
   readonly selfId: string;
   readonly shard: number;
-  /** Folder of its files on disk. */
+  /** Folder of the replica's files. */
   readonly folder: string;
   readonly hooks: ReplicaHooks;
 }
 
-/** Numbers for the metrics, since the start of the process. */
+/** Counters for the metrics, since the start of the process. */
 export interface ReplicaCounts {
   puts: number;
   batches: number;
-  /** Puts refused because their stamp was behind the frontier. */
+  /** Puts rejected because the frontier had passed their stamp. */
   latePuts: number;
   /** Puts that took longer than the bounds allow. */
   overrunPuts: number;
-  /** Objects and segments taken over from another replica. */
+  /** Objects and segments repaired from another replica. */
   repaired: number;
   /** Bytes of segments copied from another replica. */
   transferredBytes: number;
 }
 
-/** Most members of a view: capacity of the channels on which their responses are collected. */
+/** Greatest number of members of a view; capacity of the channels that collect their responses. */
 export const MEMBERS_MAX = 16;
 /** Format of a shard's snapshots and logs on disk. */
 const DISK_FORMAT = 2;
 
 /**
- * What the parts of a replica share: its view, its log, the state that the log gives, and the lock under which these are
- * changed and written.
+ * State that the classes of a replica share: its view, its log, the state built from the log, and the lock under which
+ * these are changed and written.
  */
 export class ReplicaState {
-  /** The last view that was installed; undefined before the first. */
+  /** The view that was installed last; undefined before the first. */
   view: ShardView | undefined;
-  /** Epochs below this one are sealed: their entries are refused. */
+  /** Epochs below this one are sealed: their entries are rejected. */
   sealedEpoch = 0;
-  /** Epoch for which this process has sealed the log; 0 for none. A seal of an earlier process doesn't let it lead. */
+  /** Epoch for which this process sealed the log; 0 for none. A seal by an earlier process doesn't allow it to lead. */
   sealedEpochOfProcess = 0;
   readonly log = new ShardLog();
+  /** Position of the last entry applied. */
   appliedSeq = 0;
+  /** Epoch of the last entry applied. */
   appliedEpoch = 0;
   data: ShardData;
   readonly segments: SegmentStore;
   role: ShardReplicaRole = "out";
-  /** Whether there is a replica of the shard here: a log or a snapshot on disk. */
+  /** Whether this node has a replica of the shard: a log or a snapshot on disk. */
   exists = false;
-  /** Why a view change is called for; empty if it isn't. */
+  /** Why a view change is needed; empty if it isn't. */
   viewChangeReason = "";
-  /** End of the lease granted to the leader, monotonic ms. A restarted member may have granted one just before. */
+  /** End of the lease granted to the leader, monotonic ms. Initially assumes a lease granted just before a restart. */
   grantedLeaseEnd: number;
-  /** Whether the disk is nearly full: nothing new is accepted. */
+  /** Whether the disk is nearly full. New requests and jobs are then rejected. */
   isDiskLow = false;
   diskLog: CheckpointedLog;
-  /** Signals that there may be segments to write. */
+  /** Signals that there may be pending segments to write. */
   readonly segmentsPending: Chan<true> = Csp.sliding(1);
   readonly counts: ReplicaCounts = {
     puts: 0,
@@ -120,16 +122,16 @@
   get isMember(): boolean {
     return !!this.view?.members.includes(this.context.selfId);
   }
-  /** The other members of the view. @example state.otherMembers().length */
+  /** The other members of the view. */
   otherMembers(): string[] {
     return (this.view?.members ?? []).filter((id) => id !== this.context.selfId);
   }
-  /** The snapshots and the log on disk, not yet opened. @example state.diskLog = state.newDiskLog(); */
+  /** Creates the snapshots and log on disk, not yet opened. */
   newDiskLog(): CheckpointedLog {
     return new CheckpointedLog(this.context.env, this.context.folder, DISK_FORMAT);
   }
 
-  /** Forgets everything but the sealed epoch, before it is read from disk again. @example state.reset(); */
+  /** Clears everything but the sealed epoch, before the replica is read from disk again. */
   reset(): void {
     this.log.reset(0, 0);
     this.log.entriesSinceSnapshot = 0;
@@ -143,7 +145,7 @@
     this.role = "out";
   }
 
-  /** Runs a task while no other one changes the replica. @example yield* state.locked(() => storage.compactIfLong()); */
+  /** Runs a task under the lock of the replica. */
   *withLock<T>(body: () => Task<T>): Task<T> {
     yield* Csp.take(this.lock);
     try {
@@ -153,7 +155,7 @@
     }
   }
 
-  /** Applies the entries that aren't applied yet; the outcomes of their puts. @example const outcomes = state.applyLog(); */
+  /** Applies the entries that aren't applied yet. Returns the outcomes of their puts. */
   applyLog(): PutOutcome[] {
     const outcomes: PutOutcome[] = [];
     for (const entry of this.log.entriesAfter(this.appliedSeq)) {
@@ -168,14 +170,14 @@
     this.wakeReaders();
     return outcomes;
   }
-  /** Advances the frontier of the stable prefix. @example state.advanceFrontier(request.frontier); */
+  /** Advances the frontier of the stable prefix. */
   advanceFrontier(frontier: number): void {
     const before = this.data.frontier;
     ShardState.advanceFrontier(this.data, frontier);
     if (this.data.frontier !== before) this.wakeReaders();
   }
 
-  /** A channel that gets a value whenever something was applied or became stable; closed by `removeReader`. */
+  /** Returns a channel that is signalled after entries are applied or the frontier advances, until `removeReader`. */
   addReader(): Chan<true> {
     const wake = Csp.sliding<true>(1);
     this.waitingReaders.add(wake);
--- a/src/shard/replica/replicaStorage.ts
+++ b/src/shard/replica/replicaStorage.ts
@@ -7,12 +7,12 @@
 import type { LogRecord, ReplicaSnapshot } from "./replicaSnapshot";
 import type { ReplicaState } from "./replicaState";
 
-/** How often trimmed segments are looked for while there is none to write. */
+/** How often trimmed segments are removed while no segment is to be written, ms. */
 const TRIM_CHECK_MS = 5000;
 
 /**
- * A replica on disk: recovery at the start, records of the log, snapshots that compact it, and the segments. A disk that
- * fails ends the leadership; it is tried again later.
+ * Storage of a replica on disk: recovery at the start, log records, snapshots that compact the log, and segments. A
+ * disk failure ends the leadership; the disk is retried later.
  */
 export class ReplicaStorage {
   private isRetrying = false;
@@ -25,12 +25,12 @@
     EnvironmentTools.keep(env, env.scope, `segments of shard ${shard}`, () => this.writeSegments());
   }
 
-  /** Whether the disk failed, and has not been read and written anew since. */
+  /** Whether the disk failed and has not been recovered since. */
   get isBroken(): boolean {
     return this.state.isDiskBroken || this.isRetrying;
   }
 
-  /** Reads what is on disk. Gives the fault "disk" where that fails. @example yield* storage.recover() */
+  /** Recovers the replica from disk. Returns the fault "disk" if that fails. */
   *recover(): Task<Result<true>> {
     const { state } = this;
     const opened = yield* state.diskLog.open();
@@ -46,7 +46,8 @@
     state.applyLog();
     if (state.isMember) {
       state.role = "member";
-      // The last entries of a former leader may be on the disks of others only: a new view starts from the longest log.
+      // A restarted leader may lack its last entries, which other members have synced. A new view starts from the
+      // longest log, so it is needed before this replica leads again.
       if (state.view?.lead === state.context.selfId) state.viewChangeReason = "lead was restarted";
     }
     return Fault.ok(true as const);
@@ -80,13 +81,13 @@
     return opened;
   }
 
-  /** Appends records to the log and syncs them. @example yield* storage.write([{ tag: "seal", epoch }]) */
+  /** Appends records to the log file and syncs them. */
   *write(records: LogRecord[]): Task<Result<true>> {
     const written = yield* this.state.diskLog.append(records);
     if (!written.ok) this.diskFailed(written.fault);
     return written;
   }
-  /** The state up to the last entry applied. @example storage.snapshot().seq */
+  /** Returns a snapshot of the state up to the last entry applied. */
   snapshot(): ReplicaSnapshot {
     const { state } = this;
     return {
@@ -97,13 +98,13 @@
       data: ShardData.serialize(state.data),
     };
   }
-  /** Writes a snapshot and starts a new log behind it. @example yield* storage.writeSnapshot() */
+  /** Writes a snapshot and starts a new log file after it. */
   *writeSnapshot(snapshot: ReplicaSnapshot = this.snapshot()): Task<Result<true>> {
     const written = yield* this.state.diskLog.checkpoint(snapshot);
     if (!written.ok) this.diskFailed(written.fault);
     return written;
   }
-  /** Replaces the replica by a snapshot of another one, on disk and in memory. @example yield* storage.replaceBy(snapshot) */
+  /** Replaces the replica with a snapshot of another replica, on disk and in memory. */
   *replaceWith(snapshot: ReplicaSnapshot): Task<Result<true>> {
     const written = yield* this.writeSnapshot(snapshot);
     if (!written.ok) return written;
@@ -111,7 +112,7 @@
     if (!restored.ok) this.diskFailed(restored.fault);
     return restored;
   }
-  /** Writes a snapshot once the log is long. @example yield* storage.compactIfLong(); */
+  /** Writes a snapshot if the log is long. */
   *compactIfLong(): Task<void> {
     const { log, diskLog, appliedSeq } = this.state;
     const isLong =
@@ -127,9 +128,8 @@
   }
 
   /**
-   * Tries a disk that failed: what is on it is read as at a start, and counts only once all of it was written and synced
-   * anew, since after a failed sync the content of the disk is unknown.
-   * @example yield* storage.retryDisk();
+   * Retries a disk that failed. Its content is read as at a start, and is trusted only after all of it was written and
+   * synced again, because a failed sync leaves the content of the disk unknown.
    */
   *retryDisk(): Task<void> {
     if (!this.state.isDiskBroken || this.isRetrying) return;
@@ -155,7 +155,7 @@
     env.log(1414, { shard, seq: state.log.lastSeq });
   }
 
-  /** Writes sealed segments in the background; until then the snapshot contains their objects. */
+  /** Writes pending segments in the background. Until they are written, snapshots contain their objects. */
   private *writeSegments(): Task<void> {
     const { state } = this;
     const { env } = state.context;
@@ -169,7 +169,7 @@
       }
       const written = yield* state.segments.write(next);
       if (!written.ok) this.diskFailed(written.fault);
-      // The state may have been replaced meanwhile, and its segments with it.
+      // State transfer may have replaced the state and its pending segments meanwhile.
       else if (state.data === data) data.pendingSegments.shift();
     }
   }
--- a/src/shard/replica/sealedLogSync.ts
+++ b/src/shard/replica/sealedLogSync.ts
@@ -9,8 +9,8 @@
 import type { ReplicaStorage } from "./replicaStorage";
 
 /**
- * Brings the members of the next view to the end of the longest sealed log, synced on each, before that view is
- * committed: so every entry that was acknowledged is on all of them.
+ * Before a view is committed, brings the logs of its members to the end of the longest sealed log and syncs them. So
+ * all members have every acknowledged entry.
  */
 export class SealedLogSync {
   constructor(
@@ -19,7 +19,7 @@
     private readonly storage: ReplicaStorage,
   ) {}
 
-  /** Handles "shard.level" at the replica with the longest sealed log. @example yield* sealedLogSync.onLevel(request) */
+  /** Handles "shard.level" at the replica with the longest sealed log. */
   *onLogSync({ epoch, targets }: LogSyncRequest): Task<Result<LogSyncResponse>> {
     const { state } = this;
     const { env, selfId, shard } = state.context;
@@ -28,17 +28,18 @@
     const targetIds = targets.map(({ id }) => id);
     env.point(50, { shard, joiners: targetIds.filter((id) => !state.view?.members.includes(id)) });
     const syncedIds = [selfId];
-    const done = Csp.chan<true>(MEMBERS_MAX);
+    const finished = Csp.chan<true>(MEMBERS_MAX);
     const deadline = env.mono() + Constants.logSyncTimeoutMs;
     const sync = this;
     for (const { id, address } of targets)
-      Csp.go(env.scope, `level ${id}`, function* () {
+      Csp.go(env.scope, `sync log of ${id}`, function* () {
         if (yield* sync.bringToEnd(address, epoch, deadline)) syncedIds.push(id);
-        Csp.offer(done, true);
+        Csp.offer(finished, true);
       });
-    for (let answered = 0; answered < targets.length; answered += 1) yield* Csp.take(done);
+    for (let answered = 0; answered < targets.length; answered += 1) yield* Csp.take(finished);
     return this.faultFor(epoch) ?? Fault.ok({ ids: syncedIds });
   }
+  /** The fault if this replica isn't sealed for the epoch; undefined if it is. */
   private faultFor(epoch: number): Result<never> | undefined {
     const { state } = this;
     const { selfId } = state.context;
@@ -46,7 +47,10 @@
     if (state.sealedEpochOfProcess === epoch && state.sealedEpoch === epoch && state.epoch < epoch) return undefined;
     return Fault.fail("conflict", "level", selfId, `sealed for ${state.sealedEpoch}`);
   }
-  /** Sends entries to a member until its log ends where this one does; false if it can't be brought there in time. */
+  /**
+   * Sends entries to a member until its log has the same end as this one. Returns false if that fails or takes too
+   * long.
+   */
   private *bringToEnd(address: string, epoch: number, deadline: number): Task<boolean> {
     const { log, context } = this.state;
     const { env, rpc, shard } = context;
@@ -68,14 +72,14 @@
       const end = response.value;
       if (end.tag === "sealed" || end.tag === "broken") return false;
       if (end.tag === "ok" && end.seq === log.lastSeq && end.lastEpoch === log.lastEpoch) return true;
-      // One that can't be extended has to copy the state first.
+      // A member whose log can't be extended needs a state transfer first.
       if (!log.canExtend(end)) return false;
       from = end.seq;
     }
     return false;
   }
 
-  /** Handles "shard.catchUp" at a member of the next view. @example yield* sealedLogSync.onCatchUp(request) */
+  /** Handles "shard.catchUp" at a member of the next view. */
   *onCatchUp(request: CatchUpRequest): Task<Result<CatchUpResponse>> {
     return yield* this.state.withLock(() => this.catchUp(request));
   }
--- a/src/shard/replica/segmentTransfer.ts
+++ b/src/shard/replica/segmentTransfer.ts
@@ -8,16 +8,15 @@
 const LIST_TIMEOUT_MS = 2000;
 const CHUNK_TIMEOUT_MS = 3000;
 
-/** Copies segment files from another replica, at a limited rate. */
+/** Copies segment files from another replica at a limited rate. */
 export class SegmentTransfer {
   constructor(private readonly state: ReplicaState) {}
 
   /**
-   * Copies the segments that are missing or damaged here; returns how many of each kind the other replica has. Faults:
-   * "disk" and those of the call.
+   * Copies the segments that are missing or damaged on this replica. Returns how many of each kind the other replica
+   * has. Faults: "disk", "invalid", and those of the calls.
    *
    * @param from address of the other replica's node
-   * @example const counts = yield* transfer.fetchMissing("10.0.0.5:7000");
    */
   *fetchMissing(from: string): Task<Result<SegmentCounts>> {
     const { rpc, shard } = this.state.context;
@@ -37,7 +36,7 @@
     return Fault.ok(counts);
   }
 
-  /** Copies one file. Gives the fault "invalid" if it is damaged. @example yield* transfer.fetchFile(address, "lots", 3, "seg") */
+  /** Copies one file. Returns the fault "invalid" if it is damaged. */
   *fetchFile(from: string, kind: SegmentKind, number: number, part: SegmentPart): Task<Result<true>> {
     const { state } = this;
     const { env, rpc, shard } = state.context;
--- a/src/shard/replica/stablePrefix.ts
+++ b/src/shard/replica/stablePrefix.ts
@@ -2,15 +2,19 @@
 import type { Leadership } from "./leadership";
 import type { ReplicaState } from "./replicaState";
 
-/** The frontier stays this far behind the stamp of a put under way, ms. */
+/** Distance that the frontier keeps before the stamp of a queued put or one in flight, ms. */
 const PUT_MARGIN_MS = 0.001;
 
 /**
- * The temporal stability frontier (Birman et al. 2026, section 2.9): the prefix of the log before it is stable, and is
- * read in the order of the stamps. The leader advances it and publishes it with every entry and every lease renewal.
+ * The temporal stability frontier (Birman et al. 2026, section 2.9). Puts with a stamp up to the frontier are stable
+ * and are read in the order of their stamps. The leader advances the frontier and publishes it with every entry and
+ * lease renewal.
  */
 export class StablePrefix {
-  /** The greatest frontier that the leader may have published: puts behind it are refused. Wall time, ms. */
+  /**
+   * The greatest frontier that a leader may have published. Puts with a stamp up to it are rejected. Wall-clock time,
+   * ms.
+   */
   published = 0;
 
   constructor(
@@ -19,15 +23,17 @@
   ) {}
 
   /**
-   * Begins a leadership: the former leader may have published as far as the end of its lease, so that this one begins
-   * there, plus δ.
-   * @example stablePrefix.startLeading();
+   * Starts a leadership. The former leader may have published a frontier as late as the end of its lease, so this one
+   * starts at the current time, plus δ.
    */
   startLeading(): void {
     const { env, hooks } = this.state.context;
     this.published = Math.max(this.state.data.frontier, env.wall() + hooks.bounds().deltaMs);
   }
-  /** At the leader: advances to Δ + 2δ + ε into the past, held back by puts under way. @example stablePrefix.advance(); */
+  /**
+   * At the leader: advances the frontier to Δ + 2δ + ε before the current time, but not past queued puts or puts in
+   * flight.
+   */
   advance(): void {
     const { env, hooks } = this.state.context;
     if (this.state.role !== "lead" || !hooks.isClockTrusted()) return;
@@ -36,7 +42,7 @@
     if (candidate > this.published) this.published = candidate;
     this.state.advanceFrontier(this.published);
   }
-  /** How far temporal reads may go on this replica: wall time, ms. @example const upTo = stablePrefix.frontier(); */
+  /** The time up to which this replica can serve temporal reads: wall-clock time, ms. */
   frontier(): number {
     this.advance();
     return this.state.data.frontier;
--- a/src/shard/replica/stateTransfer.ts
+++ b/src/shard/replica/stateTransfer.ts
@@ -17,17 +17,17 @@
 
 const GOES_ON_TIMEOUT_MS = 500;
 const OPEN_STATE_TIMEOUT_MS = 5000;
-/** After so many attempts new segments were always sealed meanwhile. */
+/** Attempts before the transfer fails because new segments were written during each of them. */
 const ATTEMPTS_MAX = 20;
 
-/** Number of segments of a kind that a snapshot expects as files. */
+/** Number of segments of a kind that a snapshot doesn't contain and that must exist as files. */
 const writtenSegments = ({ data }: ReplicaSnapshot, kind: SegmentKind): number =>
   data.segments[kind] - data.sealing.filter((segment) => segment.kind === kind).length;
 
 /**
- * Copies a shard from the leader's replica while puts go on there: first the segments, as files, except those that are
- * here already; then the open state. The copy becomes a member only once a view change has brought its log to the sealed
- * end.
+ * Copies a shard from the leader's replica while the leader goes on serving puts: first the segment files that are
+ * missing here, then the open state. The new replica becomes a member only after a view change has brought its log to
+ * the end of the sealed log.
  */
 export class StateTransfer {
   private isUnderWay = false;
@@ -39,7 +39,7 @@
     private readonly segmentTransfer: SegmentTransfer,
   ) {}
 
-  /** Handles "shard.fill" at the replica that copies. @example yield* stateTransfer.onFill({ shard: 3, from: "10.0.0.5:7000" }) */
+  /** Handles "shard.fill" at the receiving replica. */
   *onTransfer({ from }: StateTransferRequest): Task<Result<StateTransferResponse>> {
     if (this.state.isDiskBroken) return Fault.fail("disk", "fill", this.state.context.selfId, "disk failed");
     if (this.isUnderWay) return Fault.ok({ tag: "underWay" });
@@ -68,7 +68,10 @@
     }
     return Fault.fail("timeout", "fill", selfId, "segments are sealed faster than they come");
   }
-  /** What was sealed since the segments were listed is part of the open state, unless it was written meanwhile. */
+  /**
+   * Whether every segment that the snapshot doesn't contain was fetched. One is missing if it was sealed after the
+   * segments were listed, and written before the snapshot was taken.
+   */
   private hasAllSegments(snapshot: ReplicaSnapshot, fetched: SegmentCounts): boolean {
     return SEGMENT_KINDS.every((kind) => writtenSegments(snapshot, kind) <= fetched[kind]);
   }
@@ -81,7 +84,7 @@
     if (state.isDiskBroken) return Fault.fail("disk", "fill", selfId, "disk failed");
     if (epoch < state.sealedEpoch || epoch < state.epoch)
       return Fault.fail("conflict", "fill", selfId, `sealed for ${state.sealedEpoch}`);
-    // A member of the view that the state is from never goes back to an earlier position.
+    // A member of the same view must never go back to an earlier position.
     if (state.isMember && state.view?.epoch === received.view?.epoch && received.seq < state.log.lastSeq)
       return Fault.fail("conflict", "fill", selfId, `holds ${state.log.lastSeq} already`);
     this.leadership.stop("filled from another");
@@ -93,11 +96,11 @@
     return Fault.ok({ tag: "ok" });
   }
 
-  /** Handles "shard.goesOn" at the leader. @example yield* stateTransfer.onGoesOn(request) */
+  /** Handles "shard.goesOn" at the leader. */
   *onCanExtend({ seq = 0, lastEpoch = 0 }: CanExtendRequest): Task<Result<CanExtendResponse>> {
     return Fault.ok({ goesOn: this.state.log.canExtend({ seq, lastEpoch }) });
   }
-  /** Handles "shard.segments" at the replica that is copied. @example yield* stateTransfer.onSegments() */
+  /** Handles "shard.segments" at the source replica. */
   *onSegments(): Task<Result<SegmentsResponse>> {
     const { data, segments } = this.state;
     return Fault.ok({
@@ -106,7 +109,7 @@
       segments: segments.list(),
     });
   }
-  /** Handles "shard.openState" at the leader. @example yield* stateTransfer.onOpenState({ shard: 3, member: "node-9" }) */
+  /** Handles "shard.openState" at the leader. */
   *onOpenState({ member }: OpenStateRequest): Task<Result<OpenStateResponse>> {
     const { state } = this;
     const { env, selfId, shard } = state.context;
--- a/src/shard/replica/viewChange.ts
+++ b/src/shard/replica/viewChange.ts
@@ -8,8 +8,8 @@
 import type { ReplicaStorage } from "./replicaStorage";
 
 /**
- * View changes (virtual synchrony): control seals the logs of the old view, has them brought to the same end
- * ({@link SealedLogSync}), commits the next view and installs it.
+ * View changes (virtual synchrony): the control group seals the logs of the old view, has them brought to the same end
+ * ({@link SealedLogSync}), commits the next view, and installs it.
  */
 export class ViewChange {
   constructor(
@@ -19,7 +19,7 @@
     private readonly leader: Leader,
   ) {}
 
-  /** Handles "shard.seal": from now on the leader of the old epoch is refused. @example yield* viewChange.onSeal({ shard: 3, epoch: 4 }) */
+  /** Handles "shard.seal": this replica then rejects the leader of the old epoch. */
   *onSeal(request: SealRequest): Task<Result<SealResponse>> {
     return yield* this.state.withLock(() => this.seal(request.epoch));
   }
@@ -27,7 +27,7 @@
     const { state } = this;
     const { env, selfId } = state.context;
     if (!state.exists) return Fault.fail("notFound", "seal", selfId, "no copy here");
-    // Its log doesn't count, but since it leads no longer nobody has to wait for its lease to end.
+    // The log can't be used, but this replica no longer leads, so nobody has to wait until its lease has ended.
     if (state.isDiskBroken) return Fault.ok({ tag: "stopped" });
     if (state.sealedEpoch > epoch || state.epoch >= epoch)
       return Fault.fail("conflict", "seal", selfId, `sealed for ${state.sealedEpoch}`);
@@ -49,7 +49,7 @@
     });
   }
 
-  /** Handles "shard.install": the leader among the view's members starts. @example yield* viewChange.onInstall({ shard, view, waitMs: 0 }) */
+  /** Handles "shard.install": installs the view, and starts the leadership if this replica leads the view. */
   *onInstall({ view, waitMs }: InstallRequest): Task<Result<true>> {
     const mayStartAt = this.state.context.env.mono() + waitMs;
     const installed = yield* this.state.withLock(() => this.install(view));
@@ -96,9 +96,9 @@
       }
       state.role = "starting";
       leadership.mayStartAt = mayStartAt;
-      Csp.go(env.scope, `lead of shard ${shard}`, () => leader.run(view));
+      Csp.go(env.scope, `leader of shard ${shard}`, () => leader.run(view));
     } else if (state.role === "starting") {
-      // The view came first with a snapshot of the configuration, which doesn't say how long the former lease lasts.
+      // The view first arrived in a control snapshot, which doesn't tell when the former leader's lease ends.
       leadership.mayStartAt = Math.min(leadership.mayStartAt, mayStartAt);
       Csp.offer(leadership.wake, true);
     }
--- a/src/shard/segments/digestTable.ts
+++ b/src/shard/segments/digestTable.ts
@@ -3,8 +3,8 @@
 const EMPTY = 0;
 
 /**
- * Hash table from the digest of an id to the digest of a body and a number, for millions of ids: open addressing with
- * linear probing in typed arrays, 24 bytes a slot, at most 60 % full.
+ * Hash table that maps the digest of an id to the digest of a body and a number. It is compact enough for millions of
+ * ids: open addressing with linear probing in typed arrays, 24 bytes per slot, at most 60 % full.
  *
  * @example
  * const table = new DigestTable();
@@ -18,7 +18,7 @@
   private values = new Float64Array(this.slots);
   size = 0;
 
-  /** Sets the entry of a digest; a later one replaces it. @example table.set(digest, bodyDigest, 17) */
+  /** Sets the entry of a digest, and replaces an earlier one. */
   set(digest: number, body: number, value: number): void {
     if ((this.size + 1) * 5 > this.slots * 3) this.grow();
     const slot = this.slotOf(digest || 1);
@@ -27,13 +27,13 @@
     this.bodies[slot] = body;
     this.values[slot] = value;
   }
-  /** The entry of a digest. @example table.get(digest) */
+  /** Returns the entry of a digest; undefined if there is none. */
   get(digest: number): { body: number; value: number } | undefined {
     const slot = this.slotOf(digest || 1);
     return this.keys[slot] === EMPTY ? undefined : { body: this.bodies[slot], value: this.values[slot] };
   }
 
-  /** The slot of a key, or the empty one where it would be added. */
+  /** Returns the slot of a key, or the empty slot where it would be added. */
   private slotOf(key: number): number {
     let slot = key % this.slots;
     while (this.keys[slot] !== EMPTY && this.keys[slot] !== key) slot = (slot + 1) % this.slots;
--- a/src/shard/segments/sealedLedger.ts
+++ b/src/shard/segments/sealedLedger.ts
@@ -7,31 +7,25 @@
 import type { SegmentIndex } from "./segmentTypes";
 import { SubjectFilter } from "./subjectFilter";
 
-/** What the sealed ledger needs of the segment store. */
+/** Access to the ledger segments of a segment store. */
 export interface LedgerSegments {
-  /** Indexes of the ledger's segments, by number. */
+  /** Returns the indexes of the ledger segments, by segment number. */
   indexes(): SegmentIndex[];
-  /** Number of the first segment that isn't trimmed. */
+  /** Returns the number of the first segment that isn't trimmed. */
   firstNumber(): number;
+  /** Reads the encoded entries of a segment. */
   readBody(number: number): Task<Result<Buffer>>;
 }
 
-/**
- * Reads of the ledger entries in segments. All faults are those of the disk.
- *
- * @example
- * const read = yield* segments.ledger.after(stamp, 100);
- */
+/** Reads the ledger entries that are sealed in segments. All faults come from the disk. */
 export class SealedLedger {
   constructor(private readonly segments: LedgerSegments) {}
 
-  /** Stamp of the oldest entry that isn't trimmed. @example segments.ledger.oldestStamp()?.time */
+  /** Stamp of the oldest entry that isn't trimmed. */
   oldestStamp = (): Stamp | undefined => this.segments.indexes()[this.segments.firstNumber()]?.first;
 
-  /**
-   * Entries after a stamp, oldest first: at least `minCount`, and further ones of the same put; or all there are.
-   * @example yield* segments.ledger.after(stamp, 100)
-   */
+  /** Reads entries after a stamp, oldest first: at least `minCount` if there are as many. Entries of one put stay together.
+   * `all` is true if no segment is left to read. */
   *after(after: Stamp, minCount: number): Task<Result<{ entries: LedgerEntry[]; all: boolean }>> {
     const found: LedgerEntry[] = [];
     const needsMore = (): boolean =>
@@ -46,11 +40,10 @@
   }
 
   /**
-   * Entries that match, out of the segments that may be about one of the names; no further segment is read once
-   * `minCount` are found.
+   * Reads the entries that match from those segments whose subject filter may contain one of the names. Stops reading
+   * segments once `minCount` entries are found.
    *
-   * @param from ms; older segments are left out
-   * @example yield* segments.ledger.about(["lot L1"], 0, (entry) => entry.subject === "lot L1", 500)
+   * @param from ms; segments with only older entries are skipped
    */
   *about(
     names: string[],
--- a/src/shard/segments/segmentFiles.ts
+++ b/src/shard/segments/segmentFiles.ts
@@ -17,24 +17,26 @@
     private readonly folder: string,
   ) {}
 
-  /** Name of a file in the shard's folder. @example files.name("lots", 3, "seg") // "lots-3.seg" */
+  /** File name, relative to the shard's folder. @example files.name("lots", 3, "seg") // "lots-3.seg" */
   name = (kind: SegmentKind, number: number, part: SegmentPart): string => `${kind}-${number}.${part}`;
-  /** Name with the folder. @example files.path("lots", 3, "seg") // "data/shard-3/lots-3.seg" */
+  /** Path, including the shard's folder. @example files.path("lots", 3, "seg") // "data/shard-3/lots-3.seg" */
   path = (kind: SegmentKind, number: number, part: SegmentPart): string =>
     `${this.folder}/${this.name(kind, number, part)}`;
 
-  /** A file as it is on disk; undefined if missing. @example yield* files.read("lots", 3, "seg") */
+  /** Reads a file as it is on disk; undefined if it is missing. */
   read(kind: SegmentKind, number: number, part: SegmentPart): Task<Result<Buffer | undefined>> {
     return this.env.disk.read(this.path(kind, number, part));
   }
 
-  /** The checked body of a file. @example yield* files.readBody("lots", 3, "seg") */
+  /** Reads a file and checks its header and body. */
   *readBody(kind: SegmentKind, number: number, part: SegmentPart): Task<Result<DecodedFile>> {
     const file = yield* this.read(kind, number, part);
     return file.ok ? Fault.ok(SegmentFormat.decodeFile(part, file.value)) : file;
   }
 
-  /** The index of a segment; the fault "disk" with the path where it can't be read. @example yield* files.readIndex("lots", 3) */
+  /**
+   * Reads the index of a segment. Returns the fault "disk", which names the path, if the index is missing or damaged.
+   */
   *readIndex(kind: SegmentKind, number: number): Task<Result<SegmentIndex>> {
     const decoded = yield* this.readBody(kind, number, "idx");
     if (!decoded.ok) return decoded;
@@ -48,12 +50,12 @@
     return Fault.ok(SegmentFormat.decodeIndex(decoded.value.body));
   }
 
-  /** Writes a body under a header. @example yield* files.write("lots", 3, "seg", body) */
+  /** Writes a file that consists of a header and the given body. */
   write(kind: SegmentKind, number: number, part: SegmentPart, body: Buffer): Task<Result<true>> {
     return this.env.disk.write(this.path(kind, number, part), SegmentFormat.encodeFile(part, body));
   }
 
-  /** Writes a file from another replica; the fault "invalid" if it is damaged. @example yield* files.writeReceived("lots", 3, "seg", file) */
+  /** Writes a file received from another replica. Returns the fault "invalid" if it is damaged. */
   *writeReceived(kind: SegmentKind, number: number, part: SegmentPart, file: Buffer): Task<Result<true>> {
     const decoded = SegmentFormat.decodeFile(part, file);
     if (decoded.tag === "unreadable")
@@ -62,8 +64,8 @@
   }
 
   /**
-   * Whether the files of a segment are there, undamaged and with the given checksum; of a trimmed one only the index.
-   * @example yield* files.isIntact({ kind: "lots", number: 3, sum }, false)
+   * Whether the files of a segment exist, undamaged and with the given checksum. A trimmed segment needs only its
+   * index.
    */
   *isIntact({ kind, number, sum }: SegmentChecksum, isTrimmed: boolean): Task<boolean> {
     const index = yield* this.readBody(kind, number, "idx");
@@ -74,7 +76,7 @@
     return objects.ok && objects.value.tag === "body" && SegmentFormat.checksum(objects.value.body) === sum;
   }
 
-  /** Smallest number of a segment of the kind whose objects are on disk; Infinity if there is none. */
+  /** For each kind, the smallest number of a segment whose `.seg` file is on disk; Infinity if there is none. */
   *firstNumbers(kinds: readonly SegmentKind[]): Task<Result<number[]>> {
     const names = yield* this.env.disk.list(this.folder);
     if (!names.ok) return names;
@@ -85,12 +87,12 @@
     return Fault.ok(kinds.map((kind) => Math.min(Infinity, ...numbersOf(kind))));
   }
 
-  /** Removes a file; the removal is durable after `sync`. @example yield* files.remove("lots", 3, "seg") */
+  /** Removes a file. The removal is durable after `sync`. */
   remove(kind: SegmentKind, number: number, part: SegmentPart): Task<Result<true>> {
     return this.env.disk.remove(this.path(kind, number, part));
   }
 
-  /** Syncs the names in the folder. @example yield* files.sync() */
+  /** Syncs the folder, so that created and removed file names are durable. */
   sync(): Task<Result<true>> {
     return this.env.disk.syncFolder(this.folder);
   }
--- a/src/shard/segments/segmentFormat.ts
+++ b/src/shard/segments/segmentFormat.ts
@@ -1,7 +1,7 @@
 /**
  * Format of segment files: a header of 16 bytes (magic number, format version, length and CRC-32 of the body, each a
- * 32-bit big-endian integer), then the body. The body of a `.seg` file has one object a line as JSON, that of an `.idx`
- * file is a `SegmentIndex` as JSON.
+ * 32-bit big-endian integer), then the body. The body of a `.seg` file has one JSON object per line; the body of an
+ * `.idx` file is a `SegmentIndex` as JSON.
  */
 import { crc32 } from "zlib";
 import { Hash } from "../../common/hash";
@@ -17,12 +17,12 @@
 };
 const FORMAT_VERSION = 2;
 const HEADER_BYTES = 16;
-/** Hexadecimal digits of a digest that fit a number exactly: 52 bits. */
+/** Hexadecimal digits kept of a digest: 52 bits, which a JavaScript number represents exactly. */
 const DIGEST_HEX_DIGITS = 13;
-/** The position of a name is its code in an index. */
+/** Outcomes of closed objects. The position of a name is its code in a stored index. */
 export const CLOSED_STATE_NAMES = ["done", "failed", "unknown", "finished", "ended"] as const;
 
-/** The body of a file, or why there is none. */
+/** The body of a file, or why it can't be read. */
 export type DecodedFile = { tag: "body"; body: Buffer } | { tag: "unreadable"; why: string };
 
 const closedStateCode = (object: LiveRequest | BatchJob): number => {
@@ -55,14 +55,14 @@
  * SegmentFormat.decodeFile("seg", file) // { tag: "body", body }
  */
 export const SegmentFormat = {
-  /** 52 bits of the digest of an id. */
+  /** The first 52 bits of the digest of an id. */
   idDigest: (id: string): number => parseInt(Hash.text(id).slice(0, DIGEST_HEX_DIGITS), 16),
-  /** 52 bits of the hexadecimal digest of a body. */
+  /** The first 52 bits of the digest of a body, which is given in hexadecimal. */
   bodyDigest: (bodyHash: string): number => parseInt(bodyHash.slice(0, DIGEST_HEX_DIGITS), 16) || 0,
-  /** Checksum of a body. */
+  /** CRC-32 of a body. */
   checksum: (body: Buffer): number => crc32(body) >>> 0,
 
-  /** Puts the header before a body. */
+  /** Prepends the header to a body. */
   encodeFile(part: SegmentPart, body: Buffer): Buffer {
     const header = Buffer.alloc(HEADER_BYTES);
     header.writeUInt32BE(MAGIC[part], 0);
@@ -71,7 +71,7 @@
     header.writeUInt32BE(SegmentFormat.checksum(body), 12);
     return Buffer.concat([header, body]);
   },
-  /** Checks the header of a file; undefined stands for a missing file. */
+  /** Checks the header and body of a file; undefined stands for a missing file. */
   decodeFile(part: SegmentPart, file: Buffer | undefined): DecodedFile {
     const unreadable = (why: string): DecodedFile => ({ tag: "unreadable", why });
     if (!file) return unreadable("is missing");
@@ -85,24 +85,24 @@
     return isIntact ? { tag: "body", body } : unreadable("is damaged");
   },
 
-  /** The body of a `.seg` file. */
+  /** Encodes the body of a `.seg` file. */
   encodeObjects: (segment: PendingSegment): Buffer =>
     Buffer.from(segment.objects.map((object) => JSON.stringify(object)).join("\n"), "utf8"),
-  /** All objects in the body of a `.seg` file. */
+  /** Decodes all objects in the body of a `.seg` file. */
   decodeObjects: <Kind extends SegmentKind>(_kind: Kind, body: Buffer): SegmentObject[Kind][] =>
     body
       .toString("utf8")
       .split("\n")
       .map((line) => JSON.parse(line) as SegmentObject[Kind]),
-  /** One object in the body of a `.seg` file. */
+  /** Decodes one object in the body of a `.seg` file. */
   decodeObject: <Kind extends SegmentKind>(_kind: Kind, body: Buffer, index: number): SegmentObject[Kind] =>
     JSON.parse(body.toString("utf8").split("\n")[index]) as SegmentObject[Kind],
 
-  /** The body of an `.idx` file. */
+  /** Encodes the body of an `.idx` file. */
   encodeIndex: (index: SegmentIndex): Buffer => Buffer.from(JSON.stringify(index), "utf8"),
-  /** The index in the body of an `.idx` file. */
+  /** Decodes the body of an `.idx` file. */
   decodeIndex: (body: Buffer): SegmentIndex => JSON.parse(body.toString("utf8")) as SegmentIndex,
-  /** The index of a segment whose encoded objects are given. */
+  /** Builds the index of a segment from the segment and its encoded objects. */
   buildIndex(segment: PendingSegment, body: Buffer): SegmentIndex {
     const common = {
       kind: segment.kind,
--- a/src/shard/segments/segmentStore.ts
+++ b/src/shard/segments/segmentStore.ts
@@ -20,13 +20,13 @@
 } from "./segmentTypes";
 import type { SealedObjects } from "../state/shardData";
 
-/** A value of a digest table is the object's number times this, plus the code of its closed state. */
+/** A value of a digest table is the object's number times this, plus the code of its outcome. Exceeds every code. */
 const STATE_CODE_COUNT = 8;
 
 /**
- * The segments of a shard: closed requests and jobs and old ledger entries, in files that are written once. Every
- * replica seals the same objects under the same number, so that replicas compare and copy segments as files. The index
- * of every segment is in memory.
+ * The segments of a shard: closed requests, closed jobs and old ledger entries, in immutable files. Every replica seals
+ * the same objects under the same segment number, so that replicas can compare and copy segments as files. The index of
+ * every segment is in memory.
  *
  * @example
  * const segments = new SegmentStore(env, "data/shard-3");
@@ -38,10 +38,11 @@
   readonly ledger: SealedLedger;
   private indexes: Record<SegmentKind, SegmentIndex[]> = { works: [], lots: [], ledger: [] };
   private tables = { works: new DigestTable(), lots: new DigestTable() };
-  /** By the name of the file with the objects. */
+  /** Sealed segments that aren't written yet, by the name of their `.seg` file. */
   private pending = new Map<string, PendingSegment>();
-  /** The shard's own counts of the segments that its log has trimmed; their files are removed later. */
+  /** Number of trimmed segments by kind: the object in the shard's data, which trim operations update. */
   trimmedCounts: SegmentCounts = { works: 0, lots: 0, ledger: 0 };
+  /** Number of trimmed segments whose files are removed. */
   private removedCounts: SegmentCounts = { works: 0, lots: 0, ledger: 0 };
 
   constructor(
@@ -57,11 +58,10 @@
   }
 
   /**
-   * Loads the indexes of all segments; those of pending ones are built from the objects. Gives the fault "disk" with the
-   * file's path if an index is missing or damaged.
+   * Loads the indexes of all segments; the index of a pending segment is built from its objects. Returns the fault
+   * "disk", which names the file's path, if an index is missing or damaged.
    *
-   * @param trimmedCounts taken over, so that later changes of it are seen
-   * @example yield* segments.open(data.segmentCounts, data.trimmedCounts, data.pendingSegments)
+   * @param trimmedCounts kept by reference, so that later changes to the object take effect
    */
   *open(counts: SegmentCounts, trimmedCounts: SegmentCounts, pending: PendingSegment[]): Task<Result<true>> {
     this.indexes = { works: [], lots: [], ledger: [] };
@@ -101,15 +101,15 @@
         const objectNumber = number * Constants.segmentObjects[kind] + position;
         this.tables[kind].set(id, body, objectNumber * STATE_CODE_COUNT + state);
       });
-    index.ids = []; // from now on only the table has them
+    index.ids = []; // saves memory: the digest table has them now
   }
 
-  /** Adds a segment that isn't written yet; its objects are found from now on. @example segments.add(segment); */
+  /** Adds a segment that isn't written yet, so that its objects can be found. */
   add(segment: PendingSegment): void {
     this.pending.set(this.files.name(segment.kind, segment.number, "seg"), segment);
     this.addIndex(SegmentFormat.buildIndex(segment, SegmentFormat.encodeObjects(segment)));
   }
-  /** Writes a pending segment, its index last; afterwards snapshots need not contain it. @example yield* segments.write(segment) */
+  /** Writes the files of a pending segment, the index last. Snapshots then need not contain the segment. */
   *write(segment: PendingSegment): Task<Result<true>> {
     const { kind, number } = segment;
     const body = SegmentFormat.encodeObjects(segment);
@@ -126,31 +126,30 @@
     return Fault.ok(true as const);
   }
 
-  /** Finds a closed and sealed object without a read of the disk. @example segments.find("works", "key-1") */
+  /** Finds a sealed object without reading from disk. */
   find(kind: "works" | "lots", id: string): SealedObjectLocation | undefined {
     const entry = this.tables[kind].get(SegmentFormat.idDigest(id));
     if (!entry) return undefined;
     const state = entry.value % STATE_CODE_COUNT;
     const objectNumber = (entry.value - state) / STATE_CODE_COUNT;
-    const at = objectNumber % Constants.segmentObjects[kind];
-    const number = (objectNumber - at) / Constants.segmentObjects[kind];
+    const objectIndex = objectNumber % Constants.segmentObjects[kind];
+    const number = (objectNumber - objectIndex) / Constants.segmentObjects[kind];
     return {
       kind,
       number,
-      objectIndex: at,
+      objectIndex,
       body: entry.body,
       state: CLOSED_STATE_NAMES[state],
       trimmed: number < this.trimmedCounts[kind],
     };
   }
-  /** Whether the body of a sealed object has a given digest. @example segments.hasSameBody(found, request.bodyHash) */
+  /** Whether a sealed object has a body with this digest. */
   hasSameBody = (found: SealedObjectLocation, bodyHash: string): boolean =>
     found.body === SegmentFormat.bodyDigest(bodyHash);
 
   /**
-   * Reads a closed request or job; undefined if there is none. Gives the fault "gone" if it was trimmed, "disk" if its
-   * file is damaged.
-   * @example const job = yield* segments.readObject("lots", "lot-17");
+   * Reads a closed request or job; undefined if there is none. Returns the fault "gone" if it was trimmed, and "disk"
+   * if its file is damaged.
    */
   *readObject<Kind extends "works" | "lots">(kind: Kind, id: string): Task<Result<SegmentObject[Kind] | undefined>> {
     const found = this.find(kind, id);
@@ -161,7 +160,7 @@
     const object = SegmentFormat.decodeObject(kind, body.value, found.objectIndex);
     return Fault.ok(object.id === id ? object : undefined);
   }
-  /** The encoded objects of a segment, checked against its index. */
+  /** Reads the encoded objects of a segment and checks them against its index. */
   private *readBody(kind: SegmentKind, number: number): Task<Result<Buffer>> {
     const pending = this.pending.get(this.files.name(kind, number, "seg"));
     if (pending) return Fault.ok(SegmentFormat.encodeObjects(pending));
@@ -174,13 +173,13 @@
     return Fault.fail("disk", "read segment", this.env.name, `${this.files.path(kind, number, "seg")} ${why}`);
   }
 
-  /** Number of the first segment of a kind with something from a time on. @example segments.endOfOlderThan("lots", now - retentionMs) */
+  /** Number of the first segment of a kind that has an object from this time (ms) or later and isn't trimmed. */
   firstSegmentSince(kind: SegmentKind, time: number): number {
     let number = this.trimmedCounts[kind];
     while (number < this.indexes[kind].length && this.indexes[kind][number].to < time) number += 1;
     return number;
   }
-  /** Removes the files of trimmed segments; the indexes of requests and jobs stay. @example yield* segments.removeTrimmed() */
+  /** Removes the files of trimmed segments, except the indexes of requests and jobs. */
   *removeTrimmed(): Task<Result<true>> {
     let removedAny = false;
     for (const kind of SEGMENT_KINDS)
@@ -195,7 +194,7 @@
     return removedAny ? yield* this.files.sync() : Fault.ok(true as const);
   }
 
-  /** Checksums of all segments that a replica must have, pending ones included. @example segments.list()[0].number */
+  /** Checksums of all segments that a replica must have, including pending ones. */
   list(): SegmentChecksum[] {
     return SEGMENT_KINDS.flatMap((kind) =>
       this.indexes[kind]
@@ -203,9 +202,11 @@
         .filter(({ number }) => kind !== "ledger" || number >= this.trimmedCounts.ledger),
     );
   }
-  /** One digest over the list, to compare replicas cheaply. @example segments.digest() */
+  /** Digest of `list()`, by which replicas compare their segments cheaply. */
   digest = (): string => Hash.text(JSON.stringify(this.list()));
-  /** The written segment whose turn it is to be checked; undefined if there is none. @example segments.segmentToScrub(7) */
+  /**
+   * The written segment to check in this turn; undefined if there is none. Successive turns go through all segments.
+   */
   segmentToScrub(turn: number): SegmentChecksum | undefined {
     const written = this.list().filter(
       ({ kind, number }) =>
@@ -215,11 +216,10 @@
   }
 
   /**
-   * A chunk of a segment's file, in base64, and the file's size, for another replica. Gives the fault "notFound" if there
-   * is no such file.
+   * Reads a chunk of a segment file (base64) and the size of the file (bytes) for another replica. Returns the fault
+   * "notFound" if there is no such file.
    *
    * @param from offset in the file, bytes
-   * @example yield* segments.readChunk("lots", 3, "seg", 0)
    */
   *readChunk(
     kind: SegmentKind,
--- a/src/shard/segments/subjectFilter.ts
+++ b/src/shard/segments/subjectFilter.ts
@@ -1,4 +1,4 @@
-/** Bloom filter over the names by which the entries of a ledger segment can be looked up. */
+/** Bloom filter of the names by which the entries of a ledger segment can be looked up. */
 import { Constants } from "../../common/constants";
 import { Hash } from "../../common/hash";
 import type { LedgerEntry } from "../../common/ledgerEntry";
@@ -6,7 +6,10 @@
 const HASH_COUNT = 4;
 const MIN_BYTES = 8;
 
-/** An entry is found by its subject, by the job of an item ("item L1" for "item L1/3"), and by a change it names. */
+/**
+ * Names under which an entry is found: its subject, the job of an item ("item L1" for "item L1/3"), a change in its
+ * note.
+ */
 function namesOf(entry: LedgerEntry): string[] {
   const slash = entry.subject.lastIndexOf("/");
   const change = /^change (\S+) /.exec(entry.cause.note ?? "");
@@ -17,24 +20,24 @@
 }
 
 const bitsOf = (name: string, bitCount: number): number[] =>
-  Array.from({ length: HASH_COUNT }, (_each, turn) => Hash.number(`${turn}|${name}`) % bitCount);
+  Array.from({ length: HASH_COUNT }, (_each, hashIndex) => Hash.number(`${hashIndex}|${name}`) % bitCount);
 
 /**
- * Builds and asks subject filters; their form is stored in the index of a segment.
+ * Builds and queries subject filters. Their encoding is stored in the index of a segment and must not change.
  *
  * @example
  * const filter = SubjectFilter.of(entries);
  * SubjectFilter.mayContain(filter, ["lot L1"]) // false: no entry is about it
  */
 export const SubjectFilter = {
-  /** The filter in base64. @example SubjectFilter.of(entries) */
+  /** Builds the filter of the entries, base64. */
   of(entries: LedgerEntry[]): string {
     const names = new Set(entries.flatMap(namesOf));
     const filter = Buffer.alloc(Math.max(MIN_BYTES, Math.ceil((names.size * Constants.segmentBitsPerSubject) / 8)));
     for (const name of names) for (const bit of bitsOf(name, filter.length * 8)) filter[bit >> 3] |= 1 << (bit & 7);
     return filter.toString("base64");
   },
-  /** False if none of the names was added; true may be wrong. @example SubjectFilter.mayContain(filter, ["lot L1"]) */
+  /** Returns false only if none of the names was added; true can be a false positive. */
   mayContain(encoded: string, names: string[]): boolean {
     const filter = Buffer.from(encoded, "base64");
     return names.some((name) =>
--- a/src/shard/shardMethods.ts
+++ b/src/shard/shardMethods.ts
@@ -17,11 +17,10 @@
 import type { ShardReplica } from "./shardReplica";
 
 /**
- * Registers the methods that replicas of a shard and control call on each other's replicas. A malformed request gets the
- * fault "invalid".
+ * Registers the RPC methods of shard replicas, which other replicas of the shard and the control group call. A
+ * malformed request gets the fault "invalid".
  *
- * @param replicaOf this node's replica of a shard, made if there is none
- * @example registerShardMethods(rpc, "node-1", (shard) => storage.replica(shard));
+ * @param replicaOf returns this node's replica of a shard, and creates it if there is none
  */
 export function registerShardMethods(rpc: Rpc, selfId: string, replicaOf: (shard: number) => ShardReplica): void {
   const handlers = new CheckedHandlers(rpc, selfId, replicaOf);
--- a/src/shard/shardReplica.ts
+++ b/src/shard/shardReplica.ts
@@ -28,28 +28,28 @@
 
 export type { ShardReplicaRole, ShardReplicaStatus };
 
-/** What a replica asks of its storage node, and tells it. */
+/** Queries to and notifications of the storage node that hosts a replica. */
 export interface ShardReplicaHooks {
-  /** Address of a member; undefined if unknown. */
+  /** Returns the address of a member; undefined if it is unknown. */
   addressOf(id: string): string | undefined;
-  /** The bounds δ, ε and Δ in force. */
+  /** Returns the bounds δ, ε and Δ in force. */
   bounds(): Bounds;
-  /** Whether the node's clock is inside the bounds. */
+  /** Returns whether the skew of the node's clock is within the bounds. */
   isClockTrusted(): boolean;
-  /** A put is on every member, so long after it was queued, ms. */
+  /** Reports that every member has synced a put, this many ms after it was queued. */
   putCompleted(ms: number): void;
   leadershipStarted(replica: ShardReplica): void;
   leadershipStopped(replica: ShardReplica): void;
-  /** Control should look at this shard now. */
+  /** Asks the control group to check at once whether this shard needs a view change. */
   viewChangeNeeded(): void;
 }
 
 /**
- * One replica of a shard: composes the parts of `replica/`, and is what other layers see of them.
+ * One replica of a shard. Composes the classes in `replica/` and is their interface to other layers.
  *
- * The leader orders puts; a put completes once every member of the view has synced it. The leader's lease comes from
- * every other member, so that nobody outside the view is needed to keep serving, and one sealed member is enough to end
- * it. Views are decided by control (virtual synchrony).
+ * The leader orders puts; a put completes once every member of the view has synced it. Every other member grants the
+ * leader's lease. So the shard keeps serving without anyone outside the view, and sealing one member is enough to end
+ * the leadership. The control group decides on views (virtual synchrony).
  *
  * @example
  * const replica = new ShardReplica(env, rpc, "node-1", 3, "data/shard-3", hooks);
@@ -113,18 +113,18 @@
     this.antiEntropy = new AntiEntropy(state, leadership, storage, segmentTransfer);
   }
 
-  /** The last view that was installed; undefined before the first. */
+  /** The view that was installed last; undefined before the first. */
   get view(): ShardView | undefined {
     return this.state.view;
   }
   get role(): ShardReplicaRole {
     return this.state.role;
   }
-  /** Whether there is a replica of the shard here: a log or a snapshot on disk. */
+  /** Whether this node has a replica of the shard: a log or a snapshot on disk. */
   get exists(): boolean {
     return this.state.exists;
   }
-  /** The state that the log gives; replaced as a whole by state transfer. */
+  /** The state built from the log. State transfer replaces the whole object. */
   get data(): ShardData {
     return this.state.data;
   }
@@ -142,72 +142,72 @@
   get appliedEpoch(): number {
     return this.state.appliedEpoch;
   }
-  /** Whether the disk is nearly full: nothing new is accepted. */
+  /** Whether the disk is nearly full. New requests and jobs are then rejected. */
   set isDiskLow(isLow: boolean) {
     this.state.isDiskLow = isLow;
   }
 
-  /** Reads what is on disk. Gives the fault "disk" where that fails. @example yield* replica.open() */
+  /** Recovers the replica from disk. Returns the fault "disk" if that fails. */
   open(): Task<Result<true>> {
     return this.storage.recover();
   }
-  /** Tries a disk that failed. @example yield* replica.retryDisk(); */
+  /** Retries a disk that failed. */
   retryDisk(): Task<void> {
     return this.storage.retryDisk();
   }
-  /** Synced writes so far. @example replica.syncedWrites() */
+  /** Number of synced writes so far. */
   syncedWrites(): number {
     return this.state.diskLog.syncCount;
   }
 
-  /** Whether this replica leads right now. @example if (!replica.holdsLease()) return notLead; */
+  /** Whether this replica is the leader and holds an unexpired lease from every other member. */
   holdsLease(): boolean {
     return this.leadership.holdsLease();
   }
-  /** Ends the leadership, if there is one. @example replica.stopLeader("frozen"); */
+  /** Ends the leadership, if there is one. */
   stopLeader(reason: string): void {
     this.leadership.stop(reason);
   }
-  /** Whether a view change seems to be called for. @example if (replica.needsViewChange()) callControl(); */
+  /** Whether this replica has a reason to request a view change. */
   needsViewChange(): boolean {
     return this.leadership.needsViewChange();
   }
-  /** Puts through the leader, see `LogReplication.put`. @example const outcome = yield* replica.put(put, 1000); */
+  /** See `LogReplication.put`. */
   put(put: Put, withinMs: number): Task<Result<PutOutcome>> {
     return this.replication.put(put, withinMs);
   }
 
-  /** How far temporal reads may go on this replica: wall time, ms. @example const upTo = replica.frontier(); */
+  /** See `StablePrefix.frontier`. */
   frontier(): number {
     return this.stablePrefix.frontier();
   }
-  /** See `ReplicaReads.job`. @example const job = yield* replica.job("lot-17"); */
+  /** See `ReplicaReads.job`. */
   job(id: string): Task<Result<BatchJob | undefined>> {
     return this.reads.job(id);
   }
-  /** See `ReplicaReads.liveRequest`. @example const request = yield* replica.liveRequest("req-1"); */
+  /** See `ReplicaReads.liveRequest`. */
   liveRequest(id: string): Task<Result<LiveRequest | undefined>> {
     return this.reads.liveRequest(id);
   }
-  /** See `ReplicaReads.readConsistently`. @example yield* replica.readConsistently(() => replica.segments.ledger.after(stamp, 100)) */
+  /** See `ReplicaReads.readConsistently`. */
   readConsistently<T>(read: () => Task<Result<T>>): Task<Result<T>> {
     return this.reads.readConsistently(read);
   }
-  /** See `ReplicaReads.waitForChange`. @example yield* replica.waitForChange(800); */
+  /** See `ReplicaReads.waitForChange`. */
   waitForChange(ms: number): Task<void> {
     return this.reads.waitForChange(ms);
   }
 
-  /** Checks one segment file. @example yield* replica.scrub(7); */
+  /** See `AntiEntropy.scrub`. */
   scrub(turn: number): Task<void> {
     return this.antiEntropy.scrub(turn);
   }
-  /** At the leader: repairs other members. @example yield* replica.repair(); */
+  /** See `AntiEntropy.repair`. */
   repair(): Task<number> {
     return this.antiEntropy.repair();
   }
 
-  /** What control sees of this replica. @example replica.status().role */
+  /** The status that this replica reports to the control group. */
   status(): ShardReplicaStatus {
     const { state, leadership, shard } = this;
     const { data, log } = state;
--- a/src/shard/shardTypes.ts
+++ b/src/shard/shardTypes.ts
@@ -1,4 +1,4 @@
-/** Types of the shard layer that other layers use: objects that shards store, and the operations on them. */
+/** Types that the shard layer exports to other layers: the objects that shards store, and the operations on them. */
 export type { BatchItem, BatchItemState, BatchJob, BatchJobSpec, ItemOutcome, ItemRequest } from "./state/batchJob";
 export type { Cause, LedgerEntry } from "../common/ledgerEntry";
 export type { LiveRequest, LiveRequestSpec, LiveRequestState, StreamChunk } from "./state/liveRequest";
--- a/src/shard/state/batchJobOperations.ts
+++ b/src/shard/state/batchJobOperations.ts
@@ -1,4 +1,7 @@
-/** Operations on batch jobs and their items. Texts of refusals and of ledger entries are stored and don't change. */
+/**
+ * Operations on batch jobs and their items. Reasons for rejections and texts of ledger entries are stored and never
+ * change.
+ */
 import { Stamp } from "../../common/stamp";
 import type { BatchItem, BatchJob, ItemOutcome } from "./batchJob";
 import { OperationContext, sealedOutcome } from "./operationContext";
@@ -7,8 +10,8 @@
 
 const NOT_CLAIMED: PutOutcome = { tag: "no", why: "not claimed in this round" };
 
-/** Accepts a batch job, once by its id. */
-export function acceptJob({ data, note, put }: OperationContext, op: OperationOf<"lot">): PutOutcome {
+/** Accepts a batch job. Each id is accepted once. */
+export function acceptJob({ data, addLedgerEntry, put }: OperationContext, op: OperationOf<"lot">): PutOutcome {
   const sealed = sealedOutcome(data, "lots", op.lot.id, op.lot.bodyHash);
   if (sealed) return sealed;
   const known = data.jobs.get(op.lot.id);
@@ -43,45 +46,45 @@
     closedAt: null,
     ...(tokensWaiting === undefined ? {} : { tokensWaiting }),
   });
-  note(`lot ${op.lot.id}`, `accepted with ${items.length} items for ${op.lot.binding}`);
+  addLedgerEntry(`lot ${op.lot.id}`, `accepted with ${items.length} items for ${op.lot.binding}`);
   return { tag: "done" };
 }
 
-/** Refuses all arrivals of a batch job up to this put. */
-export function refuseJob({ data, note, put }: OperationContext, op: OperationOf<"lotRefuse">): PutOutcome {
+/** Rejects all submissions of a batch job that arrived up to this put. */
+export function refuseJob({ data, addLedgerEntry, put }: OperationContext, op: OperationOf<"lotRefuse">): PutOutcome {
   const sealed = data.sealedObjects.find("lots", op.lot);
   const known = data.jobs.get(op.lot);
   if (sealed || known) return { tag: "exists", same: true, state: known?.ended ? "ended" : "open" };
-  data.refusedJobs.delete(op.lot); // so that the map is in the order of the refusals
+  data.refusedJobs.delete(op.lot); // keeps the map in the order of the rejections
   data.refusedJobs.set(op.lot, put.stamp);
-  note(`lot ${op.lot}`, "refused: given up before it was kept");
+  addLedgerEntry(`lot ${op.lot}`, "refused: given up before it was kept");
   return { tag: "done" };
 }
 
-/** Adds results of items that were run without claims; the first result of each counts. */
+/** Adds results of items that were run without claims. Only the first result of each item is kept. */
 export function addItemResults(
-  { data, note, put, unstable }: OperationContext,
+  { data, addLedgerEntry, put, unstable }: OperationContext,
   op: OperationOf<"itemResults">,
 ): PutOutcome {
   const job = data.jobs.get(op.lot);
-  const fresh = op.results.filter(({ item }) => job?.requests && job.items[item]?.state === "waiting");
-  for (const { item, state, result } of fresh) {
+  const newResults = op.results.filter(({ item }) => job?.requests && job.items[item]?.state === "waiting");
+  for (const { item, state, result } of newResults) {
     Object.assign(job!.items[item], { state, stamp: put.stamp, result });
     unstable.results.push({ lot: op.lot, item });
     closeItem(data, job!, put.stamp, item);
   }
   const itemsIn = (state: ItemOutcome["state"]): string =>
-    fresh
+    newResults
       .filter((outcome) => outcome.state === state)
       .map(({ item }) => item)
       .join(" ");
   for (const state of ["done", "abandoned"] as const)
-    if (itemsIn(state)) note(`lot ${op.lot}`, `items ${state}: ${itemsIn(state)}`);
+    if (itemsIn(state)) addLedgerEntry(`lot ${op.lot}`, `items ${state}: ${itemsIn(state)}`);
   return { tag: "done" };
 }
 
 /** Claims an item for one attempt at an endpoint. */
-export function claimItem({ data, note }: OperationContext, op: OperationOf<"itemClaim">): PutOutcome {
+export function claimItem({ data, addLedgerEntry }: OperationContext, op: OperationOf<"itemClaim">): PutOutcome {
   const job = data.jobs.get(op.lot);
   const item = job?.items[op.item];
   if (!job || !item) return { tag: "no", why: "no such item" };
@@ -89,24 +92,27 @@
   if (item.state !== "waiting" || op.round !== item.round + 1)
     return { tag: "no", why: `item is ${item.state} in round ${item.round}` };
   Object.assign(item, { state: "claimed", round: op.round, replica: op.replica, owner: op.owner });
-  note(`item ${op.lot}/${op.item}`, `claimed for replica ${op.replica}, round ${op.round}`);
+  addLedgerEntry(`item ${op.lot}/${op.item}`, `claimed for replica ${op.replica}, round ${op.round}`);
   return { tag: "done" };
 }
 
-/** Releases the claim of an attempt that provably did not run. */
-export function releaseItem({ data, note, put }: OperationContext, op: OperationOf<"itemRelease">): PutOutcome {
+/** Releases the claim of an attempt that certainly did not run. */
+export function releaseItem(
+  { data, addLedgerEntry, put }: OperationContext,
+  op: OperationOf<"itemRelease">,
+): PutOutcome {
   const job = data.jobs.get(op.lot);
   const item = job?.items[op.item];
   if (!job || !item || item.state !== "claimed" || item.round !== op.round) return NOT_CLAIMED;
   item.state = job.ended ? "ended" : "waiting";
   if (job.ended) closeItem(data, job, put.stamp, op.item);
-  note(`item ${op.lot}/${op.item}`, `released from replica ${item.replica}: ${op.why}`);
+  addLedgerEntry(`item ${op.lot}/${op.item}`, `released from replica ${item.replica}: ${op.why}`);
   return { tag: "done" };
 }
 
 /** Adds the result of a claimed item. */
 export function addItemResult(
-  { data, note, put, unstable }: OperationContext,
+  { data, addLedgerEntry, put, unstable }: OperationContext,
   op: OperationOf<"itemResult">,
 ): PutOutcome {
   const job = data.jobs.get(op.lot);
@@ -116,12 +122,12 @@
   job.bodies[op.item] = "";
   unstable.results.push({ lot: op.lot, item: op.item });
   closeItem(data, job, put.stamp, op.item);
-  note(`item ${op.lot}/${op.item}`, `result marked ${op.state}`);
+  addLedgerEntry(`item ${op.lot}/${op.item}`, `result marked ${op.state}`);
   return { tag: "done" };
 }
 
-/** Ends a job at its client's request: items that wait won't run. */
-export function endJob({ data, note, put }: OperationContext, op: OperationOf<"lotEnd">): PutOutcome {
+/** Ends a job at the request of its client. Items that still wait don't run. */
+export function endJob({ data, addLedgerEntry, put }: OperationContext, op: OperationOf<"lotEnd">): PutOutcome {
   const job = data.jobs.get(op.lot);
   if (!job)
     return data.sealedObjects.find("lots", op.lot)
@@ -135,16 +141,16 @@
     item.state = "ended";
     closeItem(data, job, put.stamp, index);
   });
-  note(`lot ${op.lot}`, `ended by ${op.by}`);
+  addLedgerEntry(`lot ${op.lot}`, `ended by ${op.by}`);
   return { tag: "done" };
 }
 
-/** Counts one open item less; the last one closes the job. */
+/** Decrements the number of open items; the last one closes the job. */
 function closeItem(data: ShardData, job: BatchJob, at: Stamp, itemIndex: number): void {
   job.open -= 1;
   if (job.requests) job.tokensWaiting! -= job.requests[itemIndex].tokens;
   if (job.open > 0) return;
-  // The newest stamp of all items: once the frontier has passed it, each result has its position.
+  // The newest stamp of all items: once the frontier has passed it, every result has its position.
   job.closedAt = job.items.reduce(
     (newest, item) => (item.stamp && Stamp.compare(item.stamp, newest) > 0 ? item.stamp : newest),
     at,
--- a/src/shard/state/binarySearch.ts
+++ b/src/shard/state/binarySearch.ts
@@ -1,6 +1,7 @@
 /**
- * Smallest index from `low` on for which the predicate is true, or `high`. The predicate must be false up to some index
- * and true from there on.
+ * Returns the smallest index from `low` on for which the predicate is true, or `high`. The predicate must be false up
+ * to some index and true from there on.
+ *
  * @example firstIndex(0, sorted.length, (index) => sorted[index] > 10)
  */
 export function firstIndex(low: number, high: number, predicate: (index: number) => boolean): number {
--- a/src/shard/state/liveRequest.ts
+++ b/src/shard/state/liveRequest.ts
@@ -1,41 +1,41 @@
-/** Live requests: streams, and single requests that may not be repeated. */
+/** Live requests: streams, and single requests that must not run twice. */
 import type { Stamp } from "../../common/stamp";
 
 /** One chunk of a response stream. Stored; the field names never change. */
 export interface StreamChunk {
-  /** Position in the stream, from 1. */
+  /** Position in the stream, starting at 1. */
   n: number;
   /** Stamp of the put that added it. */
   stamp: Stamp;
   data: string;
 }
 
-/** "unknown" means that an attempt may have run; "refused" that none will. */
+/** "unknown": an attempt may have run. "refused": no attempt will run. */
 export type LiveRequestState = "accepted" | "claimed" | "done" | "failed" | "unknown" | "refused";
 
-/** What a live request is opened with. Stored and sent; the field names never change. */
+/** A live request as it is opened. Stored and sent; the field names never change. */
 export interface LiveRequestSpec {
   id: string;
-  /** Name of the route that it came by. */
+  /** Name of the route that the request was sent to. */
   binding: string;
-  /** Digest of the body, hexadecimal: tells a repeated request from another one under the same id. */
+  /** Digest of the body, hexadecimal. Tells a repeated request from a different one under the same id. */
   bodyHash: string;
   body: string;
-  /** The id is an idempotency key given by the caller. */
+  /** Whether the id is an idempotency key that the caller chose. */
   keyed: boolean;
-  /** Idempotent: may be attempted again after an attempt that may have run. */
+  /** Whether the request is idempotent: it may be retried after an attempt that may have run. */
   safe: boolean;
-  /** A stream that another endpoint can continue exactly where it broke off. */
+  /** Whether another endpoint can continue the stream exactly where it broke off. */
   exact: boolean;
-  /** End of the deadline, ms of wall time. */
+  /** Deadline: wall-clock time, ms. */
   deadlineAt: number;
-  /** Priority; the lower goes first. */
+  /** Priority; lower values run first. */
   order: number;
-  /** Stamp of the arrival, as text; a key may arrive again after its request was refused. */
+  /** Stamp of the request's arrival, as text. A key may arrive again after a request with it was rejected. */
   life: string;
 }
 
-/** One live request as its shard stores it. The field names never change. */
+/** A live request as its shard stores it. The field names never change. */
 export interface LiveRequest extends LiveRequestSpec {
   stamp: Stamp;
   state: LiveRequestState;
@@ -43,17 +43,17 @@
   round: number;
   /** Key of the endpoint that the last attempt was for. */
   replica: string;
-  /** Member that runs the last attempt. */
+  /** Id of the member that runs the last attempt. */
   owner: string;
   /** Chunks of the response stream so far, in order. */
   pieces: StreamChunk[];
   outcome: string;
-  /** Operations that changed it; anti-entropy repair takes the greater as the newer. */
+  /** Number of operations that changed the request. Anti-entropy repair treats the greater version as the newer. */
   version: number;
   closedAt: Stamp | null;
 }
 
 const CLOSED_STATES: readonly LiveRequestState[] = ["done", "failed", "unknown", "refused"];
 
-/** Whether a request has ended. @example isClosed(request) */
+/** Whether a request has its final state. */
 export const isClosed = (request: LiveRequest): boolean => CLOSED_STATES.includes(request.state);
--- a/src/shard/state/liveRequestOperations.ts
+++ b/src/shard/state/liveRequestOperations.ts
@@ -1,4 +1,4 @@
-/** Operations on live requests. Texts of refusals and of ledger entries are stored and don't change. */
+/** Operations on live requests. Reasons for rejections and texts of ledger entries are stored and never change. */
 import { Stamp } from "../../common/stamp";
 import { isClosed, LiveRequest } from "./liveRequest";
 import { OperationContext, sealedOutcome } from "./operationContext";
@@ -6,8 +6,8 @@
 
 const NOT_CLAIMED: PutOutcome = { tag: "no", why: "not claimed in this round" };
 
-/** Opens a request, once by its id; a refused one may be opened again by an arrival later than the refusal. */
-export function openRequest({ data, note, put }: OperationContext, op: OperationOf<"open">): PutOutcome {
+/** Opens a request. Each id is opened once, but after a rejection it may be opened again by a later arrival. */
+export function openRequest({ data, addLedgerEntry, put }: OperationContext, op: OperationOf<"open">): PutOutcome {
   const sealed = sealedOutcome(data, "works", op.work.id, op.work.bodyHash);
   if (sealed) return sealed;
   const known = data.liveRequests.get(op.work.id);
@@ -29,31 +29,31 @@
     outcome: "",
     version: 0,
   });
-  note(`request ${op.work.id}`, `accepted for ${op.work.binding}`);
+  addLedgerEntry(`request ${op.work.id}`, `accepted for ${op.work.binding}`);
   return { tag: "done" };
 }
 
 /** Claims a request for one attempt at an endpoint. */
-export function claimRequest({ data, note }: OperationContext, op: OperationOf<"claim">): PutOutcome {
+export function claimRequest({ data, addLedgerEntry }: OperationContext, op: OperationOf<"claim">): PutOutcome {
   const request = data.liveRequests.get(op.id);
   if (!request) return { tag: "no", why: "no such request" };
   if (request.state !== "accepted" || op.round !== request.round + 1)
     return { tag: "no", why: `request is ${request.state} in round ${request.round}` };
   Object.assign(request, { state: "claimed", round: op.round, replica: op.replica, owner: op.owner });
-  note(`request ${op.id}`, `claimed for replica ${op.replica}, round ${op.round}`);
+  addLedgerEntry(`request ${op.id}`, `claimed for replica ${op.replica}, round ${op.round}`);
   return { tag: "done" };
 }
 
-/** Releases the claim of an attempt that provably did not run. */
-export function releaseRequest({ data, note }: OperationContext, op: OperationOf<"release">): PutOutcome {
+/** Releases the claim of an attempt that certainly did not run. */
+export function releaseRequest({ data, addLedgerEntry }: OperationContext, op: OperationOf<"release">): PutOutcome {
   const request = data.liveRequests.get(op.id);
   if (!request || request.state !== "claimed" || request.round !== op.round) return NOT_CLAIMED;
   request.state = "accepted";
-  note(`request ${op.id}`, `released from replica ${request.replica}: ${op.why}`);
+  addLedgerEntry(`request ${op.id}`, `released from replica ${request.replica}: ${op.why}`);
   return { tag: "done" };
 }
 
-/** Appends chunks of the response stream, in order, by the attempt that has the claim. */
+/** Appends chunks to the response stream, in order. Only the attempt that holds the claim may do so. */
 export function appendChunks({ data, put }: OperationContext, op: OperationOf<"pieces">): PutOutcome {
   const request = data.liveRequests.get(op.id);
   if (!request || request.state !== "claimed" || request.round !== op.round) return NOT_CLAIMED;
@@ -62,14 +62,16 @@
   return { tag: "done" };
 }
 
-/** Closes a request. One refused before it was opened is added as closed, so that a late open finds it. */
-export function closeRequest({ data, note, put }: OperationContext, op: OperationOf<"close">): PutOutcome {
+/**
+ * Closes a request. One that is rejected before it was opened is stored as closed, so that a late open is not accepted.
+ */
+export function closeRequest({ data, addLedgerEntry, put }: OperationContext, op: OperationOf<"close">): PutOutcome {
   const sealed = data.sealedObjects.find("works", op.id);
   if (sealed) return { tag: "exists", same: true, state: sealed.state };
   let request = data.liveRequests.get(op.id);
   if (!request) {
     if (op.state !== "refused") return { tag: "no", why: "no such request" };
-    request = refusedBeforeOpen(op.id, put.stamp);
+    request = unopenedRequest(op.id, put.stamp);
     data.liveRequests.set(op.id, request);
   }
   if (isClosed(request)) return { tag: "exists", same: true, state: request.state };
@@ -77,11 +79,12 @@
     return { tag: "no", why: `request is ${request.state} in round ${request.round}` };
   Object.assign(request, { state: op.state, outcome: op.outcome, body: "", closedAt: put.stamp });
   (op.state === "refused" ? data.refusedRequests : data.closedRequests).push(op.id);
-  note(`request ${op.id}`, `closed as ${op.state}: ${op.outcome.slice(0, 200)}`);
+  addLedgerEntry(`request ${op.id}`, `closed as ${op.state}: ${op.outcome.slice(0, 200)}`);
   return { tag: "done" };
 }
 
-function refusedBeforeOpen(id: string, stamp: Stamp): LiveRequest {
+/** A request that is rejected before its open arrives. */
+function unopenedRequest(id: string, stamp: Stamp): LiveRequest {
   return {
     id,
     binding: "",
--- a/src/shard/state/operationContext.ts
+++ b/src/shard/state/operationContext.ts
@@ -2,18 +2,18 @@
 import type { Put, PutOutcome } from "./operations";
 import type { ShardData, UnstablePut } from "./shardData";
 
-/** What an operation is applied with. */
+/** Everything that an operation needs to be applied. */
 export interface OperationContext {
   readonly data: ShardData;
   /** The put that the operation belongs to. */
   readonly put: Put;
-  /** Adds a ledger entry; its cause is the put's where none is given. */
-  readonly note: (subject: string, decision: string, cause?: Cause) => void;
-  /** Where the put's ledger entries and results go until the frontier has passed it. */
+  /** Adds a ledger entry. Its cause is that of the put if none is given. */
+  readonly addLedgerEntry: (subject: string, decision: string, cause?: Cause) => void;
+  /** Collects the ledger entries and results of the put until the frontier has passed its stamp. */
   readonly unstable: UnstablePut;
 }
 
-/** The outcome of a submission whose object is closed and sealed already; undefined if it isn't. */
+/** The outcome for a request or job whose id is already in a segment; undefined if it isn't. */
 export function sealedOutcome(
   { sealedObjects }: ShardData,
   kind: "works" | "lots",
--- a/src/shard/state/operations.ts
+++ b/src/shard/state/operations.ts
@@ -1,4 +1,4 @@
-/** Puts, the operations that they consist of, and their outcomes. */
+/** Puts, the operations in them, and their outcomes. */
 import type { Stamp } from "../../common/stamp";
 import type { BatchJobSpec, ItemOutcome } from "./batchJob";
 import type { Cause } from "../../common/ledgerEntry";
@@ -15,10 +15,10 @@
   | {
       op: "note";
       entries: { subject: string; decision: string; cause: Cause }[];
-      /** Deduplicates: the entries of a source come in the order of their index, each at most once. */
+      /** Deduplicates entries: a source sends them in the order of their index, and each index is applied once. */
       once?: { source: string; index: number };
     }
-  /** Removes the segments of a kind with a number below `below`. */
+  /** Trims the segments of a kind whose number is less than `below`. */
   | { op: "trim"; kind: SegmentKind; below: number; detail: string };
 
 /** A change of one live request. */
@@ -31,11 +31,11 @@
 
 /** A change of one batch job or of its items. */
 export type BatchJobOperation =
-  /** `life` is the stamp of the arrival, as text; an id may arrive again after its job was refused. */
+  /** `life` is the stamp of the job's arrival, as text. An id may arrive again after its job was rejected. */
   | { op: "lot"; lot: BatchJobSpec; life?: string }
-  /** Arrivals up to this put will not be accepted. */
+  /** Submissions of the job that arrived up to this put will not be accepted. */
   | { op: "lotRefuse"; lot: string }
-  /** Results of items that were run without a claim; the first result of each counts. */
+  /** Results of items that were run without a claim. Only the first result of each item is kept. */
   | { op: "itemResults"; lot: string; results: ItemOutcome[] }
   | { op: "itemClaim"; lot: string; item: number; round: number; replica: string; owner: string }
   | { op: "itemRelease"; lot: string; item: number; round: number; why: string }
@@ -45,19 +45,19 @@
 /** The operation with a given tag. */
 export type OperationOf<Tag extends ShardOperation["op"]> = Extract<ShardOperation, { op: Tag }>;
 
-/** What is written at once: all of its operations up to the first that is refused, under one stamp. */
+/** Operations that are written together under one stamp. They are applied in order until one isn't "done". */
 export interface Put {
-  /** Idempotency key: a put is applied once. */
+  /** Idempotency key: a put with the same id is applied once. */
   putId: string;
   stamp: Stamp;
   ops: ShardOperation[];
-  /** Cause of the ledger entries of operations that name none. */
+  /** Default cause of the ledger entries that the operations add. */
   cause: Cause;
 }
 
-/** The outcome of the last operation of a put that was applied or refused. */
+/** The outcome of a put: that of its last operation, or of the first that isn't "done". */
 export type PutOutcome =
   | { tag: "done" }
-  /** The object is there already; `same` if its body is the one of the operation. */
+  /** The object exists already; `same` tells whether its body equals that of the operation. */
   | { tag: "exists"; same: boolean; state: string }
   | { tag: "no"; why: string };
--- a/src/shard/state/rangeDigests.ts
+++ b/src/shard/state/rangeDigests.ts
@@ -1,11 +1,11 @@
-/** Digests of a shard's open objects by ranges of their ids, for anti-entropy repair between replicas. */
+/** Digests of a shard's unsealed objects by hash range of their ids, for anti-entropy repair between replicas. */
 import { Constants } from "../../common/constants";
 import { Hash } from "../../common/hash";
 import type { BatchJob } from "./batchJob";
 import type { LiveRequest } from "./liveRequest";
 import type { ShardData } from "./shardData";
 
-/** A job's positions follow from the frontier, which differs between replicas: they aren't compared. */
+/** Text of an object without its positions, which depend on the frontier and so differ between replicas. */
 const comparedText = (object: object): string => JSON.stringify({ ...object, positions: 0 });
 
 function repairRequest(data: ShardData, request: LiveRequest): boolean {
@@ -23,26 +23,26 @@
 }
 
 /**
- * Compares and repairs replicas by ranges of object ids.
+ * Compares and repairs replicas by hash ranges of object ids.
  *
  * @example
- * const differing = RangeDigests.of(data).flatMap((digest, range) => (digest === theirs[range] ? [] : [range]));
+ * const differing = RangeDigests.of(data).flatMap((digest, range) => (digest === otherDigests[range] ? [] : [range]));
  */
 export const RangeDigests = {
-  /** The range that an id falls into, from 0. @example RangeDigests.rangeOf("lot-17") */
+  /** Number of the range that an id hashes to, starting at 0. */
   rangeOf(id: string): number {
     let hash = 0;
     for (let index = 0; index < id.length; index += 1) hash = (hash * 31 + id.charCodeAt(index)) >>> 0;
     return hash % Constants.digestRanges;
   },
-  /** One digest a range. @example RangeDigests.of(data)[3] */
+  /** Returns one digest per range. */
   of(data: ShardData): string[] {
     const ranges: string[][] = Array.from({ length: Constants.digestRanges }, () => []);
     for (const object of [...data.liveRequests.values(), ...data.jobs.values()])
       ranges[RangeDigests.rangeOf(object.id)].push(comparedText(object));
     return ranges.map((texts) => Hash.text(texts.sort().join("\n")));
   },
-  /** Takes over each object that isn't older than the own one; returns how many differed. @example RangeDigests.repair(data, requests, jobs) */
+  /** Replaces each object that differs and isn't newer than the received one. Returns how many were replaced. */
   repair: (data: ShardData, requests: LiveRequest[], jobs: BatchJob[]): number =>
     requests.filter((request) => repairRequest(data, request)).length +
     jobs.filter((job) => repairJob(data, job)).length,
--- a/src/shard/state/segmentSealing.ts
+++ b/src/shard/state/segmentSealing.ts
@@ -1,5 +1,5 @@
 /**
- * Seals the oldest closed objects of a shard into segments. It depends on nothing but the log, so that every replica
+ * Seals the oldest closed objects of a shard into segments. Sealing depends only on the log, so that every replica
  * seals the same objects under the same segment number.
  */
 import invariant from "tiny-invariant";
@@ -31,7 +31,7 @@
   }
 }
 
-/** The positions of a job's results are final once the log's own clock has passed the last result. */
+/** The positions of a job's results are final once the log clock has passed the last result. */
 const isFinal = (data: ShardData, jobId: string): boolean => data.jobs.get(jobId)!.closedAt!.time <= data.logClock;
 
 function sealJobs(data: ShardData, perSegment: number): void {
@@ -40,7 +40,7 @@
     data.closedJobs.slice(0, perSegment).every((id) => isFinal(data, id))
   ) {
     const ids = data.closedJobs.splice(0, perSegment);
-    // The results were listed long ago: nobody reads the bodies any more.
+    // The results have long been listed, so that nobody reads the item bodies any more.
     for (const id of ids) data.jobs.get(id)!.bodies = [];
     data.jobsWithBodies = data.jobsWithBodies.filter((id) => !ids.includes(id));
     addSegment(
@@ -57,7 +57,7 @@
   while (finalEntries() >= perSegment * 2) addSegment(data, "ledger", data.ledger.splice(0, perSegment));
 }
 
-/** Seals what fills a segment; half of the closed objects stay in memory for reads. @example sealSegments(data); */
+/** Seals closed objects once there are enough for two segments; up to that many stay in memory for reads. */
 export function sealSegments(data: ShardData): void {
   const { works, lots, ledger } = Constants.segmentObjects;
   sealRequests(data, works);
--- a/src/shard/state/shardData.ts
+++ b/src/shard/state/shardData.ts
@@ -1,4 +1,4 @@
-/** The state of a shard in memory, and its stored form. */
+/** The state of a shard in memory, and its serialized form. */
 import type { Stamp } from "../../common/stamp";
 import type { BatchJob } from "./batchJob";
 import type { LedgerEntry } from "../../common/ledgerEntry";
@@ -6,65 +6,67 @@
 import type { PutOutcome } from "./operations";
 import type { PendingSegment, SealedObjectLocation, SegmentCounts } from "../segments/segmentTypes";
 
-/** What a put has decided and which results it brought, until the frontier has passed its stamp. Stored. */
+/** Ledger entries and item results of a put whose stamp the frontier has not passed yet. Stored. */
 export interface UnstablePut {
   stamp: Stamp;
   ledger: LedgerEntry[];
   results: { lot: string; item: number }[];
 }
 
-/** The outcome of a put, for repeats of it. Stored. */
+/** The outcome of a put, kept for retries of the put. Stored. */
 export interface RememberedOutcome {
-  /** ms of wall time; nobody repeats the put later. */
+  /** Nobody retries the put after this time: wall-clock time, ms. */
   until: number;
   outcome: PutOutcome;
 }
 
-/** The sealed objects, as the state machine needs them: by id, without a read of the disk. */
+/** Access of the state machine to sealed objects, which never reads from disk. */
 export interface SealedObjects {
   find(kind: "works" | "lots", id: string): SealedObjectLocation | undefined;
   hasSameBody(found: SealedObjectLocation, bodyHash: string): boolean;
   add(segment: PendingSegment): void;
 }
 
-/** The state of a shard: what is open, and what was closed lately. Everything older is in segments. */
+/** The state of a shard: open objects and those closed recently. Everything older is in segments. */
 export interface ShardData {
   liveRequests: Map<string, LiveRequest>;
   /** Ids of closed requests that aren't sealed yet, oldest first. */
   closedRequests: string[];
-  /** Ids of refused requests, oldest first; forgotten once no open of theirs can arrive any more. */
+  /** Ids of rejected requests, oldest first. They are removed once no delayed open with the id can arrive. */
   refusedRequests: string[];
   jobs: Map<string, BatchJob>;
   /** Ids of closed jobs that aren't sealed yet, oldest first. */
   closedJobs: string[];
-  /** Ids of refused jobs with the stamp of the refusal; forgotten once no put of theirs can arrive any more. */
+  /**
+   * Ids of rejected jobs with the stamp of the rejection. They are removed once no delayed put with the id can arrive.
+   */
   refusedJobs: Map<string, Stamp>;
   /** Ids of closed jobs whose item bodies may still be read, oldest first. */
   jobsWithBodies: string[];
-  /** The newest part of the time index: only what is behind the frontier, in the order of the stamps. */
+  /** The newest part of the time index: unsealed entries up to the frontier, in the order of their stamps. */
   ledger: LedgerEntry[];
-  /** Logged, but not yet behind the frontier. */
+  /** Puts in the log whose stamp the frontier has not passed yet. */
   unstablePuts: UnstablePut[];
-  /** The temporal stability frontier, ms of wall time. */
+  /** The temporal stability frontier: wall-clock time, ms. */
   frontier: number;
-  /** The greatest frontier that the log itself records: the same on every replica at the same entry. */
+  /** The greatest frontier recorded in the log so far. It is the same on every replica at the same entry. */
   logClock: number;
-  /** By put id, oldest first. */
+  /** Outcomes by put id, oldest first. */
   putOutcomes: Map<string, RememberedOutcome>;
-  /** By source, the greatest index noted so far: deduplicates "note" operations. */
+  /** The greatest index applied so far of each source. Deduplicates "note" operations. */
   notedSources: Record<string, number>;
-  /** Sealed, but not yet written as files. */
+  /** Segments that are sealed but not yet written as files. */
   pendingSegments: PendingSegment[];
-  /** Segments sealed so far, pending ones included. */
+  /** Number of segments sealed so far, including pending ones. */
   segmentCounts: SegmentCounts;
-  /** Segments removed so far: those with a smaller number. */
+  /** Number of segments trimmed so far; these have the smallest segment numbers. */
   trimmedCounts: SegmentCounts;
   sealedObjects: SealedObjects;
 }
 
 /**
- * The stored form of {@link ShardData}, plain JSON: what a slot file contains and what a new replica is sent. Its field
- * names are part of the data format and never change.
+ * The serialized form of {@link ShardData}, plain JSON. It is part of snapshots on disk and is sent to new replicas.
+ * Its field names are part of the data format and never change.
  */
 export interface SerializedShard {
   works: LiveRequest[];
@@ -72,9 +74,9 @@
   refused: string[];
   lots: BatchJob[];
   lotsClosed: string[];
-  /** Missing in data of the first versions. */
+  /** Missing in data that the first versions wrote. */
   lotsRefused?: [string, Stamp][];
-  /** Missing in data of the first versions. */
+  /** Missing in data that the first versions wrote. */
   bodiesKept?: string[];
   ledger: LedgerEntry[];
   waiting: UnstablePut[];
@@ -93,14 +95,14 @@
   new Map(objects.map((object) => [object.id, object]));
 
 /**
- * Makes, stores and loads the state of a shard.
+ * Creates, serializes and deserializes the state of a shard.
  *
  * @example
  * const data = ShardData.empty();
  * const copy = ShardData.deserialize(ShardData.serialize(data), segments);
  */
 export const ShardData = {
-  /** The state of a new shard. @example const data = ShardData.empty(segments); */
+  /** Creates the state of a new shard. */
   empty: (sealedObjects: SealedObjects = noSealedObjects): ShardData => ({
     liveRequests: new Map(),
     closedRequests: [],
@@ -121,7 +123,7 @@
     sealedObjects,
   }),
 
-  /** The stored form. The order of its fields is part of the data format. @example JSON.stringify(ShardData.serialize(data)) */
+  /** Serializes the state. The order of the fields is part of the data format. */
   serialize: (data: ShardData): SerializedShard => ({
     works: [...data.liveRequests.values()],
     worksClosed: data.closedRequests,
@@ -141,7 +143,7 @@
     trimmed: data.trimmedCounts,
   }),
 
-  /** The state from its stored form, whose arrays it takes over. @example ShardData.deserialize(JSON.parse(text), segments) */
+  /** Creates the state from its serialized form. The state shares the arrays of that form. */
   deserialize: (stored: SerializedShard, sealedObjects: SealedObjects): ShardData => ({
     liveRequests: byId(stored.works),
     closedRequests: stored.worksClosed,
--- a/src/shard/state/shardState.ts
+++ b/src/shard/state/shardState.ts
@@ -65,14 +65,14 @@
   return undefined;
 }
 
-/** Until when a put may be repeated: its repeats come as long as somebody waits for the first, ms of wall time. */
+/** Wall-clock time (ms) until which a put may be retried: its caller retries only while it waits for an outcome. */
 function repeatableUntil(put: Put): number {
   const deadlines = put.ops.map((op) => (op.op === "open" ? op.work.deadlineAt : 0));
   return Math.max(put.stamp.time, ...deadlines) + Constants.putOutcomeKeepMs;
 }
 
-/** Closed jobs whose item bodies nobody reads any more lose them. */
-function forgetBodies(data: ShardData, clock: number): void {
+/** Deletes the item bodies of closed jobs that nobody reads any more. */
+function expireItemBodies(data: ShardData, clock: number): void {
   while (data.jobsWithBodies.length > 0) {
     const job = data.jobs.get(data.jobsWithBodies[0]);
     if ((job?.closedAt?.time ?? 0) + Constants.jobBodiesKeepMs >= clock) return;
@@ -81,7 +81,7 @@
   }
 }
 
-function forgetRefusedRequests(data: ShardData, clock: number): void {
+function expireRefusedRequests(data: ShardData, clock: number): void {
   while (data.refusedRequests.length > 0) {
     const id = data.refusedRequests[0];
     const request = data.liveRequests.get(id);
@@ -91,14 +91,14 @@
   }
 }
 
-function forgetPutOutcomes(data: ShardData, clock: number): void {
+function expirePutOutcomes(data: ShardData, clock: number): void {
   for (const [id, { until }] of data.putOutcomes) {
     if (until >= clock) return;
     data.putOutcomes.delete(id);
   }
 }
 
-function forgetRefusedJobs(data: ShardData, clock: number): void {
+function expireRefusedJobs(data: ShardData, clock: number): void {
   for (const [id, { time }] of data.refusedJobs) {
     if (time + Constants.refusalKeepMs >= clock) return;
     data.refusedJobs.delete(id);
@@ -106,8 +106,8 @@
 }
 
 /**
- * The replicated state machine of a shard: every replica applies the same entries in the same order and reaches the same
- * state.
+ * The replicated state machine of a shard. Every replica applies the same entries in the same order and reaches the
+ * same state.
  *
  * @example
  * const data = ShardData.empty();
@@ -116,17 +116,17 @@
  * ShardState.seal(data);
  */
 export const ShardState = {
-  /** Applies a put; a repeat of its id changes nothing and gets the first outcome. @example ShardState.apply(data, put).tag */
+  /** Applies a put. A put with a known id changes nothing and gets the outcome of the first. */
   apply(data: ShardData, put: Put): PutOutcome {
     const earlier = data.putOutcomes.get(put.putId);
     if (earlier) return earlier.outcome;
     const unstable: UnstablePut = { stamp: put.stamp, ledger: [], results: [] };
-    const note = (subject: string, decision: string, cause: Cause = put.cause): void => {
+    const addLedgerEntry = (subject: string, decision: string, cause: Cause = put.cause): void => {
       unstable.ledger.push({ stamp: put.stamp, n: unstable.ledger.length, subject, decision, cause });
     };
     let outcome: PutOutcome = { tag: "done" };
     for (const op of put.ops) {
-      outcome = applyOperation({ data, put, note, unstable }, op);
+      outcome = applyOperation({ data, put, addLedgerEntry, unstable }, op);
       if (outcome.tag !== "done") break;
       const changed = changedObject(data, op);
       if (changed) changed.version += 1;
@@ -137,34 +137,33 @@
   },
 
   /**
-   * Advances to the time that the log itself records, before the puts of an entry. Whatever depends on time and must
-   * happen at the same entry on every replica happens here: put ids and refusals that nobody can repeat are forgotten.
+   * Advances the log clock to the time that an entry records, before the puts of the entry are applied. Everything that
+   * depends on time but must happen at the same entry on every replica happens here: old put outcomes, rejections and
+   * item bodies, which nobody can need any more, are removed.
    *
-   * @param clock frontier recorded in the entry, ms
-   * @example ShardState.advanceClock(data, entry.frontier);
+   * @param clock frontier recorded in the entry: wall-clock time, ms
    */
   advanceClock(data: ShardData, clock: number): void {
     ShardState.advanceFrontier(data, clock);
     if (clock <= data.logClock) return;
     data.logClock = clock;
-    forgetPutOutcomes(data, clock);
-    forgetRefusedJobs(data, clock);
-    forgetBodies(data, clock);
-    forgetRefusedRequests(data, clock);
+    expirePutOutcomes(data, clock);
+    expireRefusedJobs(data, clock);
+    expireItemBodies(data, clock);
+    expireRefusedRequests(data, clock);
   },
 
-  /** Seals the oldest closed objects once they fill a segment; after the puts of an entry. @example ShardState.seal(data); */
+  /** Seals the oldest closed objects if there are enough of them. Called after the puts of an entry are applied. */
   seal(data: ShardData): void {
     sealSegments(data);
   },
 
   /**
-   * Rule 3 of the paper (Birman et al. 2026, section 2.9): the index grows over the prefix that is stable both logically
-   * and temporally. All puts in the log with τ ≤ frontier are indexed in the order of their stamps; no later put can
-   * precede them.
+   * Rule 3 of the paper (Birman et al. 2026, section 2.9): the time index covers the prefix that is stable both
+   * logically and temporally. All puts in the log with τ ≤ frontier are indexed in the order of their stamps; no later
+   * put can precede them.
    *
-   * @param frontier ms; a smaller one than the present changes nothing
-   * @example ShardState.advanceFrontier(data, 1000.5);
+   * @param frontier wall-clock time, ms; a value below the current frontier changes nothing
    */
   advanceFrontier(data: ShardData, frontier: number): void {
     if (frontier <= data.frontier) return;
--- a/test/replicaRecoveryTrial.ts
+++ b/test/replicaRecoveryTrial.ts
@@ -28,13 +28,12 @@
  * const times = await ReplicaRecovery.run({ seed: 1, kind: "wiped", downMs: 300, stores: 4, allPower: false });
  */
 export const ReplicaRecovery = {
-  /** @example ReplicaRecovery.store(fleet, "store-1")?.copies */
   store: (fleet: ControlFleet, name: string): StorageNode | undefined =>
     fleet.running.get(name) as unknown as StorageNode | undefined,
-  /** Views in force. @example ReplicaRecovery.views(fleet).length */
+  /** Views in force. */
   views: (fleet: ControlFleet): ShardView[] =>
     Object.values(fleet.control(fleet.leader() ?? "")?.group.state.views ?? {}),
-  /** Copies of a view's members whose processes run, whose disks work, and which hold the view. @example ReplicaRecovery.intactReplicas(fleet, view) */
+  /** Copies of a view's members whose processes run, whose disks work, and which hold the view. */
   intactReplicas(fleet: ControlFleet, view: ShardView): number {
     return fleet.names("store").filter((name) => {
       const store = ReplicaRecovery.store(fleet, name);
@@ -47,7 +46,7 @@
       );
     }).length;
   },
-  /** Whether every shard has all its copies. @example ReplicaRecovery.hasAllReplicas(fleet) */
+  /** Whether every shard has all its copies. */
   hasAllReplicas(fleet: ControlFleet, replicas = 3): boolean {
     const views = ReplicaRecovery.views(fleet);
     return (
@@ -57,7 +56,7 @@
       )
     );
   },
-  /** A fixed mix of all losses. @example ReplicaRecovery.trials(100) */
+  /** A fixed mix of all losses. */
   trials(seeds: number): RecoveryTrial[] {
     const kinds = ["killed", "wiped", "replaced"] as const;
     const downTimes = [0, 300, 1000, 2500, 6000];
@@ -102,7 +101,7 @@
     if (errors.length > 0) throw new Error(`seed ${trial.seed}: ${errors.join("; ")}`);
     return times;
   },
-  /** One line: median and slowest of each stage. @example ReplicaRecovery.summary(all) */
+  /** One line: median and slowest of each stage. */
   summary(all: { times: RecoveryTimes }[]): string {
     const stage = (pick: (times: RecoveryTimes) => number | undefined): string => {
       const sorted = all.map(({ times }) => pick(times) ?? Infinity).sort((left, right) => left - right);
