--- a/src/shard/replica/leadership.ts
+++ b/src/shard/replica/leadership.ts
@@ -45,7 +45,7 @@
   }
 
   /**
-   * Ends the leadership, if there is one. All queued puts get a fault.
+   * Ends the leadership, if there is one. All unfinished puts get a fault.
    *
    * @param reason text for the log, for the faults, and for the control group
    * @param isViewChanging whether the control group is already changing the view and need not be asked to
--- a/src/shard/segments/sealedLedger.ts
+++ b/src/shard/segments/sealedLedger.ts
@@ -24,8 +24,10 @@
   /** Stamp of the oldest entry that isn't trimmed. */
   oldestStamp = (): Stamp | undefined => this.segments.indexes()[this.segments.firstNumber()]?.first;
 
-  /** Reads entries after a stamp, oldest first: at least `minCount` if there are as many. Entries of one put stay together.
-   * `all` is true if no segment is left to read. */
+  /**
+   * Reads entries after a stamp, oldest first: at least `minCount` if there are as many. Entries of one put stay
+   * together. `all` is true if no segment is left to read.
+   */
   *after(after: Stamp, minCount: number): Task<Result<{ entries: LedgerEntry[]; all: boolean }>> {
     const found: LedgerEntry[] = [];
     const needsMore = (): boolean =>
--- a/src/shard/state/segmentSealing.ts
+++ b/src/shard/state/segmentSealing.ts
@@ -57,7 +57,10 @@
   while (finalEntries() >= perSegment * 2) addSegment(data, "ledger", data.ledger.splice(0, perSegment));
 }
 
-/** Seals closed objects once there are enough for two segments; up to that many stay in memory for reads. */
+/**
+ * Seals the oldest closed objects, a segment at a time, while there are enough for two. The rest stays in memory for
+ * reads.
+ */
 export function sealSegments(data: ShardData): void {
   const { works, lots, ledger } = Constants.segmentObjects;
   sealRequests(data, works);
--- a/test/antiEntropy.test.ts
+++ b/test/antiEntropy.test.ts
@@ -6,13 +6,13 @@
 import { SimFleet } from "../src/simulation/simFleet";
 import { Deployment } from "../src/tools/deployment";
 
-const read = Deployment.check(JSON.parse(fs.readFileSync(path.join(__dirname, "../../deploy/sim.json"), "utf8")));
-if (!read.ok) throw new Error("deployment");
+const deployment = Deployment.check(JSON.parse(fs.readFileSync(path.join(__dirname, "../../deploy/sim.json"), "utf8")));
+if (!deployment.ok) throw new Error("deploy/sim.json is not valid");
 
-test("a replica that silently lost part of its state is found by digests and repaired from the newer, under load", async () => {
+test("under load, a replica that silently lost part of its state is detected by digests and repaired with the leader's newer objects", async () => {
   const sizes = { ...Constants.segmentObjects };
-  const fleet = new SimFleet(read.value, 5);
-  Object.assign(Constants.segmentObjects, sizes); // nothing is sealed in this half minute
+  const fleet = new SimFleet(deployment.value, 5);
+  Object.assign(Constants.segmentObjects, sizes); // segments of production size, so that nothing is sealed during the test
   await fleet.boot();
   await fleet.run(4000);
   const replicas = fleet
@@ -22,21 +22,21 @@
     ]);
   const member = replicas.find((replica) => replica.role === "member" && replica.data.jobs.size > 0)!;
   const leader = replicas.find((replica) => replica.shard === member.shard && replica.role === "lead")!;
-  const [job] = member.data.jobs.keys();
-  const positions = [...member.data.jobs.get(job)!.positions];
-  member.data.jobs.get(job)!.items[0].result = "rotten";
-  member.data.jobs.get(job)!.version -= 1;
-  for (const work of [...member.data.liveRequests.keys()].slice(0, 2)) member.data.liveRequests.delete(work);
+  const [jobId] = member.data.jobs.keys();
+  const positions = [...member.data.jobs.get(jobId)!.positions];
+  member.data.jobs.get(jobId)!.items[0].result = "rotten";
+  member.data.jobs.get(jobId)!.version -= 1;
+  for (const requestId of [...member.data.liveRequests.keys()].slice(0, 2)) member.data.liveRequests.delete(requestId);
   expect(RangeDigests.of(member.data)).not.toEqual(RangeDigests.of(leader.data));
   await fleet.run(25_000);
   expect(member.counts.repaired).toBeGreaterThanOrEqual(1);
-  expect(member.data.jobs.get(job)!.items[0].result).toBe(leader.data.jobs.get(job)!.items[0].result);
-  expect(member.data.jobs.get(job)!.positions.slice(0, positions.length)).toEqual(positions);
+  expect(member.data.jobs.get(jobId)!.items[0].result).toBe(leader.data.jobs.get(jobId)!.items[0].result);
+  expect(member.data.jobs.get(jobId)!.positions.slice(0, positions.length)).toEqual(positions);
   expect(await fleet.close()).toEqual([]);
 }, 120_000);
 
-test("a damaged segment file is found by its checksum and fetched from another replica", async () => {
-  const fleet = new SimFleet(read.value, 6);
+test("a damaged segment file is detected by its checksum and fetched from another replica", async () => {
+  const fleet = new SimFleet(deployment.value, 6);
   await fleet.boot();
   await fleet.run(14_000);
   const name = fleet.names("store")[0];
@@ -50,8 +50,10 @@
   for (const replica of replicas.values())
     for (let turn = 0; turn < replica.segments.list().length; turn += 1)
       await fleet.world.finish(fleet.world.processes.get(name)!, () => replica.scrub(turn), 10_000);
-  damaged.forEach((file, at) =>
-    expect(fleet.disks.get(name)!.under(path.dirname(file)).get(path.basename(file))!.equals(before[at])).toBe(false),
+  damaged.forEach((file, index) =>
+    expect(fleet.disks.get(name)!.under(path.dirname(file)).get(path.basename(file))!.equals(before[index])).toBe(
+      false,
+    ),
   );
   expect([...replicas.values()].reduce((sum, replica) => sum + replica.counts.repaired, 0)).toBe(damaged.length);
   expect(await fleet.close()).toEqual([]);
--- a/test/powerLoss.test.ts
+++ b/test/powerLoss.test.ts
@@ -7,155 +7,169 @@
 import { PowerLoss, SimDisk } from "../src/simulation/simDisk";
 import { SimWorld } from "../src/simulation/simWorld";
 
-const folder = "mount/data";
-class Ended extends Error {}
-const ended = new Ended();
-/** Guards taken out, to see that the plays fail without them. */
-type Without = { steps?: (steps: DiskSteps) => Partial<DiskSteps>; disk?: (disk: Disk) => Partial<Disk> };
+const FOLDER = "mount/data";
+class ProcessStopped extends Error {}
+const processStopped = new ProcessStopped();
+/** Disk operations to replace, which shows that the runs fail without a guard. */
+type Overrides = { steps?: (steps: DiskSteps) => Partial<DiskSteps>; disk?: (disk: Disk) => Partial<Disk> };
 
-/** Plays a body once for each way in which its choices can come out. */
-function everyOutcome(body: (loss: PowerLoss) => void): number {
-  const taken: { at: number; of: number }[] = [];
-  for (let plays = 1; ; plays += 1) {
+/** Runs a body once for each combination of outcomes that a power loss can pick. */
+function runEveryOutcome(body: (loss: PowerLoss) => void): number {
+  const choices: { picked: number; outcomes: number }[] = [];
+  for (let runCount = 1; ; runCount += 1) {
     let next = 0;
-    const pick = (of: number): number => {
-      if (next === taken.length) taken.push({ at: 0, of });
-      return taken[next++].at;
+    const pick = (outcomes: number): number => {
+      if (next === choices.length) choices.push({ picked: 0, outcomes });
+      return choices[next++].picked;
     };
     body({ pick, cut: (bytes) => bytes >> 1 });
-    while (taken.length > 0 && taken[taken.length - 1].at === taken[taken.length - 1].of - 1) taken.pop();
-    if (taken.length === 0) return plays;
-    taken[taken.length - 1].at += 1;
+    while (choices.length > 0 && choices[choices.length - 1].picked === choices[choices.length - 1].outcomes - 1)
+      choices.pop();
+    if (choices.length === 0) return runCount;
+    choices[choices.length - 1].picked += 1;
   }
 }
-/** A process on a disk: it ends in the middle of a sync, the one after so many. */
-function lifeOf(disk: SimDisk, syncs: number, without: Without = {}): Environment {
-  let left = syncs;
+/** A process on a disk. It completes `syncs` syncs and stops in the middle of the next one. */
+function processOn(disk: SimDisk, syncs: number, overrides: Overrides = {}): Environment {
+  let syncsLeft = syncs;
   const wait = function* (): Task<void> {
-    if ((left -= 1) < 0) throw ended;
+    if ((syncsLeft -= 1) < 0) throw processStopped;
   };
   const steps = disk.steps("p", wait);
-  const durable: Disk = new DurableDisk({ ...steps, ...without.steps?.(steps) });
+  const durable: Disk = new DurableDisk({ ...steps, ...overrides.steps?.(steps) });
   return {
     name: "p",
-    disk: Object.assign(durable, without.disk?.(durable)),
+    disk: Object.assign(durable, overrides.disk?.(durable)),
     log: () => undefined,
     point: () => undefined,
   } as unknown as Environment;
 }
-/** Runs a task that waits for nothing; false if its process ended on the way. */
-function runs(task: Task<unknown>): boolean {
+/** Runs a task that never waits. Returns false if its process stopped before the end. */
+function completes(task: Task<unknown>): boolean {
   try {
     const step = task.next();
     if (!step.done) throw new Error("a task waited");
     return true;
   } catch (error) {
-    if (error instanceof Ended) return false;
+    if (error instanceof ProcessStopped) return false;
     throw error;
   }
 }
 const emptyDisk = (): SimDisk => {
   const disk = new SimDisk(new SimWorld(1));
-  runs(disk.steps("setup", function* () {}).makeFolder("mount"));
-  runs(disk.steps("setup", function* () {}).syncFolder("."));
+  completes(disk.steps("setup", function* () {}).makeFolder("mount"));
+  completes(disk.steps("setup", function* () {}).syncFolder("."));
   return disk;
 };
 
-type Kept = { acknowledged: number; written: number; id?: string };
-/** One life of a node: takes up its folder, appends numbers one and two at a time, and folds them. */
-function* work(env: Environment, kept: Kept, rounds: number): Task<void> {
-  const opened = yield* DataFolder.open(env, folder, "a:1", {
-    id: `node-${kept.written}`,
+/** Greatest numbers that were acknowledged and written so far, and the id of the node. */
+type Progress = { acknowledged: number; written: number; id?: string };
+/**
+ * One run of a node: opens its folder, checks the content, then appends one and two numbers and writes a checkpoint.
+ */
+function* runNode(env: Environment, progress: Progress, rounds: number): Task<void> {
+  const opened = yield* DataFolder.open(env, FOLDER, "a:1", {
+    id: `node-${progress.written}`,
     cluster: "c",
     program: "control",
   });
   if (!opened.ok) throw new Error(opened.fault.detail);
-  if (kept.id !== undefined && kept.id !== opened.value) throw new Error(`was ${kept.id}, is ${opened.value}`);
-  kept.id = opened.value;
-  const slots = new CheckpointedLog(env, `${folder}/group`);
-  const read = yield* slots.open();
+  if (progress.id !== undefined && progress.id !== opened.value)
+    throw new Error(`was ${progress.id}, is ${opened.value}`);
+  progress.id = opened.value;
+  const log = new CheckpointedLog(env, `${FOLDER}/group`);
+  const read = yield* log.open();
   if (!read.ok) throw new Error(read.fault.detail);
   const upTo = (read.value.state as { upTo: number } | undefined)?.upTo ?? 0;
   const records = read.value.records as number[];
   const last = records.length > 0 ? records[records.length - 1] : upTo;
-  const expected = Array.from({ length: last - upTo }, (_each, at) => upTo + at + 1);
+  const expected = Array.from({ length: last - upTo }, (_each, index) => upTo + index + 1);
   if (JSON.stringify(records) !== JSON.stringify(expected)) throw new Error(`after ${upTo}: ${records.join(" ")}`);
-  if (last < kept.acknowledged || last > kept.written)
-    throw new Error(`${last} read, ${kept.acknowledged} acknowledged, ${kept.written} written`);
-  // what was read counts from now on: a voter acknowledges what it holds
-  kept.acknowledged = last;
-  kept.written = last;
+  if (last < progress.acknowledged || last > progress.written)
+    throw new Error(`${last} read, ${progress.acknowledged} acknowledged, ${progress.written} written`);
+  // Everything read counts as acknowledged from now on, because a voter acknowledges the entries that it has.
+  progress.acknowledged = last;
+  progress.written = last;
   for (let round = 0; round < rounds; round += 1) {
-    for (const many of [1, 2]) {
-      const numbers = Array.from({ length: many }, (_each, at) => kept.written + at + 1);
-      kept.written += many;
-      if ((yield* slots.append(numbers)).ok) kept.acknowledged = kept.written;
+    for (const count of [1, 2]) {
+      const numbers = Array.from({ length: count }, (_each, index) => progress.written + index + 1);
+      progress.written += count;
+      if ((yield* log.append(numbers)).ok) progress.acknowledged = progress.written;
     }
-    yield* slots.checkpoint({ upTo: kept.written });
+    yield* log.checkpoint({ upTo: progress.written });
   }
 }
-/** How a first life ended: its power lost, or its process killed with all that it wrote kept by the machine. */
-type FirstEnd = "power" | "kill";
-function playAll(firstEnd: FirstEnd, without?: Without): { plays: number; points: number } {
-  let plays = 0;
+/**
+ * How the first run of the node ended: by a power loss, or by a kill after which the machine keeps everything written.
+ */
+type FirstStop = "power" | "kill";
+/** Stops the node at each sync of its first run, after a kill also at each sync of the second, and then loses power. */
+function runAll(firstStop: FirstStop, overrides?: Overrides): { runCount: number; points: number } {
+  let runCount = 0;
   let points = 0;
-  const rounds = { power: 3, kill: 1 }[firstEnd];
+  const rounds = { power: 3, kill: 1 }[firstStop];
   for (let first = 0, firstEnded = false; !firstEnded; first += 1)
     for (let second = 0, secondEnded = false; !secondEnded; second += 1) {
       points += 1;
-      plays += everyOutcome((loss) => {
+      runCount += runEveryOutcome((loss) => {
         const disk = emptyDisk();
-        const kept: Kept = { acknowledged: 0, written: 0 };
-        const firstLife = runs(work(lifeOf(disk, first, without), kept, rounds));
-        firstEnded = firstLife;
-        if (kept.acknowledged === 0) kept.id = undefined; // nobody has heard of it
-        if (firstEnd === "kill") {
-          secondEnded = runs(work(lifeOf(disk, second, without), kept, 1));
-          if (kept.acknowledged === 0) kept.id = undefined;
+        const progress: Progress = { acknowledged: 0, written: 0 };
+        const firstCompleted = completes(runNode(processOn(disk, first, overrides), progress, rounds));
+        firstEnded = firstCompleted;
+        if (progress.acknowledged === 0) progress.id = undefined; // nobody knows the id yet
+        if (firstStop === "kill") {
+          secondEnded = completes(runNode(processOn(disk, second, overrides), progress, 1));
+          if (progress.acknowledged === 0) progress.id = undefined;
         } else secondEnded = true;
         disk.losePower(loss);
-        if (!runs(work(lifeOf(disk, Infinity, without), kept, 1))) throw new Error("the last life ended");
+        if (!completes(runNode(processOn(disk, Infinity, overrides), progress, 1)))
+          throw new Error("the last run stopped");
       });
     }
-  return { plays, points };
+  return { runCount, points };
 }
 
-test("power lost at any sync, each name kept or lost and each write there, missing or torn by itself: a node starts again and has all it acknowledged", () => {
-  const { plays, points } = playAll("power");
+test("after a power loss at any sync, with each name kept or lost and each write kept, missing or torn independently, a node starts again and has everything it acknowledged", () => {
+  const { runCount, points } = runAll("power");
   expect(points).toBeGreaterThan(20);
-  expect(plays).toBeGreaterThan(100);
+  expect(runCount).toBeGreaterThan(100);
 });
-test("a process killed at any sync, started again, and power lost at any later sync: what the second life read or acknowledged stays", () => {
-  const { plays, points } = playAll("kill");
+test("a process killed at any sync and started again, whose power is lost at any later sync, has everything that the second run read or acknowledged", () => {
+  const { runCount, points } = runAll("kill");
   expect(points).toBeGreaterThan(100);
-  expect(plays).toBeGreaterThan(1000);
+  expect(runCount).toBeGreaterThan(1000);
 }, 60_000);
 
-const inPlace = (steps: DiskSteps): Partial<DiskSteps> => ({
-  rename: noStep,
+const writeInPlace = (steps: DiskSteps): Partial<DiskSteps> => ({
+  rename: noOperation,
   writeAndSync: (file, mode, data) => steps.writeAndSync(file.replace(/\.new$/, ""), mode, data),
 });
-const unsyncedWhere = (which: (path: string) => boolean) => ({
+const skipFolderSyncStep = (matches: (path: string) => boolean) => ({
   steps: (steps: DiskSteps): Partial<DiskSteps> => ({
-    syncFolder: (path) => (which(path) ? noStep() : steps.syncFolder(path)),
+    syncFolder: (path) => (matches(path) ? noOperation() : steps.syncFolder(path)),
   }),
 });
-const openedUnsynced = (which: (path: string) => boolean) => ({
+const skipFolderSync = (matches: (path: string) => boolean) => ({
   disk: (disk: Disk): Partial<Disk> => {
     const { syncFolder } = disk;
-    return { syncFolder: (path) => (which(path) ? noStep() : syncFolder(path)) };
+    return { syncFolder: (path) => (matches(path) ? noOperation() : syncFolder(path)) };
   },
 });
-test.each<[string, FirstEnd, Without, string]>([
-  ["the sync of a made folder in its parent", "power", unsyncedWhere((path) => path === folder), "has no identity"],
-  ["the sync of a renamed file's folder", "power", unsyncedWhere((path) => path.endsWith("group")), "acknowledged"],
-  ["whole files put in place by a rename", "power", { steps: inPlace }, "belongs to nobody readable"],
-  ["the sync of a log found at the start", "kill", { disk: () => ({ syncFile: noStep }) }, "acknowledged"],
-  ["the sync of names found in the data folder", "kill", openedUnsynced((path) => path === folder), "no identity"],
-  ["the sync of names found beside the log", "kill", openedUnsynced((path) => path !== folder), "acknowledged"],
-])("without %s the plays fail", (_name, firstEnd, without, error) => {
-  expect(() => playAll(firstEnd, without)).toThrow(error);
+test.each<[string, FirstStop, Overrides, string]>([
+  ["the sync of a created folder's parent", "power", skipFolderSyncStep((path) => path === FOLDER), "has no identity"],
+  [
+    "the sync of a renamed file's folder",
+    "power",
+    skipFolderSyncStep((path) => path.endsWith("group")),
+    "acknowledged",
+  ],
+  ["the rename of completely written files", "power", { steps: writeInPlace }, "belongs to nobody readable"],
+  ["the sync of a log found at start", "kill", { disk: () => ({ syncFile: noOperation }) }, "acknowledged"],
+  ["the sync of names found in the data folder", "kill", skipFolderSync((path) => path === FOLDER), "no identity"],
+  ["the sync of names found in the log's folder", "kill", skipFolderSync((path) => path !== FOLDER), "acknowledged"],
+])("without %s a run fails", (_name, firstStop, overrides, error) => {
+  expect(() => runAll(firstStop, overrides)).toThrow(error);
 });
-function* noStep(): Task<{ ok: true; value: true }> {
+function* noOperation(): Task<{ ok: true; value: true }> {
   return { ok: true, value: true };
 }
--- a/test/segments.test.ts
+++ b/test/segments.test.ts
@@ -17,9 +17,10 @@
   continues: "no" as const,
   prefixBytes: 0,
 };
-const wallAt = 1_790_000_000_000;
-/** The only replica of a shard, with its files in the folder "d". */
-const onlyReplica = (process: SimProcess): ShardReplica =>
+/** Start of the simulated wall clock. Twice this time is later than every stamp in this test. */
+const START_WALL_MS = 1_790_000_000_000;
+/** Creates the replica of a shard with one member, "s1". Its files are in the folder "d". */
+const createReplica = (process: SimProcess): ShardReplica =>
   new ShardReplica(process.env, new Rpc(process.env, "c", "s1"), "s1", 0, "d", {
     addressOf: () => undefined,
     bounds: () => Stamp.defaults,
@@ -29,9 +30,9 @@
     leadershipStopped: () => undefined,
     viewChangeNeeded: () => undefined,
   });
-/** The replica of a shard with one member, opened and made the leader of the next view. */
-function* leading(process: SimProcess, epoch: number): Task<ShardReplica> {
-  const replica = onlyReplica(process);
+/** Opens the replica of a shard with one member, and makes it the leader of a view with this epoch. */
+function* startLeader(process: SimProcess, epoch: number): Task<ShardReplica> {
+  const replica = createReplica(process);
   const opened = yield* replica.open();
   if (!opened.ok) throw new Error(opened.fault.detail);
   if (epoch > 1) yield* replica.viewChange.onSeal({ shard: 0, epoch });
@@ -43,20 +44,20 @@
   while (!replica.holdsLease()) yield* EnvironmentTools.sleep(process.env, 20);
   return replica;
 }
-let puts = 0;
+let putCount = 0;
 function* put(replica: ShardReplica, process: SimProcess, ops: ShardOperation[]): Task<PutOutcome> {
-  const putId = `p${(puts += 1)}`;
+  const putId = `p${(putCount += 1)}`;
   for (;;) {
     const done = yield* replica.put(
-      { putId, stamp: { time: Math.floor(process.env.wall()), node: "n", seq: puts }, ops, cause: {} },
+      { putId, stamp: { time: Math.floor(process.env.wall()), node: "n", seq: putCount }, ops, cause: {} },
       5000,
     );
     if (done.ok) return done.value;
     if (done.fault.tag !== "late") throw new Error(JSON.stringify(done.fault));
-    yield* EnvironmentTools.sleep(process.env, 10); // the frontier of a leader that just started is ahead by δ
+    yield* EnvironmentTools.sleep(process.env, 10); // the frontier of a leader that just started is δ ahead of its clock
   }
 }
-const order = (id: string, body = "h"): ShardOperation[] => [
+const openOperations = (id: string, body = "h"): ShardOperation[] => [
   {
     op: "open",
     work: {
@@ -69,110 +70,118 @@
       exact: false,
       deadlineAt: 0,
       order: 0,
-      life: `${wallAt * 2}~n~0`,
+      life: `${START_WALL_MS * 2}~n~0`,
     },
   },
   { op: "claim", id, round: 1, replica: "r", owner: "s1" },
 ];
-function* single(replica: ShardReplica, process: SimProcess, id: string): Task<void> {
+function* runRequest(replica: ShardReplica, process: SimProcess, id: string): Task<void> {
   yield* put(replica, process, [
-    ...order(id),
+    ...openOperations(id),
     { op: "pieces", id, round: 1, first: 1, data: [`response of ${id}`] },
     { op: "close", id, round: 1, state: "done", outcome: "" },
   ]);
 }
-const jobOrder = (id: string): ShardOperation => ({
+const acceptOperation = (id: string): ShardOperation => ({
   op: "lot",
   lot: { id, binding: "b", bodyHash: "beef00000000000", bodies: ["1", "2"], safe: false, order: 1, kept: route },
 });
-function* job(replica: ShardReplica, process: SimProcess, id: string): Task<void> {
+function* runJob(replica: ShardReplica, process: SimProcess, id: string): Task<void> {
   yield* put(replica, process, [
-    jobOrder(id),
+    acceptOperation(id),
     ...[1, 0].flatMap((item): ShardOperation[] => [
       { op: "itemClaim", lot: id, item, round: 1, replica: "r", owner: "s1" },
       { op: "itemResult", lot: id, item, round: 1, state: "done", result: `${id}/${item}` },
     ]),
   ]);
 }
-const inWorld = async <T>(world: SimWorld, process: SimProcess, body: () => Task<T>): Promise<T> => {
+const runInProcess = async <T>(world: SimWorld, process: SimProcess, body: () => Task<T>): Promise<T> => {
   const done = await world.finish(process, body, 10_000_000);
   expect(process.errors).toEqual([]);
   return done as T;
 };
 
-/** Opens a copy of a disk with one file changed; "opened", or the detail of the fault. */
-async function openSpoilt(
+/** Opens a replica from a copy of a disk in which one file is changed. Returns "opened" or the detail of the fault. */
+async function openDamaged(
   world: SimWorld,
   disk: SimDisk,
   name: string,
-  spoil: (data: Buffer) => void,
+  damage: (data: Buffer) => void,
 ): Promise<string> {
-  const other = new SimDisk(world);
-  const spoilt = world.start(`spoilt ${name}`, other);
-  await inWorld(world, spoilt, function* () {
+  const copy = new SimDisk(world);
+  const damagedProcess = world.start(`spoilt ${name}`, copy);
+  await runInProcess(world, damagedProcess, function* () {
     for (const [file, data] of disk.under("d")) {
       const bytes = Buffer.from(data);
-      if (file === name) spoil(bytes);
-      yield* other.of(spoilt).write(`d/${file}`, bytes);
+      if (file === name) damage(bytes);
+      yield* copy.of(damagedProcess).write(`d/${file}`, bytes);
     }
   });
-  return inWorld(world, spoilt, function* () {
-    const segmented = onlyReplica(spoilt);
-    const opened = yield* segmented.open();
+  return runInProcess(world, damagedProcess, function* () {
+    const replica = createReplica(damagedProcess);
+    const opened = yield* replica.open();
     return opened.ok ? "opened" : opened.fault.detail;
   });
 }
 
-describe("a shard with more closed requests and jobs than memory, after a loss of power", () => {
-  const [singles, jobs] = [12_000, 3_000];
+describe("a shard with more closed requests and jobs than stay in memory, after a power loss", () => {
+  const [requestCount, jobCount] = [12_000, 3_000];
   const world = new SimWorld(3);
   const disk = new SimDisk(world);
   disk.syncMs = [0.05, 0.1];
   let replica: ShardReplica;
   let process: SimProcess;
   beforeAll(async () => {
-    const before = world.start("day", disk);
-    await inWorld(world, before, function* () {
-      const filled = yield* leading(before, 1);
-      for (let n = 0; n < singles; n += 1) {
-        yield* single(filled, before, `key-${n}`);
-        if (n % 4 === 0) yield* job(filled, before, `lot-${n / 4}`);
+    const firstProcess = world.start("day", disk);
+    await runInProcess(world, firstProcess, function* () {
+      const firstLeader = yield* startLeader(firstProcess, 1);
+      for (let n = 0; n < requestCount; n += 1) {
+        yield* runRequest(firstLeader, firstProcess, `key-${n}`);
+        if (n % 4 === 0) yield* runJob(firstLeader, firstProcess, `lot-${n / 4}`);
       }
-      yield* EnvironmentTools.sleep(before.env, 1000);
-      yield* single(filled, before, "key-last"); // its entry carries the clock by which jobs are sealed
+      yield* EnvironmentTools.sleep(firstProcess.env, 1000);
+      yield* runRequest(firstLeader, firstProcess, "key-last"); // advances the log clock, so that the last jobs are sealed
     });
     world.kill("day", true);
     process = world.start("morning", disk);
-    replica = await inWorld(world, process, () => leading(process, 2));
+    replica = await runInProcess(world, process, () => startLeader(process, 2));
   }, 120_000);
 
-  test("every response, and every result in its position, is read back, and memory is bounded", async () => {
-    await inWorld(world, process, function* () {
-      for (let n = 0; n < singles; n += 97) {
-        const work = yield* replica.liveRequest(`key-${n}`);
-        expect(work.ok && work.value?.pieces[0].data).toBe(`response of key-${n}`);
+  test("every response is read back, every job's results are read back in order, and the objects in memory are bounded", async () => {
+    await runInProcess(world, process, function* () {
+      for (let n = 0; n < requestCount; n += 97) {
+        const request = yield* replica.liveRequest(`key-${n}`);
+        expect(request.ok && request.value?.pieces[0].data).toBe(`response of key-${n}`);
       }
-      for (let n = 0; n < jobs; n += 29) {
-        const held = yield* replica.job(`lot-${n}`);
-        expect(held.ok && held.value?.positions).toEqual([1, 0]); // one put, one stamp: in the order logged
-        expect(held.ok && held.value?.items.map((item) => item.result)).toEqual([`lot-${n}/0`, `lot-${n}/1`]);
+      for (let n = 0; n < jobCount; n += 29) {
+        const job = yield* replica.job(`lot-${n}`);
+        expect(job.ok && job.value?.positions).toEqual([1, 0]); // results with the same stamp are in log order
+        expect(job.ok && job.value?.items.map((item) => item.result)).toEqual([`lot-${n}/0`, `lot-${n}/1`]);
       }
     });
     expect(replica.data.liveRequests.size).toBeLessThanOrEqual(2 * Constants.segmentObjects.works);
     expect(replica.data.jobs.size).toBeLessThanOrEqual(2 * Constants.segmentObjects.lots);
   });
-  test("a repeated idempotency key or job id never runs again, and another body under it is recognised", async () => {
-    await inWorld(world, process, function* () {
-      for (const id of ["key-0", `key-${singles - 1}`]) {
-        expect(yield* put(replica, process, order(id))).toEqual({ tag: "exists", same: true, state: "done" });
-        expect(yield* put(replica, process, order(id, "x"))).toEqual({ tag: "exists", same: false, state: "done" });
+  test("a repeated idempotency key or job id never runs again, and a different body under it is detected", async () => {
+    await runInProcess(world, process, function* () {
+      for (const id of ["key-0", `key-${requestCount - 1}`]) {
+        expect(yield* put(replica, process, openOperations(id))).toEqual({ tag: "exists", same: true, state: "done" });
+        expect(yield* put(replica, process, openOperations(id, "x"))).toEqual({
+          tag: "exists",
+          same: false,
+          state: "done",
+        });
       }
-      for (const id of ["lot-0", `lot-${jobs - 1}`])
-        expect(yield* put(replica, process, [jobOrder(id)])).toEqual({ tag: "exists", same: true, state: "finished" });
+      for (const id of ["lot-0", `lot-${jobCount - 1}`])
+        expect(yield* put(replica, process, [acceptOperation(id)])).toEqual({
+          tag: "exists",
+          same: true,
+          state: "finished",
+        });
     });
   });
-  test("trimmed objects are gone but their ids still never run again, also after a restart; newer ones stay", async () => {
-    const trimmed = await inWorld(world, process, function* () {
+  test("trimmed objects are gone but their ids still never run again, even after a restart, and newer objects stay", async () => {
+    const trimmed = await runInProcess(world, process, function* () {
       const below = replica.segments.firstSegmentSince("works", process.env.wall() + 1) - 1;
       yield* put(replica, process, [{ op: "trim", kind: "works", below, detail: "trimmed" }]);
       yield* EnvironmentTools.sleep(process.env, 6000);
@@ -183,31 +192,37 @@
       replica.data.segmentCounts.works - trimmed,
     );
     world.kill("morning", true);
-    const next = world.start("next morning", disk);
-    await inWorld(world, next, function* () {
-      const again = yield* leading(next, 3);
-      const read = yield* again.liveRequest("key-0");
+    const restarted = world.start("next morning", disk);
+    await runInProcess(world, restarted, function* () {
+      const leader = yield* startLeader(restarted, 3);
+      const read = yield* leader.liveRequest("key-0");
       expect(!read.ok && read.fault.tag).toBe("gone");
-      expect(yield* put(again, next, order("key-0"))).toEqual({ tag: "exists", same: true, state: "trimmed" });
-      expect(yield* put(again, next, [{ op: "close", id: "key-0", round: 0, state: "refused", outcome: "" }])).toEqual({
+      expect(yield* put(leader, restarted, openOperations("key-0"))).toEqual({
+        tag: "exists",
+        same: true,
+        state: "trimmed",
+      });
+      expect(
+        yield* put(leader, restarted, [{ op: "close", id: "key-0", round: 0, state: "refused", outcome: "" }]),
+      ).toEqual({
         tag: "exists",
         same: true,
         state: "done",
       });
-      const newest = yield* again.liveRequest(`key-${singles - 1}`);
+      const newest = yield* leader.liveRequest(`key-${requestCount - 1}`);
       expect(newest.ok && newest.value?.state).toBe("done");
     });
   });
-  test("a damaged index, or a snapshot of another format, is refused by the name of its file", async () => {
-    const refused = (name: string, spoil: (data: Buffer) => void): Promise<string> =>
-      openSpoilt(world, disk, name, spoil);
-    expect(await refused("works-3.idx", (data) => (data[30] ^= 0xff))).toBe("d/works-3.idx is damaged");
-    expect(await refused("works-3.idx", (data) => data.writeUInt32BE(9, 4))).toBe(
+  test("a damaged index, or an index or snapshot of another format, fails the start with a fault that names the file", async () => {
+    const openWith = (name: string, damage: (data: Buffer) => void): Promise<string> =>
+      openDamaged(world, disk, name, damage);
+    expect(await openWith("works-3.idx", (data) => (data[30] ^= 0xff))).toBe("d/works-3.idx is damaged");
+    expect(await openWith("works-3.idx", (data) => data.writeUInt32BE(9, 4))).toBe(
       "d/works-3.idx has format 9; this version reads format 2",
     );
-    expect(await refused("slot-a", (data) => data.writeUInt32BE(0x50425331, 0))).toBe(
+    expect(await openWith("slot-a", (data) => data.writeUInt32BE(0x50425331, 0))).toBe(
       "d/slot-a has format 1; this version reads format 2",
     );
-    expect(await refused("none", () => undefined)).toBe("opened");
+    expect(await openWith("none", () => undefined)).toBe("opened");
   });
 });
--- a/test/shardMessages.test.ts
+++ b/test/shardMessages.test.ts
@@ -26,7 +26,7 @@
   ["shard.segmentPart", isSegmentChunkRequest, { shard: 1, kind: "lots", number: 0, part: "seg", from: 0 }],
   ["shard.mend", isRepairRequest, { shard: 1, epoch: 2, seq: 4, works: [], lots: [] }],
 ])(
-  "a %s request is accepted; without its shard, or with one that doesn't exist, it is malformed",
+  "a %s request is valid; without its shard, or with a shard that doesn't exist, it is malformed",
   (_name, check, body) => {
     expect(check(body)).toBe(true);
     expect(check({ ...body, shard: undefined })).toBe(false);
@@ -38,8 +38,8 @@
 test.each([
   ["a view without members", { view: { ...view, members: undefined } }],
   ["an entry without a position", { entries: [{ epoch: 2, frontier: 1000.5, puts: [] }] }],
-  ["entries that are no list", { entries: {} }],
-  ["a position that is no integer", { prevSeq: 4.5 }],
+  ["entries that are not a list", { entries: {} }],
+  ["a position that is not an integer", { prevSeq: 4.5 }],
 ])("a shard.replicate request with %s is malformed", (_name, change) => {
   expect(isReplicateRequest({ ...replicate, ...change })).toBe(false);
 });
--- a/test/shardState.test.ts
+++ b/test/shardState.test.ts
@@ -13,36 +13,37 @@
   continues: "no" as const,
   prefixBytes: 0,
 };
-const note = (putId: string, time: number, subject = "thing", node = "n"): Put => ({
+const notePut = (putId: string, time: number, subject = "thing", node = "n"): Put => ({
   putId,
   stamp: { time, node, seq: 0 },
   ops: [{ op: "note", entries: [{ subject, decision: putId, cause: {} }] }],
   cause: {},
 });
 
-test("rule 3: the index has only what is behind the frontier, in the order of the stamps, whatever the order of the log", () => {
+test("rule 3: the time index has only entries up to the frontier, in the order of their stamps, in whatever order they were logged", () => {
   const data = ShardData.empty();
-  for (const put of [note("c", 30), note("a", 10), note("b", 20)]) ShardState.apply(data, put);
+  for (const put of [notePut("c", 30), notePut("a", 10), notePut("b", 20)]) ShardState.apply(data, put);
   expect(data.ledger).toEqual([]);
   ShardState.advanceFrontier(data, 20);
   expect(data.ledger.map((entry) => entry.decision)).toEqual(["a", "b"]);
-  ShardState.advanceFrontier(data, 15); // the frontier never goes back
+  ShardState.advanceFrontier(data, 15); // the frontier never moves back
   expect(data.frontier).toBe(20);
   ShardState.advanceFrontier(data, 31);
   expect(data.ledger.map((entry) => entry.decision)).toEqual(["a", "b", "c"]);
 });
-test("a temporal read gets the nearest version not prior to τ: an equal one, the next one, or none", () => {
+test("a temporal read returns the nearest version not prior to τ: that at τ, else the next one, else none", () => {
   const data = ShardData.empty();
-  for (const put of [note("v1", 10), note("other", 15, "other thing"), note("v2", 20)]) ShardState.apply(data, put);
+  for (const put of [notePut("v1", 10), notePut("other", 15, "other thing"), notePut("v2", 20)])
+    ShardState.apply(data, put);
   ShardState.advanceFrontier(data, 19);
-  expect(LedgerIndex.nearest(data, "thing", 10)?.decision).toBe("v1"); // equal
-  expect(LedgerIndex.nearest(data, "thing", 5)?.decision).toBe("v1"); // before the first
-  expect(LedgerIndex.nearest(data, "thing", 11)).toBeUndefined(); // the next is not stable yet
+  expect(LedgerIndex.nearest(data, "thing", 10)?.decision).toBe("v1"); // at the same time
+  expect(LedgerIndex.nearest(data, "thing", 5)?.decision).toBe("v1"); // before the first version
+  expect(LedgerIndex.nearest(data, "thing", 11)).toBeUndefined(); // the next version is not stable yet
   ShardState.advanceFrontier(data, 20);
-  expect(LedgerIndex.nearest(data, "thing", 11)?.decision).toBe("v2"); // between
-  expect(LedgerIndex.nearest(data, "thing", 21)).toBeUndefined(); // none
+  expect(LedgerIndex.nearest(data, "thing", 11)?.decision).toBe("v2"); // between two versions
+  expect(LedgerIndex.nearest(data, "thing", 21)).toBeUndefined(); // after the last version
 });
-test("a repeated put id changes nothing and gets the first outcome", () => {
+test("a put with a known id changes nothing and gets the outcome of the first", () => {
   const data = ShardData.empty();
   const job: Put = {
     putId: "p",
@@ -66,7 +67,7 @@
     }),
   ).toEqual({ tag: "exists", same: false, state: "open" });
 });
-test("an item is claimed once and gets one result, and an ended job starts no item", () => {
+test("an item is claimed once and gets one result, and no item of an ended job starts", () => {
   const data = ShardData.empty();
   let time = 0;
   const put = (op: Put["ops"][0]): string =>
@@ -88,7 +89,7 @@
   expect(data.jobs.get("L")!.items.map((item) => item.state)).toEqual(["done", "ended", "ended"]);
   expect(data.jobs.get("L")!.open).toBe(0);
 });
-test("a refused request is opened again only by a later arrival", () => {
+test("a rejected request is opened again only by a later arrival", () => {
   const data = ShardData.empty();
   const open = (putId: string, arrival: number, at: number): string =>
     ShardState.apply(data, {
@@ -121,6 +122,6 @@
       cause: {},
     }).tag,
   ).toBe("done");
-  expect(open("late", 40, 60)).toBe("exists"); // the arrival that was refused, late
+  expect(open("late", 40, 60)).toBe("exists"); // the arrival that was rejected, delayed
   expect(open("again", 55, 61)).toBe("done");
 });
