--- a/test/powerLoss.test.ts
+++ b/test/powerLoss.test.ts
@@ -10,10 +10,10 @@
 const FOLDER = "mount/data";
 class ProcessStopped extends Error {}
 const processStopped = new ProcessStopped();
-/** Disk operations to replace, which shows that the runs fail without a guard. */
+/** Disk operations to replace. Replacing one that guards against a loss must make a run fail. */
 type Overrides = { steps?: (steps: DiskSteps) => Partial<DiskSteps>; disk?: (disk: Disk) => Partial<Disk> };
 
-/** Runs a body once for each combination of outcomes that a power loss can pick. */
+/** Runs a body once for each combination of outcomes that a power loss can pick. Returns the number of runs. */
 function runEveryOutcome(body: (loss: PowerLoss) => void): number {
   const choices: { picked: number; outcomes: number }[] = [];
   for (let runCount = 1; ; runCount += 1) {
@@ -65,7 +65,8 @@
 /** Greatest numbers that were acknowledged and written so far, and the id of the node. */
 type Progress = { acknowledged: number; written: number; id?: string };
 /**
- * One run of a node: opens its folder, checks the content, then appends one and two numbers and writes a checkpoint.
+ * One run of a node: opens its folder and checks what it reads there. Each round appends one number, then two together,
+ * and writes a checkpoint.
  */
 function* runNode(env: Environment, progress: Progress, rounds: number): Task<void> {
   const opened = yield* DataFolder.open(env, FOLDER, "a:1", {
@@ -103,7 +104,7 @@
  * How the first run of the node ended: by a power loss, or by a kill after which the machine keeps everything written.
  */
 type FirstStop = "power" | "kill";
-/** Stops the node at each sync of its first run, after a kill also at each sync of the second, and then loses power. */
+/** Stops the first run at each sync, after a kill also the second run at each sync. Then the power is lost. */
 function runAll(firstStop: FirstStop, overrides?: Overrides): { runCount: number; points: number } {
   let runCount = 0;
   let points = 0;
--- a/test/segments.test.ts
+++ b/test/segments.test.ts
@@ -57,7 +57,7 @@
     yield* EnvironmentTools.sleep(process.env, 10); // the frontier of a leader that just started is δ ahead of its clock
   }
 }
-const openOperations = (id: string, body = "h"): ShardOperation[] => [
+const openOps = (id: string, body = "h"): ShardOperation[] => [
   {
     op: "open",
     work: {
@@ -77,18 +77,18 @@
 ];
 function* runRequest(replica: ShardReplica, process: SimProcess, id: string): Task<void> {
   yield* put(replica, process, [
-    ...openOperations(id),
+    ...openOps(id),
     { op: "pieces", id, round: 1, first: 1, data: [`response of ${id}`] },
     { op: "close", id, round: 1, state: "done", outcome: "" },
   ]);
 }
-const acceptOperation = (id: string): ShardOperation => ({
+const acceptJob = (id: string): ShardOperation => ({
   op: "lot",
   lot: { id, binding: "b", bodyHash: "beef00000000000", bodies: ["1", "2"], safe: false, order: 1, kept: route },
 });
 function* runJob(replica: ShardReplica, process: SimProcess, id: string): Task<void> {
   yield* put(replica, process, [
-    acceptOperation(id),
+    acceptJob(id),
     ...[1, 0].flatMap((item): ShardOperation[] => [
       { op: "itemClaim", lot: id, item, round: 1, replica: "r", owner: "s1" },
       { op: "itemResult", lot: id, item, round: 1, state: "done", result: `${id}/${item}` },
@@ -165,19 +165,11 @@
   test("a repeated idempotency key or job id never runs again, and a different body under it is detected", async () => {
     await runInProcess(world, process, function* () {
       for (const id of ["key-0", `key-${requestCount - 1}`]) {
-        expect(yield* put(replica, process, openOperations(id))).toEqual({ tag: "exists", same: true, state: "done" });
-        expect(yield* put(replica, process, openOperations(id, "x"))).toEqual({
-          tag: "exists",
-          same: false,
-          state: "done",
-        });
+        expect(yield* put(replica, process, openOps(id))).toEqual({ tag: "exists", same: true, state: "done" });
+        expect(yield* put(replica, process, openOps(id, "x"))).toEqual({ tag: "exists", same: false, state: "done" });
       }
       for (const id of ["lot-0", `lot-${jobCount - 1}`])
-        expect(yield* put(replica, process, [acceptOperation(id)])).toEqual({
-          tag: "exists",
-          same: true,
-          state: "finished",
-        });
+        expect(yield* put(replica, process, [acceptJob(id)])).toEqual({ tag: "exists", same: true, state: "finished" });
     });
   });
   test("trimmed objects are gone but their ids still never run again, even after a restart, and newer objects stay", async () => {
@@ -197,18 +189,10 @@
       const leader = yield* startLeader(restarted, 3);
       const read = yield* leader.liveRequest("key-0");
       expect(!read.ok && read.fault.tag).toBe("gone");
-      expect(yield* put(leader, restarted, openOperations("key-0"))).toEqual({
-        tag: "exists",
-        same: true,
-        state: "trimmed",
-      });
+      expect(yield* put(leader, restarted, openOps("key-0"))).toEqual({ tag: "exists", same: true, state: "trimmed" });
       expect(
         yield* put(leader, restarted, [{ op: "close", id: "key-0", round: 0, state: "refused", outcome: "" }]),
-      ).toEqual({
-        tag: "exists",
-        same: true,
-        state: "done",
-      });
+      ).toEqual({ tag: "exists", same: true, state: "done" });
       const newest = yield* leader.liveRequest(`key-${requestCount - 1}`);
       expect(newest.ok && newest.value?.state).toBe("done");
     });
