--- a/test/replicaRecoveryTrial.ts
+++ b/test/replicaRecoveryTrial.ts
@@ -85,8 +85,8 @@
     await fleet.run(trial.downMs);
     if (trial.kind === "replaced") {
       fleet.settings.delete(target);
-      fleet.add(fleet.names("store")[0], `${target}-successor`);
-    } else fleet.restart(target, { empty: trial.kind === "wiped" });
+      fleet.addMachine(fleet.names("store")[0], `${target}-successor`);
+    } else fleet.restart(target, { withEmptyDisk: trial.kind === "wiped" });
     if (trial.allLosePower) for (const name of others) fleet.restart(name);
     const times: RecoveryTimes = { formerRemovedMs: undefined, completeMs: undefined };
     const from = fleet.world.now;
