--- a/src/consensus/consensusGroup.ts
+++ b/src/consensus/consensusGroup.ts
@@ -19,7 +19,7 @@
 import { ReplicatedLog } from "./replicatedLog";
 import { Replication } from "./replication";
 import { RaftRole } from "./role";
-import { Recovered, RecoveryOrder, SingleVoterRecovery } from "./singleVoterRecovery";
+import { RecoveryResult, RecoveryRequest, SingleVoterRecovery } from "./singleVoterRecovery";
 import { VoteHandler } from "./voteHandler";
 import { ConsensusMethod } from "./wireMessages";
 
@@ -184,7 +184,7 @@
    * Continues from this voter alone; see SingleVoterRecovery. Faults: conflict, disk.
    * @example yield* group.recover({ group: "g", voter: "c1", by: "ann" }, views)
    */
-  *recover(order: RecoveryOrder, views: ShardView[]): Task<Result<Recovered>> {
+  *recover(order: RecoveryRequest, views: ShardView[]): Task<Result<RecoveryResult>> {
     yield* Csp.take(this.log.diskLock);
     try {
       return yield* new SingleVoterRecovery(this.replica, this.lease).run(order, views);
@@ -206,8 +206,8 @@
       const otherLeader = replica.role === "leader" ? "" : replica.leaderId;
       return Fault.fail("notLead", "propose", this.selfId, otherLeader);
     }
-    const refusal = MembershipChange.refusal(command, this.log, replica.commitIndex);
-    if (refusal !== undefined) return Fault.fail("conflict", "propose", this.selfId, refusal);
+    const rejectionReason = MembershipChange.rejectionReason(command, this.log, replica.commitIndex);
+    if (rejectionReason !== undefined) return Fault.fail("conflict", "propose", this.selfId, rejectionReason);
     const entry = this.replication.append(command);
     const outcome = Csp.chan<Result<Outcome>>(1);
     replica.pendingProposals.set(entry.index, { term: entry.term, outcome });
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -49,7 +49,7 @@
     for (;;) {
       yield* EnvironmentTools.sleep(replica.env, this.msUntilNextCheck());
       if (replica.role === "leader") yield* this.stepDownWithoutMajority();
-      else if (this.isElectionDue()) yield* this.standForElection();
+      else if (this.isElectionDue()) yield* this.startElection();
     }
   }
   /** A follower has nothing to do before its next election would be due: every heartbeat puts that off. */
@@ -77,16 +77,16 @@
     const isDue = replica.env.mono() >= replica.electionDueAt;
     return isDue && log.isBootstrapped() && replica.isVoter() && !log.hasDiskFailed();
   }
-  private *standForElection(): Task<void> {
+  private *startElection(): Task<void> {
     const { replica } = this;
     const afterFullRestart = replica.startedRecently && !replica.hasLeaderTimedOut();
-    const hasAskedForVotes = yield* this.campaign(afterFullRestart);
+    const votesRequested = yield* this.campaign(afterFullRestart);
     if (afterFullRestart) replica.resetRestartElectionTimer();
-    else replica.resetElectionTimer(hasAskedForVotes ? Constants.electionTimeoutMinMs : Constants.preVoteRetryMinMs);
+    else replica.resetElectionTimer(votesRequested ? Constants.electionTimeoutMinMs : Constants.preVoteRetryMinMs);
   }
 
   /** Stands for election at once, as the leader of that term has asked for (Ongaro's thesis, section 3.10). */
-  takeOverFrom(term: number): void {
+  acceptLeadershipFrom(term: number): void {
     this.transferredTerm = term;
     Csp.go(this.replica.env.scope, "take over", () => this.campaign(false));
   }
@@ -144,7 +144,7 @@
     const election = this;
     for (const id of others)
       Csp.go(env.scope, method, function* () {
-        const isGranted = yield* election.askForVote(method, { targetId: id, ...request });
+        const isGranted = yield* election.requestVote(method, { targetId: id, ...request });
         Csp.offer(votes, isGranted);
       });
     let granted = voters.length - others.length;
@@ -164,7 +164,7 @@
       leadershipTransferred: this.transferredTerm === term - 1,
     };
   }
-  private *askForVote(method: VoteMethod, request: RequestVoteRequest): Task<boolean> {
+  private *requestVote(method: VoteMethod, request: RequestVoteRequest): Task<boolean> {
     const { replica } = this;
     const address = replica.hooks.addressOf(request.targetId);
     if (!address) return false;
--- a/src/consensus/followerReplicator.ts
+++ b/src/consensus/followerReplicator.ts
@@ -8,7 +8,7 @@
 import { FollowerProgress } from "./followerProgress";
 import { MessageCodec } from "./messageCodec";
 import { AppendEntriesRequest, AppendEntriesResponse, AppendPayload, LogEntry } from "./messages";
-import { SnapshotPackages } from "./snapshotPackages";
+import { PackedSnapshotCache } from "./packedSnapshotCache";
 import { ConsensusMethod } from "./wireMessages";
 
 /** Pause after a request without a response, as a share of the heartbeat period. */
@@ -20,7 +20,7 @@
   advanceCommitIndex(): void;
   /** An id that no other chunked transfer of this server has. */
   nextTransferId(): string;
-  readonly packages: SnapshotPackages;
+  readonly packedSnapshots: PackedSnapshotCache;
 }
 
 /**
@@ -44,7 +44,7 @@
       if (!follower) return;
       const address = replica.hooks.addressOf(followerId);
       if (!address) {
-        if (!this.isFollowerWanted()) return void replica.followers.delete(followerId);
+        if (!this.isGroupMember()) return void replica.followers.delete(followerId);
         yield* EnvironmentTools.sleep(replica.env, Constants.heartbeatMs);
         continue;
       }
@@ -65,7 +65,7 @@
     }
   }
 
-  private isFollowerWanted(): boolean {
+  private isGroupMember(): boolean {
     const { log, hooks } = this.replica;
     return log.voters().includes(this.followerId) || hooks.otherNodes().includes(this.followerId);
   }
@@ -158,7 +158,7 @@
     const prevEntry = payload.snapshot
       ? { prevLogIndex: 0, prevLogTerm: 0 }
       : { prevLogIndex: payload.prevLogIndex, prevLogTerm: payload.prevLogTerm };
-    const packed = context.packages.pack(payload);
+    const packed = context.packedSnapshots.pack(payload);
     let chunkBytes: number = Constants.appendEntriesMaxBytes;
     let receivedBytes = 0;
     let failuresInARow = 0;
--- a/src/consensus/membershipChange.ts
+++ b/src/consensus/membershipChange.ts
@@ -3,14 +3,14 @@
 import { ReplicatedLog } from "./replicatedLog";
 
 /** Why a command may not be appended now. The texts are fault details. */
-export const MembershipRefusal = {
+export const MembershipRejection = {
   alreadyBootstrapped: "a group is founded once",
   changePending: "a change of the voters is not committed yet",
   duplicateVoter: "a voter is named twice",
   noVoterLeft: "no voter would be left",
   moreThanOneChanged: "voters change by one at a time",
 } as const;
-export type MembershipRefusal = (typeof MembershipRefusal)[keyof typeof MembershipRefusal];
+export type MembershipRejection = (typeof MembershipRejection)[keyof typeof MembershipRejection];
 
 /**
  * Changes of the voters, by one server at a time and through the log itself: Ongaro's thesis, chapter 4. A server uses
@@ -25,20 +25,20 @@
    *
    * @example const refusal = MembershipChange.refusal(command, log, commitIndex);
    */
-  refusal(command: Command, log: ReplicatedLog, commitIndex: number): MembershipRefusal | undefined {
-    if (command.tag === "found") return MembershipRefusal.alreadyBootstrapped;
+  rejectionReason(command: Command, log: ReplicatedLog, commitIndex: number): MembershipRejection | undefined {
+    if (command.tag === "found") return MembershipRejection.alreadyBootstrapped;
     if (command.tag !== "voters") return undefined;
     const isUncommitted = log.entries.some(
       (entry) => entry.index > commitIndex && votersSetBy(entry.command) !== undefined,
     );
-    if (isUncommitted) return MembershipRefusal.changePending;
+    if (isUncommitted) return MembershipRejection.changePending;
     const current = new Set(log.voters());
     const next = new Set(command.voters);
-    if (next.size !== command.voters.length) return MembershipRefusal.duplicateVoter;
-    if (next.size === 0) return MembershipRefusal.noVoterLeft;
+    if (next.size !== command.voters.length) return MembershipRejection.duplicateVoter;
+    if (next.size === 0) return MembershipRejection.noVoterLeft;
     const added = command.voters.filter((id) => !current.has(id));
     const removed = [...current].filter((id) => !next.has(id));
-    if (added.length + removed.length !== 1) return MembershipRefusal.moreThanOneChanged;
+    if (added.length + removed.length !== 1) return MembershipRejection.moreThanOneChanged;
     return undefined;
   },
 };
--- a/src/consensus/messageValidation.ts
+++ b/src/consensus/messageValidation.ts
@@ -10,7 +10,7 @@
   voteRequest: "malformed request for a vote",
   voteResponse: "malformed response to a request for a vote",
   entry: "malformed entry",
-  entriesNoList: "entries are no list",
+  entriesNotArray: "entries are no list",
   entriesOutOfOrder: "entries out of order",
   termsOutOfOrder: "terms out of order",
   snapshotWithoutPosition: "snapshot without its place",
@@ -27,17 +27,17 @@
 type Fields = Record<string, unknown>;
 
 const isObject = (value: unknown): value is Fields => typeof value === "object" && value !== null;
-const isIndex = (value: unknown): value is number => Number.isSafeInteger(value) && (value as number) >= 0;
-const isName = (value: unknown): value is string => typeof value === "string" && value !== "";
+const isNonNegativeInteger = (value: unknown): value is number => Number.isSafeInteger(value) && (value as number) >= 0;
+const isNonEmptyString = (value: unknown): value is string => typeof value === "string" && value !== "";
 
 /** Parts that the state in a snapshot always has, besides group and voters. */
 const REQUIRED_STATE_PARTS = ["manifest", "policies", "calendar", "views", "releases", "changes"];
 
 function snapshotDefect(snapshot: unknown, groupId: unknown): MessageDefect | undefined {
-  if (!isObject(snapshot) || !isIndex(snapshot.index) || !isIndex(snapshot.term))
+  if (!isObject(snapshot) || !isNonNegativeInteger(snapshot.index) || !isNonNegativeInteger(snapshot.term))
     return MessageDefect.snapshotWithoutPosition;
   const { state } = snapshot;
-  if (!isObject(state) || !Array.isArray(state.voters) || !state.voters.every(isName))
+  if (!isObject(state) || !Array.isArray(state.voters) || !state.voters.every(isNonEmptyString))
     return MessageDefect.snapshotWithoutVoters;
   if (state.voters.length === 0) return MessageDefect.snapshotWithoutVoters;
   if (state.group !== groupId) return MessageDefect.snapshotOfOtherGroup;
@@ -46,12 +46,13 @@
 
 /** Indexes must follow each other; terms must not fall, nor exceed the leader's. */
 function entriesDefect(entries: unknown, prevLogIndex: number, leaderTerm: number): MessageDefect | undefined {
-  if (!Array.isArray(entries)) return MessageDefect.entriesNoList;
+  if (!Array.isArray(entries)) return MessageDefect.entriesNotArray;
   let previousTerm = 0;
   for (const [position, entry] of (entries as unknown[]).entries()) {
-    if (!isObject(entry) || !isObject(entry.command) || !isName(entry.command.tag)) return MessageDefect.entry;
+    if (!isObject(entry) || !isObject(entry.command) || !isNonEmptyString(entry.command.tag))
+      return MessageDefect.entry;
     if (entry.index !== prevLogIndex + 1 + position) return MessageDefect.entriesOutOfOrder;
-    if (!isIndex(entry.term) || entry.term < previousTerm || entry.term > leaderTerm)
+    if (!isNonNegativeInteger(entry.term) || entry.term < previousTerm || entry.term > leaderTerm)
       return MessageDefect.termsOutOfOrder;
     previousTerm = entry.term;
   }
@@ -67,9 +68,15 @@
 export const MessageValidation = {
   /** Checks an AppendEntries request. The chunk in it is checked by ChunkReceiver. */
   appendEntriesDefect(body: unknown): MessageDefect | undefined {
-    if (!isObject(body) || !isName(body.group) || !isName(body.lead)) return MessageDefect.append;
+    if (!isObject(body) || !isNonEmptyString(body.group) || !isNonEmptyString(body.lead)) return MessageDefect.append;
     const { term, prevIndex, prevTerm, commit } = body;
-    if (!isIndex(term) || !isIndex(prevIndex) || !isIndex(prevTerm) || !isIndex(commit)) return MessageDefect.append;
+    if (
+      !isNonNegativeInteger(term) ||
+      !isNonNegativeInteger(prevIndex) ||
+      !isNonNegativeInteger(prevTerm) ||
+      !isNonNegativeInteger(commit)
+    )
+      return MessageDefect.append;
     const defect = body.whole === undefined ? undefined : snapshotDefect(body.whole, body.group);
     return defect ?? entriesDefect(body.entries, prevIndex, term);
   },
@@ -78,9 +85,9 @@
   requestVoteDefect(body: unknown): MessageDefect | undefined {
     const isWellFormed =
       isObject(body) &&
-      isName(body.group) &&
-      isName(body.candidate) &&
-      [body.term, body.lastIndex, body.lastTerm].every(isIndex);
+      isNonEmptyString(body.group) &&
+      isNonEmptyString(body.candidate) &&
+      [body.term, body.lastIndex, body.lastTerm].every(isNonNegativeInteger);
     return isWellFormed ? undefined : MessageDefect.voteRequest;
   },
 
@@ -88,15 +95,15 @@
   appendEntriesResponseDefect(body: unknown): MessageDefect | undefined {
     const isWellFormed =
       isObject(body) &&
-      isIndex(body.term) &&
-      (body.matched === true ? isIndex(body.match) : isIndex(body.last)) &&
-      (body.received === undefined || isIndex(body.received));
+      isNonNegativeInteger(body.term) &&
+      (body.matched === true ? isNonNegativeInteger(body.match) : isNonNegativeInteger(body.last)) &&
+      (body.received === undefined || isNonNegativeInteger(body.received));
     return isWellFormed ? undefined : MessageDefect.appendResponse;
   },
 
   /** Checks a response to a request for a vote or a pre-vote. */
   requestVoteResponseDefect(body: unknown): MessageDefect | undefined {
-    const isWellFormed = isObject(body) && isIndex(body.term) && typeof body.granted === "boolean";
+    const isWellFormed = isObject(body) && isNonNegativeInteger(body.term) && typeof body.granted === "boolean";
     return isWellFormed ? undefined : MessageDefect.voteResponse;
   },
 
@@ -105,7 +112,8 @@
     if (!isObject(body)) return MessageDefect.chunk;
     const { transferId, totalBytes, offset, data, checksum } = body;
     if (typeof transferId !== "string" || typeof data !== "string") return MessageDefect.chunk;
-    if (!isIndex(totalBytes) || !isIndex(offset) || !isIndex(checksum)) return MessageDefect.chunk;
+    if (!isNonNegativeInteger(totalBytes) || !isNonNegativeInteger(offset) || !isNonNegativeInteger(checksum))
+      return MessageDefect.chunk;
     return totalBytes === 0 || totalBytes > maxBytes ? MessageDefect.payloadSize : undefined;
   },
 };
--- a/src/consensus/snapshotPackages.ts
+++ b/src/consensus/packedSnapshotCache.ts
@@ -3,7 +3,7 @@
 import { AppendPayload } from "./messages";
 
 /** Packs payloads for chunked transfer; a snapshot is packed once for all followers. */
-export class SnapshotPackages {
+export class PackedSnapshotCache {
   private last: { state: ControlState; packed: PackedPayload } | undefined;
 
   pack(payload: AppendPayload): PackedPayload {
--- a/src/consensus/replication.ts
+++ b/src/consensus/replication.ts
@@ -8,7 +8,7 @@
 import { initialProgress } from "./followerProgress";
 import { FollowerReplicator } from "./followerReplicator";
 import { LogEntry } from "./messages";
-import { SnapshotPackages } from "./snapshotPackages";
+import { PackedSnapshotCache } from "./packedSnapshotCache";
 
 /**
  * The leader's side of log replication (Raft, section 5.3): new entries, one replication task a follower, and the commit
@@ -19,7 +19,7 @@
  * replication.append({ tag: "noop" });
  */
 export class Replication {
-  private readonly snapshotPackages = new SnapshotPackages();
+  private readonly packedSnapshots = new PackedSnapshotCache();
   private transferCount = 0;
 
   constructor(
@@ -46,7 +46,7 @@
       for (const id of followers) if (!running.has(id)) this.startReplicator(id, term, running);
       yield* EnvironmentTools.sleep(replica.env, Constants.heartbeatMs);
     }
-    this.snapshotPackages.clear();
+    this.packedSnapshots.clear();
   }
   private startReplicator(id: string, term: number, running: Set<string>): void {
     const { replica } = this;
@@ -55,7 +55,7 @@
     const replicator = new FollowerReplicator(replica, this.rpc, id, term, {
       advanceCommitIndex: () => this.advanceCommitIndex(),
       nextTransferId: () => this.nextTransferId(term),
-      packages: this.snapshotPackages,
+      packedSnapshots: this.packedSnapshots,
     });
     Csp.go(replica.env.scope, `replicate to ${id}`, function* () {
       yield* replicator.run();
--- a/src/consensus/singleVoterRecovery.ts
+++ b/src/consensus/singleVoterRecovery.ts
@@ -10,7 +10,7 @@
 import { PersistentState } from "./storageCodec";
 
 /** An operator's order to continue from one voter. The names are those on the wire. */
-export interface RecoveryOrder {
+export interface RecoveryRequest {
   /** Id of the group that has lost its majority. */
   group: string;
   /** Id of the voter to continue from. */
@@ -20,7 +20,7 @@
 }
 
 /** The recovered group. The names are those on the wire. */
-export interface Recovered {
+export interface RecoveryResult {
   /** Id of the new generation of the group. */
   group: string;
   /** Index up to which the surviving voter had the log. */
@@ -40,11 +40,11 @@
   ) {}
 
   /** The caller holds the disk lock. Faults: conflict (the order doesn't fit this server), disk. */
-  *run(order: RecoveryOrder, views: ShardView[]): Task<Result<Recovered>> {
+  *run(order: RecoveryRequest, views: ShardView[]): Task<Result<RecoveryResult>> {
     const { replica } = this;
     const { log } = replica;
-    const objection = this.objectionTo(order);
-    if (objection !== undefined) return Fault.fail("conflict", "recover", replica.selfId, objection);
+    const rejectionReason = this.rejectionReason(order);
+    if (rejectionReason !== undefined) return Fault.fail("conflict", "recover", replica.selfId, rejectionReason);
     const upTo = log.syncedIndex;
     const installed = yield* replica.installSnapshot(this.recoveredState(upTo, views, order.by));
     if (!installed.ok) return installed;
@@ -52,7 +52,7 @@
     replica.env.log(ConsensusEvent.recoveredFromOneVoter, { group, voter: replica.selfId, upTo });
     return Fault.ok({ group, upTo });
   }
-  private objectionTo(order: RecoveryOrder): string | undefined {
+  private rejectionReason(order: RecoveryRequest): string | undefined {
     const { replica } = this;
     const groupId = replica.groupId();
     if (order.group !== groupId) return `this voter belongs to group ${groupId || "none"}`;
--- a/src/consensus/voteHandler.ts
+++ b/src/consensus/voteHandler.ts
@@ -27,7 +27,7 @@
     const request = this.decode(body, "preVote");
     if (!request) return this.response(false);
     return this.response(
-      this.isFreeToVoteFor(request) && request.term > this.replica.log.currentTerm && this.isUpToDate(request),
+      this.leaseAllowsVote(request) && request.term > this.replica.log.currentTerm && this.isUpToDate(request),
     );
   }
 
@@ -41,7 +41,7 @@
     if (!request || !log.isBootstrapped()) return this.response(false);
     yield* Csp.take(log.diskLock);
     try {
-      if (request.term < log.currentTerm || !this.isFreeToVoteFor(request)) return this.response(false);
+      if (request.term < log.currentTerm || !this.leaseAllowsVote(request)) return this.response(false);
       if (request.term > log.currentTerm && !(yield* replica.stepDown(request.term, true)))
         return Fault.fail("disk", "vote", replica.selfId, "term not saved");
       const mayVote = log.votedFor === "" || log.votedFor === request.candidateId;
@@ -66,10 +66,10 @@
     const misdirected = replica.rejectMisdirected(request.targetId, "takeOver");
     if (misdirected) return misdirected;
     const isFromCurrentLeader = request.groupId === replica.groupId() && request.term === log.currentTerm;
-    const canStand = replica.role === "follower" && replica.isVoter() && !log.hasDiskFailed();
-    if (!isFromCurrentLeader || !canStand)
+    const canCampaign = replica.role === "follower" && replica.isVoter() && !log.hasDiskFailed();
+    if (!isFromCurrentLeader || !canCampaign)
       return Fault.fail("conflict", "takeOver", replica.selfId, `term ${log.currentTerm}`);
-    this.election.takeOverFrom(request.term);
+    this.election.acceptLeadershipFrom(request.term);
     return Fault.ok(true as const);
   }
 
@@ -87,7 +87,7 @@
   }
 
   /** Whether no leader's lease forbids a vote. */
-  private isFreeToVoteFor(request: RequestVoteRequest): boolean {
+  private leaseAllowsVote(request: RequestVoteRequest): boolean {
     return this.replica.hasLeaderTimedOut() || this.isLeaseWaived(request);
   }
   /** A lease needs no waiting for if all voters have just started, or if its holder has given it up for the candidate. */
--- a/src/model/actionGenerator.ts
+++ b/src/model/actionGenerator.ts
@@ -11,7 +11,7 @@
 const MIN_ACTIONS = 4;
 const MAX_ACTIONS = 60;
 /** Numbers that pick one of the changes, voters or standbys there are. */
-const MAX_PICK = 30;
+const MAX_CHOICE_INDEX = 30;
 const FREEZE_MS = [100, 500, 900, 1500, 4000];
 
 const weighted = (weight: number, arbitrary: Arbitrary<Action>): WeightedAction => ({ weight, arbitrary });
@@ -25,7 +25,7 @@
 export class ActionGenerator {
   private readonly machine: Arbitrary<number>;
   private readonly target: Arbitrary<Target>;
-  private readonly pick: Arbitrary<number>;
+  private readonly choiceIndex: Arbitrary<number>;
 
   /** fast-check is passed in, as only model runs load it. */
   constructor(
@@ -38,7 +38,7 @@
       { weight: 3, arbitrary: fc.constant("anyLeader" as const) },
       { weight: 1, arbitrary: this.machine },
     );
-    this.pick = fc.integer({ min: 0, max: MAX_PICK });
+    this.choiceIndex = fc.integer({ min: 0, max: MAX_CHOICE_INDEX });
   }
 
   /** A list of actions. Their order in `oneof` decides what a seed gives: keep it. */
@@ -47,13 +47,13 @@
       ...this.proposals(),
       ...this.networkFaults(),
       ...this.machineFaults(),
-      ...this.passingTime(),
+      ...this.timeSteps(),
     );
     return this.fc.array(action, { minLength: MIN_ACTIONS, maxLength: MAX_ACTIONS, size: "max" });
   }
 
   private proposals(): WeightedAction[] {
-    const { fc, target: at, pick } = this;
+    const { fc, target: at, choiceIndex: pick } = this;
     const change = fc.record({
       tag: fc.constant("change" as const),
       at,
@@ -134,7 +134,7 @@
     ];
   }
 
-  private passingTime(): WeightedAction[] {
+  private timeSteps(): WeightedAction[] {
     const { fc } = this;
     const ms = fc.constantFrom(1, 5, 20, 80, 250, 700, 1200, 2500);
     return [weighted(32, fc.record({ tag: fc.constant("pass" as const), ms }))];
--- a/src/model/actionRunner.ts
+++ b/src/model/actionRunner.ts
@@ -31,7 +31,7 @@
       case "pass":
         return await this.group.pass(action.ms);
       default:
-        return this.disturbMachine(action);
+        return this.injectMachineFault(action);
     }
   }
 
@@ -81,7 +81,7 @@
   private changeOneVoter(machine: Machine, isAdded: boolean, pick: number): void {
     const leader = machine.incarnation.group;
     const voters = leader.voters();
-    const candidates = isAdded ? this.idsBeside(voters).filter((id) => leader.isCaughtUp(id)) : voters;
+    const candidates = isAdded ? this.idsExcluding(voters).filter((id) => leader.isCaughtUp(id)) : voters;
     if (candidates.length === 0) return;
     const chosen = candidates[pick % candidates.length];
     this.group.proposeVoters(machine, isAdded ? [...voters, chosen] : voters.filter((id) => id !== chosen));
@@ -89,12 +89,12 @@
   /** Two voters exchanged or left out by one entry: a majority of the former need not meet one of the next. */
   private changeTwoVoters(machine: Machine, pick: number): void {
     const voters = machine.incarnation.group.voters();
-    const standbys = this.idsBeside(voters);
+    const standbys = this.idsExcluding(voters);
     const remaining = voters.filter((_id, position) => position !== pick % voters.length);
     const next = standbys.length > 0 ? [...remaining, standbys[pick % standbys.length]] : remaining.slice(1);
     this.group.proposeVoters(machine, next);
   }
-  private idsBeside(voters: string[]): string[] {
+  private idsExcluding(voters: string[]): string[] {
     return this.group.machines.map(({ incarnation }) => incarnation.id).filter((id) => !voters.includes(id));
   }
 
@@ -129,7 +129,7 @@
     }
   }
 
-  private disturbMachine(action: MachineAction): void {
+  private injectMachineFault(action: MachineAction): void {
     const { group } = this;
     switch (action.tag) {
       case "freeze":
--- a/src/model/campaign.ts
+++ b/src/model/campaign.ts
@@ -5,7 +5,7 @@
 import { SPARE_MACHINES, Walk, WalkReport } from "./walk";
 
 /** A walk that broke an invariant, with the fewest actions that still break one. */
-export interface Failure {
+export interface FailingWalk {
   seed: number;
   voters: 3 | 5;
   violation: string;
@@ -16,7 +16,7 @@
 
 export interface CampaignReport {
   walks: number;
-  failures: Failure[];
+  failures: FailingWalk[];
   /** Sums over all walks that broke no invariant. */
   totals: WalkReport;
 }
@@ -33,13 +33,13 @@
   /** Called after each walk with the number of walks so far. */
   onProgress?: (walks: number) => void;
   /** Called with each failing walk as soon as it is shortened. */
-  onFailure?: (failure: Failure) => void;
+  onFailure?: (failure: FailingWalk) => void;
   stopAtFailure?: boolean;
 }
 
 const DEFAULT_SHRINK_LIMIT = 400;
 
-const noTotals = (): WalkReport => ({ virtualMs: 0, proposed: 0, acknowledged: 0, committed: 0, wipes: 0 });
+const zeroTotals = (): WalkReport => ({ virtualMs: 0, proposed: 0, acknowledged: 0, committed: 0, wipes: 0 });
 
 function addTo(totals: WalkReport, report: WalkReport): void {
   for (const key of Object.keys(totals) as (keyof WalkReport)[]) totals[key] += report[key];
@@ -58,7 +58,7 @@
 export const ModelCampaign = {
   /** Plays the walks one after the other. */
   async run(options: CampaignOptions): Promise<CampaignReport> {
-    const report: CampaignReport = { walks: 0, failures: [], totals: noTotals() };
+    const report: CampaignReport = { walks: 0, failures: [], totals: zeroTotals() };
     for (let seed = options.firstSeed; seed < options.firstSeed + options.walks; seed += 1) {
       const failure = await ModelCampaign.runWalk(options, seed, report.totals);
       report.walks += 1;
@@ -73,7 +73,7 @@
   },
 
   /** Plays the walk of one seed, and shortens it if it fails. Adds its figures to `totals`. */
-  async runWalk(options: CampaignOptions, seed: number, totals: WalkReport): Promise<Failure | undefined> {
+  async runWalk(options: CampaignOptions, seed: number, totals: WalkReport): Promise<FailingWalk | undefined> {
     const fc = await import("fast-check"); // loaded here only: nothing else of the program needs it
     const { voters, faults } = options;
     const attemptLimit = 1 + (options.shrinkLimit ?? DEFAULT_SHRINK_LIMIT);
--- a/src/model/groupUnderTest.ts
+++ b/src/model/groupUnderTest.ts
@@ -145,7 +145,7 @@
     return true;
   }
   /** Ends all faults of network, disks and processes. Killed processes come back at their time. */
-  recoverAll(): void {
+  healAll(): void {
     this.world.heal();
     this.network.heal();
     for (const machine of this.machines) {
@@ -192,7 +192,7 @@
   /** Asks one machine for new voters, unless a majority of them has lost its disk by the time it receives that. */
   proposeVoters(machine: Machine, voters: string[]): void {
     const { diskLoss } = this;
-    this.callOn(machine, function* (group) {
+    this.runOnMachine(machine, function* (group) {
       if (voters.length > 0 && diskLoss.allows(voters))
         yield* group.propose({ tag: "voters", voters }, Constants.proposeTimeoutMs);
     });
@@ -213,7 +213,7 @@
   resend(machine: Machine, change: DocumentChange): void {
     const { invariants } = this;
     const { id } = machine.incarnation;
-    this.callOn(machine, function* (group) {
+    this.runOnMachine(machine, function* (group) {
       const outcome = yield* GroupUnderTest.outcomeOf(group, change);
       if (outcome.ok) invariants.onOutcome(id, change.register, change.changeId, outcome.value);
     });
@@ -223,7 +223,7 @@
     const known = group.hasLeaderLease() ? group.state.changes[changeId] : undefined;
     return known ? Fault.ok(known) : yield* group.propose(command, Constants.proposeTimeoutMs);
   }
-  private callOn(machine: Machine, body: (group: ConsensusGroup) => Task<void>): void {
+  private runOnMachine(machine: Machine, body: (group: ConsensusGroup) => Task<void>): void {
     const { process, group } = machine.incarnation;
     if (!machine.isOpen) return;
     process.deliver(() => Csp.go(process.scope, "caller", () => body(group)));
--- a/src/model/walk.ts
+++ b/src/model/walk.ts
@@ -39,11 +39,11 @@
     group.running().length === group.machines.length &&
     group.leaseHolder() !== undefined &&
     invariants.hasConverged(group.running());
-  group.recoverAll();
+  group.healAll();
   const settledBy = world.now + SETTLE_MS;
   while (world.now < settledBy && !isSettled()) {
     await group.pass(CHECK_PERIOD_MS);
-    group.recoverAll();
+    group.healAll();
   }
   const acknowledgedBefore = invariants.acknowledgedChanges.length;
   const isChanged = (): boolean => invariants.acknowledgedChanges.length > acknowledgedBefore;
--- a/test/logReplication.test.ts
+++ b/test/logReplication.test.ts
@@ -4,7 +4,11 @@
 
 describe("a follower's log that diverges from the leader's", () => {
   /** A leader is partitioned with entries of its own, the others commit up to an index, then the partition heals. */
-  async function diverged(seed: number, own: number, upTo: number): Promise<{ control: GroupWorld; cutOff: Voter }> {
+  async function startDivergedGroup(
+    seed: number,
+    own: number,
+    upTo: number,
+  ): Promise<{ control: GroupWorld; cutOff: Voter }> {
     const control = new GroupWorld(3, seed);
     await control.boot();
     const cutOff = control.leader()!;
@@ -21,7 +25,7 @@
   }
 
   test("catches up when it diverges a little past the index of the leader's snapshot", async () => {
-    const { control, cutOff } = await diverged(5, 12, 403);
+    const { control, cutOff } = await startDivergedGroup(5, 12, 403);
     expect(control.leader()!.group.snapshotIndex).toBeGreaterThan(394);
     await control.world.run(3000);
     expect(control.leader()!.group.lastApplied).toBeGreaterThanOrEqual(403);
@@ -30,7 +34,7 @@
   });
 
   test("is replaced by the snapshot when it diverges past its index and the entries before are compacted", async () => {
-    const { control, cutOff } = await diverged(5, 1000, 1250);
+    const { control, cutOff } = await startDivergedGroup(5, 1000, 1250);
     expect(control.leader()!.group.snapshotIndex).toBeGreaterThan(394 + Constants.trailingLogEntries);
     expect(cutOff.group.lastLogIndex()).toBeGreaterThan(control.leader()!.group.snapshotIndex);
     await control.world.run(3000);
--- a/test/messageRejection.test.ts
+++ b/test/messageRejection.test.ts
@@ -16,7 +16,7 @@
       ...fields,
     };
   };
-  const ask = async (control: GroupWorld, to: Voter, verb: string, body: object): Promise<Result<unknown>> => {
+  const send = async (control: GroupWorld, to: Voter, verb: string, body: object): Promise<Result<unknown>> => {
     const from = control.voters.find((voter) => voter !== to)!;
     return (await control.world.finish(
       from.process,
@@ -24,7 +24,7 @@
       1000,
     ))!;
   };
-  const logged = (voter: Voter, event: number): string[] =>
+  const logLinesOf = (voter: Voter, event: number): string[] =>
     voter.process.logs.filter((line) => line.includes(`PB${event} `));
 
   test("entries or a snapshot that would replace committed ones", async () => {
@@ -38,8 +38,8 @@
     const overwriting = { prevIndex: 1, prevTerm: 1, entries: [{ index: 2, term: 999, command: noop }] };
     const lowering = { whole: { index: 3, term: 999, state: { ...state, voters: ["x"] } } };
     for (const fields of [overwriting, lowering])
-      expect(await ask(control, follower, "group.append", append(control, fields))).toMatchObject({ ok: false });
-    expect(logged(follower, 1320).length).toBeGreaterThan(0);
+      expect(await send(control, follower, "group.append", append(control, fields))).toMatchObject({ ok: false });
+    expect(logLinesOf(follower, 1320).length).toBeGreaterThan(0);
     expect(follower.group.lastApplied).toBe(applied);
     expect(follower.group.commitIndex).toBe(commit);
     expect(follower.group.state).toEqual(state);
@@ -70,18 +70,18 @@
     ];
     for (const body of bodies) {
       await control.world.run(6000);
-      const before = logged(follower, 1321).length;
-      const response = await ask(control, follower, "group.append", body);
+      const before = logLinesOf(follower, 1321).length;
+      const response = await send(control, follower, "group.append", body);
       expect({ body, response }).toMatchObject({ response: { ok: false, fault: { tag: "invalid" } } });
-      expect({ body, events: logged(follower, 1321).length }).toEqual({ body, events: before + 1 });
+      expect({ body, events: logLinesOf(follower, 1321).length }).toEqual({ body, events: before + 1 });
     }
     for (const verb of ["group.vote", "group.preVote"])
       for (const body of [{}, { group: "another", term: 5000, candidate: "c1", lastIndex: 9, lastTerm: 9 }]) {
         await control.world.run(6000);
-        const before = logged(follower, 1321).length;
-        const response = await ask(control, follower, verb, body);
+        const before = logLinesOf(follower, 1321).length;
+        const response = await send(control, follower, verb, body);
         expect(response.ok && (response.value as { granted: boolean }).granted).toBe(false);
-        expect(logged(follower, 1321).length).toBe(before + 1);
+        expect(logLinesOf(follower, 1321).length).toBe(before + 1);
       }
     expect(follower.group.lastLogIndex()).toBe(last);
     expect(control.voters.flatMap(({ process }) => process.errors)).toEqual([]);
--- a/test/modelFaults.test.ts
+++ b/test/modelFaults.test.ts
@@ -18,7 +18,7 @@
 ) => Task<Result<ResponseOf<Method>>>;
 
 /** Puts another handler in place of that of a method, on each replica. */
-function replacingHandler<Method extends TypedMethod>(
+function withHandler<Method extends TypedMethod>(
   method: Method,
   replace: (handler: Handler<Method>, id: string) => Handler<Method>,
 ): FaultInjection {
@@ -31,11 +31,11 @@
   };
 }
 /** Puts another response in place of that of a handler, on each replica. */
-function replacingResponse<Method extends TypedMethod>(
+function withResponse<Method extends TypedMethod>(
   method: Method,
   respond: (body: RequestOf<Method>, response: ResponseOf<Method>) => ResponseOf<Method>,
 ): FaultInjection {
-  return replacingHandler(
+  return withHandler(
     method,
     (handler) =>
       function* (body, sender) {
@@ -50,7 +50,7 @@
 const scopeOf = (group: ConsensusGroup): Scope => replicaOf(group).env.scope;
 
 /** A disk that reports a sync before anything is written, and writes a while later. */
-function lyingDisk(env: Environment): Environment {
+function diskReportingSyncEarly(env: Environment): Environment {
   return {
     ...env,
     disk: {
@@ -66,19 +66,23 @@
   };
 }
 
-const properApply = ControlStateMachine.apply;
-const properRefusal = MembershipChange.refusal;
-const properHasLeaderLease = ConsensusGroup.prototype.hasLeaderLease;
-const properLease = Constants.controlLeaseMs;
-const setLease = (ms: number): void => void Object.assign(Constants, { controlLeaseMs: ms });
+const originalApply = ControlStateMachine.apply;
+const originalRejectionReason = MembershipChange.rejectionReason;
+const originalHasLeaderLease = ConsensusGroup.prototype.hasLeaderLease;
+const originalLeaseMs = Constants.controlLeaseMs;
+const setLeaseMs = (ms: number): void => void Object.assign(Constants, { controlLeaseMs: ms });
 afterEach(() => {
-  ControlStateMachine.apply = properApply;
-  MembershipChange.refusal = properRefusal;
-  ConsensusGroup.prototype.hasLeaderLease = properHasLeaderLease;
-  setLease(properLease);
+  ControlStateMachine.apply = originalApply;
+  MembershipChange.rejectionReason = originalRejectionReason;
+  ConsensusGroup.prototype.hasLeaderLease = originalHasLeaderLease;
+  setLeaseMs(originalLeaseMs);
 });
 /** Plays walks until one fails; which invariant it broke. */
-async function found(faults: FaultInjection, walks: number, prepare: () => void = () => undefined): Promise<string> {
+async function brokenInvariant(
+  faults: FaultInjection,
+  walks: number,
+  prepare: () => void = () => undefined,
+): Promise<string> {
   prepare();
   const options = { firstSeed: 1, walks, voters: 3 as const, faults, shrinkLimit: 0, stopAtFailure: true };
   const report = await ModelCampaign.run(options);
@@ -87,12 +91,14 @@
   );
   return report.failures[0]?.violation.split(":")[0] ?? "nothing found";
 }
-const within = 150;
-const oneOf = (...names: InvariantName[]): unknown => expect.stringMatching(new RegExp(`^(${names.join("|")})$`));
+const MAX_WALKS = 150;
+const anyOf = (...names: InvariantName[]): unknown => expect.stringMatching(new RegExp(`^(${names.join("|")})$`));
 
 describe("the invariants find a fault of elections or leases", () => {
   test("a lease longer than the election time-out", async () => {
-    expect(await found({}, within, () => setLease(6000))).toEqual(oneOf("one-lease-holder", "lease-read-current"));
+    expect(await brokenInvariant({}, MAX_WALKS, () => setLeaseMs(6000))).toEqual(
+      anyOf("one-lease-holder", "lease-read-current"),
+    );
   });
 
   test("a leader that does not check its lease", async () => {
@@ -101,37 +107,37 @@
         return this.role === "leader";
       };
     };
-    expect(await found({}, within, prepare)).toEqual(oneOf("one-lease-holder", "lease-read-current"));
+    expect(await brokenInvariant({}, MAX_WALKS, prepare)).toEqual(anyOf("one-lease-holder", "lease-read-current"));
   });
 
   test("a vote granted to every candidate", async () => {
-    const faults = replacingResponse("group.vote", (body, response) => ({
+    const faults = withResponse("group.vote", (body, response) => ({
       ...response,
       granted: true,
       term: body.term,
     }));
-    expect(await found(faults, within)).toEqual(
-      oneOf("election-safety", "log-matching", "leader-completeness", "state-machine-safety", "one-lease-holder"),
+    expect(await brokenInvariant(faults, MAX_WALKS)).toEqual(
+      anyOf("election-safety", "log-matching", "leader-completeness", "state-machine-safety", "one-lease-holder"),
     );
   });
 
   test("voters that grant no pre-vote after the first term", async () => {
-    const faults = replacingResponse("group.preVote", (body, response) =>
+    const faults = withResponse("group.preVote", (body, response) =>
       body.term > 2 ? { ...response, granted: false } : response,
     );
-    expect(await found(faults, within)).toEqual(oneOf("leader-after-heal"));
+    expect(await brokenInvariant(faults, MAX_WALKS)).toEqual(anyOf("leader-after-heal"));
   });
 });
 
 describe("the invariants find a fault of the log or its replication", () => {
   test("a success reported for an append that was refused", async () => {
-    const faults = replacingResponse("group.append", (body, response) => ({
+    const faults = withResponse("group.append", (body, response) => ({
       ...response,
       matched: true as const,
       match: body.prevIndex + body.entries.length,
     }));
-    expect(await found(faults, within)).toEqual(
-      oneOf(
+    expect(await brokenInvariant(faults, MAX_WALKS)).toEqual(
+      anyOf(
         "leader-completeness",
         "state-machine-safety",
         "acknowledged-durable",
@@ -143,8 +149,8 @@
   });
 
   test("a disk that reports a sync too early", async () => {
-    expect(await found({ env: lyingDisk }, within)).toEqual(
-      oneOf(
+    expect(await brokenInvariant({ env: diskReportingSyncEarly }, MAX_WALKS)).toEqual(
+      anyOf(
         "election-safety",
         "leader-completeness",
         "state-machine-safety",
@@ -157,19 +163,19 @@
 
   test("two voters exchanged by one entry, and several such entries at once", async () => {
     const prepare = (): void => {
-      MembershipChange.refusal = () => undefined;
+      MembershipChange.rejectionReason = () => undefined;
     };
-    expect(await found({}, within, prepare)).toEqual(oneOf("one-pending-voter-change"));
+    expect(await brokenInvariant({}, MAX_WALKS, prepare)).toEqual(anyOf("one-pending-voter-change"));
   });
 
   test("another command at the same index and term", async () => {
     const withoutPolicies = (entry: LogEntry): LogEntry =>
       entry.command.tag === "policies" ? { ...entry, command: { tag: "noop" } } : entry;
-    const faults = replacingHandler("group.append", (handler, id) => (body, sender) => {
+    const faults = withHandler("group.append", (handler, id) => (body, sender) => {
       const received = id === "c2" ? { ...body, entries: body.entries.map(withoutPolicies) } : body;
       return handler(received, sender);
     });
-    expect(await found(faults, within)).toEqual(oneOf("log-matching", "state-machine-safety"));
+    expect(await brokenInvariant(faults, MAX_WALKS)).toEqual(anyOf("log-matching", "state-machine-safety"));
   });
 
   test("a commit index that falls", async () => {
@@ -180,30 +186,30 @@
         Object.defineProperty(replicaOf(group), "commitIndex", { get: () => commit, set });
       },
     };
-    expect(await found(faults, within)).toEqual(oneOf("commit-index-monotonic", "no-task-error"));
+    expect(await brokenInvariant(faults, MAX_WALKS)).toEqual(anyOf("commit-index-monotonic", "no-task-error"));
   });
 
   test("a standby that refuses every append", async () => {
-    const faults = replacingHandler("group.append", (handler, id) =>
+    const faults = withHandler("group.append", (handler, id) =>
       id !== "c4"
         ? handler
         : function* () {
             return Fault.fail("refused", "append", id, "planted");
           },
     );
-    expect(await found(faults, within)).toEqual(oneOf("converged-after-heal"));
+    expect(await brokenInvariant(faults, MAX_WALKS)).toEqual(anyOf("converged-after-heal"));
   });
 
   test("a replica that acknowledges appends without storing them", async () => {
-    const faults = replacingHandler("group.append", (handler, id) =>
+    const faults = withHandler("group.append", (handler, id) =>
       id !== "c4"
         ? handler
         : function* (body) {
             return Fault.ok({ term: body.term, matched: true, match: body.prevIndex + body.entries.length });
           },
     );
-    expect(await found(faults, within)).toEqual(
-      oneOf("converged-after-heal", "leader-after-heal", "acknowledged-durable", "leader-completeness"),
+    expect(await brokenInvariant(faults, MAX_WALKS)).toEqual(
+      anyOf("converged-after-heal", "leader-after-heal", "acknowledged-durable", "leader-completeness"),
     );
   });
 });
@@ -213,19 +219,23 @@
     const prepare = (): void => {
       ControlStateMachine.apply = (state, index, command) => {
         if ("changeId" in command) delete state.changes[command.changeId];
-        return properApply(state, index, command);
+        return originalApply(state, index, command);
       };
     };
-    expect(await found({}, within, prepare)).toEqual(oneOf("state-machine-safety", "outcome-repeatable"));
+    expect(await brokenInvariant({}, MAX_WALKS, prepare)).toEqual(anyOf("state-machine-safety", "outcome-repeatable"));
   });
 
   test("the version check left out", async () => {
     const prepare = (): void => {
       ControlStateMachine.apply = (state, index, command) =>
-        properApply(state, index, "ifVersion" in command ? { ...command, ifVersion: state.policies.version } : command);
+        originalApply(
+          state,
+          index,
+          "ifVersion" in command ? { ...command, ifVersion: state.policies.version } : command,
+        );
     };
-    expect(await found({}, within, prepare)).toEqual(
-      oneOf("state-machine-safety", "one-change-per-version", "acknowledged-durable"),
+    expect(await brokenInvariant({}, MAX_WALKS, prepare)).toEqual(
+      anyOf("state-machine-safety", "one-change-per-version", "acknowledged-durable"),
     );
   });
 
@@ -240,7 +250,7 @@
         };
       },
     };
-    expect(await found(faults, within)).toEqual(oneOf("one-change-per-version", "outcome-repeatable"));
+    expect(await brokenInvariant(faults, MAX_WALKS)).toEqual(anyOf("one-change-per-version", "outcome-repeatable"));
   });
 
   test("a change acknowledged before it is committed", async () => {
@@ -254,7 +264,7 @@
         };
       },
     };
-    expect(await found(faults, within)).toEqual(oneOf("acknowledged-durable", "one-change-per-version"));
+    expect(await brokenInvariant(faults, MAX_WALKS)).toEqual(anyOf("acknowledged-durable", "one-change-per-version"));
   });
 
   test("another outcome for a retry", async () => {
@@ -264,12 +274,12 @@
         const proposed = new Set<string>();
         group.propose = function* (command, withinMs) {
           const outcome = yield* propose(command, withinMs);
-          const again = "changeId" in command && proposed.has(command.changeId);
+          const isRetry = "changeId" in command && proposed.has(command.changeId);
           if ("changeId" in command) proposed.add(command.changeId);
-          return again && outcome.ok ? Fault.ok({ tag: "conflict" as const, version: 0 }) : outcome;
+          return isRetry && outcome.ok ? Fault.ok({ tag: "conflict" as const, version: 0 }) : outcome;
         };
       },
     };
-    expect(await found(faults, 4 * within)).toEqual(oneOf("outcome-repeatable"));
+    expect(await brokenInvariant(faults, 4 * MAX_WALKS)).toEqual(anyOf("outcome-repeatable"));
   });
 });
--- a/test/operatorRaceCampaign.ts
+++ b/test/operatorRaceCampaign.ts
@@ -35,19 +35,19 @@
   /** Changes that were acknowledged. */
   acknowledged: number;
   /** Faults that were injected, with their times. */
-  acts: string[];
+  injectedFaults: string[];
   /** Longest time to an acknowledgement without a fault, ms. */
   slowestAckMs: number;
   /** Time from the last restart until the configuration could be read, ms. */
-  backAfterMs: number;
+  recoveredAfterMs: number;
 }
 
 /**
  * The bounds that the users set, ms: a node that returned counts as lost for `syncMs`; faults have an effect for
  * `contactMs`; a change is acknowledged within `ackMs` and in force within `applyMs`; reads work again within `backMs`.
  */
-const bounds = { syncMs: 4700, contactMs: 3000, ackMs: 4000, applyMs: 2000, backMs: 4000 };
-const faultKinds = [
+const LIMITS = { resyncMs: 4700, faultEffectMs: 3000, ackMs: 4000, applyMs: 2000, recoveryMs: 4000 };
+const FAULT_KINDS = [
   "kill",
   "power",
   "wipe",
@@ -59,7 +59,7 @@
   "replace",
   "stop",
 ] as const;
-type FaultKind = (typeof faultKinds)[number];
+type FaultKind = (typeof FAULT_KINDS)[number];
 
 export interface CampaignOptions {
   /** Control nodes. */
@@ -73,10 +73,10 @@
 }
 
 /** Zones by operator; two operators share one. */
-const zoneOperators = { cyd: "north", dot: "east", eve: "north" } as const;
+const ZONE_OF_OPERATOR = { cyd: "north", dot: "east", eve: "north" } as const;
 /** An order is retried for `resendMs`; one without a response may still be appended, and committed by a later leader, for `takenMs`. */
-const orderBounds = { resendMs: 4000, takenMs: 16_000 };
-const lostResponseShare = 0.15;
+const ORDER_LIMITS = { retryMs: 4000, takenMs: 16_000 };
+const LOST_RESPONSE_SHARE = 0.15;
 
 /**
  * Two operators change the configuration concurrently while control nodes fail, as many at a time as the settings
@@ -90,7 +90,7 @@
 class Campaign {
   readonly fleet: ControlFleet;
   readonly changes: SentChange[] = [];
-  readonly acts: string[] = [];
+  readonly injectedFaults: string[] = [];
   readonly violations: string[] = [];
   private readonly reads: Operation<ConfigurationState>[] = [];
   private readonly zones = new Map<string, Operation<boolean>[]>();
@@ -110,7 +110,7 @@
   private random = (): number => this.fleet.world.random();
   private pick = <T>(from: readonly T[]): T => from[Math.floor(this.random() * from.length)];
   private isCalm = (from: number, to: number): boolean =>
-    !this.faultWindows.some((each) => each.from < to && each.to + bounds.contactMs > from);
+    !this.faultWindows.some((each) => each.from < to && each.to + LIMITS.faultEffectMs > from);
 
   /** One request to a control node that runs, on a connection of its own; undefined where no response came. */
   private *call(method: string, path: string, body: unknown, ifVersion: number): Task<Response | undefined> {
@@ -131,7 +131,7 @@
     return { status: response.value.status, body: JSON.parse(received) as ConfigurationBody, node };
   }
   /** Whether a response is lost on its way to the operator. */
-  private isResponseLost = (): boolean => this.withOrders && this.random() < lostResponseShare;
+  private isResponseLost = (): boolean => this.withOrders && this.random() < LOST_RESPONSE_SHARE;
   /** An operator who drains and undrains a zone in turn, and retries each order at any node until it is acknowledged. */
   private *zoneOperator(zone: string): Task<void> {
     const { world, operator } = this.fleet;
@@ -141,7 +141,7 @@
       yield* EnvironmentTools.sleep(operator.env, 300 + this.random() * 5000);
       const begin = world.now;
       let acknowledged = false;
-      while (!acknowledged && world.now - begin < orderBounds.resendMs && !this.stopped) {
+      while (!acknowledged && world.now - begin < ORDER_LIMITS.retryMs && !this.stopped) {
         const response = yield* this.call(drains ? "POST" : "DELETE", path, undefined, 0);
         const seen = this.isResponseLost() ? undefined : response;
         acknowledged = seen?.status === 200;
@@ -149,7 +149,7 @@
           this.violations.push(`an order for ${zone} was refused with ${seen.status} at ${world.now.toFixed(0)}`);
         if (!acknowledged) yield* EnvironmentTools.sleep(operator.env, 50 + this.random() * 300);
       }
-      const end = acknowledged ? world.now : world.now + orderBounds.takenMs;
+      const end = acknowledged ? world.now : world.now + ORDER_LIMITS.takenMs;
       history.push(ControlHistory.order(drains ? "drain" : "undrain", begin, end, acknowledged));
     }
   }
@@ -227,7 +227,7 @@
         const made = this.changes.find((each) => path === `/${each.mark}`);
         if (made?.outcome === "refused") this.violations.push(`${name} has ${made.mark}, which was refused`);
         const due = this.changes.filter(
-          (each) => each.outcome === "acknowledged" && now - each.endedAt > bounds.applyMs && each.version > version,
+          (each) => each.outcome === "acknowledged" && now - each.endedAt > LIMITS.applyMs && each.version > version,
         );
         if (due.length > 0 && this.isCalm(due[0].endedAt, now))
           this.violations.push(
@@ -256,7 +256,7 @@
     );
   }
   private log(act: string): void {
-    this.acts.push(`${this.fleet.world.now.toFixed(0)} ${act}`);
+    this.injectedFaults.push(`${this.fleet.world.now.toFixed(0)} ${act}`);
   }
   /** The preferred node or another, of those that are not lost. */
   private chooseNode(preferred: string | undefined): string {
@@ -330,7 +330,7 @@
     } else fleet.restart(name, { empty: kind.startsWith("wipe"), moved: kind === "power" && this.random() < 0.3 });
     fleet.reseed(Math.floor(this.random() * 9));
     window.to = world.now;
-    await fleet.run(bounds.syncMs);
+    await fleet.run(LIMITS.resyncMs);
     this.lostNodes.delete(name);
     await fleet.run(this.random() * 3000);
   }
@@ -366,7 +366,7 @@
     if (made?.outcome === "refused") this.violations.push(`${made.mark} is in force, and was refused`);
     for (const each of this.changes) {
       const endedAt = Math.min(each.endedAt, this.fleet.world.now);
-      if (this.isCalm(each.at, endedAt) && endedAt - each.at > bounds.ackMs)
+      if (this.isCalm(each.at, endedAt) && endedAt - each.at > LIMITS.ackMs)
         this.violations.push(
           `${each.mark} sent at ${each.at.toFixed(0)} had no answer for ${(endedAt - each.at).toFixed(0)} ms in a calm time`,
         );
@@ -380,24 +380,25 @@
     for (const name of ["ann", "bea"]) Csp.go(fleet.operator.scope, name, () => campaign.operator(name));
     Csp.go(fleet.operator.scope, "watch", () => campaign.watchConfiguration());
     if (this.withOrders) {
-      for (const [name, zone] of Object.entries(zoneOperators))
+      for (const [name, zone] of Object.entries(ZONE_OF_OPERATOR))
         Csp.go(fleet.operator.scope, name, () => campaign.zoneOperator(zone));
       Csp.go(fleet.operator.scope, "watch zones", () => campaign.watchZones());
     }
     await fleet.run(2000);
     const faultSequences = Array.from({ length: this.losses }, async () => {
-      for (let at = 0; at < faults; at += 1) await this.injectFault(this.pick(faultKinds));
+      for (let at = 0; at < faults; at += 1) await this.injectFault(this.pick(FAULT_KINDS));
     });
     await Promise.all(faultSequences);
     const backAfterMs = await this.loseAllPower();
-    if (backAfterMs > bounds.backMs) this.violations.push(`the manifest came back after ${backAfterMs.toFixed(0)} ms`);
+    if (backAfterMs > LIMITS.recoveryMs)
+      this.violations.push(`the manifest came back after ${backAfterMs.toFixed(0)} ms`);
     const readAt = fleet.world.now;
     const read = await fleet.ask("GET", "/v1/manifest");
     const body = read.status === 200 ? (read.body as ConfigurationBody) : undefined;
     this.checkFinalRead(body);
     if (body) this.recordRead(body, readAt);
     if (this.withOrders) {
-      await fleet.run(orderBounds.takenMs);
+      await fleet.run(ORDER_LIMITS.takenMs);
       this.sampleZones();
     }
     this.checkHistories();
@@ -409,9 +410,9 @@
     return {
       violations: this.violations,
       acknowledged,
-      acts: this.acts,
+      injectedFaults: this.injectedFaults,
       slowestAckMs: Math.max(0, ...calm),
-      backAfterMs,
+      recoveredAfterMs: backAfterMs,
     };
   }
 }
--- a/test/operatorRaces.test.ts
+++ b/test/operatorRaces.test.ts
@@ -6,11 +6,11 @@
 
 describe("the campaign finds a planted fault", () => {
   /** Violations that the campaigns of a few seeds find with a fault planted in the group, up to the expected one. */
-  const violationsWith = async (plant: (group: GroupInternals) => void, expected: RegExp): Promise<string[]> => {
+  const violationsWith = async (injectFault: (group: GroupInternals) => void, expected: RegExp): Promise<string[]> => {
     const found: string[] = [];
     const start = ConsensusGroup.prototype.start;
     ConsensusGroup.prototype.start = function (this: ConsensusGroup) {
-      plant(this as unknown as GroupInternals);
+      injectFault(this as unknown as GroupInternals);
       start.call(this);
     };
     try {
@@ -38,9 +38,9 @@
     async (controls, losses, from) => {
       for (let seed = from + 1; seed <= from + seeds; seed += 1) {
         const result = await OperatorRaceCampaign.run(seed, { controls, losses, faults: 4 });
-        expect({ seed, acts: result.acts, violations: result.violations }).toEqual({
+        expect({ seed, acts: result.injectedFaults, violations: result.violations }).toEqual({
           seed,
-          acts: result.acts,
+          acts: result.injectedFaults,
           violations: [],
         });
         expect(result.acknowledged).toBeGreaterThan(10);
--- a/test/slowLeaderDisk.test.ts
+++ b/test/slowLeaderDisk.test.ts
@@ -6,7 +6,11 @@
 import { noop } from "./consensusGroups";
 
 /** A group whose leader has committed changes by its followers' disks while its own disk stalls. */
-async function slowLeader(seed: number, changes: number, stallMs: number): Promise<[GroupUnderTest, Machine]> {
+async function startGroupWithSlowLeader(
+  seed: number,
+  changes: number,
+  stallMs: number,
+): Promise<[GroupUnderTest, Machine]> {
   const group = new GroupUnderTest({ seed, voters: 3, spares: 0 });
   await group.boot();
   const leader = group.leaseHolder()!;
@@ -28,20 +32,20 @@
 }
 
 describe("a leader whose disk is slower than its followers' in a modelled group", () => {
-  const usual = { ...Constants };
-  afterEach(() => void Object.assign(Constants, usual));
+  const originalConstants = { ...Constants };
+  afterEach(() => void Object.assign(Constants, originalConstants));
 
   // found by a random walk: 3 voters, seed 5934
   test("compacts its log before its entries are synced, and restarts from its disk", async () => {
     Object.assign(Constants, { logEntriesUntilSnapshot: 12 });
-    const [group] = await slowLeader(3, 20, 200);
+    const [group] = await startGroupWithSlowLeader(3, 20, 200);
     await group.pass(1200);
     for (const machine of group.machines) group.kill(machine, true, 5);
     await expectConverged(group);
   });
   // found by a random walk: 3 voters, seed 6459
   test("follows another leader before its committed entries are synced", async () => {
-    const [group, leader] = await slowLeader(3, 3, 4000);
+    const [group, leader] = await startGroupWithSlowLeader(3, 3, 4000);
     group.world.isolate([leader.name], "both");
     await group.pass(2500);
     group.world.heal();
@@ -58,16 +62,16 @@
       leader.process.disk.syncMs = [40, 5];
       const last = leader.group.lastLogIndex() + 3 * Constants.logEntriesUntilSnapshot;
       // entries come one after the other, and are committed by the followers while an earlier one is being synced
-      let proposing = true;
+      let isProposing = true;
       Csp.go(leader.process.scope, "proposals", function* () {
         while (leader.group.lastLogIndex() < last) {
           for (let burst = 0; burst < 8; burst += 1)
             Csp.go(leader.process.scope, "proposal", () => leader.group.propose(noop, 3000));
           yield* EnvironmentTools.sleep(leader.process.env, 5);
         }
-        proposing = false;
+        isProposing = false;
       });
-      for (let waited = 0; proposing && waited < 300; waited += 1) await control.world.run(100);
+      for (let waited = 0; isProposing && waited < 300; waited += 1) await control.world.run(100);
       await control.world.run(1000);
       expect(leader.group.snapshotIndex).toBeGreaterThan(0);
       const indexes = leader.group.inspect().entries.map(({ index }) => index);
@@ -76,9 +80,12 @@
       control.kill(leader.id);
       const restarted = control.restart(leader.id);
       await control.world.run(100);
-      const reread = restarted.group.inspect().entries.map(({ index }) => index);
+      const indexesAfterRestart = restarted.group.inspect().entries.map(({ index }) => index);
       expect({ seed, baseIndex: restarted.group.snapshotIndex }).toEqual({ seed, baseIndex });
-      expect({ seed, reread }).toEqual({ seed, reread: reread.map((_index, at) => baseIndex + 1 + at) });
+      expect({ seed, reread: indexesAfterRestart }).toEqual({
+        seed,
+        reread: indexesAfterRestart.map((_index, at) => baseIndex + 1 + at),
+      });
       await control.world.run(4000);
       expect(restarted.group.lastApplied).toBeGreaterThanOrEqual(applied);
       expect(restarted.group.lastApplied).toBe(control.leader()!.group.lastApplied);
--- a/test/snapshotTransfer.test.ts
+++ b/test/snapshotTransfer.test.ts
@@ -7,22 +7,22 @@
 import { noop, noops } from "./consensusGroups";
 
 /** 20 Mbit/s in bytes a ms. */
-const SLOW_LINK = 2500;
+const SLOW_LINK_BYTES_PER_MS = 2500;
 /** Text that deflate can't shorten, from the run's seed. */
-const text = (control: GroupWorld, bytes: number): string => {
+const incompressibleText = (control: GroupWorld, bytes: number): string => {
   const words = new Uint32Array(Math.floor((bytes * 3) / 16));
   for (let at = 0; at < words.length; at += 1) words[at] = control.world.random() * 4294967296;
   return Buffer.from(words.buffer).toString("base64");
 };
-const policies = (control: GroupWorld, ifVersion: number, bytes: number): Command => ({
+const policiesCommand = (control: GroupWorld, ifVersion: number, bytes: number): Command => ({
   tag: "policies",
   changeId: `policies-${ifVersion}`,
   ifVersion,
-  doc: [{ match: { caller: text(control, bytes) }, order: 1 }],
+  doc: [{ match: { caller: incompressibleText(control, bytes) }, order: 1 }],
   by: "ann",
 });
 /** Proposes five changes a second until the follower has nearly caught up; how long that took, ms. */
-async function caughtUpMs(control: GroupWorld, follower: Voter, withinMs: number): Promise<number> {
+async function msUntilCaughtUp(control: GroupWorld, follower: Voter, withinMs: number): Promise<number> {
   const from = control.world.now;
   while (control.world.now - from < withinMs) {
     const leader = control.leader();
@@ -33,7 +33,7 @@
   }
   return Infinity;
 }
-const elections = (control: GroupWorld): number =>
+const countElections = (control: GroupWorld): number =>
   control.voters.reduce((sum, { group }) => sum + group.electionsStarted, 0);
 
 describe("catching up over a link of 20 Mbit/s", () => {
@@ -41,16 +41,16 @@
     const control = new GroupWorld(4, 21);
     await control.boot();
     control.kill("c4");
-    expect(await control.propose([policies(control, 0, 4_000_000)], 5000)).toMatchObject({ taken: 1 });
+    expect(await control.propose([policiesCommand(control, 0, 4_000_000)], 5000)).toMatchObject({ taken: 1 });
     while (control.leader()!.group.snapshotIndex <= Constants.trailingLogEntries)
       await control.propose(noops(50), 3000);
-    const before = elections(control);
+    const before = countElections(control);
     const follower = control.restart("c4", true);
-    follower.process.linkBytesPerMs = SLOW_LINK;
-    expect(await caughtUpMs(control, follower, 30_000)).toBeLessThan(4700);
+    follower.process.linkBytesPerMs = SLOW_LINK_BYTES_PER_MS;
+    expect(await msUntilCaughtUp(control, follower, 30_000)).toBeLessThan(4700);
     expect(follower.group.snapshotIndex).toBeGreaterThan(Constants.trailingLogEntries);
     expect(follower.group.state).toEqual(control.leader()!.group.state);
-    expect(elections(control)).toBe(before);
+    expect(countElections(control)).toBe(before);
     control.end();
   });
 
@@ -58,20 +58,20 @@
     const control = new GroupWorld(4, 22);
     await control.boot();
     control.kill("c4");
-    await control.propose([policies(control, 0, 4_000_000)], 5000);
+    await control.propose([policiesCommand(control, 0, 4_000_000)], 5000);
     while (control.leader()!.group.snapshotIndex <= Constants.trailingLogEntries)
       await control.propose(noops(50), 3000);
     const follower = control.restart("c4", true);
-    follower.process.linkBytesPerMs = SLOW_LINK;
+    follower.process.linkBytesPerMs = SLOW_LINK_BYTES_PER_MS;
     const leader = control.leader()!;
     const before = leader.meter.copy();
-    for (let cut = 0; cut < 3; cut += 1) {
+    for (let interruption = 0; interruption < 3; interruption += 1) {
       await control.world.run(500);
       control.world.isolate(["c4"], "both");
       await control.world.run(1000);
       control.world.heal();
     }
-    expect(await caughtUpMs(control, follower, 30_000)).toBeLessThan(4700);
+    expect(await msUntilCaughtUp(control, follower, 30_000)).toBeLessThan(4700);
     expect(leader.meter.since(before).bytes).toBeLessThan(1.5 * 4_000_000);
     control.end();
   });
@@ -82,27 +82,28 @@
     const [follower, other] = control.voters.filter((voter) => voter !== control.leader());
     control.kill(follower.id);
     for (let version = 0; version < 4; version += 1)
-      expect(await control.propose([policies(control, version, 1_000_000)], 5000)).toMatchObject({ taken: 1 });
+      expect(await control.propose([policiesCommand(control, version, 1_000_000)], 5000)).toMatchObject({ taken: 1 });
     const restarted = control.restart(follower.id);
-    restarted.process.linkBytesPerMs = SLOW_LINK;
+    restarted.process.linkBytesPerMs = SLOW_LINK_BYTES_PER_MS;
     await control.world.run(300);
     control.kill(other.id);
     const leader = control.leader()!;
-    const before = elections(control);
+    const before = countElections(control);
     for (let step = 0; step < 40; step += 1) {
       await control.world.run(100);
       expect(leader.group.hasLeaderLease()).toBe(true);
     }
     expect(restarted.group.lastApplied).toBe(leader.group.lastApplied);
     expect(await control.propose([noop], 2000)).toMatchObject({ taken: 1 });
-    expect(elections(control)).toBe(before);
+    expect(countElections(control)).toBe(before);
     control.end();
   });
 
   test("the log is compacted by bytes", async () => {
     const control = new GroupWorld(3, 24);
     await control.boot();
-    for (let version = 0; version < 8; version += 1) await control.propose([policies(control, version, 800_000)], 5000);
+    for (let version = 0; version < 8; version += 1)
+      await control.propose([policiesCommand(control, version, 800_000)], 5000);
     await control.world.run(1000);
     for (const { group } of control.voters) expect(group.lastLogIndex() - group.snapshotIndex).toBeLessThan(5);
     control.end();
@@ -114,15 +115,15 @@
   const payloadOnWire = { prevIndex: 4, prevTerm: 2, entries: [{ index: 5, term: 2, command: noop }] };
   const packed = ChunkedPayload.pack(payload);
   const half = Math.floor(packed.bytes.length / 2);
-  const first = (): PayloadChunk => ChunkedPayload.chunk("c1-2-1", packed, 0, half);
-  const second = (): PayloadChunk => ChunkedPayload.chunk("c1-2-1", packed, half, packed.bytes.length);
+  const firstChunk = (): PayloadChunk => ChunkedPayload.chunk("c1-2-1", packed, 0, half);
+  const secondChunk = (): PayloadChunk => ChunkedPayload.chunk("c1-2-1", packed, half, packed.bytes.length);
 
   test("is complete again at the receiver, also when some chunks come twice or out of order", () => {
     const receiver = new ChunkReceiver();
-    expect(receiver.receive(second())).toEqual({ tag: "incomplete", receivedBytes: 0 });
-    expect(receiver.receive(first())).toEqual({ tag: "incomplete", receivedBytes: half });
-    expect(receiver.receive(first())).toEqual({ tag: "incomplete", receivedBytes: half });
-    expect(receiver.receive(second())).toEqual({ tag: "complete", payload: payloadOnWire });
+    expect(receiver.receive(secondChunk())).toEqual({ tag: "incomplete", receivedBytes: 0 });
+    expect(receiver.receive(firstChunk())).toEqual({ tag: "incomplete", receivedBytes: half });
+    expect(receiver.receive(firstChunk())).toEqual({ tag: "incomplete", receivedBytes: half });
+    expect(receiver.receive(secondChunk())).toEqual({ tag: "complete", payload: payloadOnWire });
   });
 
   test("is rejected when a chunk is malformed, of a wrong size or damaged", () => {
@@ -138,19 +139,19 @@
       { totalBytes: half - 1 },
     ];
     for (const fields of malformed)
-      expect({ fields, result: receiver.receive({ ...first(), ...fields }).tag }).toEqual({
+      expect({ fields, result: receiver.receive({ ...firstChunk(), ...fields }).tag }).toEqual({
         fields,
         result: "rejected",
       });
-    receiver.receive(first());
-    expect(receiver.receive({ ...second(), checksum: packed.checksum ^ 1 }).tag).toBe("rejected");
+    receiver.receive(firstChunk());
+    expect(receiver.receive({ ...secondChunk(), checksum: packed.checksum ^ 1 }).tag).toBe("rejected");
     const damaged = Buffer.from(packed.bytes);
     damaged[half + 1] ^= 0xff;
-    receiver.receive(first());
+    receiver.receive(firstChunk());
     expect(
       receiver.receive(ChunkedPayload.chunk("c1-2-1", { ...packed, bytes: damaged }, half, damaged.length)).tag,
     ).toBe("rejected");
-    expect(receiver.receive(first())).toEqual({ tag: "incomplete", receivedBytes: half });
-    expect(receiver.receive(second())).toEqual({ tag: "complete", payload: payloadOnWire });
+    expect(receiver.receive(firstChunk())).toEqual({ tag: "incomplete", receivedBytes: half });
+    expect(receiver.receive(secondChunk())).toEqual({ tag: "complete", payload: payloadOnWire });
   });
 });
