--- a/src/consensus/appendEntriesHandler.ts
+++ b/src/consensus/appendEntriesHandler.ts
@@ -9,23 +9,26 @@
 import { AppendEntriesRequestOnWire, AppendEntriesResponseOnWire } from "./wireMessages";
 
 /**
- * The follower's side of log replication: entries, snapshots and chunks of either are checked and put on disk before they
- * are acknowledged (Raft, figure 2: AppendEntries RPC; figure 13: InstallSnapshot RPC).
+ * The follower's side of log replication. It checks entries, snapshots and chunks of either, and acknowledges entries
+ * and snapshots only after writing them to disk (Raft, figure 2: AppendEntries RPC; figure 13: InstallSnapshot RPC).
  *
  * @example
  * const handler = new AppendEntriesHandler(replica);
  * rpc.handle("group.append", (body) => handler.onAppendEntries(body));
  */
 export class AppendEntriesHandler {
-  private readonly chunks = new ChunkReceiver();
-  /** The last payload that was completed, and the response to it: true as long as the term lasts. */
-  private completed: { transferId: string; response: AppendEntriesResponse } | undefined;
+  private readonly chunkReceiver = new ChunkReceiver();
+  /**
+   * Transfer id of the last payload that was received completely, and the response to it. The response is valid for the
+   * rest of the term.
+   */
+  private lastCompleted: { transferId: string; response: AppendEntriesResponse } | undefined;
 
   constructor(private readonly replica: ConsensusReplica) {}
 
   /**
-   * Handles an AppendEntries request. Faults: refused (meant for another server), invalid (malformed, of another group, or
-   * in conflict with committed entries), disk.
+   * Handles an AppendEntries request. Faults: refused (the request is addressed to another server), invalid (the
+   * request is malformed, belongs to another group, or conflicts with committed entries), disk.
    */
   *onAppendEntries(body: AppendEntriesRequestOnWire): Task<Result<AppendEntriesResponseOnWire>> {
     const { replica } = this;
@@ -35,31 +38,31 @@
     const decoded = MessageCodec.decodeAppendEntries(body);
     if (!decoded.ok) return this.reject(body.lead, decoded.defect);
     const request = decoded.message;
-    // A group recovered from one voter takes in whoever belonged to its predecessor.
-    const supersedesOurs = log.isBootstrapped() && GroupRecovery.supersedes(request.groupId, replica.groupId());
-    if (log.isBootstrapped() && request.groupId !== replica.groupId() && !supersedesOurs)
+    // A group recovered from a single voter accepts the members of its predecessor.
+    const supersedesOwnGroup = log.isBootstrapped() && GroupRecovery.supersedes(request.groupId, replica.groupId());
+    if (log.isBootstrapped() && request.groupId !== replica.groupId() && !supersedesOwnGroup)
       return this.reject(request.leaderId, "another group's append");
     if (log.hasDiskFailed()) return Fault.fail("disk", "append", replica.selfId, "disk failed");
     yield* Csp.take(log.diskLock);
     try {
-      let response = yield* this.append(request, supersedesOurs);
+      let response = yield* this.append(request, supersedesOwnGroup);
       if (response.ok && response.value.success && request.chunk)
-        response = yield* this.receiveChunk(body, request.chunk, supersedesOurs);
+        response = yield* this.receiveChunk(body, request.chunk, supersedesOwnGroup);
       return response.ok ? Fault.ok(MessageCodec.encodeAppendEntriesResponse(response.value)) : response;
     } finally {
       Csp.offer(log.diskLock, true);
     }
   }
 
-  /** Takes in a chunk of a payload; with the last one, the payload itself. */
+  /** Stores one chunk of a payload; once the last chunk has arrived, handles the whole payload. */
   private *receiveChunk(
     body: AppendEntriesRequestOnWire,
     chunk: PayloadChunk,
-    supersedesOurs: boolean,
+    supersedesOwnGroup: boolean,
   ): Task<Result<AppendEntriesResponse>> {
-    // The response to the last chunk was lost, and the leader has sent it again.
-    if (this.completed?.transferId === chunk.transferId) return Fault.ok(this.completed.response);
-    const result = this.chunks.receive(chunk);
+    // The leader retransmits the last chunk if the response to it was lost.
+    if (this.lastCompleted?.transferId === chunk.transferId) return Fault.ok(this.lastCompleted.response);
+    const result = this.chunkReceiver.receive(chunk);
     switch (result.tag) {
       case "incomplete":
         return Fault.ok({
@@ -73,21 +76,24 @@
       case "complete": {
         const decoded = MessageCodec.decodeAppendEntries({ ...body, ...result.payload, piece: undefined });
         if (!decoded.ok) return this.reject(body.lead, decoded.defect);
-        const response = yield* this.append(decoded.message, supersedesOurs);
-        if (response.ok) this.completed = { transferId: chunk.transferId, response: response.value };
+        const response = yield* this.append(decoded.message, supersedesOwnGroup);
+        if (response.ok) this.lastCompleted = { transferId: chunk.transferId, response: response.value };
         return response;
       }
     }
   }
 
-  /** Handles a well-formed request of this group, or of the one that supersedes it. The caller holds the disk lock. */
-  private *append(request: AppendEntriesRequest, supersedesOurs: boolean): Task<Result<AppendEntriesResponse>> {
+  /**
+   * Handles a well-formed request from this group or from the group that supersedes it. The caller must hold the disk
+   * lock.
+   */
+  private *append(request: AppendEntriesRequest, supersedesOwnGroup: boolean): Task<Result<AppendEntriesResponse>> {
     const { replica } = this;
     const { log } = replica;
     if (request.term < log.currentTerm) return this.mismatch(log.lastIndex());
     if (!(yield* this.followLeader(request.leaderId, request.term)))
       return Fault.fail("disk", "append", replica.selfId, "term not saved");
-    if (!supersedesOurs && this.conflictsWithCommitted(request))
+    if (!supersedesOwnGroup && this.conflictsWithCommitted(request))
       return replica.reject(
         ConsensusEvent.committedEntryConflict,
         "append",
@@ -97,10 +103,10 @@
     if (request.snapshot && this.needsSnapshot(request.snapshot)) {
       const installed = yield* this.installSnapshot(request.snapshot);
       if (!installed.ok) return installed;
-    } else if (supersedesOurs) {
+    } else if (supersedesOwnGroup) {
       return this.awaitSnapshotOfSuccessor(request);
     }
-    // Entries before our snapshot are committed, and therefore equal.
+    // Entries covered by the local snapshot are committed, so they equal the leader's and need no comparison.
     const { prevLogIndex, prevLogTerm } = request;
     if (prevLogIndex >= log.snapshotIndex && !log.matches(prevLogIndex, prevLogTerm))
       return this.mismatch(this.lastPossibleMatch(prevLogIndex));
@@ -122,7 +128,10 @@
     if (log.needsCompaction(replica.lastApplied)) Csp.offer(log.writeRequests, true);
     return Fault.ok({ term: log.currentTerm, success: true, matchIndex });
   }
-  /** Nothing of the former group's log is compared with its successor's: the successor's snapshot comes first. */
+  /**
+   * The log of the former group is not comparable with its successor's, so this server waits for the successor's
+   * snapshot.
+   */
   private awaitSnapshotOfSuccessor(request: AppendEntriesRequest): Result<AppendEntriesResponse> {
     const isChunkOfSnapshot = request.chunk !== undefined && request.prevLogIndex === 0;
     if (!isChunkOfSnapshot) return this.mismatch(this.replica.log.lastIndex());
@@ -140,7 +149,10 @@
     });
   }
 
-  /** Follows the leader of a term at least as high as ours, and resets the election timer. False if the disk fails. */
+  /**
+   * Follows a leader whose term is not older than the local one, and resets the election timer. Returns false if the
+   * disk fails.
+   */
   private *followLeader(leaderId: string, term: number): Task<boolean> {
     const { replica } = this;
     const { log } = replica;
@@ -149,15 +161,15 @@
     replica.startedRecently = false;
     replica.resetElectionTimer();
     replica.leaderId = leaderId;
-    // Entries appended here as a former leader that never reached this disk must not be acknowledged.
+    // Entries that this server appended as a former leader and never synced to its disk must not be acknowledged.
     return (yield* log.dropUnsynced(replica.commitIndex)).ok;
   }
 
   // ---------- log comparison ----------
 
   /**
-   * The highest index at which the log may equal the leader's, given that it differs at this one: before all entries of
-   * the term found there (Raft, end of section 5.3).
+   * Returns the highest index at which the log may still match the leader's, given a mismatch at `index`. It skips all
+   * entries of the conflicting term (Raft, end of section 5.3).
    */
   private lastPossibleMatch(index: number): number {
     const { log, commitIndex } = this.replica;
@@ -167,7 +179,10 @@
     while (last > commitIndex && log.termAt(last) === conflictTerm) last -= 1;
     return Math.max(last, commitIndex);
   }
-  /** Every later leader has what is committed here (leader completeness): a request that contradicts it is none of this log. */
+  /**
+   * Every later leader has the entries committed here (leader completeness), so a conflicting request belongs to a
+   * different log.
+   */
   private conflictsWithCommitted({ prevLogIndex, prevLogTerm, entries, snapshot }: AppendEntriesRequest): boolean {
     const { log, commitIndex } = this.replica;
     const positions = [{ index: prevLogIndex, term: prevLogTerm }, ...entries];
@@ -176,7 +191,10 @@
       ({ index, term }) => index >= log.snapshotIndex && index <= commitIndex && !log.matches(index, term),
     );
   }
-  /** Not needed if the log has the snapshot's last entry. A longer log without it may still be another leader's. */
+  /**
+   * A log that contains the snapshot's last entry needs no snapshot. A longer log without that entry may come from
+   * another leader.
+   */
   private needsSnapshot({ lastIncludedIndex, lastIncludedTerm }: Snapshot): boolean {
     const { log, commitIndex } = this.replica;
     return lastIncludedIndex > commitIndex && !log.matches(lastIncludedIndex, lastIncludedTerm);
--- a/src/consensus/chunkReceiver.ts
+++ b/src/consensus/chunkReceiver.ts
@@ -4,13 +4,13 @@
 import { MessageDefect, MessageValidation } from "./messageValidation";
 import { AppendPayloadOnWire } from "./wireMessages";
 
-/** What came of a chunk: more are to come, the payload is complete, or the chunk was rejected. */
+/** Result of receiving a chunk: the payload is still incomplete, it is complete, or the chunk was rejected. */
 export type ChunkResult =
   | { tag: "incomplete"; receivedBytes: number }
   | { tag: "complete"; payload: Partial<AppendPayloadOnWire> }
   | { tag: "rejected"; defect: MessageDefect };
 
-/** The payload that is being received. */
+/** A payload that has been received in part. */
 interface Transfer {
   id: string;
   totalBytes: number;
@@ -21,16 +21,13 @@
 const rejected = (defect: MessageDefect): ChunkResult => ({ tag: "rejected", defect });
 
 /**
- * Puts payloads together from chunks, one payload at a time and in order. A chunk of another payload starts anew; one that
- * does not continue what has been received is ignored, and the sender learns from `receivedBytes` where to continue.
- *
- * @example
- * const result = receiver.receive(chunk);
+ * Reassembles payloads from chunks, one payload at a time and in order. A chunk of another payload discards the current
+ * one and starts over. A chunk at an unexpected offset is ignored, and `receivedBytes` tells the sender where to
+ * continue.
  */
 export class ChunkReceiver {
   private current: Transfer | undefined;
 
-  /** Takes one chunk in. */
   receive(chunk: PayloadChunk): ChunkResult {
     const defect = MessageValidation.chunkDefect(chunk, Constants.packedPayloadMaxBytes);
     if (defect !== undefined) return rejected(defect);
--- a/src/consensus/chunkedPayload.ts
+++ b/src/consensus/chunkedPayload.ts
@@ -5,31 +5,31 @@
 import { AppendPayloadOnWire } from "./wireMessages";
 
 const checksumOf = crc32 as (data: Buffer) => number;
-/** The fastest level: a payload is packed while followers wait for a heartbeat. */
+/** The fastest compression level, because packing delays the heartbeats to the followers. */
 const DEFLATE_LEVEL = 1;
 
-/** A payload as bytes, with the CRC-32 of the bytes. */
+/** A compressed payload with the CRC-32 of its bytes. */
 export interface PackedPayload {
   bytes: Buffer;
   checksum: number;
 }
 
 /**
- * Payloads that are too long for one message, as bytes: packed once, sent chunk by chunk, checked and unpacked by the
- * follower.
+ * Packs payloads that are too long for one message. The leader packs a payload once and sends it in chunks; the
+ * follower verifies and unpacks it.
  *
  * @example
  * const packed = ChunkedPayload.pack(payload);
  * const chunk = ChunkedPayload.chunk("3-1", packed, 0, 65_536);
  */
 export const ChunkedPayload = {
-  /** Deflates a payload. */
+  /** Serializes a payload as JSON and compresses it with raw deflate. */
   pack(payload: AppendPayload): PackedPayload {
     const json = JSON.stringify(MessageCodec.encodePayload(payload));
     const bytes = deflateRawSync(Buffer.from(json, "utf8"), { level: DEFLATE_LEVEL });
     return { bytes, checksum: checksumOf(bytes) };
   },
-  /** The chunk of at most `length` bytes from `offset` on. */
+  /** Returns the chunk of at most `length` bytes that starts at `offset`. */
   chunk: (transferId: string, packed: PackedPayload, offset: number, length: number): PayloadChunk => ({
     transferId,
     totalBytes: packed.bytes.length,
@@ -37,7 +37,7 @@
     offset,
     data: packed.bytes.subarray(offset, offset + length).toString("base64"),
   }),
-  /** The payload in its form on the wire, its fields not checked yet; undefined if the bytes are damaged. */
+  /** Returns the payload in its wire format, with its fields not validated yet; undefined if the bytes are damaged. */
   unpack(bytes: Buffer, expectedChecksum: number): Partial<AppendPayloadOnWire> | undefined {
     if (checksumOf(bytes) !== expectedChecksum) return undefined;
     try {
--- a/src/consensus/consensusEvents.ts
+++ b/src/consensus/consensusEvents.ts
@@ -1,4 +1,7 @@
-/** Numbers of the log events of a consensus group; texts and advice are in common/logEvents.ts. */
+/**
+ * Numbers of the log events of a consensus group. Their texts and the recommended operator actions are in
+ * common/logEvents.ts.
+ */
 export const ConsensusEvent = {
   electedLeader: 1303,
   steppedDown: 1304,
--- a/src/consensus/consensusGroup.ts
+++ b/src/consensus/consensusGroup.ts
@@ -23,17 +23,17 @@
 import { VoteHandler } from "./voteHandler";
 import { ConsensusMethod } from "./wireMessages";
 
-/** Term and log of one replica at this instant, for tools that compare replicas. */
+/** Current term and in-memory log of one replica, for tools that compare replicas. */
 export interface ConsensusGroupInspection {
   term: number;
   entries: readonly LogEntry[];
 }
 
 /**
- * One replica of the control group: a replicated state machine by the Raft algorithm (Ongaro and Ousterhout, "In Search of
- * an Understandable Consensus Algorithm", 2014), with pre-vote, leader lease, leadership transfer and changes of one voter
- * at a time (Ongaro, "Consensus: Bridging Theory and Practice", 2014). An entry is committed once a majority of the voters
- * has it on disk.
+ * One replica of the control group, a state machine replicated with the Raft algorithm (Ongaro and Ousterhout, "In
+ * Search of an Understandable Consensus Algorithm", 2014). It supports pre-vote, leader lease, leadership transfer and
+ * single-server membership changes (Ongaro, "Consensus: Bridging Theory and Practice", 2014). An entry is committed
+ * once a majority of the voters has it on disk.
  *
  * @example
  * const group = new ConsensusGroup(env, rpc, "node-1", new CheckpointedLog(env, "data/control"), hooks);
@@ -64,11 +64,11 @@
     this.election = new Election(this.replica, this.replication, this.lease, rpc);
   }
 
-  /** Reads what this server has on disk. Fault: disk. */
+  /** Loads the persistent state from disk. Fault: disk. */
   open(): Task<Result<true>> {
     return this.replica.open();
   }
-  /** Starts to answer the other servers and to take part in elections. */
+  /** Starts to handle requests from the other servers and to take part in elections. */
   start(): void {
     const { env, rpc, replica } = this;
     const votes = new VoteHandler(replica, this.election);
@@ -78,7 +78,8 @@
     rpc.handle(ConsensusMethod.requestVote, (body) => votes.onRequestVote(body));
     rpc.handle(ConsensusMethod.appendEntries, (body) => appends.onAppendEntries(body));
     rpc.handle(ConsensusMethod.timeoutNow, (body) => votes.onTimeoutNow(body));
-    // A restarted voter may have acknowledged a leader just before: it votes only once that lease has ended.
+    // A restarted voter may have acknowledged a leader shortly before it stopped, so it votes only after that lease has
+    // expired.
     replica.lastLeaderContactAt = env.mono();
     replica.resetRestartElectionTimer();
     EnvironmentTools.keep(env, env.scope, "election", () => this.election.run());
@@ -87,19 +88,19 @@
 
   // ---------- state ----------
 
-  /** Whether this server belongs to a group. @example if (!group.isBootstrapped()) yield* group.bootstrap("g-1", voters); */
+  /** Whether this server belongs to a group. */
   isBootstrapped(): boolean {
     return this.log.isBootstrapped();
   }
-  /** Id of the group, or "" before it is known. */
+  /** Id of the group; "" if it is not known yet. */
   groupId(): string {
     return this.replica.groupId();
   }
-  /** The voters of the newest entry that sets them, committed or not. */
+  /** The voters set by the newest membership entry in the log, committed or not. */
   voters(): string[] {
     return this.log.voters();
   }
-  /** The log in memory; what it returns must not be changed. @example group.inspect().entries.length */
+  /** Returns the current term and the entries in memory. The caller must not modify the entries. */
   inspect(): ConsensusGroupInspection {
     return { term: this.log.currentTerm, entries: this.log.entries };
   }
@@ -119,15 +120,15 @@
   get role(): RaftRole {
     return this.replica.role;
   }
-  /** Id of the leader last heard from, or "". */
+  /** Id of the last known leader; "" if none is known. */
   get leaderId(): string {
     return this.replica.leaderId;
   }
-  /** When this server was last elected, on its monotonic clock, ms. */
+  /** Time of this server's last election as leader, on its monotonic clock, in ms. */
   get leaderSince(): number {
     return this.replica.leaderSince;
   }
-  /** How often this server asked for votes or pre-votes. */
+  /** Number of elections, pre-votes included, that this server has started. */
   get electionsStarted(): number {
     return this.election.electionsStarted;
   }
@@ -142,23 +143,23 @@
 
   // ---------- leadership ----------
 
-  /** See LeaderLease.isHeld. @example if (!group.hasLeaderLease()) return; */
+  /** See LeaderLease.isHeld. */
   hasLeaderLease(): boolean {
     return this.lease.isHeld();
   }
-  /** See LeaderLease.quorumContactAt. @example const currentAsOf = group.quorumContactAt(); */
+  /** See LeaderLease.quorumContactAt. */
   quorumContactAt(): number {
     return this.lease.quorumContactAt();
   }
-  /** Entries that a server is behind. @example group.lag("node-4") */
+  /** Number of entries by which a server lags behind, as known to the leader. */
   lag(id: string): number {
     return this.catchUp.lag(id);
   }
-  /** Whether a standby may become a voter; see CatchUp.isCaughtUp. @example group.isCaughtUp("node-4") */
+  /** Whether a standby may become a voter; see CatchUp.isCaughtUp. */
   isCaughtUp(id: string): boolean {
     return this.catchUp.isCaughtUp(id);
   }
-  /** As a leader that is about to stop: lets another voter lead. @example yield* group.transferLeadership(); */
+  /** Transfers the leadership to another voter before this server stops. */
   transferLeadership(): Task<void> {
     return new LeadershipTransfer(this.replica, this.catchUp, this.lease, this.rpc).run();
   }
@@ -166,9 +167,8 @@
   // ---------- changes ----------
 
   /**
-   * Writes the first entry of a new group, the same on each of its first voters. Faults: conflict (belongs to another
-   * group), disk.
-   * @example yield* group.bootstrap("g-1", ["a", "b", "c"]);
+   * Writes the first entry of a new group, which is the same on each of its initial voters. Faults: conflict (this
+   * server belongs to another group), disk.
    */
   *bootstrap(groupId: string, voters: string[]): Task<Result<true>> {
     yield* Csp.take(this.log.diskLock);
@@ -181,24 +181,22 @@
     }
   }
   /**
-   * Continues from this voter alone; see SingleVoterRecovery. Faults: conflict, disk.
-   * @example yield* group.recover({ group: "g", voter: "c1", by: "ann" }, views)
+   * Recovers the group from this voter alone; see SingleVoterRecovery. Faults: conflict, disk.
    */
-  *recover(order: RecoveryRequest, views: ShardView[]): Task<Result<RecoveryResult>> {
+  *recover(request: RecoveryRequest, views: ShardView[]): Task<Result<RecoveryResult>> {
     yield* Csp.take(this.log.diskLock);
     try {
-      return yield* new SingleVoterRecovery(this.replica, this.lease).run(order, views);
+      return yield* new SingleVoterRecovery(this.replica, this.lease).run(request, views);
     } finally {
       Csp.offer(this.log.diskLock, true);
     }
   }
   /**
-   * Appends a command to the log and waits until it is applied here.
+   * Appends a command to the log and waits until this server has applied it.
    *
-   * Faults: notLead, with the leader's id if it is known; conflict (a change of voters that is not allowed now, or an entry
-   * that another leader replaced: not applied); unknown (it may still be committed).
-   *
-   * @example yield* group.propose(command, 1500)
+   * Faults: notLead, with the id of the leader if it is known; conflict (a membership change that is not allowed now,
+   * or an entry that another leader replaced: the command was not applied); unknown (the command may still be
+   * committed).
    */
   *propose(command: Command, timeoutMs: number): Task<Result<Outcome>> {
     const { replica } = this;
--- a/src/consensus/consensusReplica.ts
+++ b/src/consensus/consensusReplica.ts
@@ -13,57 +13,63 @@
 import { RaftRole } from "./role";
 import { PersistentState } from "./storageCodec";
 
-/** What a consensus group needs to know of the cluster around it. */
+/** Connects a consensus group to the rest of its process. */
 export interface ConsensusGroupHooks {
-  /** Address of a server by its id; undefined if none is known. */
+  /** Returns the address of a server by its id; undefined if none is known. */
   addressOf(id: string): string | undefined;
-  /** Ids of all other control nodes now alive, voters and standbys. */
+  /** Returns the ids of all other control nodes that are alive, voters and standbys. */
   otherNodes(): string[];
-  /** Called when the state machine has applied entries up to an index, or was replaced by a snapshot. */
+  /** Is called after the state machine has applied entries up to an index or has been replaced by a snapshot. */
   onApplied(state: ControlState, index: number): void;
 }
 
-/** A proposal that waits for its entry to be applied. */
+/** A proposal whose entry has not been applied yet. */
 export interface PendingProposal {
-  /** Term in which it was appended: an entry of another term at its index is another proposal. */
+  /** Term in which the entry was appended. An entry with another term at the same index belongs to another proposal. */
   term: number;
   outcome: Chan<Result<Outcome>>;
 }
 
-/** The first election after a start is due after a random share of `restartElectionMs` between these two. */
-const RESTART_ELECTION_SHARE_MIN = 0.2;
-const RESTART_ELECTION_SHARE_SPREAD = 1.6;
+/**
+ * The first election after a start is due after `restartElectionMs` times a random factor: the minimum plus up to the
+ * spread.
+ */
+const RESTART_ELECTION_FACTOR_MIN = 0.2;
+const RESTART_ELECTION_FACTOR_SPREAD = 1.6;
 
 /**
- * One replica of the group: its role, its state machine and its timers, shared by election, replication and the handling
- * of requests (Raft, figure 2: state).
+ * The state of one replica: its role, state machine and timers. Election, replication and the request handlers share it
+ * (Raft, figure 2: state).
  *
  * @example
  * const replica = new ConsensusReplica(env, "node-1", new ReplicatedLog(store), hooks);
  */
 export class ConsensusReplica {
-  /** Highest index known to be committed. Never falls. */
+  /** Highest index known to be committed. It never decreases. */
   commitIndex = 0;
   /** Index of the last entry applied to the state machine. */
   lastApplied = 0;
-  /** The state machine. */
+  /** State of the replicated state machine after the entry `lastApplied`. */
   state = ControlState.empty();
   role: RaftRole = "follower";
-  /** Id of the leader last heard from, or "". */
+  /** Id of the last known leader; "" if none is known. */
   leaderId = "";
-  /** When this server was last elected, on its monotonic clock, ms. */
+  /** Time of this server's last election as leader, on its monotonic clock, in ms. */
   leaderSince = 0;
-  /** When a leader's append last arrived here, on the monotonic clock, ms. */
+  /** Time of the last AppendEntries request from a leader, on the monotonic clock, in ms. */
   lastLeaderContactAt: number;
-  /** As leader: what is known of the followers, by id. */
+  /** On a leader: the replication progress of each follower, by id. */
   readonly followers = new Map<string, FollowerProgress>();
-  /** As leader: proposals that wait for their entry, by its index. */
+  /** On a leader: proposals whose entries have not been applied yet, by index. */
   readonly pendingProposals = new Map<number, PendingProposal>();
-  /** When the next election is due, on the monotonic clock, ms. */
+  /** Time at which the next election is due, on the monotonic clock, in ms. */
   electionDueAt = 0;
-  /** True until a leader's append arrives or this server is elected: its own start is all that delays its votes. */
+  /**
+   * True from the start of the process until the first AppendEntries request from a leader, or until this server is
+   * elected.
+   */
   startedRecently = true;
-  /** When a rejection was last logged, by reason. */
+  /** Time of the last log line for each reason of rejection, on the monotonic clock, in ms. */
   private readonly rejectionLoggedAt = new Map<string, number>();
 
   constructor(
@@ -75,7 +81,7 @@
     this.lastLeaderContactAt = env.mono();
   }
 
-  /** Reads the disk. What is committed past the snapshot becomes known from a leader. Fault: disk. */
+  /** Loads the persistent state. Only a leader can tell which entries after the snapshot are committed. Fault: disk. */
   *open(): Task<Result<true>> {
     const opened = yield* this.log.open();
     if (!opened.ok) return opened;
@@ -83,7 +89,7 @@
     this.commitIndex = this.lastApplied = this.log.snapshotIndex;
     return opened;
   }
-  /** Id of the group, or "" before it is known. */
+  /** Id of the group; "" if it is not known yet. */
   groupId(): string {
     if (this.state.group) return this.state.group;
     for (const { command } of this.log.entries) {
@@ -92,7 +98,7 @@
     }
     return "";
   }
-  /** Replaces log and state machine by a snapshot, on disk first. Fault: disk. */
+  /** Replaces the log and the state machine with a snapshot, first on disk and then in memory. Fault: disk. */
   *installSnapshot(snapshot: PersistentState): Task<Result<true>> {
     const installed = yield* this.log.installSnapshot(snapshot);
     if (!installed.ok) return installed;
@@ -105,26 +111,32 @@
 
   // ---------- quorum and leadership ----------
 
-  /** How many of the newest voters are a majority. */
+  /** Number of voters that form a majority of the newest membership in the log. */
   majority(): number {
     return Math.floor(this.log.voters().length / 2) + 1;
   }
-  /** Whether this server is one of the newest voters. A leader whose removal is uncommitted is not. */
+  /**
+   * Whether the newest membership in the log includes this server. It excludes a leader that has appended its own
+   * removal, even before that is committed.
+   */
   isVoter(): boolean {
     return this.log.voters().includes(this.selfId);
   }
-  /** Whether this server leads in a term. */
+  /** Whether this server is the leader of the given term. */
   isLeaderOf(term: number): boolean {
     return this.role === "leader" && this.log.currentTerm === term;
   }
   /**
-   * Whether this server leads, is a voter, and has applied an entry of its own term, and with it all that earlier leaders
-   * committed (Raft, section 8).
+   * Whether this server is a leader and a voter that has applied an entry of its own term. It has then also applied all
+   * entries committed by earlier leaders (Raft, section 8).
    */
   hasAppliedOwnTerm(): boolean {
     return this.role === "leader" && this.isVoter() && this.log.termAt(this.lastApplied) === this.log.currentTerm;
   }
-  /** Becomes a follower without a change of term. Entries that were proposed here and are uncommitted may still be committed. */
+  /**
+   * Becomes a follower without changing the term. Uncommitted entries that were proposed here may still be committed by
+   * another leader.
+   */
   becomeFollower(): void {
     if (this.role === "leader") {
       this.env.log(ConsensusEvent.steppedDown, { term: this.log.currentTerm });
@@ -136,9 +148,9 @@
     this.followers.clear();
   }
   /**
-   * Becomes a follower and adopts the term, if it is higher than the current one.
+   * Becomes a follower and adopts the given term if it is higher than the current one.
    *
-   * @param hasDiskLock whether the caller holds the log's disk lock
+   * @param hasDiskLock whether the caller holds the disk lock of the log
    * @returns false if the term could not be saved
    */
   *stepDown(term: number, hasDiskLock: boolean): Task<boolean> {
@@ -155,27 +167,36 @@
 
   // ---------- timers ----------
 
-  /** Sets the election timer anew, at random so that two servers seldom stand at once (Raft, section 5.2). */
+  /**
+   * Resets the election timer to a random time-out, so that two servers rarely start an election at once (Raft, section
+   * 5.2).
+   */
   resetElectionTimer(minMs: number = Constants.electionTimeoutMinMs): void {
     this.electionDueAt = this.env.mono() + minMs + this.env.random() * Constants.electionTimeoutSpreadMs;
   }
-  /** Sets the timer of the election after a restart of all voters: much sooner, as no lease has to be waited for. */
+  /**
+   * Sets the timer for an election after a restart of all voters. It is much shorter, because no lease has to expire
+   * first.
+   */
   resetRestartElectionTimer(): void {
-    const share = RESTART_ELECTION_SHARE_MIN + RESTART_ELECTION_SHARE_SPREAD * this.env.random();
-    this.electionDueAt = this.env.mono() + Constants.restartElectionMs * share;
+    const factor = RESTART_ELECTION_FACTOR_MIN + RESTART_ELECTION_FACTOR_SPREAD * this.env.random();
+    this.electionDueAt = this.env.mono() + Constants.restartElectionMs * factor;
   }
-  /** Whether no leader has been in contact for the shortest election time-out: a leader's lease has ended by then. */
+  /**
+   * Whether no leader has contacted this server for the minimum election time-out. A leader's lease has expired by
+   * then.
+   */
   hasLeaderTimedOut(): boolean {
     return this.role !== "leader" && this.env.mono() - this.lastLeaderContactAt >= Constants.electionTimeoutMinMs;
   }
 
   // ---------- state machine ----------
 
-  /** Applies committed entries in order, and completes the proposals that wait for them. */
+  /** Applies committed entries in order and completes their pending proposals. */
   applyCommitted(): void {
     while (this.lastApplied < this.commitIndex) {
       const entry = this.log.entryAt(this.lastApplied + 1);
-      invariant(entry?.index === this.lastApplied + 1, "entries are applied one after the other, none left out");
+      invariant(entry?.index === this.lastApplied + 1, "entries must be applied one after the other without gaps");
       const outcome = ControlStateMachine.apply(this.state, entry.index, entry.command);
       this.lastApplied = entry.index;
       this.completeProposal(entry.index, entry.term, outcome);
@@ -194,16 +215,16 @@
   // ---------- rejections ----------
 
   /**
-   * Refuses a request that is meant for another server: a server with an emptied disk has a new id at the old address, and
-   * must not answer for a log and votes that it no longer has.
+   * Rejects a request that is addressed to another server. A server whose disk was wiped has a new id at the old
+   * address, and must not answer for a log and votes that it no longer has.
    */
   rejectMisdirected(targetId: string, step: string): Result<never> | undefined {
     if (targetId === this.selfId) return undefined;
     return Fault.fail("refused", step, this.selfId, `meant for ${targetId}, which is no longer here`);
   }
   /**
-   * Rejects a message that is malformed, of another group or in conflict with committed entries. Each reason is logged at
-   * most once in `rejectionLogPeriodMs`.
+   * Rejects a message that is malformed, belongs to another group or conflicts with committed entries. Each reason is
+   * logged at most once per `rejectionLogPeriodMs`.
    */
   reject(
     event: typeof ConsensusEvent.committedEntryConflict | typeof ConsensusEvent.messageRejected,
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -10,30 +10,31 @@
 import { Replication } from "./replication";
 import { ConsensusMethod } from "./wireMessages";
 
-/** Pause between two checks of the election timer, ms: shortly after a start, and before the group is bootstrapped. */
+/** Interval between checks of the election timer until the first contact with a leader after a start, in ms. */
 const CHECK_AFTER_START_MS = 10;
+/** Interval between checks of the election timer before the group is bootstrapped, in ms. */
 const CHECK_BEFORE_BOOTSTRAP_MS = 60;
-/** The shortest pause between two checks of a running timer, ms. */
+/** Minimum interval between checks of a running election timer, in ms. */
 const MIN_CHECK_MS = 20;
-/** A vote not received so long after its request counts as refused, ms. */
+/** Time-out of a request for a vote, in ms. A missing response counts as a denied vote. */
 const VOTE_TIMEOUT_MS = 300;
-/** A leader without contact to a majority for so many shortest election time-outs steps down. */
+/** A leader steps down after this many minimum election time-outs without contact to a majority. */
 const MAJORITY_LOST_TIMEOUTS = 2;
 
 type VoteMethod = typeof ConsensusMethod.preVote | typeof ConsensusMethod.requestVote;
 
 /**
- * The candidate's side of leader election (Raft, section 5.2), with pre-votes (Ongaro's thesis, section 9.6): a server
- * that would not win doesn't disturb the others by a higher term.
+ * The candidate's side of leader election (Raft, section 5.2). Pre-votes (Ongaro's thesis, section 9.6) keep a server
+ * that cannot win from disrupting the others with a higher term.
  *
  * @example
  * const election = new Election(replica, replication, lease, rpc);
  * EnvironmentTools.keep(env, env.scope, "election", () => election.run());
  */
 export class Election {
-  /** How often this server asked for votes or pre-votes. */
+  /** Number of elections, pre-votes included, that this server has started. */
   electionsStarted = 0;
-  /** The last term whose leader transferred its leadership to this server. */
+  /** The last term whose leader transferred its leadership to this server; -1 if there is none. */
   private transferredTerm = -1;
 
   constructor(
@@ -43,7 +44,10 @@
     private readonly rpc: Rpc,
   ) {}
 
-  /** Stands for election when the timer has run out; as leader, steps down without a majority. Runs until its scope ends. */
+  /**
+   * Starts an election whenever the election timer expires. A leader steps down when it has lost contact to a majority.
+   * Runs until its scope ends.
+   */
   *run(): Task<void> {
     const { replica } = this;
     for (;;) {
@@ -52,14 +56,14 @@
       else if (this.isElectionDue()) yield* this.startElection();
     }
   }
-  /** A follower has nothing to do before its next election would be due: every heartbeat puts that off. */
+  /** A follower can sleep until its election timer expires, because every heartbeat only postpones that. */
   private msUntilNextCheck(): number {
     const { replica } = this;
     if (replica.startedRecently) return CHECK_AFTER_START_MS;
     if (replica.role === "leader") return Constants.heartbeatMs;
     if (!replica.log.isBootstrapped()) return CHECK_BEFORE_BOOTSTRAP_MS;
-    const untilDue = replica.electionDueAt - replica.env.mono();
-    return Math.min(Constants.electionCheckMaxMs, Math.max(MIN_CHECK_MS, untilDue));
+    const msUntilDue = replica.electionDueAt - replica.env.mono();
+    return Math.min(Constants.electionCheckMaxMs, Math.max(MIN_CHECK_MS, msUntilDue));
   }
   private *stepDownWithoutMajority(): Task<void> {
     const { replica } = this;
@@ -85,19 +89,20 @@
     else replica.resetElectionTimer(votesRequested ? Constants.electionTimeoutMinMs : Constants.preVoteRetryMinMs);
   }
 
-  /** Stands for election at once, as the leader of that term has asked for (Ongaro's thesis, section 3.10). */
+  /** Starts an election immediately, at the request of the leader of the given term (Ongaro's thesis, section 3.10). */
   acceptLeadershipFrom(term: number): void {
     this.transferredTerm = term;
     Csp.go(this.replica.env.scope, "take over", () => this.campaign(false));
   }
 
   /**
-   * Holds a pre-vote and, if a majority would vote for this server, an election.
+   * Runs a pre-vote and, if it succeeds, an election.
    *
-   * @param afterFullRestart after a loss of power of all servers, every voter has just started and no lease from before
-   *   can be valid. When each of them confirms that, they need not wait for its end. An append from a leader to any of
-   *   them ends this at once.
-   * @returns whether votes were asked for: a pre-vote alone binds nobody, and may be repeated soon
+   * @param afterFullRestart whether all voters are assumed to have just started, as after a power loss of all servers, so
+   *   that no earlier lease can still be valid. If every voter confirms this in the pre-vote, none of them has to wait for
+   *   a lease to expire. A voter no longer confirms it once a leader has sent it an AppendEntries request.
+   * @returns whether the pre-vote succeeded and the election proper was started. A pre-vote alone changes no state, so it
+   *   may be retried soon.
    */
   private *campaign(afterFullRestart: boolean): Task<boolean> {
     const { replica } = this;
@@ -118,18 +123,21 @@
     }
     replica.role = "candidate";
     replica.env.point(ConsensusFaultPoint.termAndOwnVoteSaved);
-    const isWon = yield* this.collectVotes(ConsensusMethod.requestVote, term, afterFullRestart, replica.majority());
+    const hasWon = yield* this.collectVotes(ConsensusMethod.requestVote, term, afterFullRestart, replica.majority());
     if (!this.isCandidate()) return true;
-    if (isWon && log.currentTerm === term) this.becomeLeader();
+    if (hasWon && log.currentTerm === term) this.becomeLeader();
     else replica.role = "follower";
     return true;
   }
-  /** Asked anew after each wait: a message may have changed the role meanwhile. */
+  /** A method, because the role may have changed during each wait for a message. */
   private isCandidate(): boolean {
     return this.replica.role === "candidate";
   }
 
-  /** Whether so many of the voters grant their vote, this server's own included. */
+  /**
+   * Requests votes from all voters and returns whether `votesNeeded` are granted. This server's own vote counts if it
+   * is a voter.
+   */
   private *collectVotes(
     method: VoteMethod,
     term: number,
@@ -147,10 +155,10 @@
         const isGranted = yield* election.requestVote(method, { targetId: id, ...request });
         Csp.offer(votes, isGranted);
       });
-    let granted = voters.length - others.length;
-    for (let received = 0; received < others.length && granted < votesNeeded; received += 1)
-      if (yield* Csp.take(votes)) granted += 1;
-    return granted >= votesNeeded;
+    let grantedCount = voters.length - others.length;
+    for (let receivedCount = 0; receivedCount < others.length && grantedCount < votesNeeded; receivedCount += 1)
+      if (yield* Csp.take(votes)) grantedCount += 1;
+    return grantedCount >= votesNeeded;
   }
   private voteRequest(term: number, afterFullRestart: boolean): Omit<RequestVoteRequest, "targetId"> {
     const { log } = this.replica;
@@ -177,7 +185,10 @@
     return decoded.message.voteGranted;
   }
 
-  /** Starts to lead, with an entry of its own term first: it commits all that stands before it (Raft, section 8). */
+  /**
+   * Becomes leader and appends an entry of its own term, whose commit also commits all entries before it (Raft, section
+   * 8).
+   */
   private becomeLeader(): void {
     const { replica } = this;
     const term = replica.log.currentTerm;
--- a/src/consensus/followerReplicator.ts
+++ b/src/consensus/followerReplicator.ts
@@ -11,21 +11,21 @@
 import { PackedSnapshotCache } from "./packedSnapshotCache";
 import { ConsensusMethod } from "./wireMessages";
 
-/** Pause after a request without a response, as a share of the heartbeat period. */
+/** Pause before the retry of a failed request, as a share of the heartbeat period. */
 const RETRY_PAUSE_SHARE = 0.5;
 
-/** What all replication tasks of one leader share. */
+/** State and callbacks shared by all replication tasks of one leader. */
 export interface ReplicationContext {
-  /** Called after a follower has acknowledged entries. */
+  /** Is called after a follower has acknowledged entries. */
   advanceCommitIndex(): void;
-  /** An id that no other chunked transfer of this server has. */
+  /** Returns an id that is unique among the chunked transfers of this server. */
   nextTransferId(): string;
   readonly packedSnapshots: PackedSnapshotCache;
 }
 
 /**
- * Replicates the leader's log to one follower in one term: entries, or a snapshot where the follower's next entry has been
- * compacted; each request is a heartbeat too (Raft, sections 5.3 and 7).
+ * Replicates the leader's log to one follower in one term. It sends entries, or a snapshot if the follower's next entry
+ * has been compacted. Each request also serves as a heartbeat (Raft, sections 5.3 and 7).
  */
 export class FollowerReplicator {
   constructor(
@@ -36,7 +36,7 @@
     private readonly context: ReplicationContext,
   ) {}
 
-  /** Ends when this server doesn't lead in the term any more, or the follower is neither voter nor alive. */
+  /** Runs until this server is no longer the leader of the term, or the follower is neither a voter nor alive. */
   *run(): Task<void> {
     const { replica, followerId } = this;
     while (replica.isLeaderOf(this.term)) {
@@ -93,15 +93,19 @@
     };
   }
   /**
-   * Index up to which the follower is sent the log. One that is no voter gets committed entries only: a voter that had the
-   * entry of its own removal, uncommitted, would have the longest log, and no voter of the former set could win without it.
+   * Returns the last index to send to the follower. A follower that is not a voter receives committed entries only. If
+   * a voter that is being removed received the uncommitted entry of its own removal, its log would be the longest, and
+   * no voter of the previous membership could win an election without its vote.
    */
   private lastIndexToSend(): number {
     const { log, commitIndex } = this.replica;
     if (log.voters().includes(this.followerId)) return log.lastIndex();
     return Math.min(commitIndex, log.lastIndex());
   }
-  /** The snapshot if the entry before the next one is no longer in memory; otherwise entries, up to a bound in bytes. */
+  /**
+   * Returns the snapshot if the entry before the next one is no longer available; otherwise the next entries, up to a
+   * size limit.
+   */
   private nextPayload(follower: FollowerProgress): AppendPayload {
     const { log } = this.replica;
     if (follower.nextIndex <= log.precedingIndex) return this.snapshotPayload();
@@ -133,7 +137,7 @@
 
   // ---------- sending ----------
 
-  /** One request. Faults: those of Rpc.call and of the follower; invalid if the response is malformed. */
+  /** Sends one request. Faults: those of Rpc.call and of the follower; invalid if the response is malformed. */
   private *send(address: string, request: AppendEntriesRequest): Task<Result<AppendEntriesResponse>> {
     const body = MessageCodec.encodeAppendEntries(request);
     const response = yield* this.rpc.call(
@@ -147,14 +151,15 @@
     return decoded.ok ? Fault.ok(decoded.message) : Fault.fail("invalid", "append", this.followerId, decoded.defect);
   }
   /**
-   * Sends a long payload in chunks, one at a time. Each chunk is a heartbeat too, and short enough for that on a slow link;
-   * after one that was lost, the follower's count of received bytes tells where to continue. The response is that to the
-   * last chunk.
+   * Sends a long payload in chunks, one at a time. Each chunk also serves as a heartbeat and is short enough for that
+   * on a slow link. After a lost chunk, the transfer continues at the number of bytes that the follower has received.
+   * Returns the response to the last chunk.
    */
   private *sendInChunks(follower: FollowerProgress, payload: AppendPayload): Task<Result<AppendEntriesResponse>> {
     const { replica, context } = this;
     const transferId = context.nextTransferId();
-    // The first chunk already finds out whether the follower's log matches; a snapshot doesn't depend on that.
+    // The first chunk already checks whether the follower's log matches. Installing a snapshot does not require a
+    // match.
     const prevEntry = payload.snapshot
       ? { prevLogIndex: 0, prevLogTerm: 0 }
       : { prevLogIndex: payload.prevLogIndex, prevLogTerm: payload.prevLogTerm };
--- a/src/consensus/leaderLease.ts
+++ b/src/consensus/leaderLease.ts
@@ -2,32 +2,32 @@
 import { ConsensusReplica } from "./consensusReplica";
 
 /**
- * The leader's lease: while a majority has acknowledged it recently, no other server can have been elected, so the leader
- * answers reads from its own state (Ongaro's thesis, section 6.4.1). The age of an acknowledgement counts from the sending
- * of the request; followers grant no vote for `electionTimeoutMinMs` after an append, which is longer than the lease.
- *
- * @example
- * const lease = new LeaderLease(replica);
- * if (!lease.isHeld()) return notLeader();
+ * The leader's lease. While a majority has acknowledged the leader recently, no other server can have been elected, so
+ * the leader may serve reads from its own state (Ongaro's thesis, section 6.4.1). The age of an acknowledgement is
+ * measured from the sending of the request. Followers grant no vote for `electionTimeoutMinMs` after an AppendEntries
+ * request, which is longer than the lease.
  */
 export class LeaderLease {
   constructor(private readonly replica: ConsensusReplica) {}
 
-  /** Whether the lease is valid and an entry of the leader's own term is applied, so that its state is current. */
+  /** Whether the lease is valid and the leader has applied an entry of its own term, so that its state is current. */
   isHeld(): boolean {
     if (!this.replica.hasAppliedOwnTerm()) return false;
     return this.votersInContactWithin(Constants.controlLeaseMs).length >= this.replica.majority();
   }
-  /** Voters that acknowledged a request sent less than so long ago; the leader itself is one. */
+  /**
+   * Returns the voters that acknowledged a request sent within the last `ms` milliseconds; the leader itself always
+   * counts.
+   */
   votersInContactWithin(ms: number): string[] {
     const now = this.replica.env.mono();
     return this.replica.log.voters().filter((id) => id === this.replica.selfId || now - this.lastContactAt(id) < ms);
   }
   /**
-   * The newest time T on this server's monotonic clock such that a majority of the voters acknowledged this leader in
-   * response to requests begun at T or later; the leader itself counts as acknowledged now. What the leader had applied at
-   * T was current then: the read index of the thesis, section 6.4. -Infinity on any other server, and until an entry of
-   * the leader's own term is applied.
+   * Returns the latest time T on this server's monotonic clock such that a majority of the voters acknowledged requests
+   * that this leader sent at T or later. The leader itself counts as having acknowledged now. The state that the leader
+   * had applied at T was current at T, as with the read index of the thesis, section 6.4. Returns -Infinity on any
+   * other server, and until the leader has applied an entry of its own term.
    */
   quorumContactAt(): number {
     if (!this.replica.hasAppliedOwnTerm()) return -Infinity;
--- a/src/consensus/leadershipTransfer.ts
+++ b/src/consensus/leadershipTransfer.ts
@@ -8,10 +8,10 @@
 import { MessageCodec } from "./messageCodec";
 import { ConsensusMethod } from "./wireMessages";
 
-/** Pause between two checks whether the successor has the whole log, ms. */
+/** Interval between checks whether the successor has the whole log, in ms. */
 const CHECK_PERIOD_MS = 10;
 
-/** Hands leadership to another voter before this server stops (Ongaro's thesis, section 3.10). */
+/** Transfers the leadership to another voter before this server stops (Ongaro's thesis, section 3.10). */
 export class LeadershipTransfer {
   constructor(
     private readonly replica: ConsensusReplica,
@@ -21,9 +21,10 @@
   ) {}
 
   /**
-   * Waits a little until all entries are committed and a successor has them, gives up the lease, and asks the successor to
-   * stand for election at once. As the lease is given up first, the other voters need not wait for its end. Without a
-   * lease or a successor nothing happens: the others elect a leader after the usual time-out.
+   * Waits up to `leadershipTransferTimeoutMs` until all entries are committed and a successor has them. It then gives
+   * up the lease and asks the successor to start an election immediately. Because the lease is given up first, the
+   * other voters need not wait until it expires. Without a lease or a successor, nothing is done, and the other voters
+   * elect a leader after the usual time-out.
    */
   *run(): Task<void> {
     const { replica } = this;
@@ -39,8 +40,8 @@
   }
   private *waitForSuccessor(): Task<void> {
     const { env } = this.replica;
-    const until = env.mono() + Constants.leadershipTransferTimeoutMs;
-    while (this.lease.isHeld() && !this.isSuccessorReady() && env.mono() < until)
+    const deadline = env.mono() + Constants.leadershipTransferTimeoutMs;
+    while (this.lease.isHeld() && !this.isSuccessorReady() && env.mono() < deadline)
       yield* EnvironmentTools.sleep(env, CHECK_PERIOD_MS);
   }
   private isSuccessorReady(): boolean {
--- a/src/consensus/logStore.ts
+++ b/src/consensus/logStore.ts
@@ -28,29 +28,25 @@
 }
 
 /**
- * The persistent state of one server on disk: a snapshot and the records written since. A write has been synced when it
- * returns ok; after a failed write, every further one gives the fault "disk".
- *
- * @example
- * const store = new LogStore(new CheckpointedLog(env, "data/control"));
- * const state = yield* store.load();
+ * The persistent state of one server on disk: a snapshot and the records written after it. A write that returns ok has
+ * been synced. After a failed write, every further write returns the fault "disk".
  */
 export class LogStore {
   constructor(private readonly storage: CheckpointedLog) {}
 
-  /** Whether an earlier write failed: nothing more is written. */
+  /** Whether an earlier write failed. No further writes are made then. */
   get hasFailed(): boolean {
     return this.storage.hasFailed;
   }
 
-  /** Reads the snapshot and replays the records; an empty state if the disk has none. */
+  /** Reads the snapshot and replays the records. Returns an empty state if the disk has no snapshot. */
   *load(): Task<Result<PersistentState>> {
     const opened = yield* this.storage.open();
     if (!opened.ok) return opened;
     const stored = opened.value.state;
     const state = stored === undefined ? emptyState() : StorageCodec.decodeState(stored);
     for (const record of opened.value.records) replay(state, StorageCodec.decodeRecord(record));
-    // Former versions could write entries once more that the snapshot covers.
+    // Earlier versions could write entries again that the snapshot already covers.
     state.entries = state.entries.filter((entry) => entry.index > state.snapshotIndex);
     return Fault.ok(state);
   }
@@ -60,7 +56,7 @@
     return this.storage.append(records.map((record) => StorageCodec.encodeRecord(record)));
   }
 
-  /** Replaces everything on disk. */
+  /** Replaces the snapshot and all records on disk. */
   replace(state: PersistentState): Task<Result<true>> {
     return this.storage.checkpoint(StorageCodec.encodeState(state));
   }
--- a/src/consensus/logWriter.ts
+++ b/src/consensus/logWriter.ts
@@ -4,10 +4,10 @@
 import { ConsensusReplica } from "./consensusReplica";
 import { Replication } from "./replication";
 
-/** The longest pause between two checks of the log, ms. */
+/** Maximum interval between checks for entries to write and for compaction, in ms. */
 const CHECK_PERIOD_MS = 1000;
 
-/** Puts a leader's own entries on disk in batches, and compacts the log of any server when it is long. */
+/** Writes a leader's own entries to disk in batches, and compacts the log of any server once it is long enough. */
 export class LogWriter {
   constructor(
     private readonly replica: ConsensusReplica,
--- a/src/consensus/membershipChange.ts
+++ b/src/consensus/membershipChange.ts
@@ -2,7 +2,7 @@
 import { votersSetBy } from "./membershipCommand";
 import { ReplicatedLog } from "./replicatedLog";
 
-/** Why a command may not be appended now. The texts are fault details. */
+/** Reasons for which a command is rejected. The texts are sent as fault details. */
 export const MembershipRejection = {
   alreadyBootstrapped: "a group is founded once",
   changePending: "a change of the voters is not committed yet",
@@ -13,17 +13,16 @@
 export type MembershipRejection = (typeof MembershipRejection)[keyof typeof MembershipRejection];
 
 /**
- * Changes of the voters, by one server at a time and through the log itself: Ongaro's thesis, chapter 4. A server uses
- * the newest membership in its log, committed or not.
+ * Rules for single-server membership changes, which are replicated through the log (Ongaro's thesis, chapter 4). A
+ * server uses the newest membership in its log, committed or not.
  */
 export const MembershipChange = {
   /**
-   * Why a command may not be appended now; undefined if it may. Of membership entries at most one is uncommitted, and
-   * each differs from the one before by one voter: any majority of the one meets any majority of the other. A new leader
-   * is asked for this only once an entry of its own term is applied, so that a membership entry of an earlier term is
-   * committed by then (Ongaro, "bug in single-server membership changes", raft-dev, 2015).
-   *
-   * @example const refusal = MembershipChange.refusal(command, log, commitIndex);
+   * Returns the reason to reject a command; undefined if it may be appended. At most one membership entry may be
+   * uncommitted, and each must differ from the previous one by exactly one voter, so that any majority of one overlaps
+   * any majority of the other. The caller must already have applied an entry of its own term as leader, so that any
+   * membership entry of an earlier term is committed (Ongaro, "bug in single-server membership changes", raft-dev,
+   * 2015).
    */
   rejectionReason(command: Command, log: ReplicatedLog, commitIndex: number): MembershipRejection | undefined {
     if (command.tag === "found") return MembershipRejection.alreadyBootstrapped;
--- a/src/consensus/membershipCommand.ts
+++ b/src/consensus/membershipCommand.ts
@@ -1,9 +1,9 @@
 import { Command } from "../controlState/command";
 
-/** The voters that a command sets; undefined for a command that leaves the membership as it is. */
+/** Returns the voters that a command sets; undefined if the command does not change the membership. */
 export const votersSetBy = (command: Command): string[] | undefined =>
   command.tag === "voters" || command.tag === "found" ? command.voters : undefined;
 
-/** The group's id, if this is the command that bootstraps a group. */
+/** Returns the id of the group that a command bootstraps; undefined for any other command. */
 export const groupBootstrappedBy = (command: Command): string | undefined =>
   command.tag === "found" ? command.group : undefined;
--- a/src/consensus/messageCodec.ts
+++ b/src/consensus/messageCodec.ts
@@ -20,7 +20,7 @@
   TimeoutNowRequestOnWire,
 } from "./wireMessages";
 
-/** A message that was decoded, or what is wrong with it. */
+/** A decoded message, or the defect for which the message was not decoded. */
 export type Decoded<Message> = { ok: true; message: Message } | { ok: false; defect: MessageDefect };
 
 const encodeSnapshot = (snapshot: Snapshot): SnapshotOnWire => ({
@@ -49,14 +49,11 @@
 });
 
 /**
- * Between the messages of the code and their form on the wire. Decoding checks a message first.
- *
- * @example
- * const decoded = MessageCodec.decodeRequestVote(body);
- * if (!decoded.ok) return reject(decoded.defect);
+ * Converts consensus messages between their types in the code and their wire format. Except for TimeoutNow, decoding
+ * validates a message first.
  */
 export const MessageCodec = {
-  /** The payload alone, as it is packed and split into chunks. */
+  /** Encodes the payload without the request header, to be packed and split into chunks. */
   encodePayload: (payload: AppendPayload): AppendPayloadOnWire => ({
     prevIndex: payload.prevLogIndex,
     prevTerm: payload.prevLogTerm,
@@ -158,7 +155,10 @@
     term: request.term,
   }),
 
-  /** Unchecked: the receiver compares every field with its own, and refuses what differs. */
+  /**
+   * Does not validate the message, because the receiver compares every field with its own state and rejects any
+   * difference.
+   */
   decodeTimeoutNow: (body: TimeoutNowRequestOnWire): TimeoutNowRequest => ({
     targetId: body.to,
     groupId: body.group,
--- a/src/consensus/messageValidation.ts
+++ b/src/consensus/messageValidation.ts
@@ -1,9 +1,9 @@
 /**
- * Checks of messages from other processes, before any field is used. Field names are those on the wire
+ * Validates messages from other processes before any of their fields is used. Field names are those of the wire format
  * (wireMessages.ts).
  */
 
-/** What can be wrong with a message. The texts are sent back as fault details and logged. */
+/** Defects of a message. The texts are sent back as fault details and logged. */
 export const MessageDefect = {
   append: "malformed append",
   appendResponse: "malformed response to an append",
@@ -24,13 +24,13 @@
 } as const;
 export type MessageDefect = (typeof MessageDefect)[keyof typeof MessageDefect];
 
-type Fields = Record<string, unknown>;
+type UnknownFields = Record<string, unknown>;
 
-const isObject = (value: unknown): value is Fields => typeof value === "object" && value !== null;
+const isObject = (value: unknown): value is UnknownFields => typeof value === "object" && value !== null;
 const isNonNegativeInteger = (value: unknown): value is number => Number.isSafeInteger(value) && (value as number) >= 0;
 const isNonEmptyString = (value: unknown): value is string => typeof value === "string" && value !== "";
 
-/** Parts that the state in a snapshot always has, besides group and voters. */
+/** Fields that the state in a snapshot always has, besides group and voters. */
 const REQUIRED_STATE_PARTS = ["manifest", "policies", "calendar", "views", "releases", "changes"];
 
 function snapshotDefect(snapshot: unknown, groupId: unknown): MessageDefect | undefined {
@@ -44,7 +44,7 @@
   return REQUIRED_STATE_PARTS.every((part) => isObject(state[part])) ? undefined : MessageDefect.snapshotIncomplete;
 }
 
-/** Indexes must follow each other; terms must not fall, nor exceed the leader's. */
+/** Checks that indexes are consecutive and that terms neither decrease nor exceed the leader's term. */
 function entriesDefect(entries: unknown, prevLogIndex: number, leaderTerm: number): MessageDefect | undefined {
   if (!Array.isArray(entries)) return MessageDefect.entriesNotArray;
   let previousTerm = 0;
@@ -59,14 +59,9 @@
   return undefined;
 }
 
-/**
- * Why a message is malformed; undefined if it isn't.
- *
- * @example
- * MessageValidation.appendEntriesDefect({}) // "malformed append"
- */
+/** Each function returns the defect of a message; undefined if the message is well-formed. */
 export const MessageValidation = {
-  /** Checks an AppendEntries request. The chunk in it is checked by ChunkReceiver. */
+  /** Checks an AppendEntries request. ChunkReceiver checks the chunk in it. */
   appendEntriesDefect(body: unknown): MessageDefect | undefined {
     if (!isObject(body) || !isNonEmptyString(body.group) || !isNonEmptyString(body.lead)) return MessageDefect.append;
     const { term, prevIndex, prevTerm, commit } = body;
@@ -107,7 +102,7 @@
     return isWellFormed ? undefined : MessageDefect.voteResponse;
   },
 
-  /** Checks a chunk of a payload; `maxBytes` bounds the payload that it is of. */
+  /** Checks a chunk of a payload; `maxBytes` is the maximum size of the whole packed payload. */
   chunkDefect(body: unknown, maxBytes: number): MessageDefect | undefined {
     if (!isObject(body)) return MessageDefect.chunk;
     const { transferId, totalBytes, offset, data, checksum } = body;
--- a/src/consensus/messages.ts
+++ b/src/consensus/messages.ts
@@ -1,29 +1,29 @@
 /**
- * Messages of the consensus protocol as the code uses them, named as in "In Search of an Understandable Consensus
- * Algorithm" (Ongaro and Ousterhout), figure 2, and in Ongaro's thesis "Consensus: Bridging Theory and Practice".
- * messageCodec.ts maps them to the names on the wire (wireMessages.ts).
+ * Types of the consensus messages, named as in "In Search of an Understandable Consensus Algorithm" (Ongaro and
+ * Ousterhout), figure 2, and in Ongaro's thesis "Consensus: Bridging Theory and Practice". messageCodec.ts converts
+ * them to and from the wire format (wireMessages.ts).
  */
 import { Command } from "../controlState/command";
 import { ControlState } from "../controlState/controlState";
 
-/** One entry of the replicated log. Stored and sent under these names. */
+/** One entry of the replicated log. Its fields are stored and sent under these names. */
 export interface LogEntry {
   /** Position in the log; the first entry has index 1. */
   index: number;
   /** Term of the leader that appended it. */
   term: number;
-  /** What the state machine applies. */
+  /** The command that the state machine applies. */
   command: Command;
 }
 
-/** The state machine after an entry, in place of the log up to it (Raft, section 7). */
+/** The state of the state machine after an entry; it replaces the log up to that entry (Raft, section 7). */
 export interface Snapshot {
   lastIncludedIndex: number;
   lastIncludedTerm: number;
   state: ControlState;
 }
 
-/** What an AppendEntries request carries beside its header. Where it is long it is sent in chunks. */
+/** The content of an AppendEntries request without its header. A long payload is sent in chunks. */
 export interface AppendPayload {
   /** Index of the entry before the first of `entries`. */
   prevLogIndex: number;
@@ -31,34 +31,34 @@
   prevLogTerm: number;
   /** Empty in a heartbeat. */
   entries: LogEntry[];
-  /** To be installed first, if the follower's log ends before it. */
+  /** The follower installs the snapshot before it stores the entries, unless its log already covers the snapshot. */
   snapshot?: Snapshot;
 }
 
 /** A part of a packed payload that is too long for one message. */
 export interface PayloadChunk {
-  /** The same for all chunks of one payload, different for every other payload. */
+  /** Identifies the payload; the same in all of its chunks. */
   transferId: string;
-  /** Bytes of the packed payload. */
+  /** Size of the packed payload in bytes. */
   totalBytes: number;
   /** CRC-32 of the packed payload. */
   checksum: number;
-  /** Byte of the packed payload at which `data` starts. */
+  /** Offset of `data` in the packed payload, in bytes. */
   offset: number;
-  /** Bytes of the packed payload, in base64. */
+  /** Bytes of the chunk, base64-encoded. */
   data: string;
 }
 
-/** The leader's request to a follower: Raft's AppendEntries and InstallSnapshot in one. */
+/** The leader's request to a follower, which combines Raft's AppendEntries and InstallSnapshot. */
 export interface AppendEntriesRequest extends AppendPayload {
-  /** Id of the server that it is meant for. */
+  /** Id of the server that the request is addressed to. */
   targetId: string;
   groupId: string;
   term: number;
   leaderId: string;
   /** The leader's commit index. */
   leaderCommit: number;
-  /** Present while a payload is sent in chunks; the rest of the request is then a heartbeat. */
+  /** A chunk of a payload that is sent in chunks; the rest of the request is then a heartbeat. */
   chunk?: PayloadChunk;
 }
 
@@ -67,43 +67,43 @@
   | {
       term: number;
       success: true;
-      /** The follower's log equals the leader's up to this index. */
+      /** Index up to which the follower's log matches the leader's. */
       matchIndex: number;
     }
   | {
       term: number;
       success: false;
-      /** Highest index at which the logs may still be equal; the leader continues after it. */
+      /** Highest index at which the logs may still match; the leader continues with the entry after it. */
       lastPossibleMatch: number;
-      /** After a chunk that was not the last: bytes of the payload received so far. */
+      /** In the response to a chunk that does not complete the payload: number of payload bytes received so far. */
       receivedBytes?: number;
     };
 
-/** A candidate's request for a vote, or, as a pre-vote, the question whether it would get one. */
+/** A candidate's request for a vote or a pre-vote. */
 export interface RequestVoteRequest {
-  /** Id of the server that it is meant for. */
+  /** Id of the server that the request is addressed to. */
   targetId: string;
   groupId: string;
-  /** The term that the candidate stands for. */
+  /** The term of the election. */
   term: number;
   candidateId: string;
   lastLogIndex: number;
   lastLogTerm: number;
-  /** The candidate assumes that all voters have started recently, so that no lease from before can be valid. */
+  /** The candidate assumes that all voters have started recently, so that no earlier lease can still be valid. */
   afterFullRestart: boolean;
-  /** The leader of the term before has transferred its leadership to the candidate and given up its lease. */
+  /** The leader of the previous term has transferred its leadership to the candidate and given up its lease. */
   leadershipTransferred: boolean;
 }
 
-/** A voter's response to a vote or a pre-vote. */
+/** A voter's response to a request for a vote or a pre-vote. */
 export interface RequestVoteResponse {
   term: number;
   voteGranted: boolean;
 }
 
-/** The leader's request that a follower stands for election at once: TimeoutNow of the thesis, section 3.10. */
+/** The leader's request that a follower starts an election immediately (TimeoutNow of the thesis, section 3.10). */
 export interface TimeoutNowRequest {
-  /** Id of the server that it is meant for. */
+  /** Id of the server that the request is addressed to. */
   targetId: string;
   groupId: string;
   /** The leader's term. */
--- a/src/consensus/packedSnapshotCache.ts
+++ b/src/consensus/packedSnapshotCache.ts
@@ -2,7 +2,10 @@
 import { ChunkedPayload, PackedPayload } from "./chunkedPayload";
 import { AppendPayload } from "./messages";
 
-/** Packs payloads for chunked transfer; a snapshot is packed once for all followers. */
+/**
+ * Packs payloads for chunked transfer. The last packed snapshot is cached, so that it is packed only once for all
+ * followers.
+ */
 export class PackedSnapshotCache {
   private last: { state: ControlState; packed: PackedPayload } | undefined;
 
@@ -12,7 +15,7 @@
     if (this.last?.state !== state) this.last = { state, packed: ChunkedPayload.pack(payload) };
     return this.last.packed;
   }
-  /** Frees the memory of the last snapshot. */
+  /** Discards the cached snapshot to free its memory. */
   clear(): void {
     this.last = undefined;
   }
--- a/src/consensus/replicatedLog.ts
+++ b/src/consensus/replicatedLog.ts
@@ -8,36 +8,35 @@
 import { LogRecord, PersistentState } from "./storageCodec";
 
 /**
- * The log of one server, with its term and vote: in memory, and on disk through LogStore (Raft, section 5.3; compaction:
- * section 7). Whoever writes to disk holds `diskLock`.
+ * The log, term and vote of one server, in memory and, through LogStore, on disk (Raft, section 5.3; compaction:
+ * section 7). Any task that writes to disk must hold `diskLock`.
  *
- * Entries in memory start some way before the snapshot: followers a little behind still get them as entries.
- *
- * @example
- * const log = new ReplicatedLog(new LogStore(storage));
- * yield* log.open();
- * const voters = log.voters();
+ * Memory also keeps some entries that the snapshot already covers, so that followers that lag only a little can be sent
+ * entries instead of the snapshot.
  */
 export class ReplicatedLog {
   currentTerm = 0;
-  /** Id of the candidate that got this server's vote in the current term, or "". */
+  /** Id of the candidate that received this server's vote in the current term; "" if none did. */
   votedFor = "";
-  /** Entries in memory, after `precedingIndex`. */
+  /** Entries in memory; the first one has the index `precedingIndex + 1`. */
   entries: LogEntry[] = [];
-  /** Index and term of the entry before the first one in memory. */
+  /** Term of the entry before the first one in memory. */
   private precedingTerm = 0;
+  /** Index of the entry before the first one in memory. */
   precedingIndex = 0;
-  /** Index and term of the last entry that the snapshot covers, and the state machine after it. */
+  /** Index of the last entry that the snapshot covers. */
   snapshotIndex = 0;
+  /** Term of the last entry that the snapshot covers. */
   snapshotTerm = 0;
+  /** State of the state machine after the last entry that the snapshot covers. */
   snapshotState = ControlState.empty();
-  /** Index up to which the log is on this server's disk. */
+  /** Index up to which the log is synced to this server's disk. */
   syncedIndex = 0;
-  /** Appended by this server as leader, not on its disk yet. */
+  /** Entries that this server appended as leader and has not synced to its disk yet. */
   private unsyncedEntries: LogEntry[] = [];
   /** Wakes the log writer. */
   readonly writeRequests: Chan<true> = Csp.sliding(1);
-  /** A channel with one value: who has taken it may write. */
+  /** Lock for disk writes: a channel with a single value, which a task takes to lock and puts back to unlock. */
   readonly diskLock: Chan<true> = Csp.chan(1);
   private readonly entryBytes = new WeakMap<LogEntry, number>();
 
@@ -45,7 +44,7 @@
     Csp.offer(this.diskLock, true);
   }
 
-  /** Reads what this server has on disk. Fault: disk. @example yield* log.open(); */
+  /** Loads the persistent state from disk. Fault: disk. */
   *open(): Task<Result<true>> {
     const loaded = yield* this.store.load();
     if (!loaded.ok) return loaded;
@@ -64,14 +63,14 @@
     this.precedingTerm = state.snapshotTerm;
   }
 
-  /** Whether the disk failed: nothing more is written. */
+  /** Whether an earlier write failed. No further writes are made then. */
   hasDiskFailed(): boolean {
     return this.store.hasFailed;
   }
 
   // ---------- reading ----------
 
-  /** Whether this server belongs to a group: its log has a first entry. */
+  /** Whether this server belongs to a group, which is the case once its log has an entry. */
   isBootstrapped(): boolean {
     return this.lastIndex() > 0;
   }
@@ -83,7 +82,7 @@
   lastTerm(): number | undefined {
     return this.termAt(this.lastIndex());
   }
-  /** Term of an entry; undefined if the entry is neither in memory nor the one before. */
+  /** Term of an entry; undefined if the entry is neither in memory nor directly before the first one in memory. */
   termAt(index: number): number | undefined {
     if (index === this.precedingIndex) return this.precedingTerm;
     return this.entryAt(index)?.term;
@@ -92,11 +91,14 @@
   entryAt(index: number): LogEntry | undefined {
     return this.entries[index - this.precedingIndex - 1];
   }
-  /** Whether the log has an entry of this index and term: then it equals the leader's up to there (log matching property). */
+  /**
+   * Whether the log has an entry with this index and term. If so, it equals any log with the same entry up to that
+   * index (log matching property).
+   */
   matches(index: number, term: number): boolean {
     return this.termAt(index) === term;
   }
-  /** Size of an entry as JSON, in bytes. */
+  /** Size of an entry in bytes when encoded as JSON. */
   bytesOf(entry: LogEntry): number {
     const known = this.entryBytes.get(entry);
     if (known !== undefined) return known;
@@ -104,7 +106,7 @@
     this.entryBytes.set(entry, bytes);
     return bytes;
   }
-  /** The voters of the newest entry that sets them, committed or not. */
+  /** The voters set by the newest membership entry in the log, committed or not. */
   voters(): string[] {
     for (let position = this.entries.length - 1; position >= 0; position -= 1) {
       const voters = votersSetBy(this.entries[position].command);
@@ -115,7 +117,7 @@
 
   // ---------- writing ----------
 
-  /** Writes the first entry of all, the same on every founding server. Fault: disk. */
+  /** Writes the first entry of the log, which is the same on all initial voters. Fault: disk. */
   *bootstrap(groupId: string, voters: string[]): Task<Result<true>> {
     const entry: LogEntry = { index: 1, term: 1, command: { tag: "found", group: groupId, voters } };
     const written = yield* this.store.append(
@@ -128,7 +130,7 @@
     this.syncedIndex = 1;
     return written;
   }
-  /** Replaces everything by a snapshot without entries after it, on disk first. Fault: disk. */
+  /** Replaces the whole log with a snapshot, first on disk and then in memory. Fault: disk. */
   *installSnapshot(state: PersistentState): Task<Result<true>> {
     const written = yield* this.store.replace(state);
     if (!written.ok) return written;
@@ -137,13 +139,13 @@
     this.syncedIndex = state.snapshotIndex;
     return written;
   }
-  /** Appends an entry of this server's own term in memory; the log writer puts it on disk. */
+  /** Appends an entry of this server's own term in memory; the log writer writes it to disk later. */
   append(entry: LogEntry): void {
     this.entries.push(entry);
     this.unsyncedEntries.push(entry);
     Csp.offer(this.writeRequests, true);
   }
-  /** Puts the current term and a vote in it on disk, then adopts them. Fault: disk. */
+  /** Saves a term and the vote in that term, first on disk and then in memory. Fault: disk. */
   *saveTermAndVote(currentTerm: number, votedFor: string): Task<Result<true>> {
     const written = yield* this.store.append({ kind: "termAndVote", currentTerm, votedFor });
     if (!written.ok) return written;
@@ -151,7 +153,10 @@
     this.votedFor = votedFor;
     return written;
   }
-  /** Puts on disk what was appended in memory, has not been replaced and is in no snapshot. How many entries. Fault: disk. */
+  /**
+   * Writes to disk the entries that were appended in memory, except for those that have been replaced or that the
+   * snapshot covers. Returns the number of entries written. Fault: disk.
+   */
   *sync(): Task<Result<number>> {
     const batch = this.unsyncedEntries.filter(
       (entry) => entry.index > this.snapshotIndex && this.matches(entry.index, entry.term),
@@ -164,8 +169,8 @@
     return Fault.ok(batch.length);
   }
   /**
-   * Drops entries that never reached the disk. Those up to the commit index were committed by the followers' disks and
-   * are applied here, so they must stay: they are synced first. Fault: disk.
+   * Drops unsynced entries after the commit index. Unsynced entries up to the commit index are committed because the
+   * followers have them on disk, and they are applied here, so they are kept and synced. Fault: disk.
    */
   *dropUnsynced(commitIndex: number): Task<Result<true>> {
     if (this.unsyncedEntries.length === 0) return Fault.ok(true as const);
@@ -175,22 +180,28 @@
     this.entries = this.entries.filter((entry) => entry.index <= this.syncedIndex);
     return Fault.ok(true as const);
   }
-  /** Puts a leader's entries on disk and into the log, in place of those that conflict with them. Fault: disk. */
+  /**
+   * Stores entries from the leader, on disk and in memory, and truncates the log at the first conflicting entry. Fault:
+   * disk.
+   */
   *storeFromLeader(entries: LogEntry[]): Task<Result<true>> {
     const firstNew = entries.find((entry) => !this.matches(entry.index, entry.term))?.index;
     if (firstNew === undefined) return Fault.ok(true as const);
-    const added = entries.filter((entry) => entry.index >= firstNew);
+    const newEntries = entries.filter((entry) => entry.index >= firstNew);
     const records: LogRecord[] = [];
     if (firstNew <= this.lastIndex()) records.push({ kind: "truncation", fromIndex: firstNew });
-    records.push({ kind: "entries", entries: added });
+    records.push({ kind: "entries", entries: newEntries });
     const written = yield* this.store.append(...records);
-    if (written.ok) this.entries = [...this.entries.filter((entry) => entry.index < firstNew), ...added];
+    if (written.ok) this.entries = [...this.entries.filter((entry) => entry.index < firstNew), ...newEntries];
     return written;
   }
 
   // ---------- compaction ----------
 
-  /** Whether so much is applied past the snapshot, in entries or in bytes, that a new one is due. */
+  /**
+   * Whether the entries applied after the last snapshot exceed the limit in number or in bytes, so that a new snapshot
+   * is due.
+   */
   needsCompaction(lastApplied: number): boolean {
     if (lastApplied - this.snapshotIndex > Constants.logEntriesUntilSnapshot) return true;
     let bytes = 0;
@@ -198,7 +209,10 @@
       bytes += this.bytesOf(this.entryAt(index)!);
     return bytes > Constants.logBytesUntilSnapshot;
   }
-  /** Takes a snapshot of the state machine at an index, in place of the entries up to it. After a failed write nothing changes. */
+  /**
+   * Replaces the entries up to `lastApplied` with a snapshot of the state machine after that entry. Nothing changes in
+   * memory if the write fails.
+   */
   *compact(state: ControlState, lastApplied: number): Task<void> {
     const snapshotTerm = this.termAt(lastApplied)!;
     const persistent: PersistentState = {
@@ -214,11 +228,13 @@
     this.snapshotIndex = lastApplied;
     this.snapshotTerm = snapshotTerm;
     this.snapshotState = persistent.snapshotState;
-    // Followers may have committed entries that only the snapshot brought to this disk.
+    // Entries may be committed by the followers' disks alone; the snapshot is then what brings them to this disk.
     this.syncedIndex = Math.max(this.syncedIndex, lastApplied);
     this.discardCompacted();
   }
-  /** Drops entries that the snapshot covers, except for a bounded number of trailing ones. */
+  /**
+   * Drops entries that the snapshot covers, except for the newest ones within the trailing limits of number and bytes.
+   */
   private discardCompacted(): void {
     let precedingIndex = this.snapshotIndex;
     let bytes = 0;
--- a/src/consensus/replication.ts
+++ b/src/consensus/replication.ts
@@ -11,12 +11,8 @@
 import { PackedSnapshotCache } from "./packedSnapshotCache";
 
 /**
- * The leader's side of log replication (Raft, section 5.3): new entries, one replication task a follower, and the commit
- * index.
- *
- * @example
- * const replication = new Replication(replica, rpc);
- * replication.append({ tag: "noop" });
+ * The leader's side of log replication (Raft, section 5.3): it appends new entries, runs one replication task per
+ * follower and advances the commit index.
  */
 export class Replication {
   private readonly packedSnapshots = new PackedSnapshotCache();
@@ -27,7 +23,7 @@
     private readonly rpc: Rpc,
   ) {}
 
-  /** Appends a command in this server's term, and wakes the log writer and the followers' tasks. */
+  /** Appends a command in the current term, and wakes the log writer and the replication tasks. */
   append(command: Command): LogEntry {
     const { log } = this.replica;
     const entry: LogEntry = { index: log.lastIndex() + 1, term: log.currentTerm, command };
@@ -36,7 +32,7 @@
     return entry;
   }
 
-  /** Runs one replication task a follower, voters and standbys alike, as long as this server leads in the term. */
+  /** Runs one replication task per follower, voter or standby, as long as this server is the leader of the term. */
   *replicateToAll(term: number): Task<void> {
     const { replica } = this;
     const running = new Set<string>();
@@ -68,8 +64,9 @@
   }
 
   /**
-   * Commits what a majority of the newest voters has on disk, if it is of the leader's own term: entries of earlier terms
-   * are committed with it, never alone (Raft, section 5.4.2). A leader that is no voter any more becomes a follower then.
+   * Commits entries that a majority of the newest membership has on disk, if the last of them is of the leader's own
+   * term. Entries of earlier terms are only ever committed together with it (Raft, section 5.4.2). A leader steps down
+   * once its own removal is committed.
    */
   advanceCommitIndex(): void {
     const { replica } = this;
--- a/src/consensus/role.ts
+++ b/src/consensus/role.ts
@@ -1,5 +1,8 @@
-/** The role of a Raft server in its current term (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", section 5.1). */
+/**
+ * The role of a Raft server in its current term (Ongaro and Ousterhout, "In Search of an Understandable Consensus
+ * Algorithm", section 5.1).
+ */
 export type RaftRole = "follower" | "candidate" | "leader";
 
-/** The role as other processes receive it: their word for the leader is "lead". @example roleOnWire("leader") // "lead" */
+/** Returns the role as it is sent to other processes, where the leader is called "lead". */
 export const roleOnWire = (role: RaftRole): string => (role === "leader" ? "lead" : role);
--- a/src/consensus/singleVoterRecovery.ts
+++ b/src/consensus/singleVoterRecovery.ts
@@ -9,29 +9,29 @@
 import { LeaderLease } from "./leaderLease";
 import { PersistentState } from "./storageCodec";
 
-/** An operator's order to continue from one voter. The names are those on the wire. */
+/** An operator's request to recover a group from one voter. Fields have their wire names. */
 export interface RecoveryRequest {
   /** Id of the group that has lost its majority. */
   group: string;
-  /** Id of the voter to continue from. */
+  /** Id of the voter whose log is kept. */
   voter: string;
-  /** Who gave the order, for the ledger. */
+  /** Name of the operator, for the ledger. */
   by: string;
 }
 
-/** The recovered group. The names are those on the wire. */
+/** The recovered group. Fields have their wire names. */
 export interface RecoveryResult {
   /** Id of the new generation of the group. */
   group: string;
-  /** Index up to which the surviving voter had the log. */
+  /** Index of the last entry that the surviving voter had on disk. */
   upTo: number;
 }
 
 /**
- * Continues from one surviving voter after the majority is lost for good, by an operator's explicit order (etcd calls it
- * force-new-cluster). Everything on the survivor's disk counts as committed; what only the lost voters had is lost. The
- * group gets the id of a new generation, and its terms, indexes and epochs begin above all that the lost voters may have
- * given out.
+ * Recovers a group from one surviving voter after the permanent loss of its majority, at an operator's explicit request
+ * (etcd calls this force-new-cluster). All entries on the survivor's disk count as committed; entries that only the
+ * lost voters had are lost. The group gets the id of a new generation. Its terms, indexes and epochs start above all
+ * that the lost voters may have assigned.
  */
 export class SingleVoterRecovery {
   constructor(
@@ -39,28 +39,28 @@
     private readonly lease: LeaderLease,
   ) {}
 
-  /** The caller holds the disk lock. Faults: conflict (the order doesn't fit this server), disk. */
-  *run(order: RecoveryRequest, views: ShardView[]): Task<Result<RecoveryResult>> {
+  /** The caller must hold the disk lock. Faults: conflict (the request does not apply to this server), disk. */
+  *run(request: RecoveryRequest, views: ShardView[]): Task<Result<RecoveryResult>> {
     const { replica } = this;
     const { log } = replica;
-    const rejectionReason = this.rejectionReason(order);
+    const rejectionReason = this.rejectionReason(request);
     if (rejectionReason !== undefined) return Fault.fail("conflict", "recover", replica.selfId, rejectionReason);
     const upTo = log.syncedIndex;
-    const installed = yield* replica.installSnapshot(this.recoveredState(upTo, views, order.by));
+    const installed = yield* replica.installSnapshot(this.recoveredState(upTo, views, request.by));
     if (!installed.ok) return installed;
     const group = replica.groupId();
     replica.env.log(ConsensusEvent.recoveredFromOneVoter, { group, voter: replica.selfId, upTo });
     return Fault.ok({ group, upTo });
   }
-  private rejectionReason(order: RecoveryRequest): string | undefined {
+  private rejectionReason(request: RecoveryRequest): string | undefined {
     const { replica } = this;
     const groupId = replica.groupId();
-    if (order.group !== groupId) return `this voter belongs to group ${groupId || "none"}`;
-    if (order.voter !== replica.selfId || !replica.isVoter())
+    if (request.group !== groupId) return `this voter belongs to group ${groupId || "none"}`;
+    if (request.voter !== replica.selfId || !replica.isVoter())
       return `this is ${replica.selfId}, voters are ${replica.log.voters().join(", ")}`;
     return replica.role === "leader" && this.lease.isHeld() ? "the group has a lead" : undefined;
   }
-  private recoveredState(upTo: number, views: ShardView[], orderedBy: string): PersistentState {
+  private recoveredState(upTo: number, views: ShardView[], requestedBy: string): PersistentState {
     const { replica } = this;
     const { log } = replica;
     const state = structuredClone(replica.state);
@@ -74,7 +74,7 @@
       votedFor: "",
       snapshotIndex,
       snapshotTerm: term,
-      snapshotState: GroupRecovery.recoveredState(state, snapshotIndex, replica.selfId, views, orderedBy),
+      snapshotState: GroupRecovery.recoveredState(state, snapshotIndex, replica.selfId, views, requestedBy),
       entries: [],
     };
   }
--- a/src/consensus/storageCodec.ts
+++ b/src/consensus/storageCodec.ts
@@ -1,28 +1,30 @@
 import { ControlState } from "../controlState/controlState";
 import { LogEntry } from "./messages";
 
-/** What a server must have on stable storage before it answers a request (Raft, figure 2), with the snapshot. */
+/**
+ * State that a server must write to stable storage before it responds to a request (Raft, figure 2), with the snapshot.
+ */
 export interface PersistentState {
   currentTerm: number;
-  /** Id of the candidate that got this server's vote in the current term, or "". */
+  /** Id of the candidate that received this server's vote in the current term; "" if none did. */
   votedFor: string;
   /** Index of the last entry that the snapshot covers; 0 without a snapshot. */
   snapshotIndex: number;
-  /** Term of that entry. */
+  /** Term of the last entry that the snapshot covers. */
   snapshotTerm: number;
-  /** The state machine after that entry. */
+  /** State of the state machine after the last entry that the snapshot covers. */
   snapshotState: ControlState;
   /** Entries after the snapshot. */
   entries: LogEntry[];
 }
 
-/** A change of the persistent state, appended to the file between two snapshots. */
+/** A change of the persistent state; such records are appended to the file between two snapshots. */
 export type LogRecord =
   | { kind: "termAndVote"; currentTerm: number; votedFor: string }
   | { kind: "entries"; entries: LogEntry[] }
   | { kind: "truncation"; fromIndex: number };
 
-/** The persistent state under its names on disk. */
+/** The persistent state with the field names used on disk. */
 interface StoredState {
   term: number;
   votedFor: string;
@@ -32,13 +34,13 @@
   entries: LogEntry[];
 }
 
-/** A record under its names on disk. */
+/** A record with the field and tag names used on disk. */
 type StoredRecord =
   | { tag: "hard"; term: number; votedFor: string }
   | { tag: "entries"; entries: LogEntry[] }
   | { tag: "cut"; from: number };
 
-/** Between the persistent state and its form on disk. @example StorageCodec.encodeRecord({ kind: "entries", entries }) */
+/** Converts the persistent state between its types in the code and its format on disk. */
 export const StorageCodec = {
   encodeState: (state: PersistentState): StoredState => ({
     term: state.currentTerm,
@@ -49,7 +51,7 @@
     entries: state.entries,
   }),
 
-  /** Checksums guard what is read, so its form is taken for granted. */
+  /** Does not validate its input, because the storage layer verifies checksums. */
   decodeState(stored: unknown): PersistentState {
     const state = stored as StoredState;
     return {
--- a/src/consensus/voteHandler.ts
+++ b/src/consensus/voteHandler.ts
@@ -8,11 +8,11 @@
 import { RequestVoteRequestOnWire, RequestVoteResponseOnWire, TimeoutNowRequestOnWire } from "./wireMessages";
 
 /**
- * The voter's side of leader election: answers requests for votes and pre-votes (Raft, sections 5.2 and 5.4.1), and a
- * leader's request to stand for election.
+ * The voter's side of leader election. It handles requests for votes and pre-votes (Raft, sections 5.2 and 5.4.1), and
+ * a leader's request to start an election.
  *
- * A voter that has been in contact with a leader recently refuses its vote (Raft, end of section 6): the leader's lease
- * rests on that.
+ * A voter that has recently been in contact with a leader denies its vote (Raft, end of section 6). The leader's lease
+ * depends on that.
  */
 export class VoteHandler {
   constructor(
@@ -20,7 +20,7 @@
     private readonly election: Election,
   ) {}
 
-  /** Whether this server would vote for the candidate; changes nothing. Fault: refused. */
+  /** Responds whether this server would vote for the candidate, without changing any state. Fault: refused. */
   *onPreVote(body: RequestVoteRequestOnWire): Task<Result<RequestVoteResponseOnWire>> {
     const misdirected = this.replica.rejectMisdirected(body.to, "preVote");
     if (misdirected) return misdirected;
@@ -31,7 +31,7 @@
     );
   }
 
-  /** Votes, once a term; the vote is on disk before it is given. Faults: refused, disk. */
+  /** Grants at most one vote per term, and saves it to disk before responding. Faults: refused, disk. */
   *onRequestVote(body: RequestVoteRequestOnWire): Task<Result<RequestVoteResponseOnWire>> {
     const { replica } = this;
     const { log } = replica;
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Stands for election at once, if the leader of the current term asks for it. Faults: refused, conflict. */
+  /** Starts an election immediately if the leader of the current term requests it. Faults: refused, conflict. */
   *onTimeoutNow(body: TimeoutNowRequestOnWire): Task<Result<true>> {
     const { replica } = this;
     const { log } = replica;
@@ -73,7 +73,10 @@
     return Fault.ok(true as const);
   }
 
-  /** Undefined, and logged, for what is no request of this group. */
+  /**
+   * Decodes a request. Returns undefined if it is malformed or from another group, which is logged if this server
+   * belongs to a group.
+   */
   private decode(body: RequestVoteRequestOnWire, step: string): RequestVoteRequest | undefined {
     const decoded = MessageCodec.decodeRequestVote(body);
     if (decoded.ok && decoded.message.groupId === this.replica.groupId()) return decoded.message;
@@ -86,18 +89,24 @@
     return Fault.ok(MessageCodec.encodeRequestVoteResponse({ term: this.replica.log.currentTerm, voteGranted }));
   }
 
-  /** Whether no leader's lease forbids a vote. */
+  /** Whether no leader's lease can still be valid, so that this server is free to vote. */
   private leaseAllowsVote(request: RequestVoteRequest): boolean {
     return this.replica.hasLeaderTimedOut() || this.isLeaseWaived(request);
   }
-  /** A lease needs no waiting for if all voters have just started, or if its holder has given it up for the candidate. */
+  /**
+   * A voter need not wait for a lease to expire if all voters have just started, or if its holder has given it up for
+   * the candidate.
+   */
   private isLeaseWaived(request: RequestVoteRequest): boolean {
     const { replica } = this;
     if (replica.role === "leader") return false;
     if (request.afterFullRestart && replica.startedRecently) return true;
     return request.leadershipTransferred && request.term === replica.log.currentTerm + 1;
   }
-  /** Whether the candidate's log is at least as up to date as this server's: then it has all that this one acknowledged. */
+  /**
+   * Whether the candidate's log is at least as up to date as this server's log, and so has all entries that this server
+   * acknowledged.
+   */
   private isUpToDate({ lastLogIndex, lastLogTerm }: RequestVoteRequest): boolean {
     const { log } = this.replica;
     const ownLastTerm = log.lastTerm() ?? 0;
--- a/src/consensus/wireMessages.ts
+++ b/src/consensus/wireMessages.ts
@@ -1,19 +1,20 @@
 /**
- * Names of the consensus messages on the wire, and nowhere else: older and newer versions of a process understand each
- * other by them. messageCodec.ts maps them to the messages of messages.ts, where the fields are documented. Bodies are
- * JSON, so the order of the fields is part of the bytes.
+ * Wire format of the consensus messages. The names must stay the same, so that different versions of a process can
+ * communicate; only the message handlers, the codec and the validation use them. messageCodec.ts converts the bodies to
+ * and from the types in messages.ts, where the fields are documented. Bodies are JSON, so the order of the fields is
+ * part of the encoding.
  */
 import { ControlState } from "../controlState/controlState";
 import { LogEntry } from "./messages";
 
-/** Snapshot on the wire. */
+/** Wire format of Snapshot. */
 export interface SnapshotOnWire {
   index: number;
   term: number;
   state: ControlState;
 }
 
-/** PayloadChunk on the wire. */
+/** Wire format of PayloadChunk. */
 export interface ChunkOnWire {
   transfer: string;
   size: number;
@@ -22,7 +23,7 @@
   data: string;
 }
 
-/** AppendPayload on the wire. */
+/** Wire format of AppendPayload. */
 export interface AppendPayloadOnWire {
   prevIndex: number;
   prevTerm: number;
@@ -30,7 +31,7 @@
   whole?: SnapshotOnWire;
 }
 
-/** AppendEntriesRequest on the wire. */
+/** Wire format of AppendEntriesRequest. */
 export interface AppendEntriesRequestOnWire extends AppendPayloadOnWire {
   to: string;
   group: string;
@@ -40,11 +41,11 @@
   piece?: ChunkOnWire;
 }
 
-/** AppendEntriesResponse on the wire. */
+/** Wire format of AppendEntriesResponse. */
 export type AppendEntriesResponseOnWire =
   { term: number; matched: true; match: number } | { term: number; matched: false; last: number; received?: number };
 
-/** RequestVoteRequest on the wire. */
+/** Wire format of RequestVoteRequest. */
 export interface RequestVoteRequestOnWire {
   to: string;
   group: string;
@@ -56,13 +57,13 @@
   handedOver?: boolean;
 }
 
-/** RequestVoteResponse on the wire. */
+/** Wire format of RequestVoteResponse. */
 export interface RequestVoteResponseOnWire {
   term: number;
   granted: boolean;
 }
 
-/** TimeoutNowRequest on the wire. */
+/** Wire format of TimeoutNowRequest. */
 export interface TimeoutNowRequestOnWire {
   to: string;
   group: string;
@@ -71,18 +72,21 @@
 
 declare module "../rpc/methods" {
   interface RpcMethods {
-    /** Pre-vote. Changes no state, so it may be repeated. Faults: refused (meant for another server). */
+    /**
+     * Pre-vote. It changes no state, so it may be retried. Faults: refused (the request is addressed to another
+     * server).
+     */
     "group.preVote": RpcMethod<RequestVoteRequestOnWire, RequestVoteResponseOnWire>;
-    /** RequestVote. A repeat in the same term gives the same vote. Faults: refused, disk. */
+    /** RequestVote. A retry in the same term gets the same vote. Faults: refused, disk. */
     "group.vote": RpcMethod<RequestVoteRequestOnWire, RequestVoteResponseOnWire>;
     /** AppendEntries. Idempotent: entries are compared by index and term. Faults: refused, invalid, disk. */
     "group.append": RpcMethod<AppendEntriesRequestOnWire, AppendEntriesResponseOnWire>;
-    /** TimeoutNow. A repeat is refused once the term has passed. Faults: refused, conflict. */
+    /** TimeoutNow. A retry is rejected once the term has passed. Faults: refused, conflict. */
     "group.takeOver": RpcMethod<TimeoutNowRequestOnWire, true>;
   }
 }
 
-/** Names of the remote methods. */
+/** Names of the RPC methods. */
 export const ConsensusMethod = {
   preVote: "group.preVote",
   requestVote: "group.vote",
--- a/src/model/actionRunner.ts
+++ b/src/model/actionRunner.ts
@@ -35,8 +35,8 @@
     }
   }
 
-  private machineAt(number: number): Machine {
-    return this.group.machines[number % this.group.machines.length];
+  private machineAt(machineNumber: number): Machine {
+    return this.group.machines[machineNumber % this.group.machines.length];
   }
   private targetOf(target: Target): Machine | undefined {
     if (target === "leaseholder") return this.group.leaseHolder() ?? this.group.leaders()[0];
@@ -78,21 +78,21 @@
    * Voters with one more or one less, made from the newest that the leader has in its log. As in the control node, only a
    * standby that is caught up is added: one without a log could neither acknowledge nor vote after a loss of all power.
    */
-  private changeOneVoter(machine: Machine, isAdded: boolean, pick: number): void {
+  private changeOneVoter(machine: Machine, isAddition: boolean, pick: number): void {
     const leader = machine.incarnation.group;
     const voters = leader.voters();
-    const candidates = isAdded ? this.idsExcluding(voters).filter((id) => leader.isCaughtUp(id)) : voters;
+    const candidates = isAddition ? this.idsExcluding(voters).filter((id) => leader.isCaughtUp(id)) : voters;
     if (candidates.length === 0) return;
     const chosen = candidates[pick % candidates.length];
-    this.group.proposeVoters(machine, isAdded ? [...voters, chosen] : voters.filter((id) => id !== chosen));
+    this.group.proposeVoters(machine, isAddition ? [...voters, chosen] : voters.filter((id) => id !== chosen));
   }
   /** Two voters exchanged or left out by one entry: a majority of the former need not meet one of the next. */
   private changeTwoVoters(machine: Machine, pick: number): void {
     const voters = machine.incarnation.group.voters();
     const standbys = this.idsExcluding(voters);
     const remaining = voters.filter((_id, position) => position !== pick % voters.length);
-    const next = standbys.length > 0 ? [...remaining, standbys[pick % standbys.length]] : remaining.slice(1);
-    this.group.proposeVoters(machine, next);
+    const nextVoters = standbys.length > 0 ? [...remaining, standbys[pick % standbys.length]] : remaining.slice(1);
+    this.group.proposeVoters(machine, nextVoters);
   }
   private idsExcluding(voters: string[]): string[] {
     return this.group.machines.map(({ incarnation }) => incarnation.id).filter((id) => !voters.includes(id));
--- a/src/model/groupUnderTest.ts
+++ b/src/model/groupUnderTest.ts
@@ -57,13 +57,13 @@
 
   /** @param trace gets every line that the simulated processes log */
   constructor(
-    private readonly size: { seed: number; voters: number; spares: number },
+    private readonly groupSize: { seed: number; voters: number; spares: number },
     private readonly faults: FaultInjection = {},
     trace: (line: string) => void = () => undefined,
   ) {
     this.diskLoss = new DiskLossLimit(this.machines, this.invariants);
-    this.maintenance = new VoterMaintenance(this.machines, this.diskLoss, size.voters);
-    this.world = new SimWorld(size.seed, (line) => {
+    this.maintenance = new VoterMaintenance(this.machines, this.diskLoss, groupSize.voters);
+    this.world = new SimWorld(groupSize.seed, (line) => {
       this.observeElection(line);
       trace(line);
     });
@@ -75,8 +75,8 @@
 
   /** Bootstraps the group and waits for its first leader. */
   async boot(): Promise<void> {
-    const count = this.size.voters + this.size.spares;
-    const founders = Array.from({ length: this.size.voters }, (_none, position) => `c${position + 1}`);
+    const count = this.groupSize.voters + this.groupSize.spares;
+    const founders = Array.from({ length: this.groupSize.voters }, (_none, position) => `c${position + 1}`);
     for (let position = 0; position < count; position += 1) {
       const name = `m${position + 1}`;
       const disk = new SimDisk(this.world);
@@ -131,8 +131,8 @@
   wipe(machine: Machine, backInMs: number): boolean {
     const { id, process } = machine.incarnation;
     // A log that has not been read yet may have voters that must be counted.
-    const isReading = this.machines.some((other) => other.incarnation.process.alive && !other.isOpen);
-    if (!process.alive || isReading || !this.diskLoss.canLose(id)) return false;
+    const isAnyDiskUnread = this.machines.some((other) => other.incarnation.process.alive && !other.isOpen);
+    if (!process.alive || isAnyDiskUnread || !this.diskLoss.canLose(id)) return false;
     this.world.kill(machine.name, true);
     machine.disk.wipe();
     this.diskLoss.addWiped(id);
@@ -233,8 +233,8 @@
 
   /** Lets virtual time pass, ms, and checks the leases every few milliseconds. Throws the first Violation. */
   async pass(ms: number): Promise<void> {
-    for (const until = this.world.now + ms; this.world.now < until;) {
-      await this.world.run(Math.min(LEASE_CHECK_MS, until - this.world.now));
+    for (const deadline = this.world.now + ms; this.world.now < deadline;) {
+      await this.world.run(Math.min(LEASE_CHECK_MS, deadline - this.world.now));
       this.invariants.checkLeases(this.running());
       this.throwViolation();
     }
--- a/src/model/invariants.ts
+++ b/src/model/invariants.ts
@@ -180,8 +180,11 @@
   private checkPendingVoterChanges(id: string, entries: readonly LogEntry[]): void {
     const pending = entries.filter(({ index, command }) => index > this.committedIndex && command.tag === "voters");
     if (pending.length <= 1) return;
-    const places = pending.map(({ index, term }) => `index ${index} of term ${term}`);
-    this.violate("one-pending-voter-change", `${id} has ${places.join(" and ")}, committed is ${this.committedIndex}`);
+    const positions = pending.map(({ index, term }) => `index ${index} of term ${term}`);
+    this.violate(
+      "one-pending-voter-change",
+      `${id} has ${positions.join(" and ")}, committed is ${this.committedIndex}`,
+    );
   }
   private compareEntry(id: string, entry: LogEntry, previousTerm: number): void {
     if (this.checkedEntries.get(entry) === previousTerm) return;
--- a/src/model/voterMaintenance.ts
+++ b/src/model/voterMaintenance.ts
@@ -12,7 +12,7 @@
   constructor(
     private readonly machines: readonly Machine[],
     private readonly diskLoss: DiskLossLimit,
-    private readonly votersWanted: number,
+    private readonly targetVoterCount: number,
   ) {}
 
   /** Runs in the process of one replica until it ends. */
@@ -26,16 +26,16 @@
         yield* group.propose({ tag: "voters", voters }, Constants.proposeTimeoutMs);
     }
   }
-  private nextVoters({ id: self, group }: Incarnation): string[] | undefined {
+  private nextVoters({ id: selfId, group }: Incarnation): string[] | undefined {
     const voters = group.voters();
     const wiped = voters.find((id) => this.diskLoss.isWiped(id));
     if (wiped !== undefined) return voters.filter((id) => id !== wiped);
-    if (voters.length > this.votersWanted) {
-      const others = voters.filter((id) => id !== self);
+    if (voters.length > this.targetVoterCount) {
+      const others = voters.filter((id) => id !== selfId);
       const surplus = others.sort((left, right) => group.lag(right) - group.lag(left))[0];
       return voters.filter((id) => id !== surplus);
     }
-    if (voters.length === this.votersWanted) return undefined;
+    if (voters.length === this.targetVoterCount) return undefined;
     const ids = this.machines.map(({ incarnation }) => incarnation.id);
     const standby = ids.find((id) => !voters.includes(id) && group.isCaughtUp(id));
     return standby === undefined ? undefined : [...voters, standby];
--- a/src/model/walk.ts
+++ b/src/model/walk.ts
@@ -33,7 +33,7 @@
 const SMALL_LOGS = { logEntriesUntilSnapshot: 12, appendEntriesMaxBytes: 700, trailingLogEntries: 5 };
 
 /** After all faults are healed: a leader and equal replicas in ten seconds, and one more change goes through. */
-async function settle(group: GroupUnderTest): Promise<void> {
+async function recoverAndCheck(group: GroupUnderTest): Promise<void> {
   const { invariants, world } = group;
   const isSettled = (): boolean =>
     group.running().length === group.machines.length &&
@@ -91,7 +91,7 @@
         await group.pass(1);
         group.check();
       }
-      await settle(group);
+      await recoverAndCheck(group);
       return reportOf(group);
     } finally {
       group.end();
