--- a/src/model/actionGenerator.ts
+++ b/src/model/actionGenerator.ts
@@ -2,7 +2,7 @@
 import type { Action, Target } from "./actions";
 
 type FastCheck = typeof import("fast-check");
-/** An action with its frequency relative to the others. */
+/** A generator of one kind of action, with its frequency relative to the other kinds. */
 interface WeightedAction {
   weight: number;
   arbitrary: Arbitrary<Action>;
@@ -10,24 +10,19 @@
 
 const MIN_ACTIONS = 4;
 const MAX_ACTIONS = 60;
-/** Numbers that pick one of the changes, voters or standbys there are. */
+/** Upper bound of `pick`, which selects a change, voter or standby modulo the number of those that exist. */
 const MAX_CHOICE_INDEX = 30;
 const FREEZE_MS = [100, 500, 900, 1500, 4000];
 
 const weighted = (weight: number, arbitrary: Arbitrary<Action>): WeightedAction => ({ weight, arbitrary });
 
-/**
- * Generates walks at random; actions that are hard on a group come up more often.
- *
- * @example
- * const walk = fc.sample(new ActionGenerator(fc, 4).walk(), 1);
- */
+/** Generates random walks, which are lists of actions. Actions that stress a group have higher weights. */
 export class ActionGenerator {
   private readonly machine: Arbitrary<number>;
   private readonly target: Arbitrary<Target>;
   private readonly choiceIndex: Arbitrary<number>;
 
-  /** fast-check is passed in, as only model runs load it. */
+  /** @param fc the fast-check module, passed in because only model runs load it */
   constructor(
     private readonly fc: FastCheck,
     private readonly machines: number,
@@ -41,7 +36,10 @@
     this.choiceIndex = fc.integer({ min: 0, max: MAX_CHOICE_INDEX });
   }
 
-  /** A list of actions. Their order in `oneof` decides what a seed gives: keep it. */
+  /**
+   * Returns a generator of walks. The order of the actions in `oneof` determines which walk a seed gives, so it must
+   * not change.
+   */
   walk(): Arbitrary<Action[]> {
     const action = this.fc.oneof(
       ...this.proposals(),
@@ -84,7 +82,7 @@
 
   private networkFaults(): WeightedAction[] {
     const { fc, machine } = this;
-    const way = fc.constantFrom("in" as const, "out" as const, "both" as const);
+    const direction = fc.constantFrom("in" as const, "out" as const, "both" as const);
     const mask = fc.integer({ min: 1, max: 2 ** this.machines - 2 });
     const network = fc.record({
       tag: fc.constant("network" as const),
@@ -94,8 +92,8 @@
       delayMs: fc.constantFrom(50, 400, 2000),
     });
     return [
-      weighted(3, fc.record({ tag: fc.constant("isolate" as const), machine, way })),
-      weighted(4, fc.record({ tag: fc.constant("isolateLeader" as const), way })),
+      weighted(3, fc.record({ tag: fc.constant("isolate" as const), machine, way: direction })),
+      weighted(4, fc.record({ tag: fc.constant("isolateLeader" as const), way: direction })),
       weighted(3, fc.record({ tag: fc.constant("split" as const), mask })),
       weighted(2, fc.record({ tag: fc.constant("cutOneWay" as const), from: machine, to: machine })),
       weighted(5, fc.record({ tag: fc.constant("heal" as const) })),
--- a/src/model/actionRunner.ts
+++ b/src/model/actionRunner.ts
@@ -6,7 +6,10 @@
   return base === "stale" ? Math.max(0, current - 1) : current + 1;
 }
 
-/** Carries out the actions of a walk on a group. Several proposals of one action are made in the same instant. */
+/**
+ * Executes the actions of a walk on a group. Several changes or retries of one action are proposed at the same virtual
+ * time.
+ */
 export class ActionRunner {
   constructor(private readonly group: GroupUnderTest) {}
 
@@ -75,8 +78,9 @@
     }
   }
   /**
-   * Voters with one more or one less, made from the newest that the leader has in its log. As in the control node, only a
-   * standby that is caught up is added: one without a log could neither acknowledge nor vote after a loss of all power.
+   * Proposes a membership with one voter added or removed, based on the newest membership in the machine's log. As in
+   * the control node, only a caught-up standby is added, because a voter without a log can neither acknowledge entries
+   * nor vote after a power loss of all machines.
    */
   private changeOneVoter(machine: Machine, isAddition: boolean, pick: number): void {
     const leader = machine.incarnation.group;
@@ -86,7 +90,10 @@
     const chosen = candidates[pick % candidates.length];
     this.group.proposeVoters(machine, isAddition ? [...voters, chosen] : voters.filter((id) => id !== chosen));
   }
-  /** Two voters exchanged or left out by one entry: a majority of the former need not meet one of the next. */
+  /**
+   * Proposes to change two voters by one entry: one voter is replaced, or two are removed. A majority of the old
+   * membership need not overlap a majority of the new one.
+   */
   private changeTwoVoters(machine: Machine, pick: number): void {
     const voters = machine.incarnation.group.voters();
     const standbys = this.idsExcluding(voters);
--- a/src/model/campaign.ts
+++ b/src/model/campaign.ts
@@ -4,35 +4,35 @@
 import { Violation } from "./violation";
 import { SPARE_MACHINES, Walk, WalkReport } from "./walk";
 
-/** A walk that broke an invariant, with the fewest actions that still break one. */
+/** A walk that violated an invariant, shortened to the fewest actions found that still violate one. */
 export interface FailingWalk {
   seed: number;
   voters: 3 | 5;
   violation: string;
   actions: Action[];
-  /** How often the list of actions was shortened. */
+  /** Number of times the list of actions was shortened. */
   shrinks: number;
 }
 
 export interface CampaignReport {
   walks: number;
   failures: FailingWalk[];
-  /** Sums over all walks that broke no invariant. */
+  /** Sums over all walks that violated no invariant. */
   totals: WalkReport;
 }
 
 export interface CampaignOptions {
-  /** Seed of the first walk; the next one has the next seed. */
+  /** Seed of the first walk; each further walk uses the next seed. */
   firstSeed: number;
   walks: number;
   voters: 3 | 5;
-  /** Faults of the product itself, put in by tests of the invariants. */
+  /** Faults injected into the code under test, by the tests of the invariants. */
   faults?: FaultInjection;
-  /** Attempts at shortening a failing walk, at most; 400 if absent. */
+  /** Maximum number of attempts to shorten a failing walk; 400 if absent. */
   shrinkLimit?: number;
-  /** Called after each walk with the number of walks so far. */
+  /** Is called after each walk with the number of walks so far. */
   onProgress?: (walks: number) => void;
-  /** Called with each failing walk as soon as it is shortened. */
+  /** Is called with each failing walk as soon as it has been shortened. */
   onFailure?: (failure: FailingWalk) => void;
   stopAtFailure?: boolean;
 }
@@ -49,14 +49,11 @@
 }
 
 /**
- * Plays random walks by seed. The seed draws the actions and the randomness of the simulated world, so it alone gives
- * the same walk again.
- *
- * @example
- * const report = await ModelCampaign.run({ firstSeed: 1, walks: 100, voters: 3 });
+ * Runs random walks by seed. The seed determines the actions and all randomness of the simulation, so the seed alone
+ * reproduces a walk.
  */
 export const ModelCampaign = {
-  /** Plays the walks one after the other. */
+  /** Runs the walks one after the other. */
   async run(options: CampaignOptions): Promise<CampaignReport> {
     const report: CampaignReport = { walks: 0, failures: [], totals: zeroTotals() };
     for (let seed = options.firstSeed; seed < options.firstSeed + options.walks; seed += 1) {
@@ -72,9 +69,9 @@
     return report;
   },
 
-  /** Plays the walk of one seed, and shortens it if it fails. Adds its figures to `totals`. */
+  /** Runs the walk of one seed, adds its figures to `totals`, and shortens the walk if it fails. */
   async runWalk(options: CampaignOptions, seed: number, totals: WalkReport): Promise<FailingWalk | undefined> {
-    const fc = await import("fast-check"); // loaded here only: nothing else of the program needs it
+    const fc = await import("fast-check"); // loaded on demand, because the rest of the program doesn't use it
     const { voters, faults } = options;
     const attemptLimit = 1 + (options.shrinkLimit ?? DEFAULT_SHRINK_LIMIT);
     let attempts = 0;
--- a/src/model/diskLossLimit.ts
+++ b/src/model/diskLossLimit.ts
@@ -2,8 +2,8 @@
 import type { Machine } from "./machine";
 
 /**
- * Which disks a walk may empty: of every set of voters that may decide, a majority must have disks that were never
- * emptied. Beyond that no consensus group can keep what it acknowledged.
+ * Decides which disks a walk may wipe. Of every membership that may form a quorum, a majority of voters must have disks
+ * that were never wiped. If more disks are lost, no consensus group can preserve the changes that it acknowledged.
  */
 export class DiskLossLimit {
   private readonly wipedIds = new Set<string>();
@@ -13,7 +13,7 @@
     private readonly invariants: Invariants,
   ) {}
 
-  /** Notes that the disk of a replica was emptied. */
+  /** Records that the disk of a replica was wiped. */
   addWiped(id: string): void {
     this.wipedIds.add(id);
   }
@@ -23,15 +23,15 @@
   /** Whether the group survives the loss of one more disk. */
   canLose(id: string): boolean {
     const lost = new Set([...this.wipedIds, id]);
-    return this.votersThatMayDecide().every((voters) => DiskLossLimit.hasMajority(voters, lost));
+    return this.possibleMemberships().every((voters) => DiskLossLimit.hasMajority(voters, lost));
   }
-  /** Whether these voters, as they are now, have a majority of disks that were never emptied. */
+  /** Whether a majority of these voters have disks that were never wiped. */
   allows(voters: string[]): boolean {
     return DiskLossLimit.hasMajority(voters, this.wipedIds);
   }
 
-  /** The newest committed voters, and every later set in any log. */
-  private votersThatMayDecide(): string[][] {
+  /** Returns the newest committed membership, and every uncommitted membership in any log. */
+  private possibleMemberships(): string[][] {
     const uncommitted = this.machines.flatMap((machine) =>
       machine.incarnation.group
         .inspect()
--- a/src/model/faultyNetwork.ts
+++ b/src/model/faultyNetwork.ts
@@ -3,24 +3,21 @@
 import { Environment, Link } from "../runtime/env";
 import type { SimWorld } from "../simulation/simWorld";
 
-/** Accepted connections that wait to be taken, at most. */
+/** Maximum number of accepted connections that are queued for the server. */
 const ACCEPT_BACKLOG = 1024;
 
 /**
- * Loses, duplicates and reorders messages between replicas: more than a connection would ever do, so that the group must
- * not depend on the order of its messages.
- *
- * @example
- * const network = new FaultyNetwork(world);
- * world.around = (env) => network.wrap(env);
- * network.dropShare = 0.1;
+ * Drops, duplicates and reorders messages between replicas. A real connection would not do so, but the group must not
+ * depend on the order of its messages.
  */
 export class FaultyNetwork {
-  /** Shares of the messages that are lost, duplicated and delayed, from 0 to 1. */
+  /** Share of the messages that are dropped, from 0 to 1. */
   dropShare = 0;
+  /** Share of the messages that are duplicated, from 0 to 1. */
   duplicateShare = 0;
+  /** Share of the messages that are delayed, from 0 to 1. */
   delayShare = 0;
-  /** Duplicates and delayed messages arrive up to so much later, ms. */
+  /** Maximum delay of duplicated and delayed messages, in ms. */
   delayMs = 0;
 
   constructor(private readonly world: SimWorld) {}
@@ -30,7 +27,7 @@
     this.dropShare = this.duplicateShare = this.delayShare = 0;
   }
 
-  /** The same environment, with its connections through this network. */
+  /** Returns the environment with its connections routed through this network. */
   wrap(env: Environment): Environment {
     const network = this;
     return {
--- a/src/model/groupUnderTest.ts
+++ b/src/model/groupUnderTest.ts
@@ -16,7 +16,7 @@
 
 export type { FaultInjection, Machine } from "./machine";
 
-/** A change of a document, to be proposed once or several times. */
+/** A change of a document, which may be proposed several times. */
 interface DocumentChange {
   changeId: string;
   register: VersionedDocument;
@@ -25,37 +25,32 @@
 
 const GROUP_ID = "group-model";
 const FIRST_PORT = 7000;
-/** Leases are checked this often, ms. */
+/** Interval between checks of the leases, in ms. */
 const LEASE_CHECK_MS = 10;
-/** The first leader must be elected within so many steps. */
+/** Maximum number of steps to wait for the first leader. */
 const BOOT_STEPS = 30;
 const BOOT_STEP_MS = 100;
-/** Duration of a sync on a healthy disk, ms: least, and random part. */
+/** Duration of a sync on a healthy disk, in ms: minimum, and maximum of the random part. */
 const HEALTHY_SYNC_MS: [number, number] = [0.3, 2.5];
-/** The log line of event 1303, "became control lead": machine and term. */
+/** Matches the log line of event 1303, "became control lead", and captures machine and term. */
 const ELECTED_LINE = /^\S+ (\S+) PB1303 \{"term":(\d+)/;
 
 /**
- * The product's consensus group on simulated machines: network, disks and clocks are the simulator's; callers and the
- * maintenance of the voters are played here. The invariants are notified of all that happens.
- *
- * @example
- * const group = new GroupUnderTest({ seed: 7, voters: 3, spares: 1 });
- * await group.boot();
- * await group.pass(500);
+ * Runs the production code of the consensus group on simulated machines, networks, disks and clocks. This class
+ * simulates the callers, and VoterMaintenance the maintenance of the voters. The invariants are notified of all events.
  */
 export class GroupUnderTest {
   readonly invariants = new Invariants();
   readonly world: SimWorld;
   readonly network: FaultyNetwork;
   readonly machines: Machine[] = [];
-  /** All changes of documents proposed so far. */
+  /** All document changes proposed so far. */
   readonly changes: DocumentChange[] = [];
   private readonly machineOf = new Map<string, Machine>();
   private readonly diskLoss: DiskLossLimit;
   private readonly maintenance: VoterMaintenance;
 
-  /** @param trace gets every line that the simulated processes log */
+  /** @param trace receives every line that the simulated processes log */
   constructor(
     private readonly groupSize: { seed: number; voters: number; spares: number },
     private readonly faults: FaultInjection = {},
@@ -76,19 +71,19 @@
   /** Bootstraps the group and waits for its first leader. */
   async boot(): Promise<void> {
     const count = this.groupSize.voters + this.groupSize.spares;
-    const founders = Array.from({ length: this.groupSize.voters }, (_none, position) => `c${position + 1}`);
+    const initialVoters = Array.from({ length: this.groupSize.voters }, (_none, position) => `c${position + 1}`);
     for (let position = 0; position < count; position += 1) {
       const name = `m${position + 1}`;
       const disk = new SimDisk(this.world);
       const address = `10.1.0.1:${FIRST_PORT + position}`;
-      const machine = { name, address, disk, wipes: 0, isOpen: false } as Machine; // its incarnation follows below
+      const machine = { name, address, disk, wipes: 0, isOpen: false } as Machine; // start() sets its incarnation below
       this.machines.push(machine);
       this.machineOf.set(`c${position + 1}`, machine);
     }
-    for (const [position, machine] of this.machines.entries()) this.start(machine, `c${position + 1}`, founders);
+    for (const [position, machine] of this.machines.entries()) this.start(machine, `c${position + 1}`, initialVoters);
     for (let step = 0; step < BOOT_STEPS && !this.leaseHolder(); step += 1) await this.pass(BOOT_STEP_MS);
   }
-  private start(machine: Machine, id: string, founders: string[] = []): void {
+  private start(machine: Machine, id: string, initialVoters: string[] = []): void {
     machine.isOpen = false;
     const process = this.world.start(machine.name, machine.disk);
     const rpc = new Rpc(process.env, "model", id);
@@ -110,15 +105,15 @@
     Csp.go(process.scope, "main", function* () {
       yield* rpc.serve(machine.address);
       const opened = yield* group.open();
-      if (!opened.ok) return void invariants.onTaskError(`${id} can't open its disk: ${opened.fault.detail}`);
+      if (!opened.ok) return void invariants.onTaskError(`${id} cannot open its disk: ${opened.fault.detail}`);
       invariants.compareState(id, group.state, group.lastApplied);
-      if (founders.includes(id)) yield* group.bootstrap(GROUP_ID, founders);
+      if (initialVoters.includes(id)) yield* group.bootstrap(GROUP_ID, initialVoters);
       machine.isOpen = true;
       group.start();
       yield* maintenance.run(machine.incarnation);
     });
   }
-  /** Ends a machine's process; it comes back with the disk that it left. */
+  /** Kills a machine's process, which restarts `backInMs` later with the same id and disk. */
   kill(machine: Machine, powerLost: boolean, backInMs: number): void {
     const { incarnation } = machine;
     if (!incarnation.process.alive) return;
@@ -127,10 +122,13 @@
       if (machine.incarnation === incarnation) this.start(machine, incarnation.id);
     });
   }
-  /** Ends a machine's process and empties its disk, if the group can bear it; it comes back as a new member. */
+  /**
+   * Kills a machine's process and wipes its disk; the machine restarts `backInMs` later as a new replica. Does nothing
+   * and returns false if the group could not tolerate the loss.
+   */
   wipe(machine: Machine, backInMs: number): boolean {
     const { id, process } = machine.incarnation;
-    // A log that has not been read yet may have voters that must be counted.
+    // A log that has not been read yet may contain a membership that the disk loss limit must take into account.
     const isAnyDiskUnread = this.machines.some((other) => other.incarnation.process.alive && !other.isOpen);
     if (!process.alive || isAnyDiskUnread || !this.diskLoss.canLose(id)) return false;
     this.world.kill(machine.name, true);
@@ -144,7 +142,9 @@
     });
     return true;
   }
-  /** Ends all faults of network, disks and processes. Killed processes come back at their time. */
+  /**
+   * Ends all faults of networks, disks and frozen processes. Killed processes still restart at their scheduled time.
+   */
   healAll(): void {
     this.world.heal();
     this.network.heal();
@@ -159,7 +159,7 @@
     process.freeze();
     this.world.at(forMs, () => process.wake());
   }
-  /** Makes every sync of a disk take so long, for so long. */
+  /** Makes every sync of a disk take `forMs`, for `forMs`. */
   stallDisk(machine: Machine, forMs: number): void {
     machine.disk.syncMs = [forMs, 0];
     this.world.at(forMs, () => this.healDisk(machine));
@@ -179,7 +179,10 @@
   leaseHolder(): Machine | undefined {
     return this.runningMachines().find(({ incarnation }) => incarnation.group.hasLeaderLease());
   }
-  /** Machines that take themselves for the leader, the one of the lowest term first: it may be partitioned. */
+  /**
+   * Machines that consider themselves the leader, in order of their terms. One with a lower term may be partitioned
+   * from the others.
+   */
   leaders(): Machine[] {
     const termOf = ({ incarnation }: Machine): number => incarnation.group.inspect().term;
     return this.runningMachines()
@@ -189,7 +192,10 @@
 
   // ---------- callers ----------
 
-  /** Asks one machine for new voters, unless a majority of them has lost its disk by the time it receives that. */
+  /**
+   * Proposes new voters at one machine. The proposal is dropped if, on arrival, a majority of them have lost their
+   * disks.
+   */
   proposeVoters(machine: Machine, voters: string[]): void {
     const { diskLoss } = this;
     this.runOnMachine(machine, function* (group) {
@@ -197,7 +203,7 @@
         yield* group.propose({ tag: "voters", voters }, Constants.proposeTimeoutMs);
     });
   }
-  /** Sends a new change of a document, made against a version. */
+  /** Sends a new change of a document, based on the version `ifVersion`. */
   propose(machine: Machine, register: VersionedDocument, ifVersion: number): void {
     const changeId = `change-${this.changes.length + 1}`;
     const doc = { bindings: {}, origin: { changeId } };
@@ -209,7 +215,7 @@
     this.changes.push(change);
     this.resend(machine, change);
   }
-  /** Sends a change again, as a caller does that got no clear response. */
+  /** Sends a change, again if it was sent before, as a caller does that received no definite response. */
   resend(machine: Machine, change: DocumentChange): void {
     const { invariants } = this;
     const { id } = machine.incarnation;
@@ -218,7 +224,10 @@
       if (outcome.ok) invariants.onOutcome(id, change.register, change.changeId, outcome.value);
     });
   }
-  /** As the control node does it: a leader that knows the outcome of a change responds from its state. */
+  /**
+   * Returns the outcome of a change. As in the control node, a leader that already knows the outcome responds from its
+   * state.
+   */
   private static *outcomeOf(group: ConsensusGroup, { changeId, command }: DocumentChange): Task<Result<Outcome>> {
     const known = group.hasLeaderLease() ? group.state.changes[changeId] : undefined;
     return known ? Fault.ok(known) : yield* group.propose(command, Constants.proposeTimeoutMs);
@@ -231,7 +240,7 @@
 
   // ---------- time and checks ----------
 
-  /** Lets virtual time pass, ms, and checks the leases every few milliseconds. Throws the first Violation. */
+  /** Advances virtual time by `ms`, and checks the leases every few milliseconds. Throws the first Violation. */
   async pass(ms: number): Promise<void> {
     for (const deadline = this.world.now + ms; this.world.now < deadline;) {
       await this.world.run(Math.min(LEASE_CHECK_MS, deadline - this.world.now));
@@ -239,7 +248,7 @@
       this.throwViolation();
     }
   }
-  /** Checks everything that can be checked at this instant. Throws the first Violation. */
+  /** Checks all invariants that can be checked at any time. Throws the first Violation. */
   check(): void {
     const running = this.running();
     this.invariants.checkLeases(running);
@@ -248,7 +257,7 @@
       for (const error of machine.incarnation.process.errors) this.invariants.onTaskError(error);
     this.throwViolation();
   }
-  /** Throws the first Violation, if there is one. */
+  /** Throws the first Violation, if any. */
   throwViolation(): void {
     if (this.invariants.violation) throw this.invariants.violation;
   }
--- a/src/model/invariants.ts
+++ b/src/model/invariants.ts
@@ -12,52 +12,51 @@
   group: ConsensusGroup;
 }
 
-/** A committed entry; the command is JSON. */
+/** A committed entry, with its command as JSON. */
 interface CommittedEntry {
   term: number;
   command: string;
 }
 
 /**
- * Checks the invariants of the group over a whole walk: remembers what was ever committed, acknowledged or elected, and
- * compares all that comes later with it.
- *
- * @example
- * const invariants = new Invariants();
- * invariants.onApplied(replica, state, index); // from the group's hook
- * invariants.checkLeases(running);
+ * Checks the invariants of the group over a whole walk. It records all elections, committed entries and acknowledged
+ * changes, and compares later events with them.
  */
 export class Invariants {
-  /** The first violation. It is thrown later, as it may be found in the middle of a replica's own code. */
+  /** The first violation. It is not thrown where it is detected, because that may be inside code of a replica. */
   violation: Violation | undefined;
   readonly reference = new ReferenceModel();
-  /** Committed entries; the one of index 1 is the first. */
+  /** Committed entries, starting with index 1. */
   private readonly committed: CommittedEntry[] = [];
-  /** The reference's digest and the voters after each index, from 0 on. */
+  /** Digest of the reference model after each index, starting with index 0. */
   private readonly digests: string[] = [this.reference.digest()];
+  /** Committed voters after each index, starting with index 0. */
   private readonly committedVoters: string[][] = [[]];
   private readonly leaderOfTerm = new Map<number, string>();
-  /** Each entry ever seen by index and term, with the term before it: equal entries must have equal logs before them. */
+  /**
+   * Content and preceding term of each entry ever seen, by index and term. Logs with the same entry must match up to
+   * it.
+   */
   private readonly seenEntries = new Map<string, string>();
-  /** Entries compared already, with the term of the entry before. */
+  /** Entries that have been compared already, with the term of the preceding entry. */
   private readonly checkedEntries = new WeakMap<LogEntry, number>();
   private readonly commitIndexes = new WeakMap<ConsensusGroup, number>();
   /** Outcomes of acknowledged changes by change id. */
   private readonly acknowledged = new Map<string, Outcome>();
-  /** The acknowledged change that wrote a version of a document. */
+  /** Id of the acknowledged change that wrote each version of a document. */
   private readonly changeOfVersion = new Map<string, string>();
-  /** The highest index of an acknowledged change. */
+  /** Highest index of an acknowledged change. */
   private acknowledgedIndex = 0;
 
   private violate(invariant: InvariantName, detail: string): void {
     this.violation ??= new Violation(invariant, detail);
   }
 
-  /** The highest index that any replica ever took for committed. */
+  /** Highest index that any replica has ever applied as committed. */
   get committedIndex(): number {
     return this.committed.length;
   }
-  /** The voters as of that index. */
+  /** The voters as of the highest committed index. */
   get voters(): string[] {
     return this.committedVoters[this.committedIndex];
   }
@@ -67,7 +66,7 @@
 
   // ---------- events ----------
 
-  /** A replica won an election. */
+  /** Records that a replica won an election. */
   onElected(id: string, term: number): void {
     const known = this.leaderOfTerm.get(term);
     if (known !== undefined && known !== id)
@@ -75,7 +74,7 @@
     this.leaderOfTerm.set(term, id);
   }
 
-  /** A replica has applied its log up to an index. */
+  /** Records that a replica has applied its log up to an index. */
   onApplied(replica: RunningReplica, state: ControlState, index: number): void {
     const { entries } = replica.group.inspect();
     for (const entry of entries) {
@@ -84,7 +83,7 @@
     }
     this.compareState(replica.id, state, index);
   }
-  /** Compares a replica that has applied something, or opened its disk, with the reference. */
+  /** Compares the state of a replica that has applied entries or opened its disk with the reference model. */
   compareState(id: string, state: ControlState, index: number): void {
     const expected = this.digests[index];
     if (expected === undefined)
@@ -108,7 +107,7 @@
     this.committedVoters.push(voters);
   }
 
-  /** A caller got the outcome of its change. */
+  /** Records that a caller received the outcome of its change. */
   onOutcome(id: string, document: string, changeId: string, outcome: Outcome): void {
     const text = JSON.stringify(outcome);
     const earlier = JSON.stringify(this.acknowledged.get(changeId));
@@ -134,14 +133,17 @@
     return 1 + this.committed.findIndex(({ command }) => command.includes(property));
   }
 
-  /** A task of a replica has ended with an error. */
+  /** Records that a task of a replica has ended with an error. */
   onTaskError(detail: string): void {
     this.violate("no-task-error", detail);
   }
 
-  // ---------- checks at an instant ----------
+  // ---------- checks at any time ----------
 
-  /** Who could answer a read now, and with what. Cheap enough for every few milliseconds. */
+  /**
+   * Checks that at most one replica holds the lease, that it has applied all acknowledged changes, and that no commit
+   * index has decreased. Cheap enough to run every few milliseconds.
+   */
   checkLeases(running: RunningReplica[]): void {
     const holders = running.filter(({ group }) => group.hasLeaderLease());
     if (holders.length > 1) {
@@ -163,7 +165,7 @@
     this.commitIndexes.set(group, group.commitIndex);
   }
 
-  /** All logs against each other and against what was committed. */
+  /** Compares all logs with each other, and checks that each has at most one uncommitted membership change. */
   checkLogs(running: RunningReplica[]): void {
     for (const { id, group } of running) {
       const { entries } = group.inspect();
@@ -203,12 +205,12 @@
   hasConverged(running: RunningReplica[]): boolean {
     return running.every(({ group }) => group.lastApplied === this.committedIndex);
   }
-  /** What must be true at the end of a walk, after all faults were healed. */
+  /** Checks the invariants that must hold at the end of a walk, after all faults have ended. */
   checkEnd(running: RunningReplica[], hasLeader: boolean): void {
     if (!hasLeader)
       return this.violate(
         "leader-after-heal",
-        `nobody holds the lease, or no change goes through: ${Invariants.describe(running)}`,
+        `no replica holds the lease, or no change is acknowledged: ${Invariants.describe(running)}`,
       );
     if (!this.hasConverged(running))
       return this.violate(
--- a/src/model/referenceModel.ts
+++ b/src/model/referenceModel.ts
@@ -1,18 +1,21 @@
 import { Command, Outcome } from "../controlState/command";
 import { ControlState } from "../controlState/controlState";
 
-/** The two documents that walks change by compare-and-set; "manifest" is the configuration. */
+/** The documents that walks change by compare-and-set; "manifest" is the configuration. */
 export type VersionedDocument = "policies" | "manifest";
 
 interface Register {
   version: number;
-  /** The change that wrote this version. */
+  /** Id of the change that wrote this version. */
   changeId: string;
 }
 
 const NO_CHANGE = "";
 
-/** Walks write the id of the change into the document, so that replicas can be compared by it. */
+/**
+ * Returns the id of the change that wrote the configuration. Walks store it in the document, so that replicas can be
+ * compared by it.
+ */
 function configurationChangeOf(state: ControlState): string {
   const origin = state.manifest.doc.origin as { changeId: string } | undefined;
   return origin?.changeId ?? NO_CHANGE;
@@ -25,13 +28,8 @@
 }
 
 /**
- * A second, simpler implementation of the state machine: two versioned registers, the outcome of each change, and the
- * voters. Each committed command is applied here once, and every replica is compared with the result.
- *
- * @example
- * const reference = new ReferenceModel();
- * reference.apply({ tag: "found", group: "g", voters: ["a"] });
- * reference.digest() === ReferenceModel.digestOf(state);
+ * A second, simpler implementation of the state machine, with two versioned registers, the outcome of each change, and
+ * the voters. It applies each committed command once, and every replica is compared with the result.
  */
 export class ReferenceModel {
   private readonly registers: Record<VersionedDocument, Register> = {
@@ -42,7 +40,7 @@
   /** Outcomes of changes by change id. */
   readonly outcomes = new Map<string, Outcome>();
 
-  /** The version that a change should be made against now. @example reference.version("policies") */
+  /** Returns the current version of a document. */
   version(document: VersionedDocument): number {
     return this.registers[document].version;
   }
@@ -73,12 +71,12 @@
     this.outcomes.set(changeId, { tag: "done", version: current + 1 });
   }
 
-  /** All of the state as text, to compare replicas by. */
+  /** Returns the whole state as text, for comparison with replicas. */
   digest(): string {
     const { policies, manifest } = this.registers;
     return JSON.stringify([this.voters, policies, manifest, [...this.outcomes].sort(byChangeId)]);
   }
-  /** The same text of a replica's state. */
+  /** Returns the same text for a replica's state. */
   static digestOf(state: ControlState): string {
     const policies: Register = { version: state.policies.version, changeId: policiesChangeOf(state) };
     const configuration: Register = { version: state.manifest.version, changeId: configurationChangeOf(state) };
--- a/src/model/violation.ts
+++ b/src/model/violation.ts
@@ -1,4 +1,4 @@
-/** Every invariant by the name that a failing walk prints; the first four are those of the Raft paper, figure 3. */
+/** Names of the invariants, as a failing walk prints them. The first four are from the Raft paper, figure 3. */
 export type InvariantName =
   | "election-safety"
   | "log-matching"
@@ -15,7 +15,7 @@
   | "converged-after-heal"
   | "no-task-error";
 
-/** A broken invariant. It ends the walk. */
+/** A violated invariant. It ends the walk. */
 export class Violation extends Error {
   constructor(
     readonly invariant: InvariantName,
--- a/src/model/voterMaintenance.ts
+++ b/src/model/voterMaintenance.ts
@@ -5,8 +5,8 @@
 import type { Incarnation, Machine } from "./machine";
 
 /**
- * What the control node does about the voters, in a simpler form: as leader it removes voters with emptied disks, and
- * brings their number back to what it should be.
+ * A simpler form of the control node's voter maintenance. A leader removes voters whose disks were wiped, and restores
+ * the target number of voters.
  */
 export class VoterMaintenance {
   constructor(
@@ -15,7 +15,7 @@
     private readonly targetVoterCount: number,
   ) {}
 
-  /** Runs in the process of one replica until it ends. */
+  /** Runs in the process of one replica until the process ends. */
   *run(incarnation: Incarnation): Task<void> {
     const { process, group } = incarnation;
     for (;;) {
--- a/src/model/walk.ts
+++ b/src/model/walk.ts
@@ -3,17 +3,17 @@
 import { Action } from "./actions";
 import { FaultInjection, GroupUnderTest } from "./groupUnderTest";
 
-/** What a walk starts from. */
+/** Parameters of a walk. */
 export interface WalkSetup {
   seed: number;
   voters: 3 | 5;
-  /** Faults of the product itself, put in by tests of the invariants. */
+  /** Faults injected into the code under test, by the tests of the invariants. */
   faults?: FaultInjection;
-  /** Gets every log line and every action. */
+  /** Receives every log line and every action. */
   trace?: (line: string) => void;
 }
 
-/** Figures of a walk that broke no invariant. */
+/** Figures of a walk that violated no invariant. */
 export interface WalkReport {
   virtualMs: number;
   proposed: number;
@@ -22,17 +22,25 @@
   wipes: number;
 }
 
-/** Machines besides the voters, as standbys: they replace a voter that was emptied or removed. */
+/**
+ * Number of machines besides the initial voters. They are standbys, and can replace a voter that was wiped or removed.
+ */
 export const SPARE_MACHINES = 1;
-/** The group must recover in so much virtual time after all faults are healed, ms. */
+/** Maximum time for each of the two steps of recovery after all faults have ended, in ms of virtual time. */
 const SETTLE_MS = 10_000;
 const CHECK_PERIOD_MS = 100;
-/** The last change is proposed again after so many checks, as an earlier change may take its version. */
+/**
+ * Number of checks after which the final change is proposed again, because an earlier change may have taken its
+ * version.
+ */
 const FINAL_CHANGE_PERIOD = 20;
-/** Logs are compacted and sent in chunks this small, so that a short walk meets snapshots and batches. */
+/** Limits small enough that a short walk includes snapshots and several batches of entries. */
 const SMALL_LOGS = { logEntriesUntilSnapshot: 12, appendEntriesMaxBytes: 700, trailingLogEntries: 5 };
 
-/** After all faults are healed: a leader and equal replicas in ten seconds, and one more change goes through. */
+/**
+ * Ends all faults, then checks that within ten seconds the group has a leader and equal replicas, and that within ten
+ * more seconds one more change is acknowledged.
+ */
 async function recoverAndCheck(group: GroupUnderTest): Promise<void> {
   const { invariants, world } = group;
   const isSettled = (): boolean =>
@@ -70,13 +78,13 @@
 }
 
 /**
- * Plays one list of actions on a group of its own, from bootstrap to a healed end.
+ * Runs a list of actions on a new group, from its bootstrap to its recovery after all faults have ended.
  *
  * @example
  * await Walk.play({ seed: 7, voters: 3 }, [{ tag: "isolateLeader", way: "both" }, { tag: "pass", ms: 2500 }]);
  */
 export const Walk = {
-  /** Throws a Violation if an invariant is broken. */
+  /** Runs the actions. Throws a Violation if an invariant is violated. */
   async play(setup: WalkSetup, actions: Action[]): Promise<WalkReport> {
     const savedConstants = { ...Constants };
     Object.assign(Constants, SMALL_LOGS);
