--- a/test/consensusCodecs.test.ts
+++ b/test/consensusCodecs.test.ts
@@ -11,9 +11,9 @@
 
 const state = { ...ControlState.empty(), group: "g", voters: ["a"] };
 const entries = [{ index: 5, term: 2, command: noop }];
-const afterJson = <Body>(body: Body): Body => JSON.parse(JSON.stringify(body)) as Body;
+const throughJson = <Body>(body: Body): Body => JSON.parse(JSON.stringify(body)) as Body;
 
-describe("messages of the consensus group keep their names and the order of their fields on the wire", () => {
+describe("consensus messages keep their field names and field order on the wire", () => {
   const heartbeat: AppendEntriesRequest = {
     targetId: "b",
     groupId: "g",
@@ -41,10 +41,10 @@
       { ...heartbeat, chunk },
       `${header},"entries":[],"piece":{"transfer":"a-3-1","size":9,"checksum":7,"offset":0,"data":"AAAA"}}`,
     ],
-  ])("AppendEntries with %s", (_name, request: AppendEntriesRequest, json) => {
+  ])("in AppendEntries with %s", (_name, request: AppendEntriesRequest, json) => {
     const body = MessageCodec.encodeAppendEntries(request);
     expect(JSON.stringify(body)).toBe(json);
-    expect(MessageCodec.decodeAppendEntries(afterJson(body))).toEqual({ ok: true, message: request });
+    expect(MessageCodec.decodeAppendEntries(throughJson(body))).toEqual({ ok: true, message: request });
   });
 
   test.each([
@@ -54,16 +54,16 @@
       { term: 3, success: false, lastPossibleMatch: 4, receivedBytes: 8 },
       '{"term":3,"matched":false,"last":4,"received":8}',
     ],
-  ] as [AppendEntriesResponse, string][])("the response %j", (response, json) => {
+  ] as [AppendEntriesResponse, string][])("in the AppendEntries response %j", (response, json) => {
     const body = MessageCodec.encodeAppendEntriesResponse(response);
     expect(JSON.stringify(body)).toBe(json);
-    expect(MessageCodec.decodeAppendEntriesResponse(afterJson(body))).toEqual({ ok: true, message: response });
+    expect(MessageCodec.decodeAppendEntriesResponse(throughJson(body))).toEqual({ ok: true, message: response });
   });
 
   test.each([
     [false, ""],
     [true, ',"handedOver":true'],
-  ])("RequestVote, with leadership transferred: %s", (leadershipTransferred, suffix) => {
+  ])("in RequestVote with leadershipTransferred %s", (leadershipTransferred, suffix) => {
     const request: RequestVoteRequest = {
       targetId: "b",
       groupId: "g",
@@ -78,21 +78,21 @@
     expect(JSON.stringify(body)).toBe(
       `{"to":"b","group":"g","term":4,"candidate":"a","lastIndex":5,"lastTerm":2,"ofNewborns":true${suffix}}`,
     );
-    expect(MessageCodec.decodeRequestVote(afterJson(body))).toEqual({ ok: true, message: request });
+    expect(MessageCodec.decodeRequestVote(throughJson(body))).toEqual({ ok: true, message: request });
   });
 
-  test("a vote, and TimeoutNow", () => {
+  test("in the RequestVote response and in TimeoutNow", () => {
     const vote: RequestVoteResponse = { term: 4, voteGranted: true };
     const body = MessageCodec.encodeRequestVoteResponse(vote);
     expect(JSON.stringify(body)).toBe('{"term":4,"granted":true}');
-    expect(MessageCodec.decodeRequestVoteResponse(afterJson(body))).toEqual({ ok: true, message: vote });
+    expect(MessageCodec.decodeRequestVoteResponse(throughJson(body))).toEqual({ ok: true, message: vote });
     const timeoutNow = { targetId: "b", groupId: "g", term: 4 };
     expect(JSON.stringify(MessageCodec.encodeTimeoutNow(timeoutNow))).toBe('{"to":"b","group":"g","term":4}');
     expect(MessageCodec.decodeTimeoutNow(MessageCodec.encodeTimeoutNow(timeoutNow))).toEqual(timeoutNow);
   });
 });
 
-test("malformed responses are not decoded", () => {
+test("decoding rejects malformed responses", () => {
   const appendResponses = [null, {}, { term: 3 }, { term: 3, matched: true }, { term: "3", matched: false, last: 4 }];
   for (const body of appendResponses)
     expect(MessageCodec.decodeAppendEntriesResponse(body as never)).toMatchObject({ ok: false });
@@ -100,8 +100,8 @@
     expect(MessageCodec.decodeRequestVoteResponse(body as never)).toMatchObject({ ok: false });
 });
 
-describe("the persistent state keeps its names and the order of its fields on disk", () => {
-  test("a snapshot", () => {
+describe("the persistent state keeps its field names and field order on disk", () => {
+  test("in a snapshot", () => {
     const persistent: PersistentState = {
       currentTerm: 3,
       votedFor: "a",
@@ -114,16 +114,16 @@
     expect(JSON.stringify(stored)).toBe(
       `{"term":3,"votedFor":"a","baseIndex":4,"baseTerm":2,"base":${JSON.stringify(state)},"entries":${JSON.stringify(entries)}}`,
     );
-    expect(StorageCodec.decodeState(afterJson(stored))).toEqual(persistent);
+    expect(StorageCodec.decodeState(throughJson(stored))).toEqual(persistent);
   });
 
   test.each([
     [{ kind: "termAndVote", currentTerm: 3, votedFor: "a" }, '{"tag":"hard","term":3,"votedFor":"a"}'],
     [{ kind: "entries", entries }, `{"tag":"entries","entries":${JSON.stringify(entries)}}`],
     [{ kind: "truncation", fromIndex: 5 }, '{"tag":"cut","from":5}'],
-  ] as [LogRecord, string][])("the record %j", (record, json) => {
+  ] as [LogRecord, string][])("in the record %j", (record, json) => {
     const stored = StorageCodec.encodeRecord(record);
     expect(JSON.stringify(stored)).toBe(json);
-    expect(StorageCodec.decodeRecord(afterJson(stored))).toEqual(record);
+    expect(StorageCodec.decodeRecord(throughJson(stored))).toEqual(record);
   });
 });
--- a/test/consensusGroups.ts
+++ b/test/consensusGroups.ts
@@ -5,7 +5,7 @@
 export const noop: Command = { tag: "noop" };
 export const noops = (count: number): Command[] => Array.from({ length: count }, () => noop);
 
-/** Proposes at a given server, whether it leads or not. */
+/** Proposes a command at the given server, whether it is the leader or not. */
 export async function proposeAt(
   control: GroupWorld,
   voter: Voter,
@@ -14,7 +14,7 @@
   return await control.world.finish(voter.process, () => voter.group.propose(command, 2000), 3000);
 }
 
-/** Partitions some servers from all others, while they still reach each other. */
+/** Partitions the given servers from all others; they can still reach each other. */
 export function isolate(control: GroupWorld, ids: string[]): void {
   for (const { id } of control.voters)
     if (!ids.includes(id))
--- a/test/leaderLease.test.ts
+++ b/test/leaderLease.test.ts
@@ -1,18 +1,18 @@
 import { GroupWorld } from "../src/tools/scale/groupWorld";
 import { noop, proposeAt } from "./consensusGroups";
 
-describe("the control group's lease", () => {
-  test("gives the newest time at which a majority is known to have acknowledged the leader", async () => {
+describe("the leader lease of the control group", () => {
+  test("gives the latest time at which a majority is known to have acknowledged the leader", async () => {
     const control = new GroupWorld(3, 5);
     await control.boot();
     const leader = control.leader()!;
     const follower = control.voters.find((voter) => voter !== leader)!;
-    const age = (): number => leader.process.env.mono() - leader.group.quorumContactAt();
-    expect(age()).toBeLessThan(300);
+    const quorumContactAgeMs = (): number => leader.process.env.mono() - leader.group.quorumContactAt();
+    expect(quorumContactAgeMs()).toBeLessThan(300);
     expect(follower.group.quorumContactAt()).toBe(-Infinity);
     control.world.isolate([leader.id], "both");
     await control.world.run(700);
-    expect(age()).toBeGreaterThan(600);
+    expect(quorumContactAgeMs()).toBeGreaterThan(600);
     await control.world.run(4000);
     expect(leader.group.quorumContactAt()).toBe(-Infinity);
     control.end();
@@ -27,10 +27,10 @@
     const others = control.voters.filter((voter) => voter !== leader);
     leader.process.freeze();
     await control.world.run(4000);
-    const next = control.leader()!;
-    expect(others).toContain(next);
-    const frozenAt = leader.group.quorumContactAt();
-    expect(leader.process.env.mono() - frozenAt).toBeGreaterThan(3500);
+    const newLeader = control.leader()!;
+    expect(others).toContain(newLeader);
+    const lastContactAt = leader.group.quorumContactAt();
+    expect(leader.process.env.mono() - lastContactAt).toBeGreaterThan(3500);
     expect(leader.group.hasLeaderLease()).toBe(false);
     leader.process.wake();
     for (let step = 0; step < 20; step += 1) {
--- a/test/membershipChange.test.ts
+++ b/test/membershipChange.test.ts
@@ -2,13 +2,13 @@
 import { GroupWorld, Voter } from "../src/tools/scale/groupWorld";
 import { isolate, noops, proposeAt } from "./consensusGroups";
 
-describe("changes of the voters", () => {
-  test("refuses a second change while one is uncommitted, so that two leaders never hold leases at once", async () => {
+describe("the group membership", () => {
+  test("rejects a second change while one is uncommitted, so that two leaders never hold leases at once", async () => {
     const control = new GroupWorld(5, 5);
     await control.boot();
     const leader = control.leader()!;
     const voters = leader.group.voters();
-    const spare = control.voters.map(({ id }) => id).filter((id) => !voters.includes(id));
+    const standbys = control.voters.map(({ id }) => id).filter((id) => !voters.includes(id));
     isolate(
       control,
       voters.filter((id) => id !== leader.id),
@@ -16,8 +16,8 @@
     await control.world.run(50);
     const { taken } = await control.propose(
       [
-        { tag: "voters", voters: [...voters, spare[0]] },
-        { tag: "voters", voters: [...voters, ...spare] },
+        { tag: "voters", voters: [...voters, standbys[0]] },
+        { tag: "voters", voters: [...voters, ...standbys] },
       ],
       3000,
     );
@@ -28,52 +28,53 @@
     }
     control.world.heal();
     await control.world.run(3000);
-    const after = control.leader()!;
-    expect(after.group.voters()).toEqual(voters);
-    const enlarged = [...voters, spare[0]];
-    expect(await proposeAt(control, after, { tag: "voters", voters: enlarged })).toMatchObject({ ok: true });
-    expect(after.group.voters()).toEqual(enlarged);
+    const newLeader = control.leader()!;
+    expect(newLeader.group.voters()).toEqual(voters);
+    const enlarged = [...voters, standbys[0]];
+    expect(await proposeAt(control, newLeader, { tag: "voters", voters: enlarged })).toMatchObject({ ok: true });
+    expect(newLeader.group.voters()).toEqual(enlarged);
     control.end();
   });
 
-  test("accepts one voter more or one less, nothing else", async () => {
+  test("accepts a change only if it adds or removes exactly one voter", async () => {
     const control = new GroupWorld(5, 6);
     await control.boot();
     const leader = control.leader()!;
     const voters = leader.group.voters();
-    const spare = control.voters.map(({ id }) => id).filter((id) => !voters.includes(id));
+    const standbys = control.voters.map(({ id }) => id).filter((id) => !voters.includes(id));
     const others = voters.filter((id) => id !== leader.id);
-    const wrong = [
+    const rejectedMemberships = [
       voters,
-      [...voters, ...spare],
+      [...voters, ...standbys],
       [leader.id],
-      [...others, spare[0]],
+      [...others, standbys[0]],
       [...voters, voters[0]],
-      [...voters, spare[0], spare[0]],
+      [...voters, standbys[0], standbys[0]],
       [],
     ];
-    for (const asked of wrong)
-      expect(await proposeAt(control, leader, { tag: "voters", voters: asked })).toMatchObject({
+    for (const proposedVoters of rejectedMemberships)
+      expect(await proposeAt(control, leader, { tag: "voters", voters: proposedVoters })).toMatchObject({
         ok: false,
         fault: { tag: "conflict" },
       });
     const found: Command = { tag: "found", group: "another", voters };
     expect(await proposeAt(control, leader, found)).toMatchObject({ ok: false, fault: { tag: "conflict" } });
     expect(leader.group.voters()).toEqual(voters);
-    for (const asked of [[...voters, spare[0]], [...voters, ...spare], [...voters, spare[1]], voters])
-      expect(await proposeAt(control, leader, { tag: "voters", voters: asked })).toMatchObject({ ok: true });
+    for (const proposedVoters of [[...voters, standbys[0]], [...voters, ...standbys], [...voters, standbys[1]], voters])
+      expect(await proposeAt(control, leader, { tag: "voters", voters: proposedVoters })).toMatchObject({ ok: true });
     control.end();
   });
 
-  test("lets a leader commit its own removal without counting itself, and step down then", async () => {
+  test("lets a leader commit its own removal without counting itself, and makes it step down then", async () => {
     const control = new GroupWorld(3, 7);
     await control.boot();
     const leader = control.leader()!;
     const others = leader.group.voters().filter((id) => id !== leader.id);
-    // with one of the remaining two partitioned, the leader and the other are no majority of the two
+    // With one of the two remaining voters partitioned, the leader and the other voter are no majority of the new
+    // membership.
     control.world.isolate([others[0]], "both");
-    const unsure = await proposeAt(control, leader, { tag: "voters", voters: others });
-    expect(unsure).toMatchObject({ ok: false, fault: { tag: "unknown" } });
+    const removal = await proposeAt(control, leader, { tag: "voters", voters: others });
+    expect(removal).toMatchObject({ ok: false, fault: { tag: "unknown" } });
     expect(leader.group.hasLeaderLease()).toBe(false);
     control.world.heal();
     await control.world.run(4000);
@@ -86,7 +87,7 @@
     control.end();
   });
 
-  test("never lets a standby stand for election", async () => {
+  test("never lets a standby start an election", async () => {
     const control = new GroupWorld(4, 8);
     await control.boot();
     const standby = control.voters[3];
@@ -98,7 +99,7 @@
   });
 });
 
-/** Waits in virtual time for a leader among these. */
+/** Waits in virtual time until one of the given voters is the leader. */
 async function leaderAmong(world: GroupWorld, voters: Voter[], withinMs: number): Promise<Voter | undefined> {
   for (let waited = 0; waited < withinMs; waited += 100) {
     const leader = voters.find((voter) => voter.group.hasLeaderLease());
@@ -108,7 +109,7 @@
   return undefined;
 }
 
-test("a voter whose removal was proposed and never committed keeps nobody from leading", async () => {
+test("a voter whose removal was proposed but never committed does not prevent the election of a leader", async () => {
   for (const seed of [1, 2, 3]) {
     const control = new GroupWorld(3, seed);
     await control.boot();
@@ -116,13 +117,13 @@
     const [staying, leaving] = control.voters.filter((voter) => voter !== leader);
     control.world.partition(leader.id, staying.id);
     control.world.partition(staying.id, leader.id);
-    // the leader reaches only the voter that it removes, and so no majority of the new voters
+    // The leader reaches only the voter that it removes, and therefore no majority of the new membership.
     const proposed = await control.propose([{ tag: "voters", voters: [leader.id, staying.id] }], 500);
     expect(proposed.taken).toBe(0);
     control.world.kill(leader.id);
     control.world.heal();
-    const next = await leaderAmong(control, [staying, leaving], 10_000);
-    expect([seed, next !== undefined]).toEqual([seed, true]);
+    const newLeader = await leaderAmong(control, [staying, leaving], 10_000);
+    expect([seed, newLeader !== undefined]).toEqual([seed, true]);
     control.end();
   }
 });
--- a/test/messageRejection.test.ts
+++ b/test/messageRejection.test.ts
@@ -16,18 +16,18 @@
       ...fields,
     };
   };
-  const send = async (control: GroupWorld, to: Voter, verb: string, body: object): Promise<Result<unknown>> => {
-    const from = control.voters.find((voter) => voter !== to)!;
+  const send = async (control: GroupWorld, target: Voter, method: string, body: object): Promise<Result<unknown>> => {
+    const from = control.voters.find((voter) => voter !== target)!;
     return (await control.world.finish(
       from.process,
-      () => from.rpc.call(control.addressOf(to.id), verb, { to: to.id, ...body }, 500),
+      () => from.rpc.call(control.addressOf(target.id), method, { to: target.id, ...body }, 500),
       1000,
     ))!;
   };
   const logLinesOf = (voter: Voter, event: number): string[] =>
     voter.process.logs.filter((line) => line.includes(`PB${event} `));
 
-  test("entries or a snapshot that would replace committed ones", async () => {
+  test("entries or a snapshot that would replace committed entries", async () => {
     const control = new GroupWorld(3, 11);
     await control.boot();
     await control.propose(noops(5), 2000);
@@ -35,9 +35,9 @@
     const follower = control.voters.find((voter) => voter !== control.leader())!;
     const { lastApplied: applied, commitIndex: commit } = follower.group;
     const state = structuredClone(follower.group.state);
-    const overwriting = { prevIndex: 1, prevTerm: 1, entries: [{ index: 2, term: 999, command: noop }] };
-    const lowering = { whole: { index: 3, term: 999, state: { ...state, voters: ["x"] } } };
-    for (const fields of [overwriting, lowering])
+    const replacingEntry = { prevIndex: 1, prevTerm: 1, entries: [{ index: 2, term: 999, command: noop }] };
+    const replacingSnapshot = { whole: { index: 3, term: 999, state: { ...state, voters: ["x"] } } };
+    for (const fields of [replacingEntry, replacingSnapshot])
       expect(await send(control, follower, "group.append", append(control, fields))).toMatchObject({ ok: false });
     expect(logLinesOf(follower, 1320).length).toBeGreaterThan(0);
     expect(follower.group.lastApplied).toBe(applied);
@@ -46,17 +46,17 @@
     control.end();
   });
 
-  test("messages that are malformed, out of order or of another group, each with a numbered event and without harm", async () => {
+  test("messages that are malformed, out of order or from another group, logs an event for each and keeps working", async () => {
     const control = new GroupWorld(3, 12);
     await control.boot();
     const follower = control.voters.find((voter) => voter !== control.leader())!;
-    const last = follower.group.lastLogIndex();
-    const base = { prevIndex: last, prevTerm: 1 };
+    const lastIndex = follower.group.lastLogIndex();
+    const base = { prevIndex: lastIndex, prevTerm: 1 };
     const bodies: object[] = [
       append(control, { group: "another" }),
-      append(control, { ...base, entries: [{ index: last + 2, term: 1, command: noop }] }),
-      append(control, { ...base, entries: [{ index: last + 1, term: 5000, command: noop }] }),
-      append(control, { ...base, entries: [{ index: last + 1, term: 1, command: {} }] }),
+      append(control, { ...base, entries: [{ index: lastIndex + 2, term: 1, command: noop }] }),
+      append(control, { ...base, entries: [{ index: lastIndex + 1, term: 5000, command: noop }] }),
+      append(control, { ...base, entries: [{ index: lastIndex + 1, term: 1, command: {} }] }),
       append(control, { ...base, entries: [null] }),
       append(control, { ...base, entries: "none" }),
       append(control, { term: "7" }),
@@ -75,15 +75,15 @@
       expect({ body, response }).toMatchObject({ response: { ok: false, fault: { tag: "invalid" } } });
       expect({ body, events: logLinesOf(follower, 1321).length }).toEqual({ body, events: before + 1 });
     }
-    for (const verb of ["group.vote", "group.preVote"])
+    for (const method of ["group.vote", "group.preVote"])
       for (const body of [{}, { group: "another", term: 5000, candidate: "c1", lastIndex: 9, lastTerm: 9 }]) {
         await control.world.run(6000);
         const before = logLinesOf(follower, 1321).length;
-        const response = await send(control, follower, verb, body);
+        const response = await send(control, follower, method, body);
         expect(response.ok && (response.value as { granted: boolean }).granted).toBe(false);
         expect(logLinesOf(follower, 1321).length).toBe(before + 1);
       }
-    expect(follower.group.lastLogIndex()).toBe(last);
+    expect(follower.group.lastLogIndex()).toBe(lastIndex);
     expect(control.voters.flatMap(({ process }) => process.errors)).toEqual([]);
     await control.propose([noop], 2000);
     await control.world.run(1000);
--- a/test/model.test.ts
+++ b/test/model.test.ts
@@ -2,11 +2,11 @@
 import { ModelCampaign } from "../src/model/campaign";
 import { Walk } from "../src/model/walk";
 
-describe("random walks over the control group, every invariant after each step", () => {
+describe("random walks over the control group keep every invariant after each step", () => {
   test.each([
     [3, 60],
     [5, 30],
-  ] as [3 | 5, number][])("%i voters, %i walks", async (voters, walks) => {
+  ] as [3 | 5, number][])("with %i voters, in %i walks", async (voters, walks) => {
     const report = await ModelCampaign.run({ firstSeed: 1, walks, voters });
     expect(report.failures).toEqual([]);
     expect(report.walks).toBe(walks);
@@ -15,7 +15,7 @@
 });
 
 describe("the same seed", () => {
-  test("gives the same walk", async () => {
+  test("gives the same log and actions of a walk", async () => {
     const actions: Action[] = [
       { tag: "change", at: "leaseholder", register: "policies", base: "current", count: 3 },
       { tag: "isolateLeader", way: "out" },
--- a/test/modelFaults.test.ts
+++ b/test/modelFaults.test.ts
@@ -17,7 +17,7 @@
   sender: string,
 ) => Task<Result<ResponseOf<Method>>>;
 
-/** Puts another handler in place of that of a method, on each replica. */
+/** Injects a fault that replaces the handler of a method on each replica. */
 function withHandler<Method extends TypedMethod>(
   method: Method,
   replace: (handler: Handler<Method>, id: string) => Handler<Method>,
@@ -30,7 +30,7 @@
     },
   };
 }
-/** Puts another response in place of that of a handler, on each replica. */
+/** Injects a fault that replaces the successful responses of a method on each replica. */
 function withResponse<Method extends TypedMethod>(
   method: Method,
   respond: (body: RequestOf<Method>, response: ResponseOf<Method>) => ResponseOf<Method>,
@@ -44,12 +44,12 @@
       },
   );
 }
-/** Private parts of a group that faults reach into. */
+/** Returns the private replica of a group, for faults that change it. */
 const replicaOf = (group: ConsensusGroup): ConsensusReplica =>
   (group as unknown as { replica: ConsensusReplica }).replica;
 const scopeOf = (group: ConsensusGroup): Scope => replicaOf(group).env.scope;
 
-/** A disk that reports a sync before anything is written, and writes a while later. */
+/** Returns an environment whose disk reports a sync before anything is written, and writes the data 40 ms later. */
 function diskReportingSyncEarly(env: Environment): Environment {
   return {
     ...env,
@@ -77,7 +77,7 @@
   ConsensusGroup.prototype.hasLeaderLease = originalHasLeaderLease;
   setLeaseMs(originalLeaseMs);
 });
-/** Plays walks until one fails; which invariant it broke. */
+/** Runs walks until one fails. Returns the name of the violated invariant. */
 async function brokenInvariant(
   faults: FaultInjection,
   walks: number,
@@ -94,7 +94,7 @@
 const MAX_WALKS = 150;
 const anyOf = (...names: InvariantName[]): unknown => expect.stringMatching(new RegExp(`^(${names.join("|")})$`));
 
-describe("the invariants find a fault of elections or leases", () => {
+describe("the invariants detect a fault of elections or leases:", () => {
   test("a lease longer than the election time-out", async () => {
     expect(await brokenInvariant({}, MAX_WALKS, () => setLeaseMs(6000))).toEqual(
       anyOf("one-lease-holder", "lease-read-current"),
@@ -121,7 +121,7 @@
     );
   });
 
-  test("voters that grant no pre-vote after the first term", async () => {
+  test("voters that grant no pre-vote for terms above 2", async () => {
     const faults = withResponse("group.preVote", (body, response) =>
       body.term > 2 ? { ...response, granted: false } : response,
     );
@@ -129,8 +129,8 @@
   });
 });
 
-describe("the invariants find a fault of the log or its replication", () => {
-  test("a success reported for an append that was refused", async () => {
+describe("the invariants detect a fault of the log or its replication:", () => {
+  test("success reported for an append that was rejected", async () => {
     const faults = withResponse("group.append", (body, response) => ({
       ...response,
       matched: true as const,
@@ -161,14 +161,14 @@
     );
   });
 
-  test("two voters exchanged by one entry, and several such entries at once", async () => {
+  test("membership changes of two voters by one entry, and several uncommitted ones at once", async () => {
     const prepare = (): void => {
       MembershipChange.rejectionReason = () => undefined;
     };
     expect(await brokenInvariant({}, MAX_WALKS, prepare)).toEqual(anyOf("one-pending-voter-change"));
   });
 
-  test("another command at the same index and term", async () => {
+  test("different commands at the same index and term", async () => {
     const withoutPolicies = (entry: LogEntry): LogEntry =>
       entry.command.tag === "policies" ? { ...entry, command: { tag: "noop" } } : entry;
     const faults = withHandler("group.append", (handler, id) => (body, sender) => {
@@ -178,7 +178,7 @@
     expect(await brokenInvariant(faults, MAX_WALKS)).toEqual(anyOf("log-matching", "state-machine-safety"));
   });
 
-  test("a commit index that falls", async () => {
+  test("a commit index that decreases", async () => {
     const faults: FaultInjection = {
       group(group) {
         let commit = 0;
@@ -189,7 +189,7 @@
     expect(await brokenInvariant(faults, MAX_WALKS)).toEqual(anyOf("commit-index-monotonic", "no-task-error"));
   });
 
-  test("a standby that refuses every append", async () => {
+  test("a standby that rejects every append", async () => {
     const faults = withHandler("group.append", (handler, id) =>
       id !== "c4"
         ? handler
@@ -214,8 +214,8 @@
   });
 });
 
-describe("the invariants find a fault of the state machine or of acknowledgements", () => {
-  test("outcomes of changes not remembered", async () => {
+describe("the invariants detect a fault of the state machine or of acknowledgements:", () => {
+  test("outcomes of changes that are forgotten", async () => {
     const prepare = (): void => {
       ControlStateMachine.apply = (state, index, command) => {
         if ("changeId" in command) delete state.changes[command.changeId];
@@ -225,7 +225,7 @@
     expect(await brokenInvariant({}, MAX_WALKS, prepare)).toEqual(anyOf("state-machine-safety", "outcome-repeatable"));
   });
 
-  test("the version check left out", async () => {
+  test("a missing version check", async () => {
     const prepare = (): void => {
       ControlStateMachine.apply = (state, index, command) =>
         originalApply(
@@ -267,7 +267,7 @@
     expect(await brokenInvariant(faults, MAX_WALKS)).toEqual(anyOf("acknowledged-durable", "one-change-per-version"));
   });
 
-  test("another outcome for a retry", async () => {
+  test("a different outcome for a retry", async () => {
     const faults: FaultInjection = {
       group(group) {
         const propose = group.propose.bind(group);
--- a/test/operatorRaces.test.ts
+++ b/test/operatorRaces.test.ts
@@ -1,11 +1,11 @@
 import { ConsensusGroup } from "../src/consensus/consensusGroup";
 import { OperatorRaceCampaign } from "./operatorRaceCampaign";
 
-/** The part of a consensus group that a fault is planted in; it is private there. */
+/** The private member of a consensus group that the test changes to inject a fault. */
 type GroupInternals = { replica: { majority: () => number } };
 
-describe("the campaign finds a planted fault", () => {
-  /** Violations that the campaigns of a few seeds find with a fault planted in the group, up to the expected one. */
+describe("the campaign detects an injected fault", () => {
+  /** Runs campaigns of up to 12 seeds with a fault injected into the group, until the expected violation is found. */
   const violationsWith = async (injectFault: (group: GroupInternals) => void, expected: RegExp): Promise<string[]> => {
     const found: string[] = [];
     const start = ConsensusGroup.prototype.start;
@@ -21,20 +21,20 @@
     }
     return found;
   };
-  test("a change that is acknowledged before a majority has it", async () => {
+  test("of changes that are acknowledged before a majority has them", async () => {
     const expected = /two changes|was acknowledged|isn't what was sent|refused|applied one after the other/;
     const found = await violationsWith((group) => (group.replica.majority = () => 1), expected);
     expect(found.join("; ")).toMatch(expected);
   });
 });
 
-describe("operators change the configuration at once while control nodes are lost, and then all lose power", () => {
+describe("operators change the configuration concurrently while control nodes fail, and then all nodes lose power", () => {
   const seeds = Number(process.env.CONTROL_SEEDS ?? 4);
   test.each([
     [4, 1, 0],
     [7, 2, 100],
   ])(
-    "of %i nodes %i are lost at once: acknowledged changes stay, and of concurrent ones one is accepted",
+    "with %i nodes of which %i fail at once, acknowledged changes persist and only one of several concurrent changes is accepted",
     async (controls, losses, from) => {
       for (let seed = from + 1; seed <= from + seeds; seed += 1) {
         const result = await OperatorRaceCampaign.run(seed, { controls, losses, faults: 4 });
--- a/test/singleVoterRecovery.test.ts
+++ b/test/singleVoterRecovery.test.ts
@@ -7,7 +7,7 @@
     await control.boot();
     await control.propose(noops(20), 2000);
     await control.world.run(500);
-    const [survivor, former, lost] = control.voters;
+    const [survivor, formerVoter, lost] = control.voters;
     for (const { id } of control.voters) control.kill(id);
     const restarted = control.restart(survivor.id);
     await control.world.run(200);
@@ -16,7 +16,7 @@
     expect(recovered).toMatchObject({ ok: true });
     await control.world.run(3000);
     expect(control.leader()!.id).toBe(survivor.id);
-    const rejoined = control.restart(former.id);
+    const rejoined = control.restart(formerVoter.id);
     await control.world.run(3000);
     expect(rejoined.group.groupId()).toBe("group-scale+1");
     expect(rejoined.group.lastApplied).toBe(control.leader()!.group.lastApplied);
--- a/test/slowLeaderDisk.test.ts
+++ b/test/slowLeaderDisk.test.ts
@@ -5,7 +5,7 @@
 import { GroupWorld } from "../src/tools/scale/groupWorld";
 import { noop } from "./consensusGroups";
 
-/** A group whose leader has committed changes by its followers' disks while its own disk stalls. */
+/** Starts a group whose leader has committed changes through its followers' disks while its own disk stalls. */
 async function startGroupWithSlowLeader(
   seed: number,
   changes: number,
@@ -17,7 +17,7 @@
   group.stallDisk(leader, stallMs);
   for (let version = 0; version < changes; version += 1) {
     group.propose(leader, "policies", version);
-    if (version === 0) await group.pass(2); // the first is being synced, the others wait for that
+    if (version === 0) await group.pass(2); // the other changes wait for the sync of the first one
   }
   await group.pass(60);
   expect(leader.incarnation.group.state.policies.version).toBe(changes);
@@ -31,11 +31,11 @@
   group.end();
 }
 
-describe("a leader whose disk is slower than its followers' in a modelled group", () => {
+describe("a leader whose disk is slower than its followers' disks, in a group of the model,", () => {
   const originalConstants = { ...Constants };
   afterEach(() => void Object.assign(Constants, originalConstants));
 
-  // found by a random walk: 3 voters, seed 5934
+  // The fault was found by the random walk of seed 5934 with 3 voters.
   test("compacts its log before its entries are synced, and restarts from its disk", async () => {
     Object.assign(Constants, { logEntriesUntilSnapshot: 12 });
     const [group] = await startGroupWithSlowLeader(3, 20, 200);
@@ -43,7 +43,7 @@
     for (const machine of group.machines) group.kill(machine, true, 5);
     await expectConverged(group);
   });
-  // found by a random walk: 3 voters, seed 6459
+  // The fault was found by the random walk of seed 6459 with 3 voters.
   test("follows another leader before its committed entries are synced", async () => {
     const [group, leader] = await startGroupWithSlowLeader(3, 3, 4000);
     group.world.isolate([leader.name], "both");
@@ -53,18 +53,18 @@
   });
 });
 
-describe("a leader whose disk is slower than its followers'", () => {
-  test("compacts entries that it has not synced itself, and restarts from what it wrote", async () => {
+describe("a leader whose disk is slower than its followers' disks", () => {
+  test("compacts committed entries that it has not synced itself, and restarts from the state that it wrote", async () => {
     for (const seed of [51, 52, 53]) {
       const control = new GroupWorld(3, seed);
       await control.boot();
       const leader = control.leader()!;
       leader.process.disk.syncMs = [40, 5];
-      const last = leader.group.lastLogIndex() + 3 * Constants.logEntriesUntilSnapshot;
-      // entries come one after the other, and are committed by the followers while an earlier one is being synced
+      const lastIndex = leader.group.lastLogIndex() + 3 * Constants.logEntriesUntilSnapshot;
+      // Proposals arrive continuously, so that the followers commit entries while the leader still syncs earlier ones.
       let isProposing = true;
       Csp.go(leader.process.scope, "proposals", function* () {
-        while (leader.group.lastLogIndex() < last) {
+        while (leader.group.lastLogIndex() < lastIndex) {
           for (let burst = 0; burst < 8; burst += 1)
             Csp.go(leader.process.scope, "proposal", () => leader.group.propose(noop, 3000));
           yield* EnvironmentTools.sleep(leader.process.env, 5);
@@ -76,7 +76,7 @@
       expect(leader.group.snapshotIndex).toBeGreaterThan(0);
       const indexes = leader.group.inspect().entries.map(({ index }) => index);
       expect(indexes).toEqual(indexes.map((_index, at) => indexes[0] + at));
-      const { lastApplied: applied, snapshotIndex: baseIndex } = leader.group;
+      const { lastApplied: appliedBefore, snapshotIndex: baseIndex } = leader.group;
       control.kill(leader.id);
       const restarted = control.restart(leader.id);
       await control.world.run(100);
@@ -87,7 +87,7 @@
         reread: indexesAfterRestart.map((_index, at) => baseIndex + 1 + at),
       });
       await control.world.run(4000);
-      expect(restarted.group.lastApplied).toBeGreaterThanOrEqual(applied);
+      expect(restarted.group.lastApplied).toBeGreaterThanOrEqual(appliedBefore);
       expect(restarted.group.lastApplied).toBe(control.leader()!.group.lastApplied);
       expect(control.voters.flatMap(({ process }) => process.errors)).toEqual([]);
       control.end();
--- a/test/snapshotTransfer.test.ts
+++ b/test/snapshotTransfer.test.ts
@@ -6,30 +6,34 @@
 import { GroupWorld, Voter } from "../src/tools/scale/groupWorld";
 import { noop, noops } from "./consensusGroups";
 
-/** 20 Mbit/s in bytes a ms. */
+/** Link speed of 20 Mbit/s in bytes per ms. */
 const SLOW_LINK_BYTES_PER_MS = 2500;
-/** Text that deflate can't shorten, from the run's seed. */
-const incompressibleText = (control: GroupWorld, bytes: number): string => {
-  const words = new Uint32Array(Math.floor((bytes * 3) / 16));
-  for (let at = 0; at < words.length; at += 1) words[at] = control.world.random() * 4294967296;
-  return Buffer.from(words.buffer).toString("base64");
+/**
+ * Returns random base64 text of `bytes` bytes, so that deflate finds no repetitions; the seed of the run determines it.
+ */
+const randomText = (control: GroupWorld, bytes: number): string => {
+  const randomWords = new Uint32Array(Math.floor((bytes * 3) / 16));
+  for (let at = 0; at < randomWords.length; at += 1) randomWords[at] = control.world.random() * 4294967296;
+  return Buffer.from(randomWords.buffer).toString("base64");
 };
 const policiesCommand = (control: GroupWorld, ifVersion: number, bytes: number): Command => ({
   tag: "policies",
   changeId: `policies-${ifVersion}`,
   ifVersion,
-  doc: [{ match: { caller: incompressibleText(control, bytes) }, order: 1 }],
+  doc: [{ match: { caller: randomText(control, bytes) }, order: 1 }],
   by: "ann",
 });
-/** Proposes five changes a second until the follower has nearly caught up; how long that took, ms. */
+/**
+ * Proposes about five commands per second until the follower has nearly caught up. Returns the time that took, in ms.
+ */
 async function msUntilCaughtUp(control: GroupWorld, follower: Voter, withinMs: number): Promise<number> {
-  const from = control.world.now;
-  while (control.world.now - from < withinMs) {
+  const startedAt = control.world.now;
+  while (control.world.now - startedAt < withinMs) {
     const leader = control.leader();
     if (leader) await control.propose([noop], 2000);
     await control.world.run(200);
     if (leader && leader.group.lastApplied - follower.group.lastApplied <= 2 && follower.group.lastApplied > 0)
-      return control.world.now - from;
+      return control.world.now - startedAt;
   }
   return Infinity;
 }
@@ -37,7 +41,7 @@
   control.voters.reduce((sum, { group }) => sum + group.electionsStarted, 0);
 
 describe("catching up over a link of 20 Mbit/s", () => {
-  test("an emptied server receives a state of 4 MB in chunks while changes go on", async () => {
+  test("a server whose disk was wiped receives a state of 4 MB in chunks while changes continue", async () => {
     const control = new GroupWorld(4, 21);
     await control.boot();
     control.kill("c4");
@@ -54,7 +58,7 @@
     control.end();
   });
 
-  test("a transfer continues where it was when a partition interrupted it", async () => {
+  test("a transfer that was interrupted by a partition continues at the point of interruption", async () => {
     const control = new GroupWorld(4, 22);
     await control.boot();
     control.kill("c4");
@@ -76,7 +80,7 @@
     control.end();
   });
 
-  test("a restarted voter receives long entries without an election, though it is needed for the majority", async () => {
+  test("a restarted voter that is needed for the majority receives long entries without causing an election", async () => {
     const control = new GroupWorld(3, 23);
     await control.boot();
     const [follower, other] = control.voters.filter((voter) => voter !== control.leader());
@@ -99,7 +103,7 @@
     control.end();
   });
 
-  test("the log is compacted by bytes", async () => {
+  test("the log is compacted when it exceeds a size in bytes", async () => {
     const control = new GroupWorld(3, 24);
     await control.boot();
     for (let version = 0; version < 8; version += 1)
@@ -118,7 +122,7 @@
   const firstChunk = (): PayloadChunk => ChunkedPayload.chunk("c1-2-1", packed, 0, half);
   const secondChunk = (): PayloadChunk => ChunkedPayload.chunk("c1-2-1", packed, half, packed.bytes.length);
 
-  test("is complete again at the receiver, also when some chunks come twice or out of order", () => {
+  test("is reassembled by the receiver, even if some chunks arrive twice or out of order", () => {
     const receiver = new ChunkReceiver();
     expect(receiver.receive(secondChunk())).toEqual({ tag: "incomplete", receivedBytes: 0 });
     expect(receiver.receive(firstChunk())).toEqual({ tag: "incomplete", receivedBytes: half });
@@ -126,7 +130,7 @@
     expect(receiver.receive(secondChunk())).toEqual({ tag: "complete", payload: payloadOnWire });
   });
 
-  test("is rejected when a chunk is malformed, of a wrong size or damaged", () => {
+  test("is rejected if a chunk is malformed, has a wrong size or is damaged", () => {
     const receiver = new ChunkReceiver();
     const malformed: Partial<PayloadChunk>[] = [
       { totalBytes: 0 },
