--- a/src/consensus/appendEntriesHandler.ts
+++ b/src/consensus/appendEntriesHandler.ts
@@ -11,10 +11,6 @@
 /**
  * The follower's side of log replication. It checks entries, snapshots and chunks of either, and acknowledges entries
  * and snapshots only after writing them to disk (Raft, figure 2: AppendEntries RPC; figure 13: InstallSnapshot RPC).
- *
- * @example
- * const handler = new AppendEntriesHandler(replica);
- * rpc.handle("group.append", (body) => handler.onAppendEntries(body));
  */
 export class AppendEntriesHandler {
   private readonly chunkReceiver = new ChunkReceiver();
--- a/src/consensus/chunkedPayload.ts
+++ b/src/consensus/chunkedPayload.ts
@@ -17,10 +17,6 @@
 /**
  * Packs payloads that are too long for one message. The leader packs a payload once and sends it in chunks; the
  * follower verifies and unpacks it.
- *
- * @example
- * const packed = ChunkedPayload.pack(payload);
- * const chunk = ChunkedPayload.chunk("3-1", packed, 0, 65_536);
  */
 export const ChunkedPayload = {
   /** Serializes a payload as JSON and compresses it with raw deflate. */
--- a/src/consensus/consensusReplica.ts
+++ b/src/consensus/consensusReplica.ts
@@ -40,9 +40,6 @@
 /**
  * The state of one replica: its role, state machine and timers. Election, replication and the request handlers share it
  * (Raft, figure 2: state).
- *
- * @example
- * const replica = new ConsensusReplica(env, "node-1", new ReplicatedLog(store), hooks);
  */
 export class ConsensusReplica {
   /** Highest index known to be committed. It never decreases. */
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -26,10 +26,6 @@
 /**
  * The candidate's side of leader election (Raft, section 5.2). Pre-votes (Ongaro's thesis, section 9.6) keep a server
  * that cannot win from disrupting the others with a higher term.
- *
- * @example
- * const election = new Election(replica, replication, lease, rpc);
- * EnvironmentTools.keep(env, env.scope, "election", () => election.run());
  */
 export class Election {
   /** Number of elections, pre-votes included, that this server has started. */
--- a/src/model/walk.ts
+++ b/src/model/walk.ts
@@ -27,7 +27,7 @@
  */
 export const SPARE_MACHINES = 1;
 /** Maximum time for each of the two steps of recovery after all faults have ended, in ms of virtual time. */
-const SETTLE_MS = 10_000;
+const RECOVERY_STEP_TIMEOUT_MS = 10_000;
 const CHECK_PERIOD_MS = 100;
 /**
  * Number of checks after which the final change is proposed again, because an earlier change may have taken its
@@ -43,27 +43,27 @@
  */
 async function recoverAndCheck(group: GroupUnderTest): Promise<void> {
   const { invariants, world } = group;
-  const isSettled = (): boolean =>
+  const isRecovered = (): boolean =>
     group.running().length === group.machines.length &&
     group.leaseHolder() !== undefined &&
     invariants.hasConverged(group.running());
   group.healAll();
-  const settledBy = world.now + SETTLE_MS;
-  while (world.now < settledBy && !isSettled()) {
+  const recoveryDeadline = world.now + RECOVERY_STEP_TIMEOUT_MS;
+  while (world.now < recoveryDeadline && !isRecovered()) {
     await group.pass(CHECK_PERIOD_MS);
     group.healAll();
   }
   const acknowledgedBefore = invariants.acknowledgedChanges.length;
-  const isChanged = (): boolean => invariants.acknowledgedChanges.length > acknowledgedBefore;
-  const changedBy = world.now + SETTLE_MS;
-  for (let checks = 0; world.now < changedBy && !(isChanged() && isSettled()); checks += 1) {
+  const isChangeAcknowledged = (): boolean => invariants.acknowledgedChanges.length > acknowledgedBefore;
+  const changeDeadline = world.now + RECOVERY_STEP_TIMEOUT_MS;
+  for (let checks = 0; world.now < changeDeadline && !(isChangeAcknowledged() && isRecovered()); checks += 1) {
     const leader = group.leaseHolder();
-    if (leader && !isChanged() && checks % FINAL_CHANGE_PERIOD === 0)
+    if (leader && !isChangeAcknowledged() && checks % FINAL_CHANGE_PERIOD === 0)
       group.propose(leader, "policies", invariants.reference.version("policies"));
     await group.pass(CHECK_PERIOD_MS);
   }
   group.check();
-  invariants.checkEnd(group.running(), group.leaseHolder() !== undefined && isChanged());
+  invariants.checkEnd(group.running(), group.leaseHolder() !== undefined && isChangeAcknowledged());
   group.throwViolation();
 }
 
