--- a/test/operatorRaceCampaign.ts
+++ b/test/operatorRaceCampaign.ts
@@ -354,9 +354,13 @@
     else if (kind === "isolate" || kind === "isolate inbound") world.heal();
     else if (kind === "replace") {
       fleet.settings.delete(name);
-      fleet.add(fleet.names("control")[0], `control-${10 + (this.addedNodes += 1)}`);
-    } else fleet.restart(name, { empty: kind.startsWith("wipe"), moved: kind === "power loss" && this.random() < 0.3 });
-    fleet.reseed(Math.floor(this.random() * 9));
+      fleet.addMachine(fleet.names("control")[0], `control-${10 + (this.addedNodes += 1)}`);
+    } else
+      fleet.restart(name, {
+        withEmptyDisk: kind.startsWith("wipe"),
+        atNewAddress: kind === "power loss" && this.random() < 0.3,
+      });
+    fleet.updateSeeds(Math.floor(this.random() * 9));
     window.to = world.now;
     await fleet.run(LIMITS.resyncMs);
     this.lostNodes.delete(name);
@@ -378,10 +382,10 @@
     const wiped = new Set<string>();
     while (wiped.size < this.losses) wiped.add(this.pick(fleet.names("control")));
     const restartedAt = fleet.world.now;
-    for (const name of [...fleet.settings.keys()]) fleet.restart(name, { empty: wiped.has(name) });
+    for (const name of [...fleet.settings.keys()]) fleet.restart(name, { withEmptyDisk: wiped.has(name) });
     this.recordFault(`all nodes restarted, ${[...wiped].join(" and ")} with wiped disks`);
     const readableAfterMs = await fleet.until(
-      async () => (await fleet.ask("GET", "/v1/manifest")).status === 200,
+      async () => (await fleet.send("GET", "/v1/manifest")).status === 200,
       15_000,
       50,
     );
@@ -429,7 +433,7 @@
     if (recoveredAfterMs > LIMITS.recoveryMs)
       this.violations.push(`the configuration could be read only after ${recoveredAfterMs.toFixed(0)} ms`);
     const readAt = fleet.world.now;
-    const read = await fleet.ask("GET", "/v1/manifest");
+    const read = await fleet.send("GET", "/v1/manifest");
     const body = read.status === 200 ? (read.body as ConfigurationBody) : undefined;
     this.checkFinalRead(body);
     if (body) this.recordRead(body, readAt);
