--- a/src/consensus/consensusReplica.ts
+++ b/src/consensus/consensusReplica.ts
@@ -63,7 +63,7 @@
   electionDueAt = 0;
   /**
    * True from the start of the process until the first AppendEntries request from a leader, or until this server is
-   * elected.
+   * elected. Until then, no known lease but only the recent start delays this server's votes.
    */
   startedRecently = true;
   /** Time of the last log line for each reason of rejection, on the monotonic clock, in ms. */
