--- a/src/ingress/ingressNode.ts
+++ b/src/ingress/ingressNode.ts
@@ -118,7 +118,7 @@
     const snapshot = this.snapshot();
     return {
       ...this.counters.metrics(),
-      slab_used: this.requestTable.used,
+      slab_used: this.requestTable.usedSlots,
       late_replies: this.requestTable.lateOutcomes,
       in_flight: this.inFlight,
       frame_index: snapshot.control?.index ?? 0,
@@ -141,7 +141,7 @@
     const routes: HttpRoute[] = [
       ...CallerRoutes.of(this),
       ...WarmUpRequests.routes(this.headerNames),
-      ...OperatorHttp.routes(this.link.context(), {
+      ...OperatorHttp.routes(this.link.nodeContext(), {
         unreadyReason: () => this.readiness.unreadyReason(),
         metrics: () => this.metrics(),
         ledgerSource: this.shardClient,
@@ -190,6 +190,6 @@
     while (this.env.mono() < startedAt + Constants.stopGraceMs && this.inFlight > 0)
       yield* EnvironmentTools.sleep(this.env, drainPollMs);
     yield* EnvironmentTools.sleep(this.env, Constants.ledgerFlushMs + lastNotesMs);
-    yield* this.link.depart();
+    yield* this.link.leaveCluster();
   }
 }
