--- a/src/routing/admissionQueue.ts
+++ b/src/routing/admissionQueue.ts
@@ -7,22 +7,22 @@
 
 /** A request that waits for an endpoint. */
 interface QueuedRequest {
-  /** Priority by policy or route; the lowest number is served first. */
+  /** Priority that a policy or the route gives; the lowest number is served first. */
   order: number;
-  /** When the request arrived, by one clock for all requests of a queue; ties of priority are served in this order. */
+  /** When the request arrived, by the same clock for all requests of a queue; breaks ties of priority. */
   arrivedAt: number;
   wake: Chan<true>;
 }
 
-/** How many queued requests double the pause that a rejected caller gets. */
-const queueLengthThatDoublesPause = 8;
+/** The number of queued requests that doubles the retry delay of a rejected caller. */
+const QUEUE_LENGTH_DOUBLING_RETRY_DELAY = 8;
 
-const goesBefore = (one: QueuedRequest, other: QueuedRequest): boolean =>
+const precedes = (one: QueuedRequest, other: QueuedRequest): boolean =>
   one.order < other.order || (one.order === other.order && one.arrivedAt < other.arrivedAt);
 
 /**
- * Queues live requests until an endpoint has capacity: one bounded queue for each pool, ordered by priority and then by
- * arrival. Only the request at the head selects an endpoint; it is woken when capacity may have become free.
+ * Queues live requests until an endpoint has capacity. Each pool has one bounded queue, ordered by priority and then by
+ * arrival. Only the request at the head selects an endpoint; it is woken when capacity may have become available.
  *
  * @example
  * const queue = new AdmissionQueue(env, selector, (pool) => overload.signal(pool));
@@ -38,20 +38,21 @@
     private readonly onOverload: (pool: string) => void,
   ) {}
 
-  /** The number of requests queued for a pool. */
+  /** Returns the number of requests queued for a pool. */
   queueLength = (pool: string): number => this.queues.get(pool)?.length ?? 0;
 
-  /** After how many ms a rejected caller should retry: longer with the queue, with jitter of a fifth. */
+  /** Returns how long a rejected caller should wait before it retries, in ms: grows with the queue, with 20% of jitter. */
   retryAfterMs = (pool: string): number =>
     Math.round(
       Constants.retryAfterMs *
-        (1 + this.queueLength(pool) / queueLengthThatDoublesPause) *
+        (1 + this.queueLength(pool) / QUEUE_LENGTH_DOUBLING_RETRY_DELAY) *
         (0.8 + 0.4 * this.env.random()),
     );
 
   /**
-   * Acquires capacity at an endpoint; the caller must release it. Undefined when there is none within `withinMs`, or when
-   * the queue is full. `makeCriteria` is called anew for every selection, since endpoints change meanwhile.
+   * Acquires capacity at an endpoint, which the caller must release. Returns undefined when there is none within
+   * `withinMs`, or when the queue is full. `makeCriteria` is called again for each selection, since endpoints change
+   * while the request waits.
    */
   *acquire(
     makeCriteria: () => SelectionCriteria,
@@ -67,8 +68,8 @@
     this.onOverload(pool);
     if (queue.length >= Constants.liveBuffer || withinMs <= 0) return undefined;
     const request: QueuedRequest = { order, arrivedAt, wake: Csp.sliding(1) };
-    const successor = queue.findIndex((other) => goesBefore(request, other));
-    queue.splice(successor < 0 ? queue.length : successor, 0, request);
+    const insertAt = queue.findIndex((other) => precedes(request, other));
+    queue.splice(insertAt < 0 ? queue.length : insertAt, 0, request);
     try {
       return yield* this.waitForEndpoint(queue, request, makeCriteria, this.env.mono() + withinMs);
     } finally {
@@ -81,11 +82,11 @@
     queue: QueuedRequest[],
     request: QueuedRequest,
     makeCriteria: () => SelectionCriteria,
-    until: number,
+    deadline: number,
   ): Task<Endpoint | undefined> {
-    while (this.env.mono() < until) {
-      // nothing signals the next turn of a slow start or the end of an ejection: the head polls for them
-      const leftMs = until - this.env.mono();
+    while (this.env.mono() < deadline) {
+      // Nothing signals that slow start allows another request or that an ejection ends, so the head polls for both.
+      const leftMs = deadline - this.env.mono();
       const waitMs = queue[0] === request ? Math.min(Constants.roomTurnMs, leftMs) : leftMs;
       yield* EnvironmentTools.takeWithin(this.env, request.wake, waitMs);
       const endpoint = queue[0] === request ? this.select(makeCriteria()) : undefined;
@@ -105,13 +106,13 @@
     if (head) Csp.offer(head.wake, true);
   }
 
-  /** A request ended at the endpoint; for `healthy` and `decisive` see EndpointSelector.requestEnded. */
+  /** Releases capacity when a request has ended; for `healthy` and `decisive` see EndpointSelector.requestEnded. */
   release(endpoint: Endpoint, healthy: boolean, decisive = false): void {
     this.endpointSelector.requestEnded(endpoint, healthy, decisive);
     this.wakeHead(endpoint.pool);
   }
 
-  /** Endpoints may have been added, or may have announced less load. */
+  /** Wakes the heads of all queues, since endpoints may have been added or may have announced less load. */
   endpointsChanged(): void {
     for (const pool of this.queues.keys()) this.wakeHead(pool);
   }
--- a/src/routing/endpointEligibility.ts
+++ b/src/routing/endpointEligibility.ts
@@ -4,13 +4,10 @@
 import { firstMatchingRule } from "./policyRules";
 
 /**
- * Which endpoints the configuration lets a request run at, whatever their load and health.
- *
- * @example
- * const endpoints = EndpointEligibility.inRelease(env, criteria);
+ * Determines which endpoints the configuration and the policies allow for a request, regardless of load and health.
  */
 export const EndpointEligibility = {
-  /** The announced endpoints of the pool outside drained zones, where the placement policies allow. */
+  /** Returns the announced endpoints of the pool that are outside drained zones and in zones that policies allow. */
   inPool(criteria: PoolCriteria): Endpoint[] {
     const control = criteria.snapshot.control;
     const placement = firstMatchingRule(criteria, control?.policies.doc ?? [], (rule) => !!rule.land)?.land;
@@ -24,8 +21,8 @@
   },
 
   /**
-   * The same, narrowed to one side of a release: a gradual release sends a growing share of requests to the new version,
-   * and a withdrawn version gets none. A side without endpoints falls back to the whole pool.
+   * Selects among the endpoints of inPool by version during a release: a gradual release sends a growing share of
+   * requests to the new version, and a withdrawn version gets none. A version filter that leaves no endpoint is not applied.
    */
   inRelease(env: Environment, criteria: PoolCriteria): Endpoint[] {
     const release = criteria.snapshot.control?.releases[criteria.pool];
--- a/src/routing/endpointSelector.ts
+++ b/src/routing/endpointSelector.ts
@@ -10,9 +10,9 @@
 import { SlowStart } from "./slowStart";
 
 /**
- * Selects the endpoint that runs a request. Candidates are the eligible endpoints with capacity, without ejected outliers
- * and within their slow start. Among the candidates prefix affinity decides, or else the power of two choices
- * (Mitzenmacher 2001): the less loaded of two picked at random.
+ * Selects the endpoint that runs a request. Candidates are the eligible endpoints that have capacity, are not ejected as
+ * outliers and are not limited by slow start. Prefix affinity selects among the candidates; where it selects none, the
+ * power of two choices does (Mitzenmacher 2001), which takes the less loaded of two endpoints picked at random.
  *
  * @example
  * const selector = new EndpointSelector(env, "ingress-1");
@@ -24,45 +24,45 @@
   private readonly outlierEjection: OutlierEjection;
   private readonly slowStart: SlowStart;
   private readonly prefixAffinity: PrefixAffinity;
-  /** `self` is this node's id among the senders. */
+  /** `senderId` identifies this node among the nodes that send requests to endpoints. */
   constructor(
     private readonly env: Environment,
-    self = "",
+    senderId = "",
   ) {
     this.states = new EndpointStates(env);
     this.outlierEjection = new OutlierEjection(env);
-    this.slowStart = new SlowStart(env, self, this.states);
+    this.slowStart = new SlowStart(env, senderId, this.states);
     this.prefixAffinity = new PrefixAffinity(env, this.states, this.slowStart);
   }
 
-  /** Requests that went to the endpoint that their prefix prefers. */
+  /** The number of requests that were sent to the endpoint that their prefix prefers. */
   get affinityHits(): number {
     return this.prefixAffinity.hits;
   }
 
-  /** Requests with a prefix that went to another endpoint. */
+  /** The number of requests with a prefix for which affinity did not select the preferred endpoint. */
   get affinityMisses(): number {
     return this.prefixAffinity.misses;
   }
 
-  /** The endpoints that may run the request at all, whatever their load. */
+  /** Returns the endpoints that may run the request, regardless of their load. */
   eligible(criteria: PoolCriteria): Endpoint[] {
     return EndpointEligibility.inRelease(this.env, criteria);
   }
 
-  /** The endpoint to send the request to; undefined when none has capacity. */
+  /** Selects the endpoint to send the request to; returns undefined when none has capacity. */
   choose(criteria: SelectionCriteria): Endpoint | undefined {
     this.states.sweep(criteria.snapshot.endpoints);
     const eligible = this.eligible(criteria);
     const available = this.available(criteria, eligible);
     if (available.length === 0) return undefined;
-    const fresh = available.filter((endpoint) => !endpoint.quiet);
-    const candidates = fresh.length > 0 ? fresh : available;
+    const recentlyAnnounced = available.filter((endpoint) => !endpoint.quiet);
+    const candidates = recentlyAnnounced.length > 0 ? recentlyAnnounced : available;
     const preferred = criteria.prefix === "" ? undefined : this.prefixAffinity.select(criteria.prefix, candidates);
     return preferred ?? this.lessLoadedOfTwo(candidates);
   }
 
-  /** The eligible endpoints that can take one more request now. */
+  /** Returns the eligible endpoints that can accept another request now. */
   private available(criteria: SelectionCriteria, eligible: Endpoint[]): Endpoint[] {
     const now = this.env.mono();
     const senderIds = RequestSenders.ids(criteria.snapshot);
@@ -94,12 +94,12 @@
     return (this.states.load(endpoint) + 1) / (endpoint.capacity * this.slowStart.weight(endpoint));
   }
 
-  /** Best estimate of the number of requests at the endpoint now. */
+  /** Estimates the number of requests that are at the endpoint now. */
   load(endpoint: Endpoint): number {
     return this.states.load(endpoint);
   }
 
-  /** A request was sent to the endpoint; requestEnded must follow. */
+  /** Records that a request was sent to the endpoint; the caller must call requestEnded when it ends. */
   requestStarted(endpoint: Endpoint): void {
     const state = this.states.getOrCreate(endpoint);
     state.inFlight += 1;
@@ -108,7 +108,7 @@
     if (endpoint.warmAt) state.lastWarmUpStartAt = state.lastStartAt;
   }
 
-  /** A request ended; `decisive` marks a failure that ejects the endpoint at once, see OutlierEjection. */
+  /** Records that a request ended; a `decisive` failure ejects the endpoint at once, see OutlierEjection. */
   requestEnded(endpoint: Endpoint, healthy: boolean, decisive = false): void {
     const state = this.states.find(endpoint);
     if (!state) return;
--- a/src/routing/endpointStates.ts
+++ b/src/routing/endpointStates.ts
@@ -2,21 +2,21 @@
 import { Environment } from "../runtime/env";
 import { Endpoint } from "../node/clusterSnapshot";
 
-/** What this node knows of one endpoint from the requests that it has sent there itself. */
+/** What this node knows about one endpoint from the requests that it has sent there itself. */
 export interface EndpointState {
-  /** Failed requests in a row. */
+  /** The number of consecutive failed requests. */
   consecutiveFailures: number;
   /** Monotonic ms until which the endpoint is ejected as an outlier; 0 if it never was. */
   ejectedUntil: number;
-  /** Requests of this node that are running at the endpoint. */
+  /** The number of this node's requests that are running at the endpoint. */
   inFlight: number;
-  /** Requests sent since the endpoint last announced another load, and not ended. */
+  /** The number of requests that were sent since the endpoint last announced a different load and that have not ended. */
   startedSinceAnnouncement: number;
-  /** Monotonic ms of the last request sent; -Infinity if there was none. */
+  /** When the last request was sent, in monotonic ms; -Infinity if none was sent. */
   lastStartAt: number;
-  /** Monotonic ms of the last request sent while the endpoint was warming up. */
+  /** When the last request was sent while the endpoint was warming up, in monotonic ms; -Infinity if none was sent. */
   lastWarmUpStartAt: number;
-  /** The announcement that startedSinceAnnouncement counts from. */
+  /** The announcement from which startedSinceAnnouncement counts. */
   announcement: Endpoint | undefined;
 }
 
@@ -31,18 +31,14 @@
 });
 
 /**
- * The states of all endpoints by key, and the estimate of load that follows from them.
- *
- * @example
- * const states = new EndpointStates(env);
- * const load = states.load(endpoint);
+ * Holds the states of all endpoints by key, and estimates their load.
  */
 export class EndpointStates {
   private readonly states = new Map<string, EndpointState>();
-  private sweptAt = 0;
+  private lastSweepAt = 0;
   constructor(private readonly env: Environment) {}
 
-  /** The state of an endpoint as it is announced now; created on first use. */
+  /** Returns the state of an endpoint, updated by its current announcement; creates it on first use. */
   getOrCreate(endpoint: Endpoint): EndpointState {
     let state = this.states.get(endpoint.key);
     if (!state) {
@@ -55,23 +51,26 @@
     return state;
   }
 
-  /** The state of an endpoint if one exists. */
+  /** Returns the state of an endpoint if one exists. */
   find(endpoint: Endpoint): EndpointState | undefined {
     return this.states.get(endpoint.key);
   }
 
-  /** Best estimate of the requests at the endpoint now: its announced load and what was sent since, or our own in flight. */
+  /**
+   * Estimates the number of requests that are at the endpoint now: its announced load plus what this node has sent since,
+   * but at least the number of requests that this node has in flight there.
+   */
   load(endpoint: Endpoint): number {
     const state = this.getOrCreate(endpoint);
     return Math.max(endpoint.active + endpoint.waiting + state.startedSinceAnnouncement, state.inFlight);
   }
 
-  /** Forgets, at most once per tombstone interval, endpoints that are no longer announced and have nothing in flight. */
+  /** Removes endpoints that are no longer announced and have nothing in flight; runs at most once per tombstone interval. */
   sweep(announced: Endpoint[]): void {
     const now = this.env.mono();
-    if (now - this.sweptAt <= Constants.tombstoneMs) return;
+    if (now - this.lastSweepAt <= Constants.tombstoneMs) return;
     const keys = new Set(announced.map((endpoint) => endpoint.key));
     for (const [key, state] of this.states) if (!keys.has(key) && state.inFlight === 0) this.states.delete(key);
-    this.sweptAt = now;
+    this.lastSweepAt = now;
   }
 }
--- a/src/routing/outlierEjection.ts
+++ b/src/routing/outlierEjection.ts
@@ -3,12 +3,8 @@
 import { EndpointState } from "./endpointStates";
 
 /**
- * Outlier ejection: an endpoint whose requests keep failing gets none for a while. After the ejection one more failure
- * is enough to eject it again.
- *
- * @example
- * const ejection = new OutlierEjection(env);
- * ejection.recordFailure(state, "replica/r1/i1", false);
+ * Ejects endpoints whose requests keep failing: they get no requests for Constants.ejectMs. After that time a single
+ * further failure ejects the endpoint again.
  */
 export class OutlierEjection {
   constructor(private readonly env: Environment) {}
@@ -21,7 +17,7 @@
     state.consecutiveFailures = 0;
   }
 
-  /** Counts a failure; `decisive` (no connection, no answer in time) ejects without waiting for a second one. */
+  /** Counts a failure. A `decisive` one (no connection, or no response in time) ejects the endpoint at once. */
   recordFailure(state: EndpointState, endpointKey: string, decisive: boolean): void {
     state.consecutiveFailures += 1;
     if (!decisive && state.consecutiveFailures < Constants.ejectFailures) return;
--- a/src/routing/policyRules.ts
+++ b/src/routing/policyRules.ts
@@ -1,6 +1,6 @@
 import { PolicyRule } from "../controlState/policy";
 
-/** What a policy rule is matched against. */
+/** The properties of a request that policy rules match. */
 export interface PolicySubject {
   route: string;
   kind: string;
@@ -8,7 +8,7 @@
 }
 
 /**
- * The first rule that matches the subject and has the effect asked for; later rules with that effect do not apply.
+ * Returns the first rule that matches the subject and has the given effect; later rules with that effect do not apply.
  *
  * @example
  * const rule = firstMatchingRule({ route: "ask", kind: "lookup", caller: "" }, policies, (each) => each.order !== undefined);
--- a/src/routing/prefixAffinity.ts
+++ b/src/routing/prefixAffinity.ts
@@ -6,17 +6,14 @@
 import { SlowStart } from "./slowStart";
 
 /**
- * Prefix affinity: requests with the same prefix go to the endpoint whose cache has it. The order of preference comes from
- * rendezvous hashing, and no endpoint gets more than a bounded multiple of the mean load (consistent hashing with bounded
- * loads, Mirrokni, Thorup and Zadimoghaddam 2018).
- *
- * @example
- * const endpoint = affinity.select("prompt-1", candidates);
+ * Sends requests with the same prompt prefix to the same endpoint, whose cache holds the prefix. The order of preference
+ * comes from rendezvous hashing, and no endpoint gets more than a bounded multiple of the mean load (consistent hashing
+ * with bounded loads, Mirrokni, Thorup and Zadimoghaddam 2018).
  */
 export class PrefixAffinity {
-  /** Requests that went to the endpoint that their prefix prefers. */
+  /** The number of requests that were sent to the endpoint that their prefix prefers. */
   hits = 0;
-  /** Requests that went elsewhere, because the preferred endpoint was loaded or starting. */
+  /** The number of requests that were sent elsewhere, because the preferred endpoint was too loaded or in slow start. */
   misses = 0;
   constructor(
     private readonly env: Environment,
@@ -24,7 +21,7 @@
     private readonly slowStart: SlowStart,
   ) {}
 
-  /** The most preferred candidate below the load bound; undefined if there is none, which counts as a miss. */
+  /** Returns the most preferred candidate below the load bound; if there is none, counts a miss and returns undefined. */
   select(prefix: string, candidates: Endpoint[]): Endpoint | undefined {
     const totalLoad = candidates.reduce((sum, endpoint) => sum + this.states.load(endpoint), 0);
     const loadBound = Math.ceil((totalLoad / candidates.length + 1) * Constants.boundedLoad);
--- a/src/routing/prompt.ts
+++ b/src/routing/prompt.ts
@@ -1,22 +1,22 @@
-/** Prompts as callers declare them, and what of them endpoints may have cached. */
+/** Parses the prompts that callers declare, and derives the prefixes that endpoints may have cached. */
 import { Constants } from "../common/constants";
 
-/** One part of a prompt, as its caller declares it. */
+/** One part of a prompt, as declared by the caller. */
 export interface PromptPart {
   /** Equal ids mean equal text, so that an endpoint's prefix cache may hold it. */
   id: string;
   tokens: number;
 }
 
-/** A prompt as its caller declares it. */
+/** A prompt, as declared by the caller. */
 export interface Prompt {
-  /** In the order of the text. */
+  /** In the order in which they occur in the text. */
   parts: PromptPart[];
-  /** Tokens of all parts. */
+  /** The number of tokens of all parts. */
   tokens: number;
 }
 
-/** Reads "ID:TOKENS"; no part if it is malformed. */
+/** Parses "ID:TOKENS"; returns no part if the text is malformed. */
 function parsePart(text: string): PromptPart[] {
   const colon = text.lastIndexOf(":");
   const tokens = Number(text.slice(colon + 1));
@@ -25,7 +25,7 @@
 }
 
 /**
- * Reads the parts of a prompt from a header; malformed parts are left out.
+ * Parses the parts of a prompt from a header; ignores malformed parts.
  *
  * @example
  * parsePrompt("5c1e:800,91bd:410").tokens // 1210
@@ -35,14 +35,19 @@
   return { parts, tokens: parts.reduce((sum, part) => sum + part.tokens, 0) };
 }
 
-/** About how long an endpoint needs to prefill so many tokens, ms. @example prefillMs(1000) // 10 */
+/**
+ * Estimates how long an endpoint takes to prefill a number of tokens, in ms.
+ *
+ * @example
+ * prefillMs(1000) // 10
+ */
 export const prefillMs = (tokens: number): number => tokens / Constants.promptTokensPerMs;
 
 /**
- * The prefix by whose id requests are sent to the endpoint that has it cached; "" where that is not worth it. The last part
- * of a prompt belongs to the request alone, so the prefix ends before it. A prefix whose prefill is short against the
- * latency target saves less than the load that affinity concentrates on one endpoint costs: the senders don't see each
- * other's requests.
+ * Returns the id of the prefix for which prefix affinity selects an endpoint; "" if affinity does not pay off. The last
+ * part of a prompt is unique to the request, so the prefix ends before it. If the prefill of a prefix is short compared with
+ * the latency target, affinity costs more than it saves: it concentrates load on one endpoint, since the senders do not
+ * see each other's requests.
  * @param targetMs the route's latency target
  *
  * @example
--- a/src/routing/routeTable.ts
+++ b/src/routing/routeTable.ts
@@ -1,13 +1,13 @@
 import { Route, Configuration } from "../controlState/configuration";
 
-/** A route that a request's host and path lead to. */
+/** A route that was found by a request's host and path. */
 export interface MatchedRoute {
   name: string;
   route: Route;
 }
 
 /**
- * The routes that are reached by host and path prefix, as one immutable table for each configuration.
+ * An immutable lookup table of a configuration's routes by host and path prefix.
  *
  * @example
  * const table = RouteTable.of(configuration.doc);
@@ -27,13 +27,13 @@
     }
   }
 
-  /** The table of a configuration; the latest one is cached. */
+  /** Returns the table of a configuration; caches the latest one. */
   static of(doc: Configuration): RouteTable {
     if (this.latest?.doc !== doc) this.latest = { doc, table: new RouteTable(doc) };
     return this.latest.table;
   }
 
-  /** The route of the host with the longest prefix of the path. The host may carry a port, which is ignored. */
+  /** Returns the host's route with the longest matching path prefix. A port in the host is ignored. */
   find(host: string, path: string): MatchedRoute | undefined {
     const prefixes = this.hosts.get(host.toLowerCase().replace(/:\d+$/, ""));
     if (!prefixes) return undefined;
--- a/src/routing/selectionCriteria.ts
+++ b/src/routing/selectionCriteria.ts
@@ -1,27 +1,27 @@
 import { ClusterSnapshot } from "../node/clusterSnapshot";
 
-/** Live requests may use an endpoint's whole capacity, batch items leave the reserved share of it free. */
+/** Live requests may use the entire capacity of an endpoint; batch items leave a reserved share of it free. */
 export type TrafficClass = "live" | "batch";
 
-/** What decides which endpoints may run a request at all. */
+/** The criteria by which endpoints are eligible for a request. */
 export interface PoolCriteria {
-  /** The configuration, policies and endpoints to decide by. */
+  /** The source of the configuration, the policies and the endpoints. */
   snapshot: ClusterSnapshot;
   /** The endpoint pool that the route, or its weighted split, names. */
   pool: string;
-  /** The name of the route, for policies. */
+  /** The name of the route, which policies match. */
   route: string;
-  /** The caller's name, for policies; empty where it is unknown. */
+  /** The caller's name, which policies match; empty if it is unknown. */
   caller: string;
-  /** The route's kind ("lookup", "stream", "item"), for policies. */
+  /** The route's kind ("lookup", "stream", "item"), which policies match. */
   kind: string;
 }
 
-/** What decides which of the eligible endpoints runs a request. */
+/** The criteria by which one of the eligible endpoints is selected for a request. */
 export interface SelectionCriteria extends PoolCriteria {
   /** Requests with the same prefix prefer the same endpoint; empty for no affinity. */
   prefix: string;
   trafficClass: TrafficClass;
-  /** Keys of endpoints that this request has already failed at. */
+  /** Keys of the endpoints at which this request has already failed. */
   exclude: Set<string>;
 }
--- a/src/routing/weightedSplit.ts
+++ b/src/routing/weightedSplit.ts
@@ -1,10 +1,8 @@
 import { Route } from "../controlState/configuration";
 
 /**
- * The pool that a position between 0 and 1 leads to: the route's own, or one of its split in proportion to the weights.
- *
- * @example
- * const pool = weightedPool(route, env.random());
+ * Returns the pool for a random position from 0 to below 1: the route's own pool, or one of its weighted split, each in
+ * proportion to its weight.
  */
 export function weightedPool(route: Route, position: number): string {
   if (!route.split?.length) return route.pool;
