--- a/src/ingress/agentLink.ts
+++ b/src/ingress/agentLink.ts
@@ -4,32 +4,29 @@
 import type { Task } from "../runtime/csp";
 
 /**
- * The ingress's connection to the cluster: an agent, which is a member of it, in this process or in one beside it.
- *
- * @example
- * const link: AgentLink = new RemoteAgent(env, settings);
- * link.start(() => queue.endpointsChanged());
+ * The ingress's connection to the cluster through an agent, which is a cluster member in this process or in a process on
+ * the same machine.
  */
 export interface AgentLink {
-  /** The id by which the cluster knows this ingress. */
+  /** The id of this ingress in the cluster. */
   readonly id: string;
   readonly rpc: Rpc;
   /** The latest cluster snapshot. */
   snapshot(): ClusterSnapshot;
-  /** Whether the snapshot is too old to act on, as far as this process can tell. */
+  /** Whether the snapshot is too old to be used, as far as this process can tell. */
   isStale(): boolean;
-  /** Whether the control leader has confirmed the configuration since the start and the last freeze. */
+  /** Whether the control leader has confirmed the configuration since the start and since the last process freeze. */
   isConfirmed(): boolean;
-  /** Starts to follow the cluster; `onChange` is called after each change of the snapshot. */
+  /** Starts to receive snapshots; `onChange` is called after each change of the snapshot. */
   start(onChange: () => void): void;
-  /** The process was frozen: what it knew before no longer counts. */
+  /** Invalidates what the process knew before it was frozen; called when it runs again. */
   processResumed(): void;
   /** Publishes a gossip fact that expires after leaseMs. */
   publish(key: string, value: unknown, leaseMs: number): void;
-  /** The same node as the operators' HTTP surface needs it. */
+  /** Returns the context that the operators' HTTP interface needs. */
   nodeContext(): NodeContext;
-  /** The node will stop: no new duties. */
+  /** Announces that the node is about to stop, so that it gets no new tasks. */
   prepareStop(): void;
-  /** Leaves the cluster, as the last step of a stop. */
+  /** Leaves the cluster; the last step of a shutdown. */
   leaveCluster(): Task<void>;
 }
--- a/src/ingress/batchJobContext.ts
+++ b/src/ingress/batchJobContext.ts
@@ -3,12 +3,12 @@
 import { Environment } from "../runtime/env";
 import { ShardClient } from "../storage/shardClient";
 
-/** What calls for batch jobs need of the process that makes them. */
+/** What the submission and reading of batch jobs need from the process that they run in. */
 export interface BatchJobContext {
   readonly env: Environment;
   readonly rpc: Rpc;
   readonly shardClient: ShardClient;
-  /** The zone of this node, whose replicas are preferred for long reads. */
+  /** The zone of this node; replicas in this zone are preferred for long reads. */
   readonly zone?: string;
   snapshot(): ClusterSnapshot;
 }
--- a/src/ingress/batchJobReader.ts
+++ b/src/ingress/batchJobReader.ts
@@ -13,29 +13,27 @@
 import { BatchJobContext } from "./batchJobContext";
 import { callJobLeader } from "./jobLeaderCall";
 
-/** Pause before the replicas are called again, in ms. */
-const retryPauseMs = 100;
-/** How long a replica may take beyond the wait that it was asked for, in ms. */
-const resultsGraceMs = 700;
-/** How long results are tried for beyond that wait, and the least wait that counts, in ms. */
-const resultsRetryMs = 2500;
-const resultsMinWaitMs = 500;
+/** Delay before the replicas are called again, in ms. */
+const RETRY_DELAY_MS = 100;
+/** How much longer than the requested wait a replica may take, in ms. */
+const RESULTS_GRACE_MS = 700;
+/** How much longer than the wait attempts to read results go on, in ms. */
+const RESULTS_RETRY_MS = 2500;
+/** Lower bound of the wait in that calculation, in ms. */
+const RESULTS_MIN_WAIT_MS = 500;
 
-/** Faults by which a replica says for certain that there is nothing to read. */
-const isCertain = (fault: Fault): boolean => fault.tag === "notFound" || fault.tag === "gone";
+/** Whether the fault says definitively that there is nothing to read. */
+const isDefinitive = (fault: Fault): boolean => fault.tag === "notFound" || fault.tag === "gone";
 
 /**
  * Reads batch jobs from the replicas of their shards.
- *
- * @example
- * const page = yield* new BatchJobReader(host).list("job-17", 0, 1000);
  */
 export class BatchJobReader implements JobReader {
-  constructor(private readonly host: BatchJobContext) {}
+  constructor(private readonly context: BatchJobContext) {}
 
   list(id: string, from: number, waitMs: number): Task<Result<JobResultPage>> {
-    // lists are long: a replica in our zone comes first, the leader next
-    return this.callReplicas(id, "lot.list", { from, waitMs }, waitMs, this.host.zone);
+    // Lists are long, so a replica in this zone is called first and the leader next.
+    return this.callReplicas(id, "lot.list", { from, waitMs }, waitMs, this.context.zone);
   }
 
   itemBody(id: string, itemId: string): Task<Result<ItemBodyResponse>> {
@@ -43,36 +41,43 @@
   }
 
   status(id: string): Task<Result<JobStatusResponse>> {
-    return callJobLeader(this.host.shardClient, "lot.status", id, () => ({}));
+    return callJobLeader(this.context.shardClient, "lot.status", id, () => ({}));
   }
 
   *results(id: string, after: number, limit: number, waitMs: number): Task<Result<JobResultsResponse>> {
-    const { env, rpc, shardClient } = this.host;
+    const { env, rpc, shardClient } = this.context;
     const shard = shardClient.shardOf(id);
-    const until = env.mono() + Math.max(waitMs, resultsMinWaitMs) + resultsRetryMs;
-    let last: Result<JobResultsResponse> = Fault.fail("timeout", "lot results", `shard ${shard}`, "no view is known");
-    while (env.mono() < until) {
+    const deadline = env.mono() + Math.max(waitMs, RESULTS_MIN_WAIT_MS) + RESULTS_RETRY_MS;
+    let lastResponse: Result<JobResultsResponse> = Fault.fail(
+      "timeout",
+      "lot results",
+      `shard ${shard}`,
+      "no view is known",
+    );
+    while (env.mono() < deadline) {
       for (const address of this.leaderFirst(shard)) {
         const body = { shard, id, after, limit, waitMs };
-        last = yield* rpc.call(address, "lot.results", body, waitMs + resultsGraceMs);
-        if (last.ok || isCertain(last.fault)) return last;
+        lastResponse = yield* rpc.call(address, "lot.results", body, waitMs + RESULTS_GRACE_MS);
+        if (lastResponse.ok || isDefinitive(lastResponse.fault)) return lastResponse;
       }
-      yield* EnvironmentTools.sleep(env, retryPauseMs);
+      yield* EnvironmentTools.sleep(env, RETRY_DELAY_MS);
     }
-    return last.ok ? last : Fault.busy("lot results", last.fault.member, last.fault.detail, Constants.retryAfterMs);
+    return lastResponse.ok
+      ? lastResponse
+      : Fault.busy("lot results", lastResponse.fault.member, lastResponse.fault.detail, Constants.retryAfterMs);
   }
 
-  /** Addresses of a shard's replicas, its leader's first; an address is looked up only when its turn comes. */
+  /** Yields the addresses of a shard's replicas, the leader's first; looks up each address only when it is requested. */
   private *leaderFirst(shard: number): Generator<string, void> {
-    const view = this.host.snapshot().control?.views[shard];
+    const view = this.context.snapshot().control?.views[shard];
     const ids = view ? [view.lead, ...view.members.filter((member) => member !== view.lead)] : [];
     for (const id of ids) {
-      const address = this.host.snapshot().members.find((member) => member.id === id)?.address;
+      const address = this.context.snapshot().members.find((member) => member.id === id)?.address;
       if (address) yield address;
     }
   }
 
-  /** Calls the replicas of the job's shard one after the other, at first preferably in `nearZone`, until one can respond. */
+  /** Calls the replicas of the job's shard in turn until one responds; the first attempt prefers those in `nearZone`. */
   private *callReplicas<Method extends "lot.list" | "lot.itemBody">(
     id: string,
     method: Method,
@@ -80,30 +85,32 @@
     waitMs: number,
     nearZone?: string,
   ): Task<Result<ResponseOf<Method>>> {
-    const { env, rpc, shardClient } = this.host;
+    const { env, rpc, shardClient } = this.context;
     const shard = shardClient.shardOf(id);
-    const until = env.mono() + waitMs + Constants.jobReadMs;
-    const viewNow = () => this.host.snapshot().control?.views[shard];
-    let last: Result<ResponseOf<Method>> = Fault.fail("timeout", method, `shard ${shard}`, "no view is known");
+    const deadline = env.mono() + waitMs + Constants.jobReadMs;
+    const currentView = () => this.context.snapshot().control?.views[shard];
+    let lastResponse: Result<ResponseOf<Method>> = Fault.fail("timeout", method, `shard ${shard}`, "no view is known");
     for (let attempt = 0; ; attempt += 1) {
-      const epoch = viewNow()?.epoch;
+      const epoch = currentView()?.epoch;
       for (const address of this.replicaAddresses(shard, attempt === 0 ? nearZone : undefined)) {
-        const leftMs = until - env.mono();
+        const leftMs = deadline - env.mono();
         if (leftMs <= 0) continue;
         const timeoutMs = Math.min(leftMs, waitMs + Constants.jobReadAttemptMs);
         const request = { ...body, shard, id, anyAge: attempt > 0 } as RequestOf<Method>;
-        last = yield* rpc.call(address, method, request, timeoutMs, () => viewNow()?.epoch !== epoch);
-        if (last.ok || isCertain(last.fault)) return last;
+        lastResponse = yield* rpc.call(address, method, request, timeoutMs, () => currentView()?.epoch !== epoch);
+        if (lastResponse.ok || isDefinitive(lastResponse.fault)) return lastResponse;
       }
-      if (env.mono() + retryPauseMs >= until) break;
-      yield* EnvironmentTools.sleep(env, retryPauseMs);
+      if (env.mono() + RETRY_DELAY_MS >= deadline) break;
+      yield* EnvironmentTools.sleep(env, RETRY_DELAY_MS);
     }
-    return last.ok ? last : Fault.busy(method, last.fault.member, last.fault.detail, Constants.retryAfterMs);
+    return lastResponse.ok
+      ? lastResponse
+      : Fault.busy(method, lastResponse.fault.member, lastResponse.fault.detail, Constants.retryAfterMs);
   }
 
-  /** Those in `nearZone` first, then the leader, then the others. */
+  /** Returns the addresses of the replicas in `nearZone`, then the leader's, then the others. */
   private replicaAddresses(shard: number, nearZone: string | undefined): string[] {
-    const snapshot = this.host.snapshot();
+    const snapshot = this.context.snapshot();
     const view = snapshot.control?.views[shard];
     const replicas = (view?.members ?? []).flatMap((id) => snapshot.members.find((each) => each.id === id) ?? []);
     const rank = ({ id, district }: { id: string; district: string }): number =>
--- a/src/ingress/batchSubmission.ts
+++ b/src/ingress/batchSubmission.ts
@@ -12,19 +12,19 @@
 import { BatchJobContext } from "./batchJobContext";
 import { callJobLeader } from "./jobLeaderCall";
 
-/** Priority of a job where neither policy nor route gives one. */
-const defaultOrder = 100;
-/** Time for one attempt to submit JSON items, in ms. */
-const jsonItemsAttemptMs = 2000;
+/** Priority of a job if neither a policy nor its route sets one. */
+const DEFAULT_PRIORITY = 100;
+/** Time-out of one attempt to submit JSON items, in ms. */
+const JSON_ITEMS_ATTEMPT_TIMEOUT_MS = 2000;
 
-const withLowerCaseNames = (headers: Record<string, string>): Record<string, string> =>
+const lowerCaseNames = (headers: Record<string, string>): Record<string, string> =>
   Object.fromEntries(Object.entries(headers).map(([name, value]) => [name.toLowerCase(), String(value)]));
 
-/** The submission takes no effect: the caller should retry. */
+/** Tells the caller that the submission has no effect and that it should retry. */
 const rejected = (fault: Fault): Result<never> =>
   Fault.busy("hand in", fault.member, fault.detail, Constants.retryAfterMs);
 
-/** A job as it is put to its shard, and what it was admitted by. */
+/** A job as it is sent to its shard, and the configuration and policy that admitted it. */
 export interface PreparedJob {
   job: BatchJobSpec;
   cause: Cause;
@@ -32,12 +32,9 @@
 
 /**
  * Submits batch jobs to their shards, and ends them.
- *
- * @example
- * const submitted = yield* new BatchSubmission(host).submit("job-17", "audit", route, items, 3000);
  */
 export class BatchSubmission implements JobSubmission {
-  constructor(private readonly host: BatchJobContext) {}
+  constructor(private readonly context: BatchJobContext) {}
 
   *submit(
     id: string,
@@ -46,20 +43,20 @@
     items: SubmittedItem[],
     withinMs: number,
   ): Task<Result<SubmitJobResponse>> {
-    const { env, shardClient } = this.host;
+    const { env, shardClient } = this.context;
     const arrival = shardClient.stamp(env.wall());
-    const bounds = this.host.snapshot().control?.manifest.doc.clock ?? Stamp.defaults;
+    const bounds = this.context.snapshot().control?.manifest.doc.clock ?? Stamp.defaults;
     if (!Stamp.admits(arrival.time, env.wall(), bounds))
       return Fault.busy("stamp", "ingress", "our stamps are ahead of our clock", Constants.retryAfterMs);
     const { job, cause } = this.prepare(id, routeName, route, items);
-    const life = Stamp.text(arrival);
+    const incarnation = Stamp.text(arrival);
     let attempts = 0;
     const response = yield* shardClient.callLeader(
       shardClient.shardOf(id),
       "lot.handIn",
       () => {
         attempts += 1;
-        return { stamp: attempts === 1 ? arrival : shardClient.stamp(env.wall()), life, lot: job, cause };
+        return { stamp: attempts === 1 ? arrival : shardClient.stamp(env.wall()), life: incarnation, lot: job, cause };
       },
       withinMs,
       Constants.jobAttemptMs,
@@ -67,16 +64,16 @@
     return response.ok ? response : yield* this.settleFault(id, response.fault, attempts);
   }
 
-  /** Makes sure that a failed submission takes no effect, where it may have arrived. */
+  /** Ensures that a failed submission has no effect if it may have arrived. */
   private *settleFault(id: string, fault: Fault, attempts: number): Task<Result<SubmitJobResponse>> {
     switch (fault.tag) {
       case "timeout":
       case "refused":
       case "notLead":
       case "late":
-        return rejected(fault); // no attempt can have arrived in time
+        return rejected(fault); // No attempt can have arrived in time.
       case "busy":
-        // an earlier attempt may still arrive
+        // An earlier attempt may still arrive.
         return attempts === 1 ? { ok: false, fault } : yield* this.refuse(id, fault);
       case "unknown":
         return yield* this.refuse(id, fault);
@@ -85,9 +82,9 @@
     }
   }
 
-  /** The job as it is put to its shard, with its priority by policy or route. */
+  /** Builds the job as it is sent to its shard, with its priority by policy or route. */
   prepare(id: string, routeName: string, route: Route, items: SubmittedItem[]): PreparedJob {
-    const { control } = this.host.snapshot();
+    const { control } = this.context.snapshot();
     const policies = control?.policies;
     const subject = { route: routeName, kind: route.kind, caller: "" };
     const rule = firstMatchingRule(subject, policies?.doc ?? [], (each) => each.order !== undefined);
@@ -95,7 +92,7 @@
     const requests = items.map(({ id: item, target, headers, tokens }): ItemRequest => ({
       id: item,
       target,
-      headers: DirectHttp.endToEnd(withLowerCaseNames(headers)),
+      headers: DirectHttp.endToEnd(lowerCaseNames(headers)),
       tokens,
     }));
     const bodies = items.map((item) => item.body);
@@ -108,7 +105,7 @@
         bodies,
         requests,
         safe: true,
-        order: rule?.order ?? route.order ?? defaultOrder,
+        order: rule?.order ?? route.order ?? DEFAULT_PRIORITY,
         kept,
         since: control?.manifest.version ?? 0,
       },
@@ -117,11 +114,11 @@
   }
 
   /**
-   * Closes a submission with an unknown outcome as refused at its shard. It may turn out that the shard has accepted the
-   * job; if the shard cannot be asked either, the fault is "unknown".
+   * Marks a submission with an unknown outcome as refused at its shard, unless the shard has already accepted the job. If
+   * the shard cannot be reached either, the fault is "unknown".
    */
   *refuse(id: string, fault: Fault): Task<Result<SubmitJobResponse>> {
-    const { env, shardClient } = this.host;
+    const { env, shardClient } = this.context;
     const response = yield* shardClient.callLeader(
       shardClient.shardOf(id),
       "lot.refuse",
@@ -134,7 +131,7 @@
   }
 
   *submitJsonItems({ id, route, bodies }: JsonItemsJob, arrival: Stamp): Task<Result<PutOutcome>> {
-    const { env, shardClient } = this.host;
+    const { env, shardClient } = this.context;
     const job = {
       id,
       binding: route.name,
@@ -153,7 +150,7 @@
         return { stamp: attempts === 1 ? arrival : shardClient.stamp(env.wall()), lot: job, cause: route.cause };
       },
       Constants.jobPatienceMs,
-      jsonItemsAttemptMs,
+      JSON_ITEMS_ATTEMPT_TIMEOUT_MS,
       Constants.openPatienceMs,
     );
     if (response.ok || response.fault.tag === "busy" || response.fault.tag === "unknown") return response;
@@ -161,7 +158,7 @@
   }
 
   *end(id: string, by: string): Task<Result<EndJobResponse>> {
-    const { env, shardClient } = this.host;
+    const { env, shardClient } = this.context;
     const response = yield* shardClient.callLeader(
       shardClient.shardOf(id),
       "lot.end",
@@ -175,7 +172,7 @@
   }
 
   endNow(id: string, by: string): Task<Result<EndJobResponse>> {
-    const { env, shardClient } = this.host;
+    const { env, shardClient } = this.context;
     return callJobLeader(shardClient, "lot.end", id, () => ({ stamp: shardClient.stamp(env.wall()), by }));
   }
 }
--- a/src/ingress/directContext.ts
+++ b/src/ingress/directContext.ts
@@ -8,7 +8,7 @@
 import type { IngressReadiness } from "./ingressReadiness";
 import type { LedgerNotes } from "./ledgerNotes";
 
-/** What the handling of direct requests needs of its ingress. */
+/** What the handling of direct requests needs from its ingress. */
 export interface DirectContext {
   readonly env: Environment;
   readonly id: string;
--- a/src/ingress/directRequestHandler.ts
+++ b/src/ingress/directRequestHandler.ts
@@ -11,17 +11,13 @@
 import { AttemptOutcome, EndpointAttempt } from "./endpointAttempt";
 import { PendingDirectRequest, readDirectRequest, selectionCriteria } from "./pendingDirectRequest";
 
-/** Priority in the admission queue where the route gives none. */
-const defaultOrder = 100;
+/** Priority in the admission queue if the route sets none. */
+const DEFAULT_PRIORITY = 100;
 
 /**
- * Forwards requests unchanged by host and path, with retries at other endpoints; streams are relayed event by event. A
- * request that is not idempotent is delivered once: only an endpoint's explicit refusal, or a connection that was never
- * made, allows another attempt.
- *
- * @example
- * const handler = new DirectRequestHandler(context);
- * yield* handler.serve(exchange);
+ * Forwards requests unchanged by host and path, and retries them at other endpoints; streams are relayed event by event. A
+ * request that is not idempotent is delivered once: another attempt is allowed only after an endpoint's explicit refusal, or
+ * if no connection was established.
  */
 export class DirectRequestHandler implements DirectRequests {
   private readonly responses: DirectResponses;
@@ -82,7 +78,7 @@
     return readDirectRequest(env, headerNames, exchange, match, body, arrivedAt, version);
   }
 
-  /** Attempts until one has responded, no further one is allowed, or the time is up. */
+  /** Makes attempts until one succeeds, no further attempt is allowed, or the deadline has passed. */
   private *forward(pending: PendingDirectRequest): Task<void> {
     const { exchange, route } = pending;
     const exclude = new Set<string>();
@@ -107,27 +103,27 @@
     }
   }
 
-  /** After a failure the request must be idempotent, and a stream that has begun must be resumable at its position. */
+  /** After a failure only an idempotent request may be retried, and a stream that has begun only if it is resumable. */
   private mayRetry({ route, responseOpen }: PendingDirectRequest, outcome: AttemptOutcome): boolean {
     if (outcome.tag !== "failed") return true;
     return route.safe && (!responseOpen || route.continues === "exact");
   }
 
-  /** Acquires an endpoint; waits only as long as a retry elsewhere by the caller still meets its latency target. */
+  /** Acquires an endpoint; waits only so long that a retry by the caller elsewhere can still meet the latency target. */
   private *acquire(pending: PendingDirectRequest, exclude: Set<string>, leftMs: number): Task<Endpoint | undefined> {
     const { admissionQueue, counters, env } = this.context;
     const { arrivedAt, pool, responseOpen, route } = pending;
     const waitedMs = env.mono() - arrivedAt;
-    const patienceMs = responseOpen
+    const maxWaitMs = responseOpen
       ? Constants.resumeWaitMs
       : (route.targetMs ?? Constants.liveWaitMs) * Constants.refuseShare - waitedMs;
     const makeCriteria = () => selectionCriteria(pending, this.context.snapshot(), exclude);
     const eligible = EndpointEligibility.inPool(makeCriteria());
-    // once every endpoint has failed, all may be tried again
+    // Once every endpoint has failed, all of them may be tried again.
     if (eligible.every((endpoint) => exclude.has(endpoint.key)) && exclude.size > 0) exclude.clear();
     counters.lookups += 1;
-    const withinMs = Math.min(leftMs, patienceMs);
-    return yield* admissionQueue.acquire(makeCriteria, route.order ?? defaultOrder, arrivedAt, withinMs, pool);
+    const withinMs = Math.min(leftMs, maxWaitMs);
+    return yield* admissionQueue.acquire(makeCriteria, route.order ?? DEFAULT_PRIORITY, arrivedAt, withinMs, pool);
   }
 
   private giveUp(pending: PendingDirectRequest, lastFault: Fault | undefined): void {
--- a/src/ingress/endpointAttempt.ts
+++ b/src/ingress/endpointAttempt.ts
@@ -11,17 +11,17 @@
 import { DirectResponses } from "./directResponses";
 import { PendingDirectRequest } from "./pendingDirectRequest";
 
-/** How one attempt at one endpoint ended. */
+/** The outcome of one attempt at one endpoint. */
 export type AttemptOutcome =
   | { tag: "responded"; status: number }
   /** The caller has disconnected. */
   | { tag: "callerDisconnected" }
-  /** The request provably did not run; `delivered` says that the endpoint itself refused it. */
+  /** The request provably did not run; `delivered` tells whether the endpoint itself refused it. */
   | { tag: "notExecuted"; fault: Fault; delivered: boolean }
   /** The request may have run. */
   | { tag: "failed"; fault: Fault };
 
-/** No Content, Not Modified. */
+/** No Content and Not Modified. */
 const bodilessStatuses: ReadonlySet<number> = new Set([204, 304]);
 
 const failed = (step: string, endpoint: Endpoint, detail: string): AttemptOutcome => ({
@@ -32,11 +32,8 @@
 const isExactlyResumable = (route: Route): boolean => route.safe && route.continues === "exact";
 
 /**
- * One attempt of a direct request at one endpoint, for which capacity was acquired: sends the request, and relays the
- * response. The capacity is released however the attempt ends.
- *
- * @example
- * const outcome = yield* new EndpointAttempt(context, responses, pending, endpoint).run(true);
+ * Makes one attempt to run a direct request at an endpoint for which capacity was acquired: sends the request and relays
+ * the response. Always releases the capacity.
  */
 export class EndpointAttempt {
   constructor(
@@ -46,7 +43,7 @@
     private readonly endpoint: Endpoint,
   ) {}
 
-  /** `mayRetry` says that another attempt may follow, for which some time is left. */
+  /** With `mayRetry`, another attempt may follow, so this one leaves time for it. */
   *run(mayRetry: boolean): Task<AttemptOutcome> {
     const { admissionQueue, env, headerNames } = this.context;
     const { exchange, forwarded, route } = this.pending;
@@ -55,7 +52,7 @@
     const headTimeoutMs =
       route.safe && mayRetry ? Math.min(leftMs, Math.max(Constants.headMs, 2 * (route.targetMs ?? 0))) : leftMs;
     const cancellation: NonNullable<HttpRequest["cancellation"]> = {};
-    // an endpoint need not go on with what nobody waits for
+    // The endpoint should stop working on a request whose caller has disconnected.
     exchange.onGone = () => cancellation.cancel?.();
     const request = { ...forwarded, remainingMs: leftMs };
     const opened = yield* DirectHttp.open(env, headerNames, endpoint, request, headTimeoutMs, cancellation);
@@ -75,7 +72,7 @@
     }
     const notExecuted = fault.tag === "refused";
     const delivered = fault.step === "deliver";
-    // no connection and no answer are stronger signs of an unhealthy endpoint than one bad response
+    // A missing connection or response is a stronger sign of an unhealthy endpoint than a single bad response.
     const decisive = !delivered && fault.tag !== "broken";
     admissionQueue.release(this.endpoint, notExecuted && delivered, decisive);
     return notExecuted ? { tag: "notExecuted", fault, delivered } : { tag: "failed", fault };
@@ -103,13 +100,13 @@
       responseOpen || impliesNotExecuted(opened.status) || (opened.status >= 500 && route.safe);
     if (mustNotReachCaller) return failed("read reply", this.endpoint, `replica replied ${opened.status}`);
     const headers = { ...opened.headers, ...this.responses.closeHeader() };
-    const isEndCertain = !this.endsWithConnection(opened) || !exchange.sendUntilClose;
-    if (isEndCertain) exchange.send(opened.status, headers, body);
+    const isFramed = !this.endsWithConnection(opened) || !exchange.sendUntilClose;
+    if (isFramed) exchange.send(opened.status, headers, body);
     else exchange.sendUntilClose!(opened.status, headers, body);
     return { tag: "responded", status: opened.status };
   }
 
-  /** Whether the endpoint framed its response by nothing but the end of the connection, which may as well be its own end. */
+  /** Whether only the end of the connection marks the end of the body; an endpoint that crashes also ends it. */
   private endsWithConnection({ status, response }: DirectResponse): boolean {
     const hasBody = this.pending.forwarded.method !== "HEAD" && !bodilessStatuses.has(status);
     const { "content-length": length, "transfer-encoding": encoding } = response.headers;
@@ -121,8 +118,8 @@
     const { exchange, forwarded } = pending;
     const events = new EventStreamReader(this.context.env, this.endpoint.id, opened.response, forwarded.lastEventId);
     for (let isFirst = true; ; isFirst = false) {
-      const silenceMs = isFirst ? firstEventWithinMs : this.silenceMs();
-      const received = yield* events.next(Math.min(this.leftMs(), silenceMs));
+      const eventTimeoutMs = isFirst ? firstEventWithinMs : this.eventTimeoutMs();
+      const received = yield* events.next(Math.min(this.leftMs(), eventTimeoutMs));
       if (this.callerDisconnected()) {
         opened.response.abort();
         return { tag: "callerDisconnected" };
@@ -142,8 +139,8 @@
     }
   }
 
-  /** How long a stream may be silent between events; where no other endpoint can resume it, until the deadline. */
-  private silenceMs(): number {
+  /** The longest time between two events of a stream; until the deadline if no other endpoint can resume the stream. */
+  private eventTimeoutMs(): number {
     const { route } = this.pending;
     if (!isExactlyResumable(route)) return this.leftMs();
     return Math.max(Constants.silentPieceMs, 3 * (route.pieceGapMs ?? 0));
--- a/src/ingress/inProcessAgent.ts
+++ b/src/ingress/inProcessAgent.ts
@@ -6,11 +6,8 @@
 import type { AgentLink } from "./agentLink";
 
 /**
- * An agent that is part of the ingress process. It notices freezes of the process itself, and its own snapshot says
- * whether it is fresh.
- *
- * @example
- * const link = new InProcessAgent(node);
+ * An agent that is part of the ingress process. It detects freezes of the process itself, and its snapshot says whether it
+ * is current.
  */
 export class InProcessAgent implements AgentLink {
   constructor(private readonly node: Node) {}
@@ -37,19 +34,19 @@
 
   start(onChange: () => void): void {
     const { node } = this;
-    let loggedIndex = -1;
-    const changed = (): void => {
+    let lastLoggedIndex = -1;
+    const handleChange = (): void => {
       onChange();
       const index = node.gossip.snapshot?.index ?? -1;
-      if (index > loggedIndex) node.env.log(1601, { index, manifest: node.gossip.snapshot?.manifest.version });
-      loggedIndex = Math.max(loggedIndex, index);
+      if (index > lastLoggedIndex) node.env.log(1601, { index, manifest: node.gossip.snapshot?.manifest.version });
+      lastLoggedIndex = Math.max(lastLoggedIndex, index);
     };
-    node.gossip.onChange(changed);
-    node.membership.onChange(changed);
+    node.gossip.onChange(handleChange);
+    node.membership.onChange(handleChange);
   }
 
   processResumed(): void {
-    // the agent watches the clock itself
+    // The agent watches the clock itself.
   }
 
   publish(key: string, value: unknown, leaseMs: number): void {
@@ -66,7 +63,7 @@
 
   leaveCluster(): Task<void> {
     return this.node.shutDown(function* () {
-      /* nothing is left to finish */
+      /* No tasks have to finish first. */
     });
   }
 }
--- a/src/ingress/ingressAdmission.ts
+++ b/src/ingress/ingressAdmission.ts
@@ -14,33 +14,32 @@
 import { IngressReadiness } from "./ingressReadiness";
 import { LedgerNotes } from "./ledgerNotes";
 
-/** Priority of a request where no policy gives one. */
-const defaultOrder = 100;
-/** Requests of one route that may be live at once, where a shard takes part in them. */
-const liveRequestsPerRoute = Constants.liveBuffer * 4;
+/** Priority of a request if no policy sets one. */
+const DEFAULT_PRIORITY = 100;
+/** The maximum number of concurrent requests of a route, for routes whose requests involve a shard. */
+const MAX_LIVE_REQUESTS_PER_ROUTE = Constants.liveBuffer * 4;
 
-function routeNamed(doc: Configuration, name: string): Route | undefined {
+function findRoute(doc: Configuration, name: string): Route | undefined {
   return Object.prototype.hasOwnProperty.call(doc.bindings, name) ? doc.bindings[name] : undefined;
 }
 
-/** The caller's deadline where it gives one and the route allows it, else the route's, in ms. */
-function deadlineOf(route: Route, headers: Record<string, string>): number {
+/** Returns the caller's deadline, limited by the route's; without a valid one the route's, in ms. */
+function requestDeadlineMs(route: Route, headers: Record<string, string>): number {
   const requested = Number(headers["x-deadline-ms"]);
   return Number.isFinite(requested) && requested > 0 ? Math.min(requested, route.deadlineMs) : route.deadlineMs;
 }
 
 /**
- * Admits requests by route name: rejects what the readiness, the policies or the limits do not allow, and keeps count of
- * live requests.
+ * Admits requests by route name: rejects those that readiness, policies or limits do not allow, and counts live requests.
  *
  * @example
  * const admitted = admission.admit("ask", exchange.headers);
  * if (admitted.ok) yield* admission.countLive("ask", () => serve(admitted.value));
  */
 export class IngressAdmission implements RequestAdmission {
-  /** Live requests by route name. */
+  /** The number of live requests by route name. */
   private readonly liveCounts = new Map<string, number>();
-  /** The limits in force, and the configured ones that they were made from. */
+  /** The limits in force, derived from `configuredLimits`. */
   private limits: HttpLimits = defaultHttpLimits;
   private configuredLimits: Limits | undefined;
   constructor(
@@ -54,7 +53,7 @@
     const unreadyReason = this.readiness.unreadyReason();
     if (unreadyReason) return this.reject("accept", unreadyReason);
     const control = this.link.snapshot().control!;
-    const route = routeNamed(control.manifest.doc, routeName);
+    const route = findRoute(control.manifest.doc, routeName);
     if (!route) return Fault.fail("notFound", "accept", this.link.id, `no binding ${routeName}`);
     const caller = headers["x-caller"] ?? "";
     const subject = { route: routeName, kind: route.kind, caller };
@@ -62,10 +61,13 @@
     const priorityRule = firstMatchingRule(subject, rules, (rule) => rule.order !== undefined);
     const limitRule = firstMatchingRule(subject, rules, (rule) => rule.limit !== undefined);
     const cause = this.causeOf(control, priorityRule);
-    const limit = Math.min(limitRule?.limit ?? Infinity, route.kind === "lookup" ? Infinity : liveRequestsPerRoute);
+    const limit = Math.min(
+      limitRule?.limit ?? Infinity,
+      route.kind === "lookup" ? Infinity : MAX_LIVE_REQUESTS_PER_ROUTE,
+    );
     if ((this.liveCounts.get(routeName) ?? 0) >= limit) return this.rejectOverLimit(routeName, cause, rules, limitRule);
-    const order = priorityRule?.order ?? defaultOrder;
-    return Fault.ok({ name: routeName, route, caller, order, cause, deadlineMs: deadlineOf(route, headers) });
+    const order = priorityRule?.order ?? DEFAULT_PRIORITY;
+    return Fault.ok({ name: routeName, route, caller, order, cause, deadlineMs: requestDeadlineMs(route, headers) });
   }
 
   *countLive<T>(routeName: string, task: () => Task<T>): Task<T> {
@@ -81,7 +83,7 @@
     return this.link.snapshot().control?.manifest.doc.limits?.bodyBytes ?? Constants.bodyLimitBytes;
   }
 
-  /** The limits of callers' connections by the configuration in force; the same object until that changes. */
+  /** Returns the limits of callers' connections in force; the same object until the configured limits change. */
   httpLimits(): HttpLimits {
     const configured = this.link.snapshot().control?.manifest.doc.limits;
     if (configured !== this.configuredLimits) {
@@ -91,7 +93,7 @@
     return this.limits;
   }
 
-  /** A fault that promises that the request did not run; counted. */
+  /** Returns a fault that guarantees that the request did not run, and counts it. */
   reject(step: string, detail: string): { ok: false; fault: Fault } {
     this.counters.rejections += 1;
     return Fault.busy(step, this.link.id, detail, Constants.retryAfterMs);
--- a/src/ingress/ingressCounters.ts
+++ b/src/ingress/ingressCounters.ts
@@ -1,4 +1,4 @@
-/** Counters of an ingress since its start. */
+/** The counters of an ingress since it started. */
 export class IngressCounters {
   /** Attempts to send a request to an endpoint without a shard. */
   lookups = 0;
@@ -6,18 +6,18 @@
   streams = 0;
   /** Batch jobs submitted. */
   jobs = 0;
-  /** Requests rejected as busy, which never ran. */
+  /** Requests that were rejected as busy and never ran. */
   rejections = 0;
   /** Requests that failed and may have run. */
   failures = 0;
-  /** Streams resumed by their callers. */
+  /** Streams that their callers resumed. */
   resumes = 0;
   /** Ledger notes that were dropped. */
   droppedNotes = 0;
-  /** Times that the cluster snapshot went stale. */
+  /** The number of times the cluster snapshot became stale. */
   staleSnapshots = 0;
 
-  /** The counters under the names of their metrics. */
+  /** Returns the counters by metric name. */
   metrics(): Record<string, number> {
     return {
       lookups: this.lookups,
--- a/src/ingress/ingressNode.ts
+++ b/src/ingress/ingressNode.ts
@@ -31,18 +31,14 @@
 import { ShardLiveRequests } from "./shardLiveRequests";
 import { WarmUpRequests } from "./warmUpRequests";
 
-/** How often a stopping ingress checks whether requests are in flight, in ms. */
-const drainPollMs = 50;
-/** How long the last ledger notes get after the last flush interval, in ms. */
-const lastNotesMs = 100;
+/** Period at which a stopping ingress checks for requests in flight, in ms. */
+const DRAIN_POLL_MS = 50;
+/** Additional time after the last flush interval for writing the last ledger notes, in ms. */
+const LAST_NOTES_MS = 100;
 
 /**
- * The ingress process: admits callers' requests, stamps them, forwards them to endpoints or opens them at shards, and
- * relays the responses. This class only composes its parts.
- *
- * @example
- * const started = yield* IngressNode.start(env, settings);
- * if (started.ok) yield* started.value.stop();
+ * The ingress process: admits callers' requests, assigns timestamps to them, forwards them to endpoints or opens them at
+ * shards, and relays the responses. This class only wires up the components.
  */
 export class IngressNode implements CallerOperations {
   readonly id: string;
@@ -59,7 +55,7 @@
   readonly jobSubmission: BatchSubmission;
   readonly jobReader: BatchJobReader;
   readonly directRequests: DirectRequestHandler;
-  /** Requests of all surfaces that are being served. */
+  /** The number of requests that all HTTP surfaces are serving. */
   private inFlight = 0;
 
   private constructor(
@@ -85,13 +81,13 @@
     this.directRequests = new DirectRequestHandler(this);
   }
 
-  /** Starts an ingress; with `settings.agent` it uses that agent's process, else it has an agent of its own. */
+  /** Starts an ingress, which connects to the agent at `settings.agent` or else runs an agent in its own process. */
   static *start(env: Environment, settings: Settings, adapters: ProtocolAdapters = {}): Task<Result<IngressNode>> {
-    const link = yield* IngressNode.link(env, settings);
+    const link = yield* IngressNode.createLink(env, settings);
     if (!link.ok) return link;
     const ingress = new IngressNode(env, settings, link.value, adapters.names ?? ownHeaderNames);
     ingress.startTasks();
-    for (const surface of [ingress.ownSurface(), ...(adapters.ingress?.(ingress) ?? [])]) {
+    for (const surface of [ingress.defaultSurface(), ...(adapters.ingress?.(ingress) ?? [])]) {
       const served = yield* ingress.serve(surface);
       if (!served.ok) return served;
     }
@@ -100,7 +96,7 @@
     return Fault.ok(ingress);
   }
 
-  private static *link(env: Environment, settings: Settings): Task<Result<AgentLink>> {
+  private static *createLink(env: Environment, settings: Settings): Task<Result<AgentLink>> {
     if (settings.agent) return Fault.ok(new RemoteAgent(env, settings.cluster, settings.agent));
     const node = yield* Node.start(env, settings, "agent");
     return node.ok ? Fault.ok(new InProcessAgent(node.value)) : node;
@@ -113,7 +109,7 @@
     this.notes.add(subject, decision, cause);
   }
 
-  /** Values of all metrics by name. */
+  /** Returns the values of all metrics by name. */
   metrics(): Record<string, number> {
     const snapshot = this.snapshot();
     return {
@@ -136,8 +132,8 @@
     EnvironmentTools.keep(env, env.scope, "clock watch", () => readiness.watchLoop());
   }
 
-  /** The product's own surface: paths under /v1/ first, then routes by host and path. */
-  private ownSurface(): HttpSurface {
+  /** The default HTTP surface: paths under /v1/ take precedence over routes by host and path. */
+  private defaultSurface(): HttpSurface {
     const routes: HttpRoute[] = [
       ...CallerRoutes.of(this),
       ...WarmUpRequests.routes(this.headerNames),
@@ -177,19 +173,19 @@
     this.readiness.warmedUp = true;
   }
 
-  /** Graceful shutdown: reports unready, stops listening, and waits for what is in flight, up to the grace time. */
+  /** Shuts down gracefully: reports unready, stops listening, and waits for requests in flight, up to the grace time. */
   *stop(): Task<void> {
     this.env.log(1002);
     this.readiness.stopping = true;
     this.link.prepareStop();
     const startedAt = this.env.mono();
-    // callers go on sending until they have seen that we are unready: those requests are served
+    // Callers keep sending until they have seen that this ingress is unready; those requests are served.
     yield* EnvironmentTools.sleep(this.env, Constants.stopListenMs);
-    // from here on callers find no listener and go elsewhere, so that our end cuts off no request
+    // From here on callers find no listener and go elsewhere, so the end of the process interrupts no request.
     this.env.stopServing();
     while (this.env.mono() < startedAt + Constants.stopGraceMs && this.inFlight > 0)
-      yield* EnvironmentTools.sleep(this.env, drainPollMs);
-    yield* EnvironmentTools.sleep(this.env, Constants.ledgerFlushMs + lastNotesMs);
+      yield* EnvironmentTools.sleep(this.env, DRAIN_POLL_MS);
+    yield* EnvironmentTools.sleep(this.env, Constants.ledgerFlushMs + LAST_NOTES_MS);
     yield* this.link.leaveCluster();
   }
 }
--- a/src/ingress/ingressReadiness.ts
+++ b/src/ingress/ingressReadiness.ts
@@ -6,16 +6,12 @@
 import { IngressCounters } from "./ingressCounters";
 
 /**
- * Whether the ingress may take requests: it acts on a fresh snapshot and a confirmed configuration only. What is stamped,
- * as batch jobs are, also needs a clock within its bounds; a request that is only forwarded has no timestamp of ours.
- *
- * @example
- * const readiness = new IngressReadiness(env, link, counters);
- * const reason = readiness.unreadyReason(); // undefined while it is ready
+ * Decides whether the ingress may accept requests: it needs a current snapshot and a confirmed configuration. A request
+ * that gets a timestamp, such as a batch job, also needs a trusted clock; a request that is only forwarded gets none.
  */
 export class IngressReadiness implements Readiness {
   stopping = false;
-  /** Set once the warm-up requests are done. */
+  /** Whether the warm-up requests have ended. */
   warmedUp = false;
   constructor(
     private readonly env: Environment,
@@ -23,19 +19,19 @@
     private readonly counters: IngressCounters,
   ) {}
 
-  /** Why the ingress tells that it is unready. */
+  /** Returns why the ingress reports that it is unready; undefined while it is ready. */
   unreadyReason(): string | undefined {
     return this.stopping ? "stopping" : (this.configurationReason() ?? this.clockReason());
   }
 
-  /** Why a request that is only forwarded is rejected; while the ingress stops, requests that still arrive are served. */
+  /** Returns why a request that is only forwarded is rejected. While the ingress is stopping, such requests are served. */
   rejectReason(): string | undefined {
     const reason = this.configurationReason();
     if (reason !== undefined) return reason;
     return this.link.snapshot().control?.manifest.version ? undefined : "no manifest in force yet";
   }
 
-  /** Why nothing may be stamped now. */
+  /** Returns why no timestamps may be assigned now; undefined while they may. */
   clockReason(): string | undefined {
     return this.link.snapshot().clockTrusted ? undefined : "clock not vouched for";
   }
@@ -49,7 +45,7 @@
     return undefined;
   }
 
-  /** Watches for freezes of the process (by jumps of the monotonic clock) and for stale snapshots; never returns. */
+  /** Detects freezes of the process, by jumps of the monotonic clock, and stale snapshots; never returns. */
   *watchLoop(): Task<void> {
     let lastCheckAt = this.env.mono();
     let wasStale = false;
--- a/src/ingress/ledgerNotes.ts
+++ b/src/ingress/ledgerNotes.ts
@@ -11,16 +11,15 @@
   decision: string;
   cause: Cause;
 }
-/** Notes in one put. */
-const batchSize = 100;
-const putTimeoutMs = 10_000;
+/** The maximum number of notes in one write to the shard. */
+const BATCH_SIZE = 100;
+const PUT_TIMEOUT_MS = 10_000;
 
 /**
- * Ledger entries for decisions that no shard records, collected and put in batches. They are best effort: the oldest are
- * dropped when too many wait, and a batch that cannot be put is lost; both are counted.
+ * Collects ledger entries for decisions that no shard records, and writes them in batches. They are best effort: the oldest
+ * are dropped when too many are pending, and a batch that cannot be written is lost; both are counted.
  *
  * @example
- * const notes = new LedgerNotes(env, shardClient, "ingress-1", () => snapshot, counters);
  * notes.add("request r1", "replied 200", cause);
  */
 export class LedgerNotes {
@@ -42,7 +41,7 @@
     this.pending.push({ subject, decision, cause });
   }
 
-  /** Puts what is pending at each flush interval; never returns. */
+  /** Writes a batch of pending notes at each flush interval; never returns. */
   *flushLoop(): Task<void> {
     for (;;) {
       yield* EnvironmentTools.sleep(this.env, Constants.ledgerFlushMs);
@@ -51,11 +50,11 @@
   }
 
   private *flush(): Task<void> {
-    const entries = this.pending.splice(0, batchSize);
+    const entries = this.pending.splice(0, BATCH_SIZE);
     this.batchCount += 1;
     const shard = this.shardClient.shardOf(this.selfId);
     const putId = `notes-${this.selfId}-${this.batchCount}`;
-    const put = yield* this.shardClient.put(shard, putId, [{ op: "note", entries }], {}, putTimeoutMs);
+    const put = yield* this.shardClient.put(shard, putId, [{ op: "note", entries }], {}, PUT_TIMEOUT_MS);
     if (!put.ok) this.counters.droppedNotes += entries.length;
   }
 }
--- a/src/ingress/lookupForwarder.ts
+++ b/src/ingress/lookupForwarder.ts
@@ -12,12 +12,12 @@
 import type { LedgerNotes } from "./ledgerNotes";
 import { RequestHandle, RequestTable } from "./requestTable";
 
-/** The least time for an attempt that others may follow, in ms. */
-const minAttemptMs = 200;
-/** How many endpoints may refuse a lookup before it is rejected. */
-const maxEndpointsPerLookup = 8;
+/** The shortest time-out of an attempt that another one may follow, in ms. */
+const MIN_ATTEMPT_TIMEOUT_MS = 200;
+/** The number of failed or refusing endpoints at which a lookup that is refused gets no further attempt. */
+const MAX_ENDPOINTS_PER_LOOKUP = 8;
 
-/** What a lookup forwarder needs of its ingress. */
+/** What a lookup forwarder needs from its ingress. */
 export interface LookupContext {
   readonly env: Environment;
   readonly id: string;
@@ -29,31 +29,28 @@
   snapshot(): ClusterSnapshot;
 }
 
-/** A lookup on its way through its attempts. */
+/** The state of a lookup across its attempts. */
 interface PendingLookup {
   id: string;
   request: AdmittedRequest;
   body: string;
   handle: RequestHandle;
-  /** Monotonic ms. */
+  /** Monotonic ms, as is deadlineAt. */
   startedAt: number;
   deadlineAt: number;
-  /** Attempts allowed; those that an endpoint refused unrun don't count. */
+  /** The maximum number of attempts; those that an endpoint refused without running the request do not count. */
   maxAttempts: number;
-  /** The number of the attempt under way, from 1. */
+  /** The number of the current attempt, from 1. */
   attempt: number;
-  /** Keys of the endpoints that failed or refused. */
+  /** Keys of the endpoints that failed or refused the lookup. */
   exclude: Set<string>;
-  /** Whether some endpoint may have run it. */
+  /** Whether any endpoint may have run the lookup. */
   mayHaveRun: boolean;
   lastFault: Fault | undefined;
 }
 
 /**
- * Forwards idempotent single requests straight to endpoints, with retries at other ones.
- *
- * @example
- * const lookup = forwarder.start("req-1", admitted, body, (outcome) => respond(outcome));
+ * Forwards idempotent single requests directly to endpoints, and retries them at other endpoints.
  */
 export class LookupForwarder implements Lookups {
   constructor(private readonly context: LookupContext) {}
@@ -123,12 +120,12 @@
       if (response.fault.tag !== "refused") {
         lookup.mayHaveRun = true;
         lookup.attempt += 1;
-      } else if (lookup.exclude.size >= maxEndpointsPerLookup) break;
+      } else if (lookup.exclude.size >= MAX_ENDPOINTS_PER_LOOKUP) break;
     }
     return this.failure(lookup);
   }
 
-  /** Waits for an endpoint only while there is one that the lookup has not failed at. */
+  /** Acquires an endpoint; waits only if an eligible endpoint is left at which the lookup has not failed. */
   private *acquire(lookup: PendingLookup, leftMs: number): Task<Endpoint | undefined> {
     const { admissionQueue, endpointSelector, env } = this.context;
     const makeCriteria = (): SelectionCriteria => this.criteria(lookup);
@@ -136,8 +133,8 @@
       .eligible(makeCriteria())
       .some((endpoint) => !lookup.exclude.has(endpoint.key));
     const waitMs = Constants.liveWaitMs - (env.mono() - lookup.startedAt);
-    const patienceMs = hasOtherEndpoint ? Math.min(leftMs, waitMs) : 0;
-    return yield* admissionQueue.acquire(makeCriteria, lookup.request.order, lookup.startedAt, patienceMs);
+    const maxWaitMs = hasOtherEndpoint ? Math.min(leftMs, waitMs) : 0;
+    return yield* admissionQueue.acquire(makeCriteria, lookup.request.order, lookup.startedAt, maxWaitMs);
   }
 
   private criteria({ request, exclude }: PendingLookup): SelectionCriteria {
@@ -156,7 +153,7 @@
   private *attemptAt(endpoint: Endpoint, lookup: PendingLookup, leftMs: number): Task<Result<CallerResponse>> {
     const { admissionQueue, env } = this.context;
     const { id, request, body, attempt, maxAttempts } = lookup;
-    const shareMs = Math.max(minAttemptMs, request.deadlineMs / Constants.lookupAttempts);
+    const shareMs = Math.max(MIN_ATTEMPT_TIMEOUT_MS, request.deadlineMs / Constants.lookupAttempts);
     const response = yield* EndpointHttp.single(env, endpoint, {
       path: request.route.path,
       id,
--- a/src/ingress/overloadSignal.ts
+++ b/src/ingress/overloadSignal.ts
@@ -1,18 +1,14 @@
 import { Constants } from "../common/constants";
 import { Environment } from "../runtime/env";
 
-/** The shortest time between two signals for the same pool. */
-const minIntervalMs = 200;
+/** The shortest time between two signals for the same pool, in ms. */
+const MIN_INTERVAL_MS = 200;
 
 /**
- * Tells the storage nodes by gossip that live requests wait for a pool, so that they hold back its batch items.
- *
- * @example
- * const overload = new OverloadSignal(env, "ingress-1", (key, value, leaseMs) => link.publish(key, value, leaseMs));
- * overload.signal("model");
+ * Notifies the storage nodes by gossip that live requests are waiting for a pool, so that they hold back its batch items.
  */
 export class OverloadSignal {
-  private readonly signalledAt = new Map<string, number>();
+  private readonly lastSignalAt = new Map<string, number>();
   /** `publish` publishes a gossip fact that expires after leaseMs. */
   constructor(
     private readonly env: Environment,
@@ -20,11 +16,11 @@
     private readonly publish: (key: string, value: unknown, leaseMs: number) => void,
   ) {}
 
-  /** Signals that requests wait for the pool; repeats within a short time are dropped. */
+  /** Signals that requests are waiting for the pool; repeats within the minimum interval are dropped. */
   signal(pool: string): void {
     const now = this.env.mono();
-    if (now - (this.signalledAt.get(pool) ?? -Infinity) < minIntervalMs) return;
-    this.signalledAt.set(pool, now);
+    if (now - (this.lastSignalAt.get(pool) ?? -Infinity) < MIN_INTERVAL_MS) return;
+    this.lastSignalAt.set(pool, now);
     this.publish(`crowd/${this.selfId}/${pool}`, { pool }, Constants.jobOverloadHoldMs);
   }
 }
--- a/src/ingress/pendingDirectRequest.ts
+++ b/src/ingress/pendingDirectRequest.ts
@@ -11,42 +11,39 @@
 import { Environment, EnvironmentTools, HttpExchange } from "../runtime/env";
 import { Cause } from "../shard/shardTypes";
 
-/** Priority in the header for endpoints: 0 is served first, this number last. */
-const lowestPriority = 7;
-const defaultPriority = 5;
+/** The lowest priority in the header for endpoints, where 0 is served first. */
+const LOWEST_PRIORITY = 7;
+const DEFAULT_PRIORITY = 5;
 
-/** A direct request through all its attempts: what the caller sent, and how far the response has come. */
+/** The state of a direct request across its attempts: what the caller sent, and the progress of the response. */
 export interface PendingDirectRequest {
   exchange: HttpExchange;
   routeName: string;
   route: Route;
-  /** The pool by the route's split. */
+  /** The pool that the route or its weighted split selected. */
   pool: string;
   prompt: Prompt;
-  /** What is sent to an endpoint; its lastEventId moves on with the stream. */
+  /** The request that is sent to an endpoint; lastEventId advances with the stream. */
   forwarded: DirectRequest;
-  /** For the ledger. */
+  /** The cause that ledger notes name. */
   cause: Cause;
-  /** Monotonic ms. */
+  /** Monotonic ms, as is deadlineAt. */
   arrivedAt: number;
   deadlineAt: number;
-  /** Whether the head of the response has been sent to the caller. */
+  /** Whether the response status and headers have been sent to the caller. */
   responseOpen: boolean;
-  /** Whether some endpoint may have run it. */
+  /** Whether any endpoint may have run the request. */
   mayHaveRun: boolean;
 }
 
-/** The caller's time limit where it gives one and the route allows it, else the route's, in ms. */
+/** Returns the caller's time limit, limited by the route's; without a valid one the route's, in ms. */
 function timeLimitMs(route: Route, header: string | undefined): number {
   const requested = Number(header);
   return Math.min(route.deadlineMs, Number.isFinite(requested) && requested > 0 ? requested : route.deadlineMs);
 }
 
 /**
- * Reads a request that a route's host and path lead to. A fault "invalid" if its headers are malformed.
- *
- * @example
- * const pending = readDirectRequest(env, headerNames, exchange, match, body, arrivedAt, configurationVersion);
+ * Reads a request that was matched to a route by host and path. Returns a fault "invalid" if its headers are malformed.
  */
 export function readDirectRequest(
   env: Environment,
@@ -69,7 +66,7 @@
     id: headers[headerNames.requestId] ?? EnvironmentTools.id(env, "req"),
     remainingMs: leftMs,
     lastEventId: +lastEventId,
-    priority: Math.min(lowestPriority, route.order ?? defaultPriority),
+    priority: Math.min(LOWEST_PRIORITY, route.order ?? DEFAULT_PRIORITY),
   };
   return Fault.ok({
     exchange,
@@ -86,7 +83,7 @@
   });
 }
 
-/** What decides which endpoint runs the next attempt. */
+/** Returns the criteria by which the endpoint of the next attempt is selected. */
 export function selectionCriteria(
   pending: PendingDirectRequest,
   snapshot: ClusterSnapshot,
--- a/src/ingress/remoteAgent.ts
+++ b/src/ingress/remoteAgent.ts
@@ -9,11 +9,11 @@
 import { Environment, EnvironmentTools } from "../runtime/env";
 import type { AgentLink } from "./agentLink";
 
-const publishTimeoutMs = 500;
-const announceTimeoutMs = 800;
-/** How long a feed may take beyond the agent's own wait, in ms. */
-const feedGraceMs = 500;
-const feedRetryMs = 100;
+const PUBLISH_TIMEOUT_MS = 500;
+const ANNOUNCE_TIMEOUT_MS = 800;
+/** How much longer than the agent's own wait a feed call may take, in ms. */
+const FEED_GRACE_MS = 500;
+const FEED_RETRY_DELAY_MS = 100;
 
 const emptySnapshot: ClusterSnapshot = {
   revision: 0,
@@ -26,19 +26,17 @@
 };
 
 /**
- * An agent in a process beside the ingress, which feeds it cluster snapshots over loopback. The ingress confirms the
- * configuration itself: an agent that went on running says nothing about an ingress that has just started.
- *
- * @example
- * const link = new RemoteAgent(env, "kiln", "127.0.0.1:7660");
+ * An agent in another process on the same machine, which feeds cluster snapshots to the ingress over loopback. The ingress
+ * confirms the configuration itself, since the confirmation of a long-running agent is not valid for an ingress that has
+ * just started.
  */
 export class RemoteAgent implements AgentLink {
   readonly id: string;
   readonly rpc: Rpc;
   private readonly confirmation: ReadIndexConfirmation;
   private latest = emptySnapshot;
-  /** Monotonic ms when the latest snapshot was asked for. */
-  private latestAskedAt = -Infinity;
+  /** When the latest snapshot was requested, in monotonic ms. */
+  private latestRequestedAt = -Infinity;
   constructor(
     private readonly env: Environment,
     cluster: string,
@@ -50,7 +48,7 @@
       own: () => undefined,
       source: () => this.address,
       configuration: () => this.latest.control,
-      *fetch() {}, // the feed brings it
+      *fetch() {}, // The feed delivers the configuration.
     });
   }
 
@@ -59,7 +57,7 @@
   }
 
   isStale(): boolean {
-    return this.env.mono() - this.latestAskedAt > Constants.frameStaleMs;
+    return this.env.mono() - this.latestRequestedAt > Constants.frameStaleMs;
   }
 
   isConfirmed(): boolean {
@@ -72,14 +70,14 @@
   }
 
   processResumed(): void {
-    this.latestAskedAt = -Infinity;
+    this.latestRequestedAt = -Infinity;
     this.confirmation.invalidate();
   }
 
   publish(key: string, value: unknown, leaseMs: number): void {
     const { rpc, address } = this;
-    Csp.go(this.env.scope, "tell news", () =>
-      rpc.call(address, "agent.tell", { key, value, grantMs: leaseMs }, publishTimeoutMs),
+    Csp.go(this.env.scope, "publish fact", () =>
+      rpc.call(address, "agent.tell", { key, value, grantMs: leaseMs }, PUBLISH_TIMEOUT_MS),
     );
   }
 
@@ -91,13 +89,13 @@
       id,
       snapshot: () => this.latest,
       control: new ControlClient(env, rpc, () => controlAddresses(this.latest)),
-      announce: (announcement) => rpc.call(address, "agent.announce", announcement, announceTimeoutMs),
-      goodbye: (endpointId) => rpc.call(address, "agent.goodbye", { id: endpointId }, announceTimeoutMs),
+      announce: (announcement) => rpc.call(address, "agent.announce", announcement, ANNOUNCE_TIMEOUT_MS),
+      goodbye: (endpointId) => rpc.call(address, "agent.goodbye", { id: endpointId }, ANNOUNCE_TIMEOUT_MS),
     };
   }
 
   prepareStop(): void {
-    // the agent is stopped by itself
+    // The agent process is stopped separately.
   }
 
   *leaveCluster(): Task<void> {
@@ -106,21 +104,21 @@
 
   private *feedLoop(onChange: () => void): Task<void> {
     for (;;) {
-      const askedAt = this.env.mono();
+      const requestedAt = this.env.mono();
       const request = { seen: this.latest.revision, controlIndex: this.latest.control?.index ?? 0 };
-      const timeoutMs = Constants.feedWaitMs + feedGraceMs;
+      const timeoutMs = Constants.feedWaitMs + FEED_GRACE_MS;
       const response = yield* this.rpc.call(this.address, "agent.feed", request, timeoutMs);
       if (!response.ok) {
-        yield* EnvironmentTools.sleep(this.env, feedRetryMs);
+        yield* EnvironmentTools.sleep(this.env, FEED_RETRY_DELAY_MS);
         continue;
       }
       this.accept(SnapshotFeed.decode(response.value));
-      this.latestAskedAt = askedAt;
+      this.latestRequestedAt = requestedAt;
       onChange();
     }
   }
 
-  /** Takes a fed snapshot; its configuration only if it is newer, since an agent that restarted may know an older one. */
+  /** Accepts a snapshot from the feed, but its control state only if it is newer: a restarted agent may have an older one. */
   private accept(fed: FedSnapshot): void {
     const { control, controlIndex, ...rest } = fed;
     const current = this.latest.control;
--- a/src/ingress/requestTable.ts
+++ b/src/ingress/requestTable.ts
@@ -1,6 +1,6 @@
 import type { Result } from "../common/fault";
 
-/** Names one use of a slot; a handle of an earlier use of the slot is no longer good. */
+/** Identifies one use of a slot; a handle from an earlier use of the slot is invalid. */
 export interface RequestHandle {
   index: number;
   generation: number;
@@ -10,13 +10,13 @@
   generation: number;
   /** Undefined while the slot is free. */
   continuation: ((outcome: T) => void) | undefined;
-  /** The next free slot, -1 for none. */
+  /** The index of the next free slot; -1 if there is none. */
   nextFree: number;
 }
 
 /**
- * Continuations of pending requests, in a table of bounded size. A slot is found by index and generation: a late outcome
- * finds another generation in its slot and reaches nobody.
+ * Holds the continuations of pending requests, in a table of bounded size. A handle has the index and the generation of its
+ * slot: an outcome that arrives after its request has ended finds another generation or a free slot, and is dropped.
  *
  * @example
  * const table = new RequestTable<string>(64);
@@ -26,13 +26,13 @@
 export class RequestTable<T = Result<unknown>> {
   private readonly slots: Slot<T>[] = [];
   private firstFree = -1;
-  /** Slots in use. */
+  /** The number of slots in use. */
   usedSlots = 0;
-  /** Outcomes that came after their request had ended. */
+  /** The number of outcomes that arrived after their request had ended. */
   lateOutcomes = 0;
   constructor(private readonly size: number) {}
 
-  /** Takes a slot; undefined when all are in use. */
+  /** Allocates a slot; returns undefined when all are in use. */
   open(continuation: (outcome: T) => void): RequestHandle | undefined {
     const index = this.takeFreeSlot();
     if (index === undefined) return undefined;
@@ -43,14 +43,14 @@
     return { index, generation: slot.generation };
   }
 
-  /** Ends a request with its outcome; false if it has already ended. */
+  /** Completes a request with its outcome; returns false if it has already ended. */
   complete(handle: RequestHandle, outcome: T): boolean {
     const continuation = this.release(handle);
     continuation?.(outcome);
     return continuation !== undefined;
   }
 
-  /** Ends a request without an outcome: its caller has disconnected. */
+  /** Ends a request without an outcome, because its caller has disconnected. */
   cancel(handle: RequestHandle): void {
     this.release(handle);
   }
--- a/src/ingress/shardLiveRequests.ts
+++ b/src/ingress/shardLiveRequests.ts
@@ -10,15 +10,15 @@
 import type { AgentLink } from "./agentLink";
 import { IngressAdmission } from "./ingressAdmission";
 
-/** Time for one attempt to open a request, in ms. */
-const openAttemptMs = 2000;
-/** Time to close a request whose opening has an unknown outcome, in ms. */
-const refuseTimeoutMs = 1500;
-/** How long a read may take beyond the wait that it was asked for, in ms. */
-const readGraceMs = 700;
+/** Time-out of one attempt to open a request, in ms. */
+const OPEN_ATTEMPT_TIMEOUT_MS = 2000;
+/** Time-out of the refusal of a request whose opening has an unknown outcome, in ms. */
+const REFUSE_TIMEOUT_MS = 1500;
+/** How much longer than the requested wait a read may take, in ms. */
+const READ_GRACE_MS = 700;
 
 /**
- * Opens requests at their shards, and reads what the shards hold of them.
+ * Opens live requests at their shards, and reads their progress from there.
  *
  * @example
  * const arrival = liveRequests.stampArrival();
@@ -36,7 +36,7 @@
     return `key-${Hash.text(`${routeName}\n${key}`)}`;
   }
 
-  /** The ingress is the first node that a request reaches, so its clock bounds are checked here. */
+  /** Checks the clock bounds as well, since the ingress is the first node that a request reaches. */
   stampArrival(): Result<Stamp> {
     const stamp = this.shardClient.stamp(this.env.wall());
     const bounds = this.link.snapshot().control?.manifest.doc.clock ?? Stamp.defaults;
@@ -52,7 +52,7 @@
     keyed: boolean,
     arrival: Stamp,
   ): Task<Result<OpenResponse>> {
-    const work = {
+    const liveRequest = {
       id,
       binding: request.name,
       bodyHash: Hash.text(body),
@@ -72,13 +72,13 @@
         const stamp = attempts === 1 ? arrival : this.shardClient.stamp(this.env.wall());
         return {
           stamp,
-          work: { ...work, life: Stamp.text(stamp) },
+          work: { ...liveRequest, life: Stamp.text(stamp) },
           caller: request.caller,
           cause: request.cause,
         };
       },
       request.deadlineMs,
-      openAttemptMs,
+      OPEN_ATTEMPT_TIMEOUT_MS,
       Constants.openPatienceMs,
     );
     if (opened.ok || opened.fault.tag === "busy") return opened;
@@ -94,13 +94,13 @@
     }
   }
 
-  /** Closes a request that may be running as refused; undefined if it cannot be said that it never runs. */
+  /** Marks a request that may be running as refused; returns undefined if it may still run or may have run. */
   private *refuse(id: string): Task<Result<never> | undefined> {
     const refused = yield* this.shardClient.callLeader(
       this.shardClient.shardOf(id),
       "work.refuse",
       () => ({ id, stamp: this.shardClient.stamp(this.env.wall()) }),
-      refuseTimeoutMs,
+      REFUSE_TIMEOUT_MS,
     );
     if (!refused.ok || !refused.value.refused) return undefined;
     return this.admission.reject("open", "no store took it in time");
@@ -112,7 +112,7 @@
       "work.read",
       () => ({ id, after, waitMs }),
       withinMs,
-      waitMs + readGraceMs,
+      waitMs + READ_GRACE_MS,
     );
   }
 }
