--- a/scripts/guardMutations/mutations.js
+++ b/scripts/guardMutations/mutations.js
@@ -285,8 +285,8 @@
     edits: [
       {
         file: "forwarding/endpointHttp.js",
-        find: "continueFrom: delivery.receivedChunks",
-        replacement: "continueFrom: delivery.receivedChunks.slice(1)",
+        find: "continueFrom: request.receivedChunks",
+        replacement: "continueFrom: request.receivedChunks.slice(1)",
       },
     ],
   },
--- a/src/agent/agentNode.ts
+++ b/src/agent/agentNode.ts
@@ -10,11 +10,8 @@
 import { ShardClient } from "../storage/shardClient";
 
 /**
- * The agent beside an ingress: a member of the cluster that feeds cluster snapshots to the ingress over loopback, and
- * publishes what the ingress has to announce.
- *
- * @example
- * const started = yield* AgentNode.start(env, settings);
+ * The agent process on the machine of an ingress: a member of the cluster that feeds cluster snapshots to the ingress over
+ * loopback, and publishes the announcements and gossip facts of the ingress.
  */
 export class AgentNode {
   private feedCount = 0;
@@ -25,7 +22,7 @@
     readonly node: Node,
   ) {}
 
-  /** Starts the node and its HTTP server. @example yield* AgentNode.start(env, settings) */
+  /** Starts the node and its HTTP server. */
   static *start(env: Environment, settings: Settings): Task<Result<AgentNode>> {
     const started = yield* Node.start(env, settings, "agent");
     if (!started.ok) return started;
@@ -55,7 +52,7 @@
     return Fault.ok(agent);
   }
 
-  /** Long poll: the snapshot as soon as it is newer than the caller's, or as it is once the wait has ended. */
+  /** Handles a long poll: returns the snapshot once it differs from the caller's, or when the wait time has passed. */
   private *feed(request: FeedRequest): Task<Result<FeedResponse>> {
     this.feedCount += 1;
     const deadline = this.env.mono() + Constants.feedWaitMs;
@@ -64,7 +61,7 @@
     return Fault.ok(SnapshotFeed.encode(this.node.snapshot(), request.controlIndex, this.node.stopping));
   }
 
-  /** Graceful shutdown, on SIGTERM. @example yield* agent.stop(); */
+  /** Shuts down gracefully; called on SIGTERM. */
   stop(): Task<void> {
     return this.node.shutDown();
   }
--- a/src/forwarding/directHttp.ts
+++ b/src/forwarding/directHttp.ts
@@ -8,30 +8,30 @@
 /** A request that is forwarded unchanged. */
 export interface DirectRequest {
   method: string;
-  /** Path and query. */
+  /** The path and the query. */
   target: string;
   /** The end-to-end headers. */
   headers: Record<string, string>;
   body: Buffer;
   id: string;
-  /** How long the caller waits, in ms. */
+  /** The caller's remaining time limit, in ms. */
   remainingMs: number;
-  /** A stream goes on after this event; 0 for its beginning. */
+  /** The id of the event after which a stream continues; 0 to start at its beginning. */
   lastEventId: number;
-  /** 0 is served first. */
+  /** The priority; 0 is served first. */
   priority: number;
 }
 
-/** The head of an endpoint's response, with its end-to-end headers. */
+/** The status and the end-to-end headers of an endpoint's response. */
 export interface DirectResponse {
   status: number;
   headers: Record<string, string>;
-  /** For the body. */
+  /** The response from which the body is read. */
   response: HttpResponse;
 }
 
-/** Headers of one connection, which a proxy does not forward (RFC 9110, section 7.6.1), and those of its framing. */
-const connectionHeaders = new Set([
+/** Hop-by-hop headers, which a proxy does not forward (RFC 9110, section 7.6.1), and headers of message framing. */
+const hopByHopHeaders = new Set([
   "connection",
   "keep-alive",
   "proxy-connection",
@@ -42,10 +42,10 @@
   "content-length",
   "expect",
 ]);
-const misdirectedRequest = 421;
-const notModified = 304;
+const MISDIRECTED_REQUEST = 421;
+const NOT_MODIFIED = 304;
 
-/** What the endpoint gets: the caller's headers, and those that name the request, its target and its limits. */
+/** Returns the caller's headers and those that identify the request, its target and its limits. */
 function requestHeaders(names: HeaderNames, endpoint: Endpoint, request: DirectRequest): Record<string, string> {
   const headers: Record<string, string> = { ...request.headers };
   headers[names.requestId] = request.id;
@@ -56,37 +56,34 @@
   return headers;
 }
 
-/** What the caller gets. */
+/** Returns the headers that are relayed to the caller. */
 function responseHeaders(request: DirectRequest, response: HttpResponse): Record<string, string> {
   const headers = DirectHttp.endToEnd(response.headers);
-  const length = response.headers["content-length"];
-  // here the length is that of a body that does not follow, so it belongs to the response and not to its framing
-  const hasNoBody = request.method === "HEAD" || response.status === notModified;
-  if (length !== undefined && hasNoBody) headers["content-length"] = length;
+  const contentLength = response.headers["content-length"];
+  // No body follows here, so the length is a property of the response and not part of its framing.
+  const hasNoBody = request.method === "HEAD" || response.status === NOT_MODIFIED;
+  if (contentLength !== undefined && hasNoBody) headers["content-length"] = contentLength;
   return headers;
 }
 
 /**
- * Forwards requests to endpoints without a change of method, path and body. A fault "refused" means that the request
- * provably did not run; after any other fault it may have run.
- *
- * @example
- * const opened = yield* DirectHttp.open(env, headerNames, endpoint, request, 2000);
+ * Forwards requests to endpoints with unchanged method, path and body. A fault "refused" means that the request provably
+ * did not run; after any other fault it may have run.
  */
 export const DirectHttp = {
-  /** The headers without those of one connection. */
+  /** Returns the headers without the hop-by-hop and framing headers. */
   endToEnd(headers: Record<string, string>): Record<string, string> {
-    const namedByConnection = (headers.connection ?? "")
+    const connectionOptions = (headers.connection ?? "")
       .toLowerCase()
       .split(",")
       .map((name) => name.trim());
-    const isEndToEnd = (name: string): boolean => !connectionHeaders.has(name) && !namedByConnection.includes(name);
+    const isEndToEnd = (name: string): boolean => !hopByHopHeaders.has(name) && !connectionOptions.includes(name);
     const forwarded: Record<string, string> = {};
     for (const [name, value] of Object.entries(headers)) if (isEndToEnd(name.toLowerCase())) forwarded[name] = value;
     return forwarded;
   },
 
-  /** Sends the request and waits up to headTimeoutMs for the head of the response; checks that it is this request's. */
+  /** Sends the request, waits up to headTimeoutMs for the response headers, and checks that they belong to the request. */
   *open(
     env: Environment,
     names: HeaderNames,
@@ -106,19 +103,19 @@
     });
     if (!sent.ok) return sent;
     const response = sent.value;
-    // checked first: a late refusal of another request says nothing about this one, which may be running
+    // This check comes first: a late refusal of another request says nothing about this one, which may be running.
     if (response.headers[names.requestId] !== request.id) {
       response.abort();
       return Fault.fail("broken", "check reply", endpoint.id, "the reply is another request's");
     }
-    if (response.headers[names.notExecuted] !== undefined || response.status === misdirectedRequest) {
+    if (response.headers[names.notExecuted] !== undefined || response.status === MISDIRECTED_REQUEST) {
       response.finish();
       return Fault.fail("refused", "deliver", endpoint.id, `replica replied ${response.status}: not run`);
     }
     return Fault.ok({ status: response.status, headers: responseHeaders(request, response), response });
   },
 
-  /** Reads the entire body; undefined if it was cut off, too long or too slow. */
+  /** Reads the entire body; returns undefined if it was truncated, too long or too slow. */
   readBody: (env: Environment, opened: DirectResponse, withinMs: number): Task<Buffer | undefined> =>
     EnvironmentTools.bytesOf(env, opened.response, Constants.responseLimitBytes, withinMs),
 };
--- a/src/forwarding/endpointHttp.ts
+++ b/src/forwarding/endpointHttp.ts
@@ -6,7 +6,7 @@
 import { EndpointStream } from "./endpointStream";
 import { impliesNotExecuted } from "./notExecutedStatus";
 
-/** A JSON request as one endpoint gets it. */
+/** A JSON request as it is sent to one endpoint. */
 export interface ForwardedRequest {
   path: string;
   id: string;
@@ -14,11 +14,11 @@
   attempt: number;
   /** JSON text. */
   body: string;
-  /** Chunks of a stream that earlier attempts have received; the endpoint continues after them. */
+  /** Chunks of the stream that earlier attempts have received; the endpoint continues after them. */
   receivedChunks: string[];
-  /** Time for the request, in ms. */
+  /** The time limit of the request, in ms. */
   deadlineMs: number;
-  /** A request that is not idempotent gets a connection of its own, so that an unsent one is known to be unsent. */
+  /** A request that is not idempotent gets a new connection, so that it is known whether the request was sent. */
   idempotent: boolean;
 }
 
@@ -29,20 +29,20 @@
   body: string;
 }
 
-const headersOf = (delivery: ForwardedRequest): Record<string, string> => ({
-  "x-request-id": delivery.id,
-  "x-round": String(delivery.attempt),
-  "x-deadline-ms": String(Math.max(1, Math.round(delivery.deadlineMs))),
+const headersOf = (request: ForwardedRequest): Record<string, string> => ({
+  "x-request-id": request.id,
+  "x-round": String(request.attempt),
+  "x-deadline-ms": String(Math.max(1, Math.round(request.deadlineMs))),
 });
 
-function bodyOf(delivery: ForwardedRequest): string {
-  if (delivery.receivedChunks.length === 0) return delivery.body;
-  const body = JSON.parse(delivery.body) as object;
-  return JSON.stringify({ ...body, continueFrom: delivery.receivedChunks });
+function bodyOf(request: ForwardedRequest): string {
+  if (request.receivedChunks.length === 0) return request.body;
+  const body = JSON.parse(request.body) as object;
+  return JSON.stringify({ ...body, continueFrom: request.receivedChunks });
 }
 
-/** Whether the endpoint says explicitly that it did not accept the request; after any other refusal it may have run. */
-const isNotAccepted = ({ status, headers }: HttpResponse): boolean =>
+/** Whether the endpoint states that it did not accept the request; after any other error status it may have run. */
+const isRefusal = ({ status, headers }: HttpResponse): boolean =>
   (status === 429 || status === 503) && headers["x-accepted"] === "no";
 
 function isJson(text: string): boolean {
@@ -57,47 +57,43 @@
 /**
  * Sends JSON requests to endpoints. The response is a stream of JSON lines, or one JSON body. A fault "refused" means that
  * the request provably did not run.
- *
- * @example
- * const opened = yield* EndpointHttp.stream(env, endpoint, request);
- * const response = yield* EndpointHttp.single(env, endpoint, request);
  */
 export const EndpointHttp = {
-  /** Opens a stream; the fault's step is "deliver" if the endpoint responded with another status. */
-  *stream(env: Environment, endpoint: Endpoint, delivery: ForwardedRequest): Task<Result<EndpointStream>> {
+  /** Opens a stream; returns a fault with the step "deliver" if the endpoint does not respond with status 200. */
+  *stream(env: Environment, endpoint: Endpoint, request: ForwardedRequest): Task<Result<EndpointStream>> {
     const response = yield* env.http(endpoint.address, {
       method: "POST",
-      path: delivery.path,
-      headers: { ...headersOf(delivery), accept: "application/x-ndjson" },
-      body: bodyOf(delivery),
-      timeoutMs: Math.min(delivery.deadlineMs, Constants.firstPieceMs),
-      fresh: !delivery.idempotent,
+      path: request.path,
+      headers: { ...headersOf(request), accept: "application/x-ndjson" },
+      body: bodyOf(request),
+      timeoutMs: Math.min(request.deadlineMs, Constants.firstPieceMs),
+      fresh: !request.idempotent,
     });
     if (!response.ok) return response;
     const { status } = response.value;
     if (status === 200) return Fault.ok(new EndpointStream(env, endpoint, response.value));
     response.value.abort();
-    const tag = isNotAccepted(response.value) ? "refused" : "broken";
+    const tag = isRefusal(response.value) ? "refused" : "broken";
     return Fault.fail(tag, "deliver", endpoint.id, `replica replied ${status}`);
   },
 
-  /** Sends a request and reads its body; statuses from 500, and those that promise something, are faults. */
-  *single(env: Environment, endpoint: Endpoint, delivery: ForwardedRequest): Task<Result<SingleResponse>> {
+  /** Sends a request and reads the response body; statuses from 500, and those of impliesNotExecuted, become faults. */
+  *single(env: Environment, endpoint: Endpoint, request: ForwardedRequest): Task<Result<SingleResponse>> {
     const sent = yield* env.http(endpoint.address, {
       method: "POST",
-      path: delivery.path,
-      headers: headersOf(delivery),
-      body: delivery.body,
-      timeoutMs: delivery.deadlineMs,
-      fresh: !delivery.idempotent,
+      path: request.path,
+      headers: headersOf(request),
+      body: request.body,
+      timeoutMs: request.deadlineMs,
+      fresh: !request.idempotent,
     });
     if (!sent.ok) return sent;
     const response = sent.value;
-    if (isNotAccepted(response)) {
+    if (isRefusal(response)) {
       response.abort();
       return Fault.fail("refused", "deliver", endpoint.id, "not accepted");
     }
-    const body = yield* EnvironmentTools.bodyOf(env, response, Constants.responseLimitBytes, delivery.deadlineMs);
+    const body = yield* EnvironmentTools.bodyOf(env, response, Constants.responseLimitBytes, request.deadlineMs);
     if (body === undefined)
       return Fault.fail("broken", "read replica", endpoint.id, "reply broken, too long or too slow");
     const { status } = response;
--- a/src/forwarding/endpointStream.ts
+++ b/src/forwarding/endpointStream.ts
@@ -4,10 +4,10 @@
 import { Task } from "../runtime/csp";
 import { Environment, EnvironmentTools, HttpResponse } from "../runtime/env";
 
-/** One line of a stream: a chunk, or the end. */
+/** One line of a stream: a chunk, or the end of the stream. */
 type StreamLine = { chunk: string } | { isEnd: true };
 
-/** The meaning of a line; undefined if it is not JSON, and null if it is JSON of another form. */
+/** Parses a line; returns undefined if it is not JSON, and null if it is JSON of another form. */
 function parseLine(line: string): StreamLine | null | undefined {
   let value: unknown;
   try {
@@ -21,10 +21,8 @@
 }
 
 /**
- * The response stream of an endpoint as JSON lines: `{"piece": TEXT}` for each chunk, `{"end": true}` last.
- *
- * @example
- * const chunks = yield* stream.next(3000);
+ * Reads the response stream of an endpoint, which consists of JSON lines: `{"piece": TEXT}` for each chunk, and
+ * `{"end": true}` as the last line.
  */
 export class EndpointStream {
   private buffer = "";
@@ -37,27 +35,27 @@
   ) {}
 
   /**
-   * The chunks that have arrived, at least one; undefined at the end. Faults, after which the response is aborted: "timeout"
-   * without a chunk in time, "broken" if the stream was cut off, "invalid" for malformed or too long ones.
+   * Returns the chunks that have arrived, at least one, or undefined at the end. Each fault aborts the response: "timeout"
+   * if no chunk arrives in time, "broken" if the stream was truncated, "invalid" if it is malformed or too long.
    */
   *next(withinMs: number): Task<Result<string[] | undefined>> {
-    const until = this.env.mono() + withinMs;
+    const deadline = this.env.mono() + withinMs;
     for (;;) {
       const chunks = this.readLines();
       if (!chunks.ok) return chunks;
       if (chunks.value.length > 0) return chunks;
       if (this.hasEnded) return Fault.ok(undefined);
-      const received = yield* this.receive(until - this.env.mono());
+      const received = yield* this.receiveData(deadline - this.env.mono());
       if (!received.ok) return received;
     }
   }
 
-  /** Gives up the rest of the stream. */
+  /** Aborts the response without reading the rest of the stream. */
   abort(): void {
     this.response.abort();
   }
 
-  /** The chunks of all complete lines in the buffer, up to the end of the stream. */
+  /** Parses all complete lines in the buffer, up to the end of the stream, and returns their chunks. */
   private readLines(): Result<string[]> {
     const chunks: string[] = [];
     while (!this.hasEnded) {
@@ -75,7 +73,7 @@
     return Fault.ok(chunks);
   }
 
-  private *receive(withinMs: number): Task<Result<true>> {
+  private *receiveData(withinMs: number): Task<Result<true>> {
     const received = yield* EnvironmentTools.takeWithin(this.env, this.response.chunks, withinMs);
     if (received === undefined) return this.fail("timeout", "replica fell silent");
     if (received === null) return this.fail("broken", "replica ended without saying so");
--- a/src/forwarding/eventStreamReader.ts
+++ b/src/forwarding/eventStreamReader.ts
@@ -6,49 +6,45 @@
 /** One server-sent event. */
 export interface StreamEvent {
   id: number;
-  /** The lines of its data fields, joined. */
+  /** The values of the event's data fields, joined with line feeds. */
   data: string;
-  /** Its bytes as received, with the blank line at the end. */
+  /** The event's bytes as received, with the blank line at the end. */
   raw: Buffer;
 }
 
-const dataPrefix = "data:";
+const DATA_PREFIX = "data:";
 const idLine = /(?:^|\n)id: ?(\d+)\r?(?:\n|$)/;
 
-/** The data of an event; one space after the colon is not part of it. */
+/** Returns the data of an event; a single space after the colon is not part of it. */
 const dataOf = (text: string): string =>
   text
     .split(/\r?\n/)
-    .filter((line) => line.startsWith(dataPrefix))
-    .map((line) => line.slice(line[dataPrefix.length] === " " ? dataPrefix.length + 1 : dataPrefix.length))
+    .filter((line) => line.startsWith(DATA_PREFIX))
+    .map((line) => line.slice(line[DATA_PREFIX.length] === " " ? DATA_PREFIX.length + 1 : DATA_PREFIX.length))
     .join("\n");
 
-/** The id of an event; NaN without one. */
+/** Returns the id of an event; NaN if it has none. */
 function idOf(text: string): number {
   const match = idLine.exec(text);
   return match ? +match[1] : NaN;
 }
 
-/** Where the first event in the buffer ends, after its blank line; -1 if it is not complete. */
+/** Returns the offset after the blank line that ends the first event in the buffer; -1 if the event is incomplete. */
 function endOfFirstEvent(buffer: Buffer): number {
-  const lineFeeds = buffer.indexOf("\n\n");
-  const carriageReturns = buffer.indexOf("\r\n\r\n");
-  const endsWithCarriageReturns = carriageReturns >= 0 && (lineFeeds < 0 || carriageReturns < lineFeeds);
-  if (endsWithCarriageReturns) return carriageReturns + "\r\n\r\n".length;
-  return lineFeeds >= 0 ? lineFeeds + "\n\n".length : -1;
+  const lfIndex = buffer.indexOf("\n\n");
+  const crlfIndex = buffer.indexOf("\r\n\r\n");
+  const endsWithCrlf = crlfIndex >= 0 && (lfIndex < 0 || crlfIndex < lfIndex);
+  if (endsWithCrlf) return crlfIndex + "\r\n\r\n".length;
+  return lfIndex >= 0 ? lfIndex + "\n\n".length : -1;
 }
 
 /**
- * Reads a stream of server-sent events (WHATWG HTML, section 9.2) whose ids rise by one from event to event.
- *
- * @example
- * const reader = new EventStreamReader(env, "r1", response, 0);
- * const events = yield* reader.next(1000); // ok with undefined at the end of the stream
+ * Reads a stream of server-sent events (WHATWG HTML, section 9.2) whose ids increase by one from event to event.
  */
 export class EventStreamReader {
   private buffer: Buffer = Buffer.alloc(0);
   private receivedBytes = 0;
-  /** Reads the response of an endpoint; `lastId` is the id before the first event that is expected. */
+  /** `lastId` is the id that precedes the first expected event. */
   constructor(
     private readonly env: Environment,
     private readonly endpointId: string,
@@ -57,24 +53,24 @@
   ) {}
 
   /**
-   * The events that have arrived, at least one; undefined at the end. Faults, after which the response is aborted: "timeout"
-   * without an event in time, "broken" if the stream was cut off or an id was skipped, "invalid" if it is too long.
+   * Returns the events that have arrived, at least one, or undefined at the end. Each fault aborts the response: "timeout" if
+   * no event arrives in time, "broken" if the stream was truncated or an id is out of sequence, "invalid" if it is too long.
    */
   *next(withinMs: number): Task<Result<StreamEvent[] | undefined>> {
-    const until = this.env.mono() + withinMs;
+    const deadline = this.env.mono() + withinMs;
     for (;;) {
       const events = this.readEvents();
       if (!events.ok || events.value.length > 0) return events;
-      const chunk = yield* EnvironmentTools.takeWithin(this.env, this.response.chunks, until - this.env.mono());
+      const chunk = yield* EnvironmentTools.takeWithin(this.env, this.response.chunks, deadline - this.env.mono());
       if (chunk === undefined) return this.fail("timeout", "replica fell silent");
-      if (chunk === null) return this.endOfResponse();
+      if (chunk === null) return this.checkEnd();
       this.receivedBytes += chunk.length;
       if (this.receivedBytes > Constants.responseLimitBytes) return this.fail("invalid", "reply over the limit");
       this.buffer = this.buffer.length === 0 ? chunk : Buffer.concat([this.buffer, chunk]);
     }
   }
 
-  /** All complete events in the buffer whose ids follow one another; a fault if the first does not follow. */
+  /** Returns all complete events in the buffer with consecutive ids; a fault if the first id is out of sequence. */
   private readEvents(): Result<StreamEvent[]> {
     const events: StreamEvent[] = [];
     for (let end = endOfFirstEvent(this.buffer); end > 0; end = endOfFirstEvent(this.buffer)) {
@@ -82,7 +78,7 @@
       const text = raw.toString("utf8");
       const id = idOf(text);
       if (id !== this.lastId + 1) {
-        // the events before it are good: the fault is given at the next call
+        // The events before it are valid; the next call returns the fault.
         if (events.length > 0) break;
         return this.fail("broken", `event ${id} after ${this.lastId}`);
       }
@@ -93,7 +89,7 @@
     return Fault.ok(events);
   }
 
-  private endOfResponse(): Result<undefined> {
+  private checkEnd(): Result<undefined> {
     if (this.response.broken()) return this.fail("broken", "reply ended early");
     if (this.buffer.length > 0) return this.fail("broken", "reply ended inside an event");
     return Fault.ok(undefined);
--- a/src/forwarding/headerNames.ts
+++ b/src/forwarding/headerNames.ts
@@ -1,33 +1,28 @@
-/** The names of the headers between callers, this product and endpoints; another protocol brings names of its own. */
+/** The names of the headers between callers, this system and endpoints; a protocol adapter may use other names. */
 export interface HeaderNames {
-  /** In requests, and repeated in responses. */
+  /** The id of the request; a response repeats it. */
   requestId: string;
-  /** How long the caller waits, in ms. */
+  /** The caller's remaining time limit, in ms. */
   remainingMs: string;
-  /** The only instance that may run the request. */
+  /** The only endpoint instance that may run the request. */
   targetInstance: string;
-  /** A stream goes on after this event. */
+  /** The id of the event after which a stream continues. */
   lastEventId: string;
-  /** The parts of a prompt in order, ID:TOKENS separated by commas. */
+  /** The parts of a prompt in order, as ID:TOKENS separated by commas. */
   promptParts: string;
-  /** The tokens of the prompt, and the most to generate. */
+  /** The number of tokens of the prompt, and the maximum number to generate. */
   tokens: string;
   model: string;
-  /** 0 is served first. */
+  /** The priority; 0 is served first. */
   priority: string;
-  /** In responses: the endpoint did not run the request. */
+  /** Present in a response if the endpoint did not run the request. */
   notExecuted: string;
-  /** In responses: the endpoint's signature, without which no success is accepted; "" for none. */
+  /** The endpoint's signature, without which a successful response is not accepted; "" if none is required. */
   endpointSignature: string;
 }
 
-/**
- * The product's own names.
- *
- * @example
- * const requestId = exchange.headers[ownHeaderNames.requestId];
- */
-export const ownHeaderNames: HeaderNames = {
+/** The header names that are used unless a protocol adapter sets others. */
+export const defaultHeaderNames: HeaderNames = {
   requestId: "x-request-id",
   remainingMs: "x-deadline-ms",
   targetInstance: "x-target-instance",
--- a/src/ingress/ingressNode.ts
+++ b/src/ingress/ingressNode.ts
@@ -6,7 +6,7 @@
 import { Constants } from "../common/constants";
 import { Fault, Result } from "../common/fault";
 import { Settings } from "../common/settings";
-import { HeaderNames, ownHeaderNames } from "../forwarding/headerNames";
+import { HeaderNames, defaultHeaderNames } from "../forwarding/headerNames";
 import type { ClusterSnapshot } from "../node/clusterSnapshot";
 import { Node } from "../node/node";
 import { AdmissionQueue } from "../routing/admissionQueue";
@@ -85,7 +85,7 @@
   static *start(env: Environment, settings: Settings, adapters: ProtocolAdapters = {}): Task<Result<IngressNode>> {
     const link = yield* IngressNode.createLink(env, settings);
     if (!link.ok) return link;
-    const ingress = new IngressNode(env, settings, link.value, adapters.names ?? ownHeaderNames);
+    const ingress = new IngressNode(env, settings, link.value, adapters.names ?? defaultHeaderNames);
     ingress.startTasks();
     for (const surface of [ingress.defaultSurface(), ...(adapters.ingress?.(ingress) ?? [])]) {
       const served = yield* ingress.serve(surface);
