--- a/src/forwarding/eventStreamReader.ts
+++ b/src/forwarding/eventStreamReader.ts
@@ -38,9 +38,7 @@
   return lfIndex >= 0 ? lfIndex + "\n\n".length : -1;
 }
 
-/**
- * Reads a stream of server-sent events (WHATWG HTML, section 9.2) whose ids increase by one from event to event.
- */
+/** Reads a stream of server-sent events (WHATWG HTML, section 9.2) whose ids increase by one from event to event. */
 export class EventStreamReader {
   private buffer: Buffer = Buffer.alloc(0);
   private receivedBytes = 0;
--- a/src/ingress/batchJobReader.ts
+++ b/src/ingress/batchJobReader.ts
@@ -17,7 +17,7 @@
 const RETRY_DELAY_MS = 100;
 /** How much longer than the requested wait a replica may take, in ms. */
 const RESULTS_GRACE_MS = 700;
-/** How much longer than the wait attempts to read results go on, in ms. */
+/** How long attempts to read results go on after the requested wait, in ms. */
 const RESULTS_RETRY_MS = 2500;
 /** Lower bound of the wait in that calculation, in ms. */
 const RESULTS_MIN_WAIT_MS = 500;
@@ -25,9 +25,7 @@
 /** Whether the fault says definitively that there is nothing to read. */
 const isDefinitive = (fault: Fault): boolean => fault.tag === "notFound" || fault.tag === "gone";
 
-/**
- * Reads batch jobs from the replicas of their shards.
- */
+/** Reads batch jobs from the replicas of their shards. */
 export class BatchJobReader implements JobReader {
   constructor(private readonly context: BatchJobContext) {}
 
--- a/src/ingress/batchSubmission.ts
+++ b/src/ingress/batchSubmission.ts
@@ -30,9 +30,7 @@
   cause: Cause;
 }
 
-/**
- * Submits batch jobs to their shards, and ends them.
- */
+/** Submits batch jobs to their shards, and ends them. */
 export class BatchSubmission implements JobSubmission {
   constructor(private readonly context: BatchJobContext) {}
 
--- a/src/ingress/endpointAttempt.ts
+++ b/src/ingress/endpointAttempt.ts
@@ -100,8 +100,8 @@
       responseOpen || impliesNotExecuted(opened.status) || (opened.status >= 500 && route.safe);
     if (mustNotReachCaller) return failed("read reply", this.endpoint, `replica replied ${opened.status}`);
     const headers = { ...opened.headers, ...this.responses.closeHeader() };
-    const isFramed = !this.endsWithConnection(opened) || !exchange.sendUntilClose;
-    if (isFramed) exchange.send(opened.status, headers, body);
+    const sendFramed = !this.endsWithConnection(opened) || !exchange.sendUntilClose;
+    if (sendFramed) exchange.send(opened.status, headers, body);
     else exchange.sendUntilClose!(opened.status, headers, body);
     return { tag: "responded", status: opened.status };
   }
--- a/src/ingress/jobLeaderCall.ts
+++ b/src/ingress/jobLeaderCall.ts
@@ -8,9 +8,7 @@
 /** Faults that are returned unchanged; all others become "busy", so that the caller retries. */
 const definitiveFaults: Fault["tag"][] = ["notFound", "gone", "busy", "unknown"];
 
-/**
- * Calls the leader of a job's shard; `body` is called for each attempt.
- */
+/** Calls the leader of a job's shard; `body` is called for each attempt. */
 export function* callJobLeader<Method extends "lot.status" | "lot.end">(
   shardClient: ShardClient,
   method: Method,
--- a/src/ingress/lookupForwarder.ts
+++ b/src/ingress/lookupForwarder.ts
@@ -14,7 +14,7 @@
 
 /** The shortest time-out of an attempt that another one may follow, in ms. */
 const MIN_ATTEMPT_TIMEOUT_MS = 200;
-/** The number of failed or refusing endpoints at which a lookup that is refused gets no further attempt. */
+/** A refused lookup is rejected once this many endpoints have failed or refused it. */
 const MAX_ENDPOINTS_PER_LOOKUP = 8;
 
 /** What a lookup forwarder needs from its ingress. */
@@ -49,9 +49,7 @@
   lastFault: Fault | undefined;
 }
 
-/**
- * Forwards idempotent single requests directly to endpoints, and retries them at other endpoints.
- */
+/** Forwards idempotent single requests directly to endpoints, and retries them at other endpoints. */
 export class LookupForwarder implements Lookups {
   constructor(private readonly context: LookupContext) {}
 
--- a/src/routing/endpointStates.ts
+++ b/src/routing/endpointStates.ts
@@ -30,9 +30,7 @@
   announcement: undefined,
 });
 
-/**
- * Holds the states of all endpoints by key, and estimates their load.
- */
+/** Holds the states of all endpoints by key, and estimates their load. */
 export class EndpointStates {
   private readonly states = new Map<string, EndpointState>();
   private lastSweepAt = 0;
--- a/test/direct.test.ts
+++ b/test/direct.test.ts
@@ -407,14 +407,14 @@
   const neverRespond: Behaviour = function* (exchange) {
     yield* Csp.take(exchange.gone);
   };
-  const sendBodySlowly: Behaviour = function* (exchange, _seen, env) {
+  const sendBodySlowly: Behaviour = function* (exchange, _received, env) {
     exchange.open(200, echoRequestId(exchange));
     for (; !exchange.gone.isClosed();) {
       exchange.write("x");
       yield* EnvironmentTools.sleep(env, 100);
     }
   };
-  const sendEventsSlowly: Behaviour = function* (exchange, _seen, env) {
+  const sendEventsSlowly: Behaviour = function* (exchange, _received, env) {
     exchange.open(200, { ...echoRequestId(exchange), ...eventStreamHeaders });
     for (let n = 1; !exchange.gone.isClosed(); n += 1) {
       exchange.write(event(n));
--- a/test/replicaSockets.test.ts
+++ b/test/replicaSockets.test.ts
@@ -112,7 +112,7 @@
     admissionQueue: new AdmissionQueue(env, endpointSelector, () => undefined),
   };
   const direct = new DirectRequestHandler(context);
-  port = await world.serve((incoming) => direct.serve(incoming));
+  port = await world.serve((exchange) => direct.serve(exchange));
 }
 const status = (text: string): number => Number(/^HTTP\/1\.1 (\d+)/.exec(text)?.[1] ?? 0);
 /** Sends one request on a new connection and returns the response once the connection has ended. */
@@ -199,7 +199,8 @@
   const response = await world.run(() =>
     world.env.http(`127.0.0.1:${unsolicitedPort}`, { method: "GET", path: "/", timeoutMs: 300 }),
   );
-  expect(response.ok && response.value.headers["x-request-id"]).toBe("nobody"); // The id differs from the request's, so DirectHttp.open aborts it.
+  // The HTTP client returns this response; DirectHttp.open aborts it, since its id differs from the request's.
+  expect(response.ok && response.value.headers["x-request-id"]).toBe("nobody");
 });
 test("HEAD, 204, 304 and informational responses keep their framing on both sides", async () => {
   const behaviour: EndpointBehaviour = (socket, { id, method, target }) => {
