--- a/src/ingress/ingressReadiness.ts
+++ b/src/ingress/ingressReadiness.ts
@@ -24,7 +24,7 @@
     return this.stopping ? "stopping" : (this.configurationReason() ?? this.clockReason());
   }
 
-  /** Returns why a request that is only forwarded is rejected. While the ingress is stopping, such requests are served. */
+  /** Returns why a request that is only forwarded is rejected; a stopping ingress still serves such requests. */
   rejectReason(): string | undefined {
     const reason = this.configurationReason();
     if (reason !== undefined) return reason;
