--- a/src/consensus/voteHandler.ts
+++ b/src/consensus/voteHandler.ts
@@ -8,11 +8,11 @@
 import { RequestVoteRequestOnWire, RequestVoteResponseOnWire, TimeoutNowRequestOnWire } from "./wireMessages";
 
 /**
- * The voter's side of leader election: answers requests for votes and pre-votes (Raft, sections 5.2 and 5.4.1), and a
- * leader's request to stand for election.
+ * The voter's side of leader election. It handles requests for votes and pre-votes (Raft, sections 5.2 and 5.4.1), and
+ * a leader's request to start an election.
  *
- * A voter that has been in contact with a leader recently refuses its vote (Raft, end of section 6): the leader's lease
- * rests on that.
+ * A voter that has recently been in contact with a leader denies its vote (Raft, end of section 6). The leader's lease
+ * depends on that.
  */
 export class VoteHandler {
   constructor(
@@ -20,18 +20,18 @@
     private readonly election: Election,
   ) {}
 
-  /** Whether this server would vote for the candidate; changes nothing. Fault: refused. */
+  /** Responds whether this server would vote for the candidate, without changing any state. Fault: refused. */
   *onPreVote(body: RequestVoteRequestOnWire): Task<Result<RequestVoteResponseOnWire>> {
     const misdirected = this.replica.rejectMisdirected(body.to, "preVote");
     if (misdirected) return misdirected;
     const request = this.decode(body, "preVote");
     if (!request) return this.response(false);
     return this.response(
-      this.isFreeToVoteFor(request) && request.term > this.replica.log.currentTerm && this.isUpToDate(request),
+      this.leaseAllowsVote(request) && request.term > this.replica.log.currentTerm && this.isUpToDate(request),
     );
   }
 
-  /** Votes, once a term; the vote is on disk before it is given. Faults: refused, disk. */
+  /** Grants at most one vote per term, and saves it to disk before responding. Faults: refused, disk. */
   *onRequestVote(body: RequestVoteRequestOnWire): Task<Result<RequestVoteResponseOnWire>> {
     const { replica } = this;
     const { log } = replica;
@@ -41,7 +41,7 @@
     if (!request || !log.isBootstrapped()) return this.response(false);
     yield* Csp.take(log.diskLock);
     try {
-      if (request.term < log.currentTerm || !this.isFreeToVoteFor(request)) return this.response(false);
+      if (request.term < log.currentTerm || !this.leaseAllowsVote(request)) return this.response(false);
       if (request.term > log.currentTerm && !(yield* replica.stepDown(request.term, true)))
         return Fault.fail("disk", "vote", replica.selfId, "term not saved");
       const mayVote = log.votedFor === "" || log.votedFor === request.candidateId;
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Stands for election at once, if the leader of the current term asks for it. Faults: refused, conflict. */
+  /** Starts an election immediately if the leader of the current term requests it. Faults: refused, conflict. */
   *onTimeoutNow(body: TimeoutNowRequestOnWire): Task<Result<true>> {
     const { replica } = this;
     const { log } = replica;
@@ -66,14 +66,17 @@
     const misdirected = replica.rejectMisdirected(request.targetId, "takeOver");
     if (misdirected) return misdirected;
     const isFromCurrentLeader = request.groupId === replica.groupId() && request.term === log.currentTerm;
-    const canStand = replica.role === "follower" && replica.isVoter() && !log.hasDiskFailed();
-    if (!isFromCurrentLeader || !canStand)
+    const canCampaign = replica.role === "follower" && replica.isVoter() && !log.hasDiskFailed();
+    if (!isFromCurrentLeader || !canCampaign)
       return Fault.fail("conflict", "takeOver", replica.selfId, `term ${log.currentTerm}`);
-    this.election.takeOverFrom(request.term);
+    this.election.acceptLeadershipFrom(request.term);
     return Fault.ok(true as const);
   }
 
-  /** Undefined, and logged, for what is no request of this group. */
+  /**
+   * Decodes a request. Returns undefined if it is malformed or from another group, which is logged if this server
+   * belongs to a group.
+   */
   private decode(body: RequestVoteRequestOnWire, step: string): RequestVoteRequest | undefined {
     const decoded = MessageCodec.decodeRequestVote(body);
     if (decoded.ok && decoded.message.groupId === this.replica.groupId()) return decoded.message;
@@ -86,18 +89,24 @@
     return Fault.ok(MessageCodec.encodeRequestVoteResponse({ term: this.replica.log.currentTerm, voteGranted }));
   }
 
-  /** Whether no leader's lease forbids a vote. */
-  private isFreeToVoteFor(request: RequestVoteRequest): boolean {
+  /** Whether no leader's lease can still be valid, so that this server is free to vote. */
+  private leaseAllowsVote(request: RequestVoteRequest): boolean {
     return this.replica.hasLeaderTimedOut() || this.isLeaseWaived(request);
   }
-  /** A lease needs no waiting for if all voters have just started, or if its holder has given it up for the candidate. */
+  /**
+   * A voter need not wait for a lease to expire if all voters have just started, or if its holder has given it up for
+   * the candidate.
+   */
   private isLeaseWaived(request: RequestVoteRequest): boolean {
     const { replica } = this;
     if (replica.role === "leader") return false;
     if (request.afterFullRestart && replica.startedRecently) return true;
     return request.leadershipTransferred && request.term === replica.log.currentTerm + 1;
   }
-  /** Whether the candidate's log is at least as up to date as this server's: then it has all that this one acknowledged. */
+  /**
+   * Whether the candidate's log is at least as up to date as this server's log, and so has all entries that this server
+   * acknowledged.
+   */
   private isUpToDate({ lastLogIndex, lastLogTerm }: RequestVoteRequest): boolean {
     const { log } = this.replica;
     const ownLastTerm = log.lastTerm() ?? 0;
