--- a/src/simulation/scenarios/replicaScenarios.ts
+++ b/src/simulation/scenarios/endpointScenarios.ts
@@ -4,15 +4,15 @@
 export const endpointScenarios: UnnumberedScenario[] = [
   {
     name: "calm",
-    about: "nothing goes wrong",
+    description: "nothing goes wrong",
     run: async (fleet) => {
-      await fleet.change();
+      await fleet.changeConfiguration();
       await fleet.run(10_000);
     },
   },
   {
     name: "crowd",
-    about: "crowds of live users and of lots at once",
+    description: "crowds of live users and of lots at once",
     load: 1,
     run: async (fleet) => {
       await fleet.run(3000);
@@ -24,7 +24,7 @@
   },
   {
     name: "overload",
-    about: "many times what the replicas can carry: refusals at once, live work ahead of lots",
+    description: "many times what the replicas can carry: refusals at once, live work ahead of lots",
     load: 1,
     run: async (fleet) => {
       await fleet.run(3000);
@@ -42,7 +42,7 @@
       if (busies.length < 50) throw new Error(`only ${busies.length} refusals: nothing was overloaded`);
       const slow = busies[Math.floor(busies.length * 0.95)];
       if (slow > 1000) throw new Error(`one refusal in twenty was told after more than ${slow.toFixed(0)} ms`);
-      const runs = fleet.pastEndpoints
+      const runs = fleet.startedEndpoints
         .flatMap((endpoint) => endpoint.runs)
         .filter((run) => run.at > from + 1500 && run.at < to);
       const items = runs.filter((run) => run.id.includes("/")).length;
@@ -55,10 +55,10 @@
   },
   {
     name: "replicas-crash",
-    about: "a third of the replicas crash, and come back",
+    description: "a third of the replicas crash, and come back",
     run: async (fleet) => {
       const lost = fleet.plan.replicas.filter((_replica, at) => at % 3 === 0);
-      fleet.fault("replicas crash", true);
+      fleet.recordFault("replicas crash", true);
       for (const endpoint of lost) fleet.killEndpoint(endpoint.id);
       await fleet.run(7000);
       fleet.callers.load = 7; // those that come back must not be flooded
@@ -71,21 +71,21 @@
   },
   {
     name: "replicas-dark",
-    about: "replicas accept and never reply, or reply nonsense, or never stop",
+    description: "replicas accept and never reply, or reply nonsense, or never stop",
     run: async (fleet) => {
-      fleet.fault("replicas dark", true);
+      fleet.recordFault("replicas dark", true);
       const behaviors = ["unresponsive", "malformed", "endless", "overloaded"] as const;
-      [...fleet.endpoints.values()].forEach(({ replica: endpoint }, at) => {
+      [...fleet.endpoints.values()].forEach(({ endpoint }, at) => {
         if (at % 3 === 0) endpoint.behavior = behaviors[(at / 3) % behaviors.length];
       });
       await fleet.run(12_000);
-      for (const { replica: endpoint } of fleet.endpoints.values()) endpoint.behavior = "healthy";
+      for (const { endpoint } of fleet.endpoints.values()) endpoint.behavior = "healthy";
       await fleet.run(8000);
     },
   },
   {
     name: "replicas-replaced",
-    about: "replicas are replaced one by one with goodbyes, under a crowd",
+    description: "replicas are replaced one by one with goodbyes, under a crowd",
     run: async (fleet) => {
       fleet.callers.load = 2;
       for (const endpoint of fleet.plan.replicas.slice(0, 5)) await fleet.replaceEndpoint(endpoint.id, "v2");
@@ -94,7 +94,7 @@
   },
   ...["ingress", "agent", "store", "control"].map((program): UnnumberedScenario => ({
     name: `kill-${program}`,
-    about: `a ${program} is killed, and started again`,
+    description: `a ${program} is killed, and started again`,
     run: async (fleet) => {
       const name =
         program === "store"
@@ -102,12 +102,12 @@
           : program === "control"
             ? fleet.controlLeader()
             : fleet.names(program)[0];
-      fleet.fault(`kill ${name}`, true);
+      fleet.recordFault(`kill ${name}`, true);
       fleet.kill(name);
       await fleet.run(7000);
       fleet.restart(name);
       await fleet.run(10_000);
-      await fleet.change();
+      await fleet.changeConfiguration();
       await fleet.run(3000);
     },
   })),
--- a/src/simulation/scenarios/processScenarios.ts
+++ b/src/simulation/scenarios/processScenarios.ts
@@ -1,14 +1,14 @@
-import { others, pick, points, stir, UnnumberedScenario } from "./scenario";
+import { otherProcesses, pickRandom, faultPoints, runOperatorChanges, UnnumberedScenario } from "./scenario";
 
 /** Processes killed, frozen, added, swapped, and disks lost. */
 export const processScenarios: UnnumberedScenario[] = [
   {
     name: "kill-at-point",
-    about: "a process is killed at a numbered fault point (--point), and started again",
-    points: Object.keys(points).map(Number),
+    description: "a process is killed at a numbered fault point (--point), and started again",
+    points: Object.keys(faultPoints).map(Number),
     run: async (fleet, point) => {
-      const target = points[point];
-      if (!target) throw new Error(`no fault point ${point}; known: ${Object.keys(points).join(" ")}`);
+      const target = faultPoints[point];
+      if (!target) throw new Error(`no fault point ${point}; known: ${Object.keys(faultPoints).join(" ")}`);
       let victim = "";
       const hits =
         target.process === "store-" && ![13, 14, 17, 43, 44, 48, 49, 50].includes(point)
@@ -16,7 +16,7 @@
           : 1;
       fleet.world.arm(target.process, point, hits, (process) => {
         victim = process.name;
-        fleet.fault(`kill ${victim} at point ${point}`, true);
+        fleet.recordFault(`kill ${victim} at point ${point}`, true);
         fleet.kill(victim);
       });
       // what makes the rarer points be reached
@@ -39,7 +39,7 @@
         await fleet.run(5000);
         fleet.restart(store);
       }
-      await stir(fleet);
+      await runOperatorChanges(fleet);
       for (let waited = 0; victim === "" && waited < (nudge === "long" ? 240 : 15); waited += 1) await fleet.run(1000);
       fleet.world.disarm();
       if (victim === "") throw new Error(`point ${point} was not reached`);
@@ -50,51 +50,51 @@
   },
   {
     name: "freeze-store",
-    about: "the busiest store freezes past its grant, and wakes",
+    description: "the busiest store freezes past its grant, and wakes",
     run: async (fleet) => {
       const name = fleet.busiestStore();
-      fleet.fault(`freeze ${name}`, true);
+      fleet.recordFault(`freeze ${name}`, true);
       fleet.freeze(name);
       await fleet.run(8000);
-      fleet.wake(name);
+      fleet.resume(name);
       await fleet.run(9000);
     },
   },
   {
     name: "freeze-control",
-    about: "the control lead freezes past its grant during changes, and wakes",
+    description: "the control lead freezes past its grant during changes, and wakes",
     run: async (fleet) => {
       const name = fleet.controlLeader();
-      fleet.fault(`freeze ${name}`, true);
+      fleet.recordFault(`freeze ${name}`, true);
       fleet.freeze(name);
-      await fleet.change();
+      await fleet.changeConfiguration();
       await fleet.run(5000);
-      await fleet.change();
-      fleet.wake(name);
+      await fleet.changeConfiguration();
+      fleet.resume(name);
       await fleet.run(1000);
-      await fleet.change();
+      await fleet.changeConfiguration();
       await fleet.run(6000);
     },
   },
   {
     name: "freeze-edge",
-    about: "an ingress and another's agent freeze while the configuration changes, and wake",
+    description: "an ingress and another's agent freeze while the configuration changes, and wake",
     run: async (fleet) => {
       const [ingress, ...rest] = fleet.names("ingress");
       fleet.freeze(ingress);
       const agent = fleet.names("agent")[rest.length];
       fleet.freeze(agent);
       await fleet.run(2000);
-      await fleet.change();
+      await fleet.changeConfiguration();
       await fleet.run(3000);
-      fleet.wake(ingress);
-      fleet.wake(agent);
+      fleet.resume(ingress);
+      fleet.resume(agent);
       await fleet.run(6000);
     },
   },
   {
     name: "machines-added",
-    about: "a store and a control machine are added",
+    description: "a store and a control machine are added",
     run: async (fleet) => {
       fleet.add("store", "store-9");
       fleet.add("control", "control-9");
@@ -103,45 +103,45 @@
   },
   {
     name: "swap-control",
-    about: "the control lead's machine is swapped for an empty one at a new address",
+    description: "the control lead's machine is swapped for an empty one at a new address",
     run: async (fleet) => {
       const name = fleet.controlLeader();
-      await fleet.change();
-      fleet.fault(`swap ${name}`, true);
+      await fleet.changeConfiguration();
+      fleet.recordFault(`swap ${name}`, true);
       fleet.kill(name);
       await fleet.run(1500);
-      fleet.restart(name, { empty: true, moved: true });
+      fleet.restart(name, { withEmptyDisk: true, atNewAddress: true });
       await fleet.run(14_000);
-      await fleet.change();
+      await fleet.changeConfiguration();
       const second = fleet.controlLeader();
-      fleet.fault(`swap ${second}`, true);
+      fleet.recordFault(`swap ${second}`, true);
       fleet.kill(second);
       await fleet.run(1500);
-      fleet.restart(second, { empty: true, moved: true });
+      fleet.restart(second, { withEmptyDisk: true, atNewAddress: true });
       await fleet.run(14_000);
-      await fleet.change();
+      await fleet.changeConfiguration();
       await fleet.run(3000);
     },
   },
   {
     name: "swap-store",
-    about: "the busiest store's machine is swapped for an empty one at a new address",
+    description: "the busiest store's machine is swapped for an empty one at a new address",
     run: async (fleet) => {
       const name = fleet.busiestStore();
-      fleet.fault(`swap ${name}`, true);
+      fleet.recordFault(`swap ${name}`, true);
       fleet.kill(name);
       await fleet.run(3000);
-      fleet.restart(name, { empty: true, moved: true });
+      fleet.restart(name, { withEmptyDisk: true, atNewAddress: true });
       await fleet.run(20_000);
     },
   },
   {
     name: "power-loss",
-    about: "the busiest store loses power right after acknowledging, and comes back",
+    description: "the busiest store loses power right after acknowledging, and comes back",
     run: async (fleet) => {
       const name = fleet.busiestStore();
       fleet.world.arm(name, 47, 1, () => {
-        fleet.fault(`power loss at ${name}`, true);
+        fleet.recordFault(`power loss at ${name}`, true);
         fleet.kill(name, true);
       });
       await fleet.run(2000);
@@ -152,34 +152,34 @@
   },
   {
     name: "disk-loss",
-    about: "the busiest store loses its disk right after acknowledging",
+    description: "the busiest store loses its disk right after acknowledging",
     run: async (fleet) => {
       const name = fleet.busiestStore();
       fleet.world.arm(name, 47, 1, () => {
-        fleet.fault(`disk loss at ${name}`, true);
+        fleet.recordFault(`disk loss at ${name}`, true);
         fleet.kill(name, true);
       });
       await fleet.run(3000);
-      fleet.restart(name, { empty: true });
+      fleet.restart(name, { withEmptyDisk: true });
       await fleet.run(16_000);
     },
   },
   {
     name: "disk-loss-two",
-    about: "the busiest store and another lose their disks at once, while the busiest reaches no other store",
+    description: "the busiest store and another lose their disks at once, while the busiest reaches no other store",
     run: async (fleet) => {
       const name = fleet.busiestStore();
-      const second = pick(fleet, others(fleet, "store", name));
+      const second = pickRandom(fleet, otherProcesses(fleet, "store", name));
       // whatever it answers in this moment, nobody else has
-      for (const other of others(fleet, "store", name)) fleet.world.partition(name, other);
+      for (const other of otherProcesses(fleet, "store", name)) fleet.world.partition(name, other);
       await fleet.run(300);
-      fleet.fault(`disk loss at ${name} and ${second}`, true);
+      fleet.recordFault(`disk loss at ${name} and ${second}`, true);
       fleet.kill(name, true);
       fleet.kill(second, true);
       fleet.heal();
       await fleet.run(3000);
-      fleet.restart(name, { empty: true });
-      fleet.restart(second, { empty: true });
+      fleet.restart(name, { withEmptyDisk: true });
+      fleet.restart(second, { withEmptyDisk: true });
       await fleet.run(20_000);
     },
   },
--- a/src/simulation/scenarios/scenarios.ts
+++ b/src/simulation/scenarios/scenarios.ts
@@ -1,11 +1,11 @@
 import { clockScenarios } from "./clockScenarios";
-import { dayScenarios } from "./dayScenarios";
+import { combinedScenarios } from "./combinedScenarios";
 import { diskScenarios } from "./diskScenarios";
 import { networkScenarios } from "./networkScenarios";
 import { operatorScenarios } from "./operatorScenarios";
 import { processScenarios } from "./processScenarios";
-import { endpointScenarios } from "./replicaScenarios";
-import { points, Scenario } from "./scenario";
+import { endpointScenarios } from "./endpointScenarios";
+import { faultPoints, Scenario } from "./scenario";
 
 export type { Scenario } from "./scenario";
 
@@ -17,7 +17,7 @@
   ...diskScenarios,
   ...operatorScenarios,
   ...clockScenarios,
-  ...dayScenarios,
+  ...combinedScenarios,
 ];
 
 /**
@@ -27,7 +27,7 @@
  * const scenario = Scenarios.find("freeze-store");
  */
 export const Scenarios = {
-  points,
+  points: faultPoints,
   all: inOrder.map((scenario, at): Scenario => ({ ...scenario, number: at + 1 })),
   /** By name or number; undefined if there is none. @example Scenarios.find("3") */
   find: (wanted: string): Scenario | undefined =>
--- a/src/simulation/simDisk.ts
+++ b/src/simulation/simDisk.ts
@@ -3,7 +3,7 @@
 import { DiskSteps } from "../runtime/diskSteps";
 import { Disk } from "../runtime/env";
 import { simDiskSteps, SteppedDisk } from "./simDiskSteps";
-import { PowerLoss, SimFile, SimFolder, SimNode } from "./simFiles";
+import { PowerLoss, SimFile, SimFolder, SimFileOrFolder } from "./simFiles";
 
 export type { PowerLoss } from "./simFiles";
 
@@ -14,7 +14,7 @@
 /** What a disk needs of the world that it is in. */
 export interface DiskHost {
   random(): number;
-  at(inMs: number, run: () => void): void;
+  schedule(inMs: number, run: () => void): void;
   /** Share of syncs that take much longer than the others. */
   readonly slowDiskShare: number;
 }
@@ -41,7 +41,7 @@
   full = false;
   /** Sync times, ms: base and spread. */
   syncMs: [number, number] = [0.3, 2.5];
-  syncs = 0;
+  syncCount = 0;
   constructor(private readonly world: DiskHost) {}
 
   /** Power is lost. @example disk.losePower(); */
@@ -55,7 +55,7 @@
       if (drawn < 2 * CORRELATED_LOSS_SHARE) return outcomes - 1;
       return Math.min(outcomes - 1, Math.floor(this.world.random() * outcomes));
     };
-    return { pick, cut: (bytes) => Math.floor(this.world.random() * bytes) };
+    return { pickOutcome: pick, pickTearOffset: (bytes) => Math.floor(this.world.random() * bytes) };
   }
   /** Everything is lost. @example disk.wipe(); */
   wipe(): void {
@@ -66,11 +66,11 @@
   /** The synced files below a folder, by name. @example disk.under("data/store-1/shard-3").get("slot-a") */
   under(folder: string): Map<string, Buffer> {
     const found = new Map<string, Buffer>();
-    const collect = (node: SimNode | undefined, path: string): void => {
+    const collect = (node: SimFileOrFolder | undefined, path: string): void => {
       if (node instanceof SimFile) found.set(path, node.durable);
       else node?.durable.forEach((child, name) => collect(child, path ? `${path}/${name}` : name));
     };
-    let node: SimNode | undefined = this.root;
+    let node: SimFileOrFolder | undefined = this.root;
     for (const part of partsOf(folder)) node = node instanceof SimFolder ? node.durable.get(part) : undefined;
     collect(node, "");
     return found;
@@ -101,21 +101,21 @@
   }
 
   /** @example disk.find("data/identity") */
-  find(path: string): SimNode | undefined {
-    let node: SimNode | undefined = this.root;
+  find(path: string): SimFileOrFolder | undefined {
+    let node: SimFileOrFolder | undefined = this.root;
     for (const part of partsOf(path)) node = node instanceof SimFolder ? node.names.get(part) : undefined;
     return node;
   }
   /** @example disk.folderOf("data/identity")?.name // "identity" */
-  folderOf(path: string): { folder: SimFolder; name: string } | undefined {
+  parentOf(path: string): { folder: SimFolder; name: string } | undefined {
     const parts = partsOf(path);
     const name = parts.pop() ?? "";
     const folder = this.find(parts.join("/"));
     return folder instanceof SimFolder ? { folder, name } : undefined;
   }
   /** @example disk.fileFor("data/identity") */
-  fileFor(path: string): SimFile | undefined {
-    const place = this.folderOf(path);
+  findOrCreateFile(path: string): SimFile | undefined {
+    const place = this.parentOf(path);
     if (!place) return undefined;
     const found = place.folder.names.get(place.name);
     if (found instanceof SimFile) return found;
@@ -125,13 +125,13 @@
   }
 
   /** The disk as a process uses it, in virtual time. @example disk.of(process).read("data/identity") */
-  of(process: DiskUser): Disk {
+  forProcess(process: DiskUser): Disk {
     const disk = this;
     const wait = function* (): Task<void> {
       const [base, spread] = disk.syncMs;
       const slow = disk.world.random() < disk.world.slowDiskShare ? SLOW_SYNC_MS * disk.world.random() : 0;
       const chan = Csp.chan<true>(1);
-      disk.world.at(base + spread * disk.world.random() + slow, () => process.deliver(() => chan.close()));
+      disk.world.schedule(base + spread * disk.world.random() + slow, () => process.deliver(() => chan.close()));
       yield* Csp.take(chan);
     };
     return new DurableDisk(this.steps(process.name, wait));
--- a/src/simulation/simDiskSteps.ts
+++ b/src/simulation/simDiskSteps.ts
@@ -1,7 +1,7 @@
 import { Task } from "../runtime/csp";
 import { DiskSteps } from "../runtime/diskSteps";
 import { Fault, Result } from "../common/fault";
-import { SimFile, SimFolder, SimNode } from "./simFiles";
+import { SimFile, SimFolder, SimFileOrFolder } from "./simFiles";
 
 const UNLIMITED_BYTES = 1e12; // bytes; free on a disk that is not full
 
@@ -10,12 +10,12 @@
   readonly failing: boolean;
   readonly full: boolean;
   /** Syncs that succeeded. */
-  syncs: number;
-  find(path: string): SimNode | undefined;
+  syncCount: number;
+  find(path: string): SimFileOrFolder | undefined;
   /** The folder that a path is in, and the name that it has there. */
-  folderOf(path: string): { folder: SimFolder; name: string } | undefined;
+  parentOf(path: string): { folder: SimFolder; name: string } | undefined;
   /** The file at a path, made where it isn't there; undefined where its folder isn't. */
-  fileFor(path: string): SimFile | undefined;
+  findOrCreateFile(path: string): SimFile | undefined;
 }
 
 /**
@@ -33,10 +33,10 @@
     const covered = file.unsynced();
     yield* wait();
     if (disk.failing) {
-      file.failedSync();
+      file.recordFailedSync();
       return fail(step, "EIO");
     }
-    disk.syncs += 1;
+    disk.syncCount += 1;
     file.synced(covered);
     return Fault.ok(true as const);
   };
@@ -53,7 +53,7 @@
       return Fault.ok(disk.find(path) instanceof SimFolder);
     },
     *makeFolder(path) {
-      const place = disk.folderOf(path);
+      const place = disk.parentOf(path);
       if (!place) return fail(`make ${path}`, "ENOENT");
       const refusal = refused(`make ${path}`);
       if (place.folder.names.has(place.name)) return Fault.ok(true as const);
@@ -65,7 +65,7 @@
       const step = `${mode === "append" ? "append" : "write"} ${path}`;
       const refusal = refused(step);
       if (refusal) return refusal;
-      const file = disk.fileFor(path);
+      const file = disk.findOrCreateFile(path);
       if (!file) return fail(step, "ENOENT");
       if (mode === "replace" && file.content.length > 0) file.change({ tag: "resize", size: 0 });
       if (data.length > 0) file.change({ tag: "write", offset: file.content.length, data: Buffer.from(data) });
@@ -88,12 +88,12 @@
       const covered = folder.unsynced();
       yield* wait();
       if (disk.failing) return fail(`sync ${path}`, "EIO");
-      disk.syncs += 1;
+      disk.syncCount += 1;
       folder.synced(covered);
       return Fault.ok(true as const);
     },
     *rename(from, to) {
-      const [source, target] = [disk.folderOf(from), disk.folderOf(to)];
+      const [source, target] = [disk.parentOf(from), disk.parentOf(to)];
       const node = source?.folder.names.get(source.name);
       if (!source || !node || source.folder !== target?.folder) return fail(`rename ${from}`, "ENOENT");
       if (disk.failing) return fail(`rename ${from}`, "EIO");
@@ -101,7 +101,7 @@
       return Fault.ok(true as const);
     },
     *remove(path) {
-      const place = disk.folderOf(path);
+      const place = disk.parentOf(path);
       if (place?.folder.names.has(place.name)) place.folder.change({ tag: "removed", name: place.name });
       return Fault.ok(true as const);
     },
@@ -110,7 +110,7 @@
     },
     /** Each simulated process has its own disk; the file stands for what a lock leaves behind. */
     *lock(folder, owner) {
-      disk.fileFor(`${folder}/lock`)?.change({ tag: "write", offset: 0, data: Buffer.from(owner) });
+      disk.findOrCreateFile(`${folder}/lock`)?.change({ tag: "write", offset: 0, data: Buffer.from(owner) });
       return Fault.ok(true as const);
     },
   };
--- a/src/simulation/simEnvironment.ts
+++ b/src/simulation/simEnvironment.ts
@@ -29,7 +29,7 @@
   /** Takes a line of a process's log. */
   log(line: string): void;
   /** Called when a process reaches a numbered fault point. */
-  reachPoint(process: SimProcess, point: number, context?: FaultPointContext): void;
+  reachFaultPoint(process: SimProcess, point: number, context?: FaultPointContext): void;
 }
 
 /**
@@ -57,7 +57,7 @@
     return {
       name: process.name,
       scope: process.scope,
-      disk: process.disk.of(process),
+      disk: process.disk.forProcess(process),
       wall: () => WALL_CLOCK_START_MS + host.now + process.skewMs,
       mono: () => MONOTONIC_START_MS + host.now,
       random: () => host.random(),
@@ -76,7 +76,7 @@
       },
       stopServing: () => host.http.stopServing(process),
       http: (address, out) => host.http.request(process, address, out),
-      point: (number, context) => host.reachPoint(process, number, context),
+      point: (number, context) => host.reachFaultPoint(process, number, context),
       log: (event, fields) => this.log(process, event, fields),
     };
   }
@@ -84,7 +84,7 @@
   private timer(process: SimProcess, ms: number): Timer {
     const chan = Csp.alarm();
     let cancelled = false;
-    this.host.at(ms, () => {
+    this.host.schedule(ms, () => {
       if (!cancelled) process.deliver(() => chan.close());
     });
     return { chan, cancel: () => (cancelled = true) };
@@ -100,10 +100,12 @@
     const outcome = Csp.chan<{ value: Result<Link> }>(1);
     const settle = (result: Result<Link>): void => process.deliver(() => void Csp.offer(outcome, { value: result }));
     const refuse = (detail: string): void => settle(Fault.fail("refused", "connect", address, detail));
-    host.at(timeoutMs, () => refuse("no connection in time"));
+    host.schedule(timeoutMs, () => refuse("no connection in time"));
     const listener = this.listeners.get(address);
-    if (listener) host.at(host.network.latency(), () => this.handshake(process, listener, address, settle, refuse));
-    else if (this.anotherRuns(process)) host.at(host.network.latency(), () => refuse("connection refused"));
+    if (listener)
+      host.schedule(host.network.latency(), () => this.handshake(process, listener, address, settle, refuse));
+    else if (this.isAnotherProcessRunning(process))
+      host.schedule(host.network.latency(), () => refuse("connection refused"));
     return (yield* Csp.take(outcome))!.value;
   }
   private handshake(
@@ -121,7 +123,7 @@
     else if (network.partitionsReset) refuse("connection reset");
   }
   /** Whether any other process runs: somebody has to refuse a connection to an address where nobody listens. */
-  private anotherRuns(process: SimProcess): boolean {
+  private isAnotherProcessRunning(process: SimProcess): boolean {
     return [...this.host.processes.values()].some((other) => other.alive && other !== process);
   }
   private bind(process: SimProcess, address: string): DatagramSocket {
--- a/src/simulation/simFiles.ts
+++ b/src/simulation/simFiles.ts
@@ -1,18 +1,18 @@
 /** Decides what becomes of each unsynced change when power is lost: one of so many outcomes, 0 for lost, the last for kept. */
 export interface PowerLoss {
-  pick(outcomes: number): number;
+  pickOutcome(outcomes: number): number;
   /** Where a write of so many bytes is torn. */
-  cut(bytes: number): number;
+  pickTearOffset(bytes: number): number;
 }
 /** A change of a file's content. */
 export type ContentChange = { tag: "write"; offset: number; data: Buffer } | { tag: "resize"; size: number };
 /** A change of a folder's names. */
 export type NameChange =
-  | { tag: "made"; name: string; node: SimNode }
-  | { tag: "renamed"; from: string; to: string; node: SimNode }
+  | { tag: "made"; name: string; node: SimFileOrFolder }
+  | { tag: "renamed"; from: string; to: string; node: SimFileOrFolder }
   | { tag: "removed"; name: string };
 /** A file or folder. */
-export type SimNode = SimFile | SimFolder;
+export type SimFileOrFolder = SimFile | SimFolder;
 
 /** What becomes of an unsynced write when power is lost. */
 const WriteOutcome = { missing: 0, firstPart: 1, lastPart: 2, complete: 3 } as const;
@@ -29,7 +29,7 @@
   change.data.copy(copy, change.offset);
   return copy;
 }
-function applyNameChange(names: Map<string, SimNode>, change: NameChange): void {
+function applyNameChange(names: Map<string, SimFileOrFolder>, change: NameChange): void {
   switch (change.tag) {
     case "made":
       names.set(change.name, change.node);
@@ -63,24 +63,24 @@
     this.pending = this.pending.filter((change) => !done.has(change));
     if (this.pending.length === 0) this.durable = this.content;
   }
-  failedSync(): void {
+  recordFailedSync(): void {
     this.syncFailed = true;
   }
   losePower(loss: PowerLoss): void {
-    for (const change of this.pending) this.survive(change, loss);
+    for (const change of this.pending) this.applyAfterPowerLoss(change, loss);
     this.pending = [];
     this.syncFailed = false;
     this.content = this.durable;
   }
-  private survive(change: ContentChange, loss: PowerLoss): void {
+  private applyAfterPowerLoss(change: ContentChange, loss: PowerLoss): void {
     if (change.tag === "resize") {
-      if (loss.pick(2) === 1) this.durable = applyChange(this.durable, change);
+      if (loss.pickOutcome(2) === 1) this.durable = applyChange(this.durable, change);
       return;
     }
-    const outcome = loss.pick(WRITE_OUTCOMES);
+    const outcome = loss.pickOutcome(WRITE_OUTCOMES);
     if (outcome === WriteOutcome.missing) return;
     const { offset, data } = change;
-    const tornAt = outcome === WriteOutcome.complete ? data.length : loss.cut(data.length);
+    const tornAt = outcome === WriteOutcome.complete ? data.length : loss.pickTearOffset(data.length);
     const isLastPart = outcome === WriteOutcome.lastPart;
     const surviving = isLastPart ? data.subarray(tornAt) : data.subarray(0, tornAt);
     this.durable = applyChange(this.durable, {
@@ -92,8 +92,8 @@
 }
 /** A folder: its names as processes see them, its durable names, and the changes between the two. */
 export class SimFolder {
-  readonly names = new Map<string, SimNode>();
-  durable = new Map<string, SimNode>();
+  readonly names = new Map<string, SimFileOrFolder>();
+  durable = new Map<string, SimFileOrFolder>();
   private pending: NameChange[] = [];
   change(change: NameChange): void {
     applyNameChange(this.names, change);
@@ -106,16 +106,16 @@
     for (const change of this.pending) if (done.has(change)) applyNameChange(this.durable, change);
     this.pending = this.pending.filter((change) => !done.has(change));
   }
-  losePower(loss: PowerLoss, seen: Set<SimNode>): void {
-    for (const change of this.pending) if (loss.pick(2) === 1) applyNameChange(this.durable, change);
+  losePower(loss: PowerLoss, visited: Set<SimFileOrFolder>): void {
+    for (const change of this.pending) if (loss.pickOutcome(2) === 1) applyNameChange(this.durable, change);
     this.pending = [];
     this.names.clear();
     for (const [name, node] of this.durable) {
       this.names.set(name, node);
-      if (seen.has(node)) continue;
-      seen.add(node);
+      if (visited.has(node)) continue;
+      visited.add(node);
       if (node instanceof SimFile) node.losePower(loss);
-      else node.losePower(loss, seen);
+      else node.losePower(loss, visited);
     }
   }
 }
--- a/src/simulation/simFleet.ts
+++ b/src/simulation/simFleet.ts
@@ -21,28 +21,28 @@
 
 const ACKNOWLEDGED_POINT = 47; // fault point: an entry is on every member of the view, just acknowledged
 const VIEW_COMMITTED_POINT = 38; // fault point: a shard view was committed, not yet installed
-const READY_PERIOD_MS = 200; // ms; between looks at whether the fleet is ready
+const READY_POLL_MS = 200; // ms; between looks at whether the fleet is ready
 const CONFIGURE_ATTEMPTS = 60;
 const READY_ATTEMPTS = 100;
 const SAMPLE_PERIOD_MS = 400; // ms; between samples of the configuration in force
 const SAMPLE_TIMEOUT_MS = 400; // ms; of one such sample
-const LEDGER_PERIOD_MS = 700; // ms; between reads of the ledger's new entries
+const LEDGER_READ_PERIOD_MS = 700; // ms; between reads of the ledger's new entries
 const LEDGER_TIMEOUT_MS = 1500; // ms; of one such read
-const TERMINATION_MS = 15_000; // ms; a process may take to end after SIGTERM
-const IN_TOUCH_AGAIN_MS = 4000; // ms; after a start or the end of a partition, a node is in touch again
-const AWAKE_AGAIN_MS = 2500; // ms; the same after a freeze
-const CLOSING_LEDGER_PAGE = 1500; // entries; of one page, when the ledger is read back
-const CLOSING_LEDGER_PAGES = 30;
+const TERMINATION_TIMEOUT_MS = 15_000; // ms; a process may take to end after SIGTERM
+const RECONNECT_MS = 4000; // ms; after a start or the end of a partition, a node is in touch again
+const RESUME_RECONNECT_MS = 2500; // ms; the same after a freeze
+const FINAL_LEDGER_PAGE_SIZE = 1500; // entries; of one page, when the ledger is read back
+const FINAL_LEDGER_MAX_PAGES = 30;
 
 /** How a machine comes back: with an empty disk, at a new address. */
 export interface RestartOptions {
-  empty?: boolean;
-  moved?: boolean;
+  withEmptyDisk?: boolean;
+  atNewAddress?: boolean;
 }
 /** A stand-in endpoint and the process that it runs in. */
 export interface FleetEndpoint {
   process: SimProcess;
-  replica: StandInEndpoint;
+  endpoint: StandInEndpoint;
 }
 
 /**
@@ -60,9 +60,9 @@
   readonly plan: Plan;
   readonly history = new History();
   readonly disks = new Map<string, SimDisk>();
-  readonly running = new Map<string, RunningDaemon>();
+  readonly daemons = new Map<string, RunningDaemon>();
   readonly endpoints = new Map<string, FleetEndpoint>();
-  readonly pastEndpoints: StandInEndpoint[] = [];
+  readonly startedEndpoints: StandInEndpoint[] = [];
   readonly errors: string[] = [];
   callers!: Callers;
   private operator!: SimOperator;
@@ -72,9 +72,9 @@
   private nextPort = 60_000;
   plannedOnly = false;
   /** What the scenario did, to show that it did something. */
-  readonly acts: string[] = [];
+  readonly actions: string[] = [];
   readonly notes: string[] = [];
-  readonly followed: string[] = [];
+  readonly ledgerStampsRead: string[] = [];
 
   constructor(
     readonly deployment: Deployment,
@@ -84,13 +84,13 @@
     Object.assign(Constants.segmentObjects, Constants.simSegmentObjects);
     this.world = new SimWorld(seed, log);
     this.plan = Deployment.plan(deployment, 30_000, "data");
-    this.world.watch = (process, point) => {
-      if (point === ACKNOWLEDGED_POINT) this.audit.noteAcknowledged(process.name);
+    this.world.onFaultPoint = (process, point) => {
+      if (point === ACKNOWLEDGED_POINT) this.audit.recordAcknowledged(process.name);
       if (point === VIEW_COMMITTED_POINT) this.audit.recordDisks(this.history);
     };
   }
   /** Store members by id, as long as they hold the disk they were born on. */
-  readonly storeOf = new Map<string, string>();
+  readonly storeNameById = new Map<string, string>();
   wall = (): number => WALL_CLOCK_START_MS + this.world.now;
   /** @example await fleet.run(5000); */
   run = (ms: number): Promise<void> => this.world.run(ms);
@@ -105,47 +105,47 @@
     await this.run(1500);
     await this.configure("manifest", this.deployment.manifest);
     await this.configure("policies", this.deployment.policies);
-    await this.untilReady();
+    await this.waitUntilReady();
     const caller = this.world.start("callers", new SimDisk(this.world));
     this.callers = new Callers(caller.env, this.deployment.mix, this.plan.ingressHttp, this.history);
     this.callers.start(load);
     this.settledAt = this.wall();
-    this.observe();
+    this.startObserving();
     await this.run(2000);
   }
   /** Sends a versioned document, by its name on the wire, until it is taken. */
   private async configure(document: string, content: unknown): Promise<void> {
     for (let attempt = 0; attempt < CONFIGURE_ATTEMPTS; attempt += 1) {
-      const response = await this.operate("PUT", `/v1/${document}`, content, { "if-match": '"0"' });
+      const response = await this.send("PUT", `/v1/${document}`, content, { "if-match": '"0"' });
       if (response?.status === 200 || response?.status === 412) return;
-      await this.run(READY_PERIOD_MS);
+      await this.run(READY_POLL_MS);
     }
-    throw new Error(`${document} was not taken; ${this.tail()}`);
+    throw new Error(`${document} was not taken; ${this.recentLogLines()}`);
   }
-  private async untilReady(): Promise<void> {
+  private async waitUntilReady(): Promise<void> {
     for (let attempt = 0; attempt < READY_ATTEMPTS; attempt += 1) {
-      if (await this.everyIngressReady()) return;
-      await this.run(READY_PERIOD_MS);
+      if (await this.isEveryIngressReady()) return;
+      await this.run(READY_POLL_MS);
     }
-    throw new Error(`fleet not ready; ${this.tail()}`);
+    throw new Error(`fleet not ready; ${this.recentLogLines()}`);
   }
-  private async everyIngressReady(): Promise<boolean> {
-    const answers200 = async (path: string, address: string): Promise<boolean> =>
-      (await this.operate("GET", path, undefined, {}, address))?.status === 200;
-    for (const address of this.plan.ingressHttp) if (!(await answers200("/readyz", address))) return false;
-    return answers200("/v1/ledger?limit=1", this.plan.ingressHttp[0]);
+  private async isEveryIngressReady(): Promise<boolean> {
+    const respondsWith200 = async (path: string, address: string): Promise<boolean> =>
+      (await this.send("GET", path, undefined, {}, address))?.status === 200;
+    for (const address of this.plan.ingressHttp) if (!(await respondsWith200("/readyz", address))) return false;
+    return respondsWith200("/v1/ledger?limit=1", this.plan.ingressHttp[0]);
   }
-  private tail(): string {
+  private recentLogLines(): string {
     return [...this.world.processes.values()]
       .flatMap((process) => process.logs.slice(-3))
       .slice(-40)
       .join("\n");
   }
   /** Records for the checker which configuration is in force where, and the ledger as it grows. */
-  private observe(): void {
+  private startObserving(): void {
     const { scope } = this.operator.process;
     Csp.go(scope, "sample configurations", () => this.sampleConfigurations());
-    Csp.go(scope, "follow the ledger", () => this.followLedger());
+    Csp.go(scope, "follow the ledger", () => this.readLedgerContinuously());
   }
   private *sampleConfigurations(): Task<void> {
     for (;;) {
@@ -161,7 +161,7 @@
     }
   }
   /** What was read once must stand so at the end of the day. */
-  private *followLedger(): Task<void> {
+  private *readLedgerContinuously(): Task<void> {
     const addresses = this.plan.ingressHttp;
     let after = "";
     for (let turn = 0; ; turn += 1) {
@@ -171,21 +171,21 @@
       if (response?.status === 200) {
         const { entries, next } = response.body as LedgerPage;
         if (entries.length > 0) {
-          this.followed.push(...entries.map((entry) => entry.stamp));
+          this.ledgerStampsRead.push(...entries.map((entry) => entry.stamp));
           after = next;
         }
       }
-      yield* EnvironmentTools.sleep(this.operator.process.env, LEDGER_PERIOD_MS);
+      yield* EnvironmentTools.sleep(this.operator.process.env, LEDGER_READ_PERIOD_MS);
     }
   }
 
   // ---------- what runs, and the views ----------
   /** The running storage node of that name, if it runs. @example fleet.storageNode("store-1")?.replicas.size */
   private storageNode = (name: string): StorageNode | undefined =>
-    this.names("store").includes(name) ? (this.running.get(name) as StorageNode | undefined) : undefined;
+    this.names("store").includes(name) ? (this.daemons.get(name) as StorageNode | undefined) : undefined;
   /** The running control node of that name, if it runs. @example fleet.controlNode("control-1")?.group.hasLeaderLease() */
   private controlNode = (name: string): ControlNode | undefined =>
-    this.names("control").includes(name) ? (this.running.get(name) as ControlNode | undefined) : undefined;
+    this.names("control").includes(name) ? (this.daemons.get(name) as ControlNode | undefined) : undefined;
 
   /** The shard replicas of a running store. @example fleet.replicasOf("store-1").length */
   replicasOf(name: string): ShardReplica[] {
@@ -198,12 +198,12 @@
   }
   /** A store must be a member of some view again. @example fleet.expectInViews("store-1"); */
   expectInViews(name: string): void {
-    const ids = [...this.storeOf].filter(([, store]) => store === name).map(([id]) => id);
+    const ids = [...this.storeNameById].filter(([, store]) => store === name).map(([id]) => id);
     if (!Object.values(this.views()).some((view) => view.members.some((id) => ids.includes(id))))
       throw new Error(`${name} is in no view again`);
   }
   /** Every shard has its copies, each in a district of its own. @example fleet.expectSpread("north"); */
-  expectSpread(lost?: string): void {
+  expectReplicasSpreadOverZones(lost?: string): void {
     const zones = this.deployment.districts.filter((zone) => zone !== lost).length;
     const wanted = Math.min(
       Constants.replicasPerShard,
@@ -211,26 +211,26 @@
       this.names("store").filter((name) => this.planOf(name).settings.district !== lost).length,
     );
     for (const view of Object.values(this.views())) {
-      const held = new Set(view.members.map((id) => this.planOf(this.storeOf.get(id)!).settings.district));
+      const held = new Set(view.members.map((id) => this.planOf(this.storeNameById.get(id)!).settings.district));
       if (view.members.length < wanted || held.size < wanted)
         throw new Error(`shard ${view.shard} has ${view.members.length} copies in ${[...held].join(", ")}`);
     }
   }
-  private inZone = (zone: string): { processes: string[]; replicas: EndpointSettings[] } => ({
+  private processesAndEndpointsIn = (zone: string): { processes: string[]; replicas: EndpointSettings[] } => ({
     processes: this.plan.processes.filter((each) => each.settings.district === zone).map((each) => each.name),
     replicas: this.plan.replicas.filter((each) => each.district === zone),
   });
   /** Power is lost in a whole district. @example fleet.loseDistrict("north"); */
   loseZone(zone: string): void {
-    this.fault(`district ${zone} lost`, true);
-    const { processes, replicas: endpoints } = this.inZone(zone);
+    this.recordFault(`district ${zone} lost`, true);
+    const { processes, replicas: endpoints } = this.processesAndEndpointsIn(zone);
     for (const name of processes) this.kill(name, true);
     for (const { id } of endpoints) this.killEndpoint(id);
   }
   /** It comes back, its disks as they were or empty. @example fleet.restoreDistrict("north", true); */
   restoreZone(zone: string, empty: boolean): void {
-    const { processes, replicas: endpoints } = this.inZone(zone);
-    for (const name of processes) this.restart(name, { empty: empty && /^(store|control)/.test(name) });
+    const { processes, replicas: endpoints } = this.processesAndEndpointsIn(zone);
+    for (const name of processes) this.restart(name, { withEmptyDisk: empty && /^(store|control)/.test(name) });
     for (const endpoint of endpoints) this.startEndpoint(endpoint);
   }
   /** The newest control group's name and its voters. @example fleet.controlGroup().voters[0].name */
@@ -250,7 +250,7 @@
     };
   }
   /** A change read and made at one node. @example await fleet.changeAt(fleet.httpOf("control-1")); */
-  changeAt = (address: string): Promise<ChangeOutcome> => this.operator.changeConfigurationAt(address);
+  changeConfigurationAt = (address: string): Promise<ChangeOutcome> => this.operator.changeConfigurationAt(address);
 
   // ---------- processes ----------
   private planOf(name: string): ProcessPlan {
@@ -265,37 +265,39 @@
     this.disks.set(name, disk);
     const process = this.world.start(name, disk);
     const fleet = this;
-    this.unreachable.close(plan.settings.http, this.wall() + IN_TOUCH_AGAIN_MS);
+    this.unreachable.close(plan.settings.http, this.wall() + RECONNECT_MS);
     Csp.go(process.scope, "main", function* () {
       const started = yield* Daemon.start(process.env, plan.settings);
       if (started.ok) {
-        fleet.running.set(name, started.value);
+        fleet.daemons.set(name, started.value);
         const { node } = started.value as unknown as { node?: { self: { id: string } } };
-        if (node && plan.settings.program === "store") fleet.storeOf.set(node.self.id, name);
+        if (node && plan.settings.program === "store") fleet.storeNameById.set(node.self.id, name);
       } else {
         fleet.notes.push(`${name} refused to start: ${started.fault.detail}`);
         fleet.world.kill(name);
       }
     });
   }
-  private keepErrors(name: string): void {
+  private collectErrors(name: string): void {
     const process = this.world.processes.get(name);
     if (process) this.errors.push(...process.errors.splice(0));
   }
   /** @example fleet.kill("store-1"); */
   kill(name: string, powerLost = false): void {
-    this.acts.push(`${powerLost ? "power lost at" : "kill"} ${name} at ${this.world.now.toFixed(0)}`);
-    this.keepErrors(name);
+    this.actions.push(`${powerLost ? "power lost at" : "kill"} ${name} at ${this.world.now.toFixed(0)}`);
+    this.collectErrors(name);
     this.world.kill(name, powerLost);
-    this.running.delete(name);
+    this.daemons.delete(name);
     this.unreachable.open(this.httpOf(name), this.wall());
   }
   /** A machine comes back with its disk, or with an empty one, perhaps at a new address. @example fleet.restart("store-1", { empty: true, moved: true }); */
   restart(name: string, options: RestartOptions = {}): void {
-    this.acts.push(`restart ${name} ${options.empty ? "empty" : ""}${options.moved ? " at a new address" : ""}`);
-    this.restored(`${name} started again`);
-    if (options.empty) this.wipe(name);
-    if (options.moved) {
+    this.actions.push(
+      `restart ${name} ${options.withEmptyDisk ? "empty" : ""}${options.atNewAddress ? " at a new address" : ""}`,
+    );
+    this.recordRestored(`${name} started again`);
+    if (options.withEmptyDisk) this.wipe(name);
+    if (options.atNewAddress) {
       const plan = this.planOf(name);
       plan.settings = {
         ...plan.settings,
@@ -308,7 +310,7 @@
   /** The disk is gone, and with it the member that stood on it. @example fleet.wipe("store-1"); */
   wipe(name: string): void {
     this.disks.get(name)?.wipe();
-    for (const [id, store] of this.storeOf) if (store === name) this.storeOf.delete(id);
+    for (const [id, store] of this.storeNameById) if (store === name) this.storeNameById.delete(id);
   }
   /** A machine that was not there before. @example fleet.add("store", "store-5"); */
   add(program: "store" | "control", name: string): void {
@@ -324,65 +326,65 @@
         data: `data/${name}`,
       },
     });
-    this.acts.push(`add ${name}`);
+    this.actions.push(`add ${name}`);
     this.start(name);
   }
   /** SIGTERM, and whether it ended by itself. @example await fleet.terminate("ingress-1"); */
   async terminate(name: string): Promise<boolean> {
-    this.acts.push(`terminate ${name}`);
+    this.actions.push(`terminate ${name}`);
     const process = this.world.processes.get(name)!;
-    const running = this.running.get(name)!;
-    const ended = await this.world.finish(
+    const running = this.daemons.get(name)!;
+    const ended = await this.world.runTask(
       process,
       function* () {
         yield* running.stop();
         return true;
       },
-      TERMINATION_MS,
+      TERMINATION_TIMEOUT_MS,
     );
     const unanswered = "inFlight" in running ? Number((running as { inFlight: unknown }).inFlight) || 0 : 0;
     this.history.add({ tag: "stopped", at: this.wall(), process: name, unanswered });
-    this.keepErrors(name);
+    this.collectErrors(name);
     this.world.kill(name);
-    this.running.delete(name);
-    this.unreachable.open(this.httpOf(name), this.wall() - TERMINATION_MS);
+    this.daemons.delete(name);
+    this.unreachable.open(this.httpOf(name), this.wall() - TERMINATION_TIMEOUT_MS);
     return ended === true;
   }
   /** @example fleet.freeze("store-1"); */
   freeze(name: string): void {
-    this.acts.push(`freeze ${name}`);
+    this.actions.push(`freeze ${name}`);
     this.unreachable.open(this.httpOf(name), this.wall());
     this.world.processes.get(name)!.freeze();
   }
-  wake(name: string): void {
-    this.unreachable.closeOldest(this.httpOf(name), this.wall() + AWAKE_AGAIN_MS);
-    this.world.processes.get(name)!.wake();
-    this.restored(`${name} woke`);
+  resume(name: string): void {
+    this.unreachable.closeOldest(this.httpOf(name), this.wall() + RESUME_RECONNECT_MS);
+    this.world.processes.get(name)!.resume();
+    this.recordRestored(`${name} woke`);
   }
-  private restored(what: string): void {
+  private recordRestored(what: string): void {
     this.history.add({ tag: "restored", at: this.wall(), what });
   }
   /** Cuts a set of processes off from all others. @example fleet.cutOff(["store-1"], "both"); */
-  cutOff(names: string[], way: "in" | "out" | "both" = "both"): void {
-    this.acts.push(`cut off ${names.join(" ")} ${way}`);
+  partition(names: string[], direction: "in" | "out" | "both" = "both"): void {
+    this.actions.push(`cut off ${names.join(" ")} ${direction}`);
     for (const name of names) this.unreachable.open(this.httpOf(name), this.wall());
-    this.world.isolate(names, way);
+    this.world.isolate(names, direction);
   }
   /** Nothing comes from some processes to another. @example fleet.deafen("ingress-1", ["store-1"]); */
-  deafen(name: string, to: string[]): void {
-    this.acts.push(`${name} hears nothing from ${to.join(" ")}`);
+  blockIncoming(name: string, to: string[]): void {
+    this.actions.push(`${name} hears nothing from ${to.join(" ")}`);
     this.unreachable.open(this.httpOf(name), this.wall());
     for (const other of to) this.world.partition(other, name);
   }
   heal(): void {
     this.world.heal();
-    this.restored("cuts healed");
-    this.unreachable.closeAll(this.wall() + IN_TOUCH_AGAIN_MS);
+    this.recordRestored("cuts healed");
+    this.unreachable.closeAll(this.wall() + RECONNECT_MS);
   }
   /** @example fleet.httpOf("store-1") */
   httpOf = (name: string): string => this.plan.processes.find((each) => each.name === name)?.settings.http ?? name;
   /** Notes a fault for the bounds in seconds. @example fleet.fault("store-1 lost", true); */
-  fault(fault: string, heavy: boolean): void {
+  recordFault(fault: string, heavy: boolean): void {
     this.history.add({ tag: "fault", at: this.wall(), fault, heavy });
   }
 
@@ -390,20 +392,20 @@
   startEndpoint(settings: EndpointSettings): void {
     const process = this.world.start(`replica-${settings.id}`, new SimDisk(this.world));
     const endpoint = new StandInEndpoint(process.env, settings);
-    this.endpoints.set(settings.id, { process, replica: endpoint });
-    this.pastEndpoints.push(endpoint);
+    this.endpoints.set(settings.id, { process, endpoint });
+    this.startedEndpoints.push(endpoint);
     this.history.add({ tag: "replicaStarted", at: this.wall(), replica: settings.id, capacity: settings.capacity });
     Csp.go(process.scope, "main", () => endpoint.start());
   }
   killEndpoint(id: string): void {
-    this.acts.push(`kill replica ${id}`);
+    this.actions.push(`kill replica ${id}`);
     this.world.kill(`replica-${id}`);
   }
   /** Goodbye, work in flight ends, then the process ends and a new one comes. @example await fleet.replaceReplica("model-1", "v2"); */
   async replaceEndpoint(id: string, version: string): Promise<void> {
-    this.acts.push(`replace replica ${id}`);
-    const { process, replica: endpoint } = this.endpoints.get(id)!;
-    if (await this.world.finish(process, () => endpoint.deregister(), 3000))
+    this.actions.push(`replace replica ${id}`);
+    const { process, endpoint } = this.endpoints.get(id)!;
+    if (await this.world.runTask(process, () => endpoint.deregister(), 3000))
       this.history.add({ tag: "goodbye", at: this.wall(), replica: id });
     await this.run(4000);
     this.world.kill(`replica-${id}`);
@@ -413,29 +415,29 @@
 
   // ---------- operators ----------
   /** Asks some node, as an operator would. @example await fleet.operate("GET", "/v1/members"); */
-  operate = (
+  send = (
     method: string,
     path: string,
     body?: unknown,
     headers?: Record<string, string>,
     address?: string,
-  ): Promise<NodeResponse | undefined> => this.operator.operate(method, path, body, headers, address);
+  ): Promise<NodeResponse | undefined> => this.operator.send(method, path, body, headers, address);
   /** A configuration with one more marked route, made against the version that is read first. @example await fleet.change(1); */
-  change = (routes = 1): Promise<ChangeOutcome> => this.operator.changeConfiguration(routes);
+  changeConfiguration = (routes = 1): Promise<ChangeOutcome> => this.operator.changeConfiguration(routes);
   /** The same, made against a configuration read before. @example await fleet.changeFrom(body, 400); */
-  changeFrom = (base: ConfigurationBody, routes = 1, address?: string): Promise<ChangeOutcome> =>
+  changeConfigurationFrom = (base: ConfigurationBody, routes = 1, address?: string): Promise<ChangeOutcome> =>
     this.operator.changeConfigurationFrom(base, routes, address);
   /** The id of the member that runs under a name, as some node knows it. @example await fleet.memberIdOf("store-1") */
   async memberIdOf(name: string): Promise<string> {
-    const response = await this.operate("GET", "/v1/members");
+    const response = await this.send("GET", "/v1/members");
     const { members } = response!.body as MembersBody;
     const { address } = this.planOf(name).settings;
     return members.find((member) => member.address === address)!.id;
   }
   /** A calendar entry due now; its last known state. @example await fleet.move({ kind: "drain", district: "north" }, 10_000); */
-  async move(move: Record<string, unknown>, withinMs: number): Promise<string> {
-    this.acts.push(`move ${JSON.stringify(move).slice(0, 80)}`);
-    return this.operator.runPlanned(move, withinMs);
+  async runPlannedOperation(move: Record<string, unknown>, withinMs: number): Promise<string> {
+    this.actions.push(`move ${JSON.stringify(move).slice(0, 80)}`);
+    return this.operator.runPlannedOperation(move, withinMs);
   }
   /** The store that leads most shards now. @example fleet.busiestStore() */
   busiestStore(): string {
@@ -453,14 +455,14 @@
   }
 
   /** Ends the day: callers finish, everything is read back, the history is judged. @example const violations = await fleet.close(); */
-  async close(): Promise<Violation[]> {
+  async stopAndCheck(): Promise<Violation[]> {
     this.world.heal();
-    for (const process of this.world.processes.values()) process.wake();
+    for (const process of this.world.processes.values()) process.resume();
     await this.finishCallers();
     await this.readBack();
-    for (const name of this.world.processes.keys()) this.keepErrors(name);
+    for (const name of this.world.processes.keys()) this.collectErrors(name);
     this.audit.recordDisks(this.history);
-    const violations = this.judge();
+    const violations = this.checkHistory();
     for (const name of [...this.world.processes.keys()]) this.world.kill(name);
     return violations;
   }
@@ -468,26 +470,26 @@
     this.callers.stopNew();
     for (let waited = 0; this.callers.running > 0 && waited < 120; waited += 1) await this.run(1000);
     for (const address of this.plan.ingressHttp.slice(0, 3))
-      await this.world.finish(this.operator.process, () => this.callers.reread(address), 200_000);
+      await this.world.runTask(this.operator.process, () => this.callers.reread(address), 200_000);
   }
   private async readBack(): Promise<void> {
-    const response = await this.operate("GET", "/v1/manifest");
+    const response = await this.send("GET", "/v1/manifest");
     const configuration = response?.status === 200 ? (response.body as ConfigurationBody) : undefined;
     const mark = configuration ? markersOf(configuration.doc) : "";
     this.history.add({ tag: "dayEnd", at: this.wall(), version: configuration?.version ?? 0, mark });
-    this.history.add({ tag: "ledger", at: this.wall(), ingress: "the follower", stamps: this.followed });
+    this.history.add({ tag: "ledger", at: this.wall(), ingress: "the follower", stamps: this.ledgerStampsRead });
     for (const address of this.plan.ingressHttp.slice(0, 2)) {
-      const stamps = await this.operator.readLedger(address, CLOSING_LEDGER_PAGE, CLOSING_LEDGER_PAGES);
+      const stamps = await this.operator.readLedger(address, FINAL_LEDGER_PAGE_SIZE, FINAL_LEDGER_MAX_PAGES);
       this.history.add({ tag: "ledger", at: this.wall(), ingress: address, stamps });
     }
   }
-  private judge(): Violation[] {
+  private checkHistory(): Violation[] {
     const options: CheckOptions = {
       plannedOnly: this.plannedOnly,
       settledAt: this.settledAt,
       unreachable: (node, from, to) => this.unreachable.covers(node, from, to),
     };
-    const violations = Checker.check(this.history, this.pastEndpoints, options);
+    const violations = Checker.check(this.history, this.startedEndpoints, options);
     for (const error of this.errors) violations.push({ invariant: "no-task-error", detail: error.slice(0, 600) });
     const kinds = ["lookup", "streamEnd", "lotFinished"] as const;
     if (kinds.some((kind) => this.history.of(kind).length === 0))
--- a/src/simulation/simOperator.ts
+++ b/src/simulation/simOperator.ts
@@ -109,7 +109,7 @@
     return { status: response.value.status, headers: response.value.headers, body: parseBody(text) };
   }
   /** One request to some running node, virtual time passing. @example await operator.operate("GET", "/v1/members"); */
-  async operate(
+  async send(
     method: string,
     path: string,
     body?: unknown,
@@ -117,17 +117,17 @@
     address = this.anyNode(),
   ): Promise<NodeResponse | undefined> {
     const request = { method, path, body, headers, address, timeoutMs: REQUEST_TIMEOUT_MS };
-    return this.fleet.world.finish(this.process, () => this.request(request), OPERATION_TIMEOUT_MS);
+    return this.fleet.world.runTask(this.process, () => this.request(request), OPERATION_TIMEOUT_MS);
   }
   /** Adds marker routes to the configuration that is read first. @example await operator.changeConfiguration(1); */
   async changeConfiguration(routes = 1): Promise<ChangeOutcome> {
-    const current = await this.operate("GET", "/v1/manifest");
+    const current = await this.send("GET", "/v1/manifest");
     if (current?.status !== 200) return { outcome: "unread", version: 0 };
     return this.changeConfigurationFrom(current.body as ConfigurationBody, routes);
   }
   /** The same, read from and sent to one node. @example await operator.changeConfigurationAt(fleet.httpOf("control-1")); */
   async changeConfigurationAt(address: string): Promise<ChangeOutcome> {
-    const current = await this.operate("GET", "/v1/manifest", undefined, {}, address);
+    const current = await this.send("GET", "/v1/manifest", undefined, {}, address);
     if (current?.status !== 200) return { outcome: "unread", version: 0 };
     return this.changeConfigurationFrom(current.body as ConfigurationBody, 1, address);
   }
@@ -140,21 +140,21 @@
     doc.bindings[mark] = { ...MARKER_ROUTE };
     const changeId = `change-${this.fleet.seed}-${number}`;
     const headers = { "if-match": `"${base.version}"`, "x-change-id": changeId };
-    const response = await this.operate("PUT", "/v1/manifest", doc, headers, address);
+    const response = await this.send("PUT", "/v1/manifest", doc, headers, address);
     const version = response?.status === 200 ? (response.body as ChangeBody).version : 0;
     const outcome = response?.status === 200 ? "acknowledged" : response?.status === 412 ? "refused" : "unknown";
     this.history.add({ tag: "change", at: this.fleet.wall(), what: "manifest", changeId, outcome, version, mark });
     return { outcome, version };
   }
   /** Enters a planned operation due now and follows it; its last known state. @example await operator.runPlanned({ kind: "drain", district: "north" }, 10_000); */
-  async runPlanned(operation: Record<string, unknown>, withinMs: number): Promise<string> {
+  async runPlannedOperation(operation: Record<string, unknown>, withinMs: number): Promise<string> {
     const id = `move-${this.nextNumber()}`;
-    const status = await this.enter(id, operation);
+    const status = await this.submitOperation(id, operation);
     if (status !== 200) return `not taken: ${status}`;
     const acknowledgedAt = this.fleet.wall();
     const zone = String(operation.district);
     if (operation.kind === "drain") this.history.add({ tag: "drained", at: acknowledgedAt, district: zone });
-    const state = await this.follow(id, withinMs);
+    const state = await this.pollState(id, withinMs);
     if (operation.kind === "undrain") this.history.add({ tag: "undrained", at: acknowledgedAt, district: zone });
     return state;
   }
@@ -164,7 +164,7 @@
     let after = "";
     for (let page = 0; page < pages; page += 1) {
       const path = `/v1/ledger?limit=${pageSize}&after=${encodeURIComponent(after)}`;
-      const response = await this.operate("GET", path, undefined, {}, address);
+      const response = await this.send("GET", path, undefined, {}, address);
       if (response?.status !== 200) break;
       const { entries, next } = response.body as LedgerPage;
       if (entries.length === 0) break;
@@ -187,19 +187,19 @@
     });
     return running[Math.floor(world.random() * running.length)].settings.http;
   }
-  private async enter(id: string, operation: Record<string, unknown>): Promise<number | undefined> {
+  private async submitOperation(id: string, operation: Record<string, unknown>): Promise<number | undefined> {
     const body = { due: "now", move: operation };
     const headers = { "if-match": '"0"', "x-change-id": id };
     let status: number | undefined;
     for (let attempt = 0; attempt < CALENDAR_ATTEMPTS && status !== 200; attempt += 1)
-      status = (await this.operate("PUT", `/v1/calendar/${id}`, body, headers))?.status;
+      status = (await this.send("PUT", `/v1/calendar/${id}`, body, headers))?.status;
     return status;
   }
-  private async follow(id: string, withinMs: number): Promise<string> {
+  private async pollState(id: string, withinMs: number): Promise<string> {
     const { world } = this.fleet;
     let state = "";
     for (const until = world.now + withinMs; world.now < until;) {
-      const response = await this.operate("GET", `/v1/calendar/${id}`);
+      const response = await this.send("GET", `/v1/calendar/${id}`);
       if (response?.status === 200) {
         const { fate, detail } = response.body as CalendarEntryBody;
         state = `${fate}${detail ? `: ${detail}` : ""}`;
--- a/src/simulation/simProcess.ts
+++ b/src/simulation/simProcess.ts
@@ -22,7 +22,7 @@
   alive = true;
   frozen = false;
   /** Its machine lost power: what still stood in its send buffers is gone. */
-  unsentLost = false;
+  unsentMessagesLost = false;
   /** How far its wall clock is ahead of virtual time, in milliseconds. */
   skewMs = 0;
   /** Bandwidth of its network link, each way, in bytes per millisecond; 20 Mbit/s are 2500. */
@@ -37,7 +37,7 @@
   /** Errors of its tasks that nobody caught. */
   readonly errors: string[] = [];
   /** How often it reached each numbered fault point. */
-  readonly pointHits = new Map<number, number>();
+  readonly faultPointHits = new Map<number, number>();
   private deferred: (() => void)[] = [];
 
   constructor(
@@ -62,7 +62,7 @@
     this.frozen = true;
   }
   /** Lets a frozen process go on: what came meanwhile is delivered in order. @example process.wake(); */
-  wake(): void {
+  resume(): void {
     if (!this.frozen) return;
     this.frozen = false;
     for (const run of this.deferred.splice(0)) run();
--- a/test/batchJobFleet.ts
+++ b/test/batchJobFleet.ts
@@ -121,7 +121,7 @@
       http: `127.0.0.1:${89 + 2 * index}`,
       seeds,
     };
-    const started = await this.world.finish(process, () => Node.start(env, settings, "agent"), 5000);
+    const started = await this.world.runTask(process, () => Node.start(env, settings, "agent"), 5000);
     if (!started?.ok) throw new Error("no caller");
     const node = started.value;
     this.nodes.push(node);
@@ -148,7 +148,7 @@
       slots: this.size.slots,
     });
     this.endpoints.push(endpoint);
-    await this.world.finish(process, () => endpoint.start(), 1000);
+    await this.world.runTask(process, () => endpoint.start(), 1000);
     const fleet = this;
     Csp.go(this.caller.scope, `announce ${id}`, function* () {
       while (!fleet.departed.has(id)) {
@@ -199,7 +199,7 @@
   }
   /** Runs a call in the first submitting process; undefined if it takes too long. @example await fleet.call((host) => new BatchJobReader(host).list("L1", 0, 0)) */
   call<T>(body: (host: BatchJobContext) => Task<T>, withinMs = 20_000): Promise<T | undefined> {
-    return this.world.finish(this.caller, () => body(this.host), withinMs);
+    return this.world.runTask(this.caller, () => body(this.host), withinMs);
   }
   items = (job: string, count: number, tokens = 100): SubmittedItem[] =>
     Array.from({ length: count }, (_each, index) => ({
@@ -265,7 +265,7 @@
     this.world.processes.get(name)!.freeze();
   }
   wake(name: string): void {
-    this.world.processes.get(name)!.wake();
+    this.world.processes.get(name)!.resume();
   }
   errors = (): string[] => [...this.world.processes.values()].flatMap((process) => process.errors);
 }
--- a/test/controlFleet.ts
+++ b/test/controlFleet.ts
@@ -111,7 +111,7 @@
   /** SIGTERM, to its end. @example await fleet.terminate("control-1"); */
   async terminate(name: string): Promise<void> {
     const running = this.running.get(name)!;
-    await this.world.finish(
+    await this.world.runTask(
       this.world.processes.get(name)!,
       function* () {
         yield* running.stop();
@@ -187,7 +187,7 @@
     const up = this.names("control").find((name) => this.running.has(name));
     const to = address ?? (up ? this.settings.get(up)!.http : "127.0.0.1:1");
     const text = body === undefined || typeof body === "string" ? body : JSON.stringify(body);
-    const answered = await this.world.finish(
+    const answered = await this.world.runTask(
       this.operator,
       function* () {
         const response = yield* env.http(to, { method, path, body: text, headers, timeoutMs: 8000 });
--- a/test/cutOff.test.ts
+++ b/test/cutOff.test.ts
@@ -49,7 +49,7 @@
   return [...old];
 }
 const freeze = (fleet: ControlFleet, name: string): void => fleet.world.processes.get(name)!.freeze();
-const wake = (fleet: ControlFleet, name: string): void => fleet.world.processes.get(name)!.wake();
+const wake = (fleet: ControlFleet, name: string): void => fleet.world.processes.get(name)!.resume();
 
 describe("cut off from the majority of the control group", () => {
   const cases: { seed: number; way: Way; resets: boolean; leading: boolean; cutMs: number }[] = [
--- a/test/drainOrders.test.ts
+++ b/test/drainOrders.test.ts
@@ -67,14 +67,14 @@
       const frozen = fleet.world.processes.get(name)!;
       frozen.freeze();
       const { env } = fleet.operator;
-      const lost = await fleet.world.finish(
+      const lost = await fleet.world.runTask(
         fleet.operator,
         () => env.http(at(fleet, name), { method: "POST", path: "/v1/districts/north/drain", timeoutMs: 1000 }),
         2000,
       );
       expect(lost?.ok).toBe(false);
       await fleet.run(20_000);
-      frozen.wake();
+      frozen.resume();
       await fleet.run(6000);
       expect([seed, drained(fleet)]).toEqual([seed, []]);
       expect(fleet.close()).toEqual([]);
@@ -85,7 +85,7 @@
     await fleet.run(3000);
     const [rpc, leader] = [new Rpc(fleet.operator.env, "test", "asker"), fleet.leader()!];
     const ask = (body: ControlRequest): Promise<any> =>
-      fleet.world.finish(
+      fleet.world.runTask(
         fleet.operator,
         () => rpc.call(fleet.settings.get(leader)!.address, "control.op", body, 2000),
         3000,
--- a/test/segments.test.ts
+++ b/test/segments.test.ts
@@ -96,7 +96,7 @@
   ]);
 }
 const runInProcess = async <T>(world: SimWorld, process: SimProcess, body: () => Task<T>): Promise<T> => {
-  const done = await world.finish(process, body, 10_000_000);
+  const done = await world.runTask(process, body, 10_000_000);
   expect(process.errors).toEqual([]);
   return done as T;
 };
@@ -114,7 +114,7 @@
     for (const [file, data] of disk.under("d")) {
       const bytes = Buffer.from(data);
       if (file === name) damage(bytes);
-      yield* copy.of(damagedProcess).write(`d/${file}`, bytes);
+      yield* copy.forProcess(damagedProcess).write(`d/${file}`, bytes);
     }
   });
   return runInProcess(world, damagedProcess, function* () {
