--- a/src/simulation/campaign.ts
+++ b/src/simulation/campaign.ts
@@ -3,27 +3,33 @@
 import { Scenario } from "./scenarios/scenarios";
 import { SimFleet } from "./simFleet";
 
+/** Result of one simulated run. */
 export type RunReport = {
   scenario: string;
   seed: number;
+  /** Fault point; 0 if the scenario has none. */
   point: number;
   violations: Violation[];
+  /** What the scenario did to the fleet. */
   actions: string[];
   notes: string[];
   virtualMs: number;
+  /** Real time of the run, in ms. */
   tookMs: number;
+  /** Number of requests and results served. */
   served: number;
   fleet: SimFleet;
 };
 
 /**
- * Runs scenarios with seeds and judges each run.
+ * Runs a scenario with a seed and checks the invariants on its history.
  *
  * @example
  * const report = await Campaign.run(deployment, Scenarios.find("calm")!, 7, 0);
  * report.violations;
  */
 export const Campaign = {
+  /** A run that throws is reported as a violation of the invariant "exercised". */
   async run(
     deployment: Deployment,
     scenario: Scenario,
@@ -55,10 +61,10 @@
       fleet,
     };
   },
-  /** One line of a report. @example Campaign.line(report, "deploy/small.json") */
+  /** A line with the result. After a failed run, the first violations and the command that repeats the run follow. */
   formatReport(report: RunReport, file: string): string {
     const replay = `petrelbeam sim ${file} --scenario ${report.scenario} --seed ${report.seed}${report.point ? ` --point ${report.point}` : ""}`;
-    const head = `${report.violations.length === 0 ? "well     " : "VIOLATION"} ${report.scenario}${report.point ? ` point ${report.point}` : ""} seed ${report.seed}: ${(report.virtualMs / 1000).toFixed(0)} s virtual in ${(report.tookMs / 1000).toFixed(1)} s, ${report.served} served`;
+    const head = `${report.violations.length === 0 ? "passed   " : "VIOLATION"} ${report.scenario}${report.point ? ` point ${report.point}` : ""} seed ${report.seed}: ${(report.virtualMs / 1000).toFixed(0)} s virtual in ${(report.tookMs / 1000).toFixed(1)} s, ${report.served} served`;
     if (report.violations.length === 0) return head;
     return [
       head,
--- a/src/simulation/diskAudit.ts
+++ b/src/simulation/diskAudit.ts
@@ -6,13 +6,14 @@
 
 const SLOT_COUNT = 2;
 
-/** What the audit needs to know of the fleet. */
+/** What the audit reads from the fleet. */
 export interface AuditedFleet {
+  /** Wall time, in ms since 1970. */
   wall(): number;
   readonly disks: ReadonlyMap<string, SimDisk>;
-  /** Name of the process that holds a member's disk; undefined once that disk was taken from it. */
+  /** Name of the process with a member's disk, by member id. A member whose disk was wiped is absent. */
   readonly storeNameById: ReadonlyMap<string, string>;
-  /** The committed view of each shard. */
+  /** Committed view of each shard. */
   views(): Record<string, ShardView>;
   replicasOf(name: string): ShardReplica[];
 }
@@ -29,17 +30,14 @@
   left.epoch > right.epoch || (left.epoch === right.epoch && left.seq > right.seq);
 
 /**
- * Checks that every member of every committed view holds on its disk what the shard's leader has acknowledged.
- *
- * @example
- * audit.noteAcknowledged("store-1");
- * audit.recordDisks(history);
+ * Records in the history what the leader of each shard acknowledged and what the disk of each member holds. From this the
+ * checker sees whether every member of every committed view has all acknowledged entries on its disk.
  */
 export class DiskAudit {
   private readonly acknowledged = new Map<number, LogPosition>();
   constructor(private readonly fleet: AuditedFleet) {}
 
-  /** Remembers the last entry that the leaders on a node have acknowledged. @example audit.noteAcknowledged("store-1"); */
+  /** Remembers the last entry acknowledged by each shard leader on the node. */
   recordAcknowledged(name: string): void {
     for (const replica of this.fleet.replicasOf(name)) {
       if (replica.role !== "lead") continue;
@@ -48,7 +46,7 @@
       if (!known || isAfter(last, known)) this.acknowledged.set(replica.shard, last);
     }
   }
-  /** Records in the history how far each member's disk goes. @example audit.recordDisks(history); */
+  /** Adds to the history, for each member of each view, the last entry on its disk and the last one acknowledged. */
   recordDisks(history: History): void {
     for (const view of Object.values(this.fleet.views()))
       for (const id of view.members) {
--- a/src/simulation/eventQueue.ts
+++ b/src/simulation/eventQueue.ts
@@ -1,8 +1,8 @@
-/** An action due at a virtual time. */
+/** An action scheduled at a virtual time. */
 export interface ScheduledEvent {
-  /** Virtual time at which it is due, in milliseconds. */
+  /** Virtual time at which the action is due, in ms. */
   time: number;
-  /** Order of scheduling: events due at one time run in it. */
+  /** Sequence number of scheduling. Events due at the same time run in this order. */
   order: number;
   run: () => void;
 }
@@ -10,21 +10,14 @@
 const isBefore = (left: ScheduledEvent, right: ScheduledEvent): boolean =>
   left.time < right.time || (left.time === right.time && left.order < right.order);
 
-/**
- * Scheduled events as a binary min-heap, the earliest first.
- *
- * @example
- * queue.push({ time: 10, order: 1, run });
- * queue.pop()?.run();
- */
+/** Priority queue of scheduled events, the earliest first, as a binary min-heap. */
 export class EventQueue {
   private readonly heap: ScheduledEvent[] = [];
 
-  /** The earliest event, left in the queue. @example queue.peek()?.time */
+  /** Returns the earliest event and leaves it in the queue. */
   peek(): ScheduledEvent | undefined {
     return this.heap[0];
   }
-  /** @example queue.push({ time: 10, order: 1, run }); */
   push(event: ScheduledEvent): void {
     let index = this.heap.push(event) - 1;
     while (index > 0) {
@@ -34,7 +27,7 @@
       index = parent;
     }
   }
-  /** The earliest event, taken out. @example queue.pop()?.run(); */
+  /** Removes and returns the earliest event. */
   pop(): ScheduledEvent | undefined {
     const earliest = this.heap[0];
     const last = this.heap.pop();
--- a/src/simulation/simDiskSteps.ts
+++ b/src/simulation/simDiskSteps.ts
@@ -3,68 +3,68 @@
 import { Fault, Result } from "../common/fault";
 import { SimFile, SimFolder, SimFileOrFolder } from "./simFiles";
 
-const UNLIMITED_BYTES = 1e12; // bytes; free on a disk that is not full
+/** Free space of a disk that is not full. */
+const UNLIMITED_BYTES = 1e12;
 
-/** What the steps need of the disk that they work on. */
+/** What the elementary operations need from their disk. */
 export interface SteppedDisk {
   readonly failing: boolean;
   readonly full: boolean;
-  /** Syncs that succeeded. */
+  /** Number of syncs that succeeded. */
   syncCount: number;
   find(path: string): SimFileOrFolder | undefined;
-  /** The folder that a path is in, and the name that it has there. */
+  /** The folder that contains a path, and the last part of the path; undefined if there is no such folder. */
   parentOf(path: string): { folder: SimFolder; name: string } | undefined;
-  /** The file at a path, made where it isn't there; undefined where its folder isn't. */
+  /** The file at a path, created if it does not exist; undefined if there is no folder for it. */
   findOrCreateFile(path: string): SimFile | undefined;
 }
 
 /**
- * The single steps of a disk, on simulated files; each sync takes as long as `wait`.
+ * The elementary disk operations on simulated files. Each sync runs `wait` and then covers the changes that were there when
+ * it began.
  *
  * @param name of the process, for faults
- * @example
- * const steps = simDiskSteps(disk, "store-1", function* () {});
  */
 export function simDiskSteps(disk: SteppedDisk, name: string, wait: () => Task<void>): DiskSteps {
   const fail = (step: string, code: string): Result<never> => Fault.fail("disk", step, name, code);
-  const refused = (step: string): Result<never> | undefined =>
+  const writeFault = (step: string): Result<never> | undefined =>
     disk.failing ? fail(step, "EIO") : disk.full ? fail(step, "ENOSPC") : undefined;
   const syncContent = function* (step: string, file: SimFile): Task<Result<true>> {
-    const covered = file.unsynced();
+    const covered = file.unsyncedChanges();
     yield* wait();
     if (disk.failing) {
       file.recordFailedSync();
       return fail(step, "EIO");
     }
     disk.syncCount += 1;
-    file.synced(covered);
+    file.recordSync(covered);
     return Fault.ok(true as const);
   };
   return {
     *read(path) {
-      const node = disk.find(path);
-      return Fault.ok(node instanceof SimFile ? Buffer.from(node.content) : undefined);
+      const entry = disk.find(path);
+      return Fault.ok(entry instanceof SimFile ? Buffer.from(entry.content) : undefined);
     },
     *list(path) {
-      const node = disk.find(path);
-      return Fault.ok(node instanceof SimFolder ? [...node.names.keys()].sort() : []);
+      const entry = disk.find(path);
+      return Fault.ok(entry instanceof SimFolder ? [...entry.names.keys()].sort() : []);
     },
     *exists(path) {
       return Fault.ok(disk.find(path) instanceof SimFolder);
     },
     *makeFolder(path) {
-      const place = disk.parentOf(path);
-      if (!place) return fail(`make ${path}`, "ENOENT");
-      const refusal = refused(`make ${path}`);
-      if (place.folder.names.has(place.name)) return Fault.ok(true as const);
-      if (refusal) return refusal;
-      place.folder.change({ tag: "made", name: place.name, node: new SimFolder() });
+      const location = disk.parentOf(path);
+      if (!location) return fail(`make ${path}`, "ENOENT");
+      const fault = writeFault(`make ${path}`);
+      if (location.folder.names.has(location.name)) return Fault.ok(true as const);
+      if (fault) return fault;
+      location.folder.change({ tag: "created", name: location.name, entry: new SimFolder() });
       return Fault.ok(true as const);
     },
     *writeAndSync(path, mode, data) {
       const step = `${mode === "append" ? "append" : "write"} ${path}`;
-      const refusal = refused(step);
-      if (refusal) return refusal;
+      const fault = writeFault(step);
+      if (fault) return fault;
       const file = disk.findOrCreateFile(path);
       if (!file) return fail(step, "ENOENT");
       if (mode === "replace" && file.content.length > 0) file.change({ tag: "resize", size: 0 });
@@ -85,30 +85,30 @@
     *syncFolder(path) {
       const folder = disk.find(path);
       if (!(folder instanceof SimFolder)) return fail(`sync ${path}`, "ENOENT");
-      const covered = folder.unsynced();
+      const covered = folder.unsyncedChanges();
       yield* wait();
       if (disk.failing) return fail(`sync ${path}`, "EIO");
       disk.syncCount += 1;
-      folder.synced(covered);
+      folder.recordSync(covered);
       return Fault.ok(true as const);
     },
     *rename(from, to) {
       const [source, target] = [disk.parentOf(from), disk.parentOf(to)];
-      const node = source?.folder.names.get(source.name);
-      if (!source || !node || source.folder !== target?.folder) return fail(`rename ${from}`, "ENOENT");
+      const entry = source?.folder.names.get(source.name);
+      if (!source || !entry || source.folder !== target?.folder) return fail(`rename ${from}`, "ENOENT");
       if (disk.failing) return fail(`rename ${from}`, "EIO");
-      source.folder.change({ tag: "renamed", from: source.name, to: target.name, node });
+      source.folder.change({ tag: "renamed", from: source.name, to: target.name, entry });
       return Fault.ok(true as const);
     },
     *remove(path) {
-      const place = disk.parentOf(path);
-      if (place?.folder.names.has(place.name)) place.folder.change({ tag: "removed", name: place.name });
+      const location = disk.parentOf(path);
+      if (location?.folder.names.has(location.name)) location.folder.change({ tag: "removed", name: location.name });
       return Fault.ok(true as const);
     },
     *free() {
       return Fault.ok(disk.full ? 0 : UNLIMITED_BYTES);
     },
-    /** Each simulated process has its own disk; the file stands for what a lock leaves behind. */
+    /** Locks nothing, since each simulated process has its own disk. It leaves a lock file, as the production code does. */
     *lock(folder, owner) {
       disk.findOrCreateFile(`${folder}/lock`)?.change({ tag: "write", offset: 0, data: Buffer.from(owner) });
       return Fault.ok(true as const);
--- a/src/simulation/simEnvironment.ts
+++ b/src/simulation/simEnvironment.ts
@@ -5,52 +5,52 @@
 import { NetworkClock, SimNetwork } from "./simNetwork";
 import type { SimProcess } from "./simProcess";
 
-/** Wall time at the start of virtual time, in milliseconds since 1970. */
+/** Wall time at the start of virtual time, in ms since 1970. */
 export const WALL_CLOCK_START_MS = 1_790_000_000_000;
-const MONOTONIC_START_MS = 1000; // ms; monotonic time at the start of virtual time
-const ACCEPT_CAPACITY = 1024; // connections; waiting to be accepted at one address
-const DATAGRAM_CAPACITY = 1024; // datagrams; waiting at one socket
-const LOG_LINES_KEPT = 400; // lines; of one process
-const TASK_FAILED_EVENT = 1004; // number of the log event of a task that failed
+/** Monotonic time at the start of virtual time. */
+const MONOTONIC_START_MS = 1000;
+/** Maximum number of connections at one address that wait to be accepted. */
+const ACCEPT_CAPACITY = 1024;
+/** Maximum number of datagrams that wait at one socket. */
+const DATAGRAM_CAPACITY = 1024;
+/** Number of log lines kept for each process. */
+const LOG_LINES_KEPT = 400;
+/** Number of the log event for a failed task. */
+const TASK_FAILED_EVENT = 1004;
 
 interface Listener {
   process: SimProcess;
-  accepted: Chan<Link>;
+  acceptedLinks: Chan<Link>;
 }
 interface Socket {
   process: SimProcess;
   incoming: Chan<{ from: string; data: Buffer }>;
 }
-/** What the environments of all processes share. */
+/** What the environments of all processes need from the simulated world. */
 export interface SimEnvironmentHost extends NetworkClock {
   readonly network: SimNetwork;
   readonly http: SimHttp;
   readonly processes: ReadonlyMap<string, SimProcess>;
-  /** Takes a line of a process's log. */
+  /** Receives each line that a process logs. */
   log(line: string): void;
-  /** Called when a process reaches a numbered fault point. */
+  /** Called when a process reaches a fault point. */
   reachFaultPoint(process: SimProcess, point: number, context?: FaultPointContext): void;
 }
 
-/**
- * Binds the environment of each process to virtual time, the simulated network and its simulated disk.
- *
- * @example
- * const env = environments.of(process);
- */
+/** Creates the environment of each process, with virtual time, the simulated network and the process's simulated disk. */
 export class SimEnvironments {
   private readonly listeners = new Map<string, Listener>();
   private readonly sockets = new Map<string, Socket>();
 
   constructor(private readonly host: SimEnvironmentHost) {}
 
-  /** Frees every address that a process listened at. @example environments.release(process); */
+  /** Frees all addresses of a process. */
   release(process: SimProcess): void {
     for (const [address, { process: owner }] of this.listeners) if (owner === process) this.listeners.delete(address);
     for (const [address, { process: owner }] of this.sockets) if (owner === process) this.sockets.delete(address);
     this.host.http.stopServing(process);
   }
-  /** The environment of a process. @example environments.of(process).mono() */
+  /** The environment of a process. */
   of(process: SimProcess): Environment {
     const { host } = this;
     const environments = this;
@@ -82,18 +82,18 @@
   }
 
   private timer(process: SimProcess, ms: number): Timer {
-    const chan = Csp.alarm();
+    const closed = Csp.alarm();
     let cancelled = false;
     this.host.schedule(ms, () => {
-      if (!cancelled) process.deliver(() => chan.close());
+      if (!cancelled) process.deliver(() => closed.close());
     });
-    return { chan, cancel: () => (cancelled = true) };
+    return { chan: closed, cancel: () => (cancelled = true) };
   }
   private listen(process: SimProcess, address: string): Result<Chan<Link>> {
     if (this.listeners.has(address)) return Fault.fail("internal", "listen", address, "address in use");
-    const accepted = Csp.chan<Link>(ACCEPT_CAPACITY);
-    this.listeners.set(address, { process, accepted });
-    return Fault.ok(accepted);
+    const acceptedLinks = Csp.chan<Link>(ACCEPT_CAPACITY);
+    this.listeners.set(address, { process, acceptedLinks });
+    return Fault.ok(acceptedLinks);
   }
   private *connect(process: SimProcess, address: string, timeoutMs: number): Task<Result<Link>> {
     const { host } = this;
@@ -119,10 +119,10 @@
     if (!listener.process.alive) return refuse("connection refused");
     if (!process.alive) return;
     if (network.connected(process, listener.process))
-      settle(Fault.ok(network.connect(process, listener.process, listener.accepted, address)));
+      settle(Fault.ok(network.connect(process, listener.process, listener.acceptedLinks, address)));
     else if (network.partitionsReset) refuse("connection reset");
   }
-  /** Whether any other process runs: somebody has to refuse a connection to an address where nobody listens. */
+  /** A connection to an address without a listener is refused if another process runs; otherwise it gets no response. */
   private isAnotherProcessRunning(process: SimProcess): boolean {
     return [...this.host.processes.values()].some((other) => other.alive && other !== process);
   }
--- a/src/simulation/simFiles.ts
+++ b/src/simulation/simFiles.ts
@@ -1,20 +1,20 @@
-/** Decides what becomes of each unsynced change when power is lost: one of so many outcomes, 0 for lost, the last for kept. */
+/** Decides the outcome of each unsynced change at a power loss. */
 export interface PowerLoss {
+  /** A number from 0 for lost to `outcomes` - 1 for kept. */
   pickOutcome(outcomes: number): number;
-  /** Where a write of so many bytes is torn. */
+  /** The offset at which a write of that many bytes is torn. */
   pickTearOffset(bytes: number): number;
 }
 /** A change of a file's content. */
 export type ContentChange = { tag: "write"; offset: number; data: Buffer } | { tag: "resize"; size: number };
-/** A change of a folder's names. */
+/** A change of the names in a folder. */
 export type NameChange =
-  | { tag: "made"; name: string; node: SimFileOrFolder }
-  | { tag: "renamed"; from: string; to: string; node: SimFileOrFolder }
+  | { tag: "created"; name: string; entry: SimFileOrFolder }
+  | { tag: "renamed"; from: string; to: string; entry: SimFileOrFolder }
   | { tag: "removed"; name: string };
-/** A file or folder. */
 export type SimFileOrFolder = SimFile | SimFolder;
 
-/** What becomes of an unsynced write when power is lost. */
+/** Outcome of an unsynced write at a power loss. */
 const WriteOutcome = { missing: 0, firstPart: 1, lastPart: 2, complete: 3 } as const;
 const WRITE_OUTCOMES = Object.keys(WriteOutcome).length;
 
@@ -31,36 +31,39 @@
 }
 function applyNameChange(names: Map<string, SimFileOrFolder>, change: NameChange): void {
   switch (change.tag) {
-    case "made":
-      names.set(change.name, change.node);
+    case "created":
+      names.set(change.name, change.entry);
       return;
     case "renamed":
       names.delete(change.from);
-      names.set(change.to, change.node);
+      names.set(change.to, change.entry);
       return;
     case "removed":
       names.delete(change.name);
   }
 }
 
-/** A file: its content as processes see it, its durable content, and the changes between the two. */
+/** A file with its current content, its durable content and the unsynced changes. */
 export class SimFile {
+  /** Content that processes read. */
   content: Buffer = Buffer.alloc(0);
+  /** Content that survives a power loss. */
   durable: Buffer = Buffer.alloc(0);
+  /** Changes that are not durable yet, in order. */
   private pending: ContentChange[] = [];
   private syncFailed = false;
   change(change: ContentChange): void {
     this.content = applyChange(this.content, change);
     this.pending.push(change);
   }
-  /** The changes that a sync which begins now will cover. */
-  unsynced = (): ContentChange[] => [...this.pending];
-  synced(covered: ContentChange[]): void {
-    const done = new Set(covered);
-    // after a failed sync nobody knows what is durable, also if a later one succeeds
+  /** The changes that a sync covers if it begins now. */
+  unsyncedChanges = (): ContentChange[] => [...this.pending];
+  recordSync(covered: ContentChange[]): void {
+    const coveredChanges = new Set(covered);
+    // After a failed sync it is unknown which changes are durable, even if a later sync succeeds.
     if (this.syncFailed) return;
-    for (const change of this.pending) if (done.has(change)) this.durable = applyChange(this.durable, change);
-    this.pending = this.pending.filter((change) => !done.has(change));
+    for (const change of this.pending) if (coveredChanges.has(change)) this.durable = applyChange(this.durable, change);
+    this.pending = this.pending.filter((change) => !coveredChanges.has(change));
     if (this.pending.length === 0) this.durable = this.content;
   }
   recordFailedSync(): void {
@@ -90,32 +93,34 @@
     });
   }
 }
-/** A folder: its names as processes see them, its durable names, and the changes between the two. */
+/** A folder with its current names, its durable names and the unsynced changes. */
 export class SimFolder {
+  /** Names that processes see. */
   readonly names = new Map<string, SimFileOrFolder>();
+  /** Names that survive a power loss. */
   durable = new Map<string, SimFileOrFolder>();
   private pending: NameChange[] = [];
   change(change: NameChange): void {
     applyNameChange(this.names, change);
     this.pending.push(change);
   }
-  /** The changes that a sync which begins now will cover. */
-  unsynced = (): NameChange[] => [...this.pending];
-  synced(covered: NameChange[]): void {
-    const done = new Set(covered);
-    for (const change of this.pending) if (done.has(change)) applyNameChange(this.durable, change);
-    this.pending = this.pending.filter((change) => !done.has(change));
+  /** The changes that a sync covers if it begins now. */
+  unsyncedChanges = (): NameChange[] => [...this.pending];
+  recordSync(covered: NameChange[]): void {
+    const coveredChanges = new Set(covered);
+    for (const change of this.pending) if (coveredChanges.has(change)) applyNameChange(this.durable, change);
+    this.pending = this.pending.filter((change) => !coveredChanges.has(change));
   }
   losePower(loss: PowerLoss, visited: Set<SimFileOrFolder>): void {
     for (const change of this.pending) if (loss.pickOutcome(2) === 1) applyNameChange(this.durable, change);
     this.pending = [];
     this.names.clear();
-    for (const [name, node] of this.durable) {
-      this.names.set(name, node);
-      if (visited.has(node)) continue;
-      visited.add(node);
-      if (node instanceof SimFile) node.losePower(loss);
-      else node.losePower(loss, visited);
+    for (const [name, entry] of this.durable) {
+      this.names.set(name, entry);
+      if (visited.has(entry)) continue;
+      visited.add(entry);
+      if (entry instanceof SimFile) entry.losePower(loss);
+      else entry.losePower(loss, visited);
     }
   }
 }
--- a/src/simulation/simFleet.ts
+++ b/src/simulation/simFleet.ts
@@ -19,41 +19,41 @@
 import { SimProcess, SimWorld } from "./simWorld";
 import { UnreachableWindows } from "./unreachableWindows";
 
-const ACKNOWLEDGED_POINT = 47; // fault point: an entry is on every member of the view, just acknowledged
-const VIEW_COMMITTED_POINT = 38; // fault point: a shard view was committed, not yet installed
-const READY_POLL_MS = 200; // ms; between looks at whether the fleet is ready
+const ACKNOWLEDGED_POINT = 47; // fault point: an entry is synced at every member of the view and was just acknowledged
+const VIEW_COMMITTED_POINT = 38; // fault point: a shard view is committed but not installed yet
+const READY_POLL_MS = 200; // interval between checks whether the fleet is ready
 const CONFIGURE_ATTEMPTS = 60;
 const READY_ATTEMPTS = 100;
-const SAMPLE_PERIOD_MS = 400; // ms; between samples of the configuration in force
-const SAMPLE_TIMEOUT_MS = 400; // ms; of one such sample
-const LEDGER_READ_PERIOD_MS = 700; // ms; between reads of the ledger's new entries
-const LEDGER_TIMEOUT_MS = 1500; // ms; of one such read
-const TERMINATION_TIMEOUT_MS = 15_000; // ms; a process may take to end after SIGTERM
-const RECONNECT_MS = 4000; // ms; after a start or the end of a partition, a node is in touch again
-const RESUME_RECONNECT_MS = 2500; // ms; the same after a freeze
-const FINAL_LEDGER_PAGE_SIZE = 1500; // entries; of one page, when the ledger is read back
+const SAMPLE_PERIOD_MS = 400; // interval between samples of the configuration in force
+const SAMPLE_TIMEOUT_MS = 400;
+const LEDGER_READ_PERIOD_MS = 700; // interval between reads of the new ledger entries
+const LEDGER_TIMEOUT_MS = 1500;
+const TERMINATION_TIMEOUT_MS = 15_000; // time that a process may take to end after SIGTERM
+const RECONNECT_MS = 4000; // time after a start or the end of a partition until a node counts as reachable
+const RESUME_RECONNECT_MS = 2500; // time after a resume until a node counts as reachable
+const FINAL_LEDGER_PAGE_SIZE = 1500;
 const FINAL_LEDGER_MAX_PAGES = 30;
 
-/** How a machine comes back: with an empty disk, at a new address. */
+/** How a machine restarts. */
 export interface RestartOptions {
   withEmptyDisk?: boolean;
   atNewAddress?: boolean;
 }
-/** A stand-in endpoint and the process that it runs in. */
+/** A stand-in endpoint and its process. */
 export interface FleetEndpoint {
   process: SimProcess;
   endpoint: StandInEndpoint;
 }
 
 /**
- * A whole deployment in the simulator, with stand-in replicas, callers and operators.
+ * A whole deployment in the simulator, with stand-in endpoints, callers and an operator.
  *
  * @example
  * const fleet = new SimFleet(deployment, 7);
  * await fleet.boot();
  * fleet.kill("store-1");
  * await fleet.run(12_000);
- * const violations = await fleet.close();
+ * const violations = await fleet.stopAndCheck();
  */
 export class SimFleet {
   readonly world: SimWorld;
@@ -62,7 +62,9 @@
   readonly disks = new Map<string, SimDisk>();
   readonly daemons = new Map<string, RunningDaemon>();
   readonly endpoints = new Map<string, FleetEndpoint>();
+  /** All endpoints that were ever started, including those that have ended. */
   readonly startedEndpoints: StandInEndpoint[] = [];
+  /** Uncaught task errors of all processes. */
   readonly errors: string[] = [];
   callers!: Callers;
   private operator!: SimOperator;
@@ -70,8 +72,9 @@
   private readonly audit = new DiskAudit(this);
   private settledAt = 0;
   private nextPort = 60_000;
+  /** Whether the run has only planned operations and no faults. */
   plannedOnly = false;
-  /** What the scenario did, to show that it did something. */
+  /** What was done to the fleet, as evidence that the scenario did something. */
   readonly actions: string[] = [];
   readonly notes: string[] = [];
   readonly ledgerStampsRead: string[] = [];
@@ -89,15 +92,14 @@
       if (point === VIEW_COMMITTED_POINT) this.audit.recordDisks(this.history);
     };
   }
-  /** Store members by id, as long as they hold the disk they were born on. */
+  /** Process names of the storage nodes, by member id. A member whose disk was wiped is absent. */
   readonly storeNameById = new Map<string, string>();
   wall = (): number => WALL_CLOCK_START_MS + this.world.now;
-  /** @example await fleet.run(5000); */
   run = (ms: number): Promise<void> => this.world.run(ms);
   names = (program: string): string[] =>
     this.plan.processes.filter((each) => each.settings.program === program).map((each) => each.name);
 
-  /** Starts everything, configures it, and starts the callers. @example await fleet.boot(); */
+  /** Starts and configures all nodes, waits until they are ready and starts the callers. */
   async boot(load = 1): Promise<void> {
     this.operator = new SimOperator(this, this.world.start("operator", new SimDisk(this.world)), this.history);
     for (const each of this.plan.processes) this.start(each.name);
@@ -113,14 +115,14 @@
     this.startObserving();
     await this.run(2000);
   }
-  /** Sends a versioned document, by its name on the wire, until it is taken. */
+  /** Sends a versioned document, by its name on the wire, until a node accepts it. */
   private async configure(document: string, content: unknown): Promise<void> {
     for (let attempt = 0; attempt < CONFIGURE_ATTEMPTS; attempt += 1) {
       const response = await this.send("PUT", `/v1/${document}`, content, { "if-match": '"0"' });
       if (response?.status === 200 || response?.status === 412) return;
       await this.run(READY_POLL_MS);
     }
-    throw new Error(`${document} was not taken; ${this.recentLogLines()}`);
+    throw new Error(`${document} was not accepted; ${this.recentLogLines()}`);
   }
   private async waitUntilReady(): Promise<void> {
     for (let attempt = 0; attempt < READY_ATTEMPTS; attempt += 1) {
@@ -141,7 +143,7 @@
       .slice(-40)
       .join("\n");
   }
-  /** Records for the checker which configuration is in force where, and the ledger as it grows. */
+  /** Starts to record for the checker which configuration is in force at each ingress, and the entries of the ledger. */
   private startObserving(): void {
     const { scope } = this.operator.process;
     Csp.go(scope, "sample configurations", () => this.sampleConfigurations());
@@ -160,13 +162,13 @@
       yield* EnvironmentTools.sleep(this.operator.process.env, SAMPLE_PERIOD_MS);
     }
   }
-  /** What was read once must stand so at the end of the day. */
+  /** Reads new ledger entries from the ingresses in turn. The final ledger must contain them all in the same order. */
   private *readLedgerContinuously(): Task<void> {
     const addresses = this.plan.ingressHttp;
     let after = "";
-    for (let turn = 0; ; turn += 1) {
+    for (let round = 0; ; round += 1) {
       const path = `/v1/ledger?limit=1000&after=${encodeURIComponent(after)}`;
-      const address = addresses[turn % addresses.length];
+      const address = addresses[round % addresses.length];
       const response = yield* this.operator.request({ method: "GET", path, address, timeoutMs: LEDGER_TIMEOUT_MS });
       if (response?.status === 200) {
         const { entries, next } = response.body as LedgerPage;
@@ -179,77 +181,77 @@
     }
   }
 
-  // ---------- what runs, and the views ----------
-  /** The running storage node of that name, if it runs. @example fleet.storageNode("store-1")?.replicas.size */
+  // ---------- nodes and views ----------
+  /** The storage node of a process, if it runs. */
   private storageNode = (name: string): StorageNode | undefined =>
     this.names("store").includes(name) ? (this.daemons.get(name) as StorageNode | undefined) : undefined;
-  /** The running control node of that name, if it runs. @example fleet.controlNode("control-1")?.group.hasLeaderLease() */
+  /** The control node of a process, if it runs. */
   private controlNode = (name: string): ControlNode | undefined =>
     this.names("control").includes(name) ? (this.daemons.get(name) as ControlNode | undefined) : undefined;
 
-  /** The shard replicas of a running store. @example fleet.replicasOf("store-1").length */
+  /** The shard replicas of a storage node; none if it does not run. */
   replicasOf(name: string): ShardReplica[] {
     return [...(this.storageNode(name)?.replicas.values() ?? [])];
   }
-  /** The views that the control log holds, by the member that has applied most of it. @example fleet.views()["3"].members */
+  /** The view of each shard, according to the control node that has applied most of the log. */
   views(): Record<string, ShardView> {
     const groups = this.names("control").flatMap((name) => this.controlNode(name)?.group ?? []);
     return groups.sort((left, right) => right.lastApplied - left.lastApplied)[0]?.state.views ?? {};
   }
-  /** A store must be a member of some view again. @example fleet.expectInViews("store-1"); */
+  /** Throws unless a storage node is again a member of some view. */
   expectInViews(name: string): void {
     const ids = [...this.storeNameById].filter(([, store]) => store === name).map(([id]) => id);
     if (!Object.values(this.views()).some((view) => view.members.some((id) => ids.includes(id))))
-      throw new Error(`${name} is in no view again`);
+      throw new Error(`${name} did not become a member of any view again`);
   }
-  /** Every shard has its copies, each in a district of its own. @example fleet.expectSpread("north"); */
-  expectReplicasSpreadOverZones(lost?: string): void {
-    const zones = this.deployment.districts.filter((zone) => zone !== lost).length;
-    const wanted = Math.min(
+  /** Throws unless every shard has as many replicas as possible, each in a different zone. @param lostZone zone without nodes */
+  expectReplicasSpreadOverZones(lostZone?: string): void {
+    const zones = this.deployment.districts.filter((zone) => zone !== lostZone).length;
+    const replicaCount = Math.min(
       Constants.replicasPerShard,
       zones,
-      this.names("store").filter((name) => this.planOf(name).settings.district !== lost).length,
+      this.names("store").filter((name) => this.planOf(name).settings.district !== lostZone).length,
     );
     for (const view of Object.values(this.views())) {
-      const held = new Set(view.members.map((id) => this.planOf(this.storeNameById.get(id)!).settings.district));
-      if (view.members.length < wanted || held.size < wanted)
-        throw new Error(`shard ${view.shard} has ${view.members.length} copies in ${[...held].join(", ")}`);
+      const usedZones = new Set(view.members.map((id) => this.planOf(this.storeNameById.get(id)!).settings.district));
+      if (view.members.length < replicaCount || usedZones.size < replicaCount)
+        throw new Error(`shard ${view.shard} has ${view.members.length} replicas in ${[...usedZones].join(", ")}`);
     }
   }
   private processesAndEndpointsIn = (zone: string): { processes: string[]; replicas: EndpointSettings[] } => ({
     processes: this.plan.processes.filter((each) => each.settings.district === zone).map((each) => each.name),
     replicas: this.plan.replicas.filter((each) => each.district === zone),
   });
-  /** Power is lost in a whole district. @example fleet.loseDistrict("north"); */
+  /** Simulates a power loss of all machines in a zone. */
   loseZone(zone: string): void {
     this.recordFault(`district ${zone} lost`, true);
     const { processes, replicas: endpoints } = this.processesAndEndpointsIn(zone);
     for (const name of processes) this.kill(name, true);
     for (const { id } of endpoints) this.killEndpoint(id);
   }
-  /** It comes back, its disks as they were or empty. @example fleet.restoreDistrict("north", true); */
+  /** Restarts all machines of a zone, with their former disks or with empty ones. */
   restoreZone(zone: string, empty: boolean): void {
     const { processes, replicas: endpoints } = this.processesAndEndpointsIn(zone);
     for (const name of processes) this.restart(name, { withEmptyDisk: empty && /^(store|control)/.test(name) });
     for (const endpoint of endpoints) this.startEndpoint(endpoint);
   }
-  /** The newest control group's name and its voters. @example fleet.controlGroup().voters[0].name */
+  /** The current control group's name and its voters, according to the control node that has applied most of the log. */
   controlGroup(): { group: string; voters: { name: string; id: string }[] } {
-    const all = this.names("control").flatMap((name) => {
+    const controls = this.names("control").flatMap((name) => {
       const control = this.controlNode(name);
       return control ? [{ name, id: control.node.self.id, control }] : [];
     });
-    const { state } = [...all].sort(
+    const { state } = [...controls].sort(
       (left, right) => right.control.group.lastApplied - left.control.group.lastApplied,
     )[0].control.group;
     return {
       group: state.group,
       voters: state.voters.flatMap((id) =>
-        all.filter((each) => each.id === id).map((each) => ({ name: each.name, id })),
+        controls.filter((each) => each.id === id).map((each) => ({ name: each.name, id })),
       ),
     };
   }
-  /** A change read and made at one node. @example await fleet.changeAt(fleet.httpOf("control-1")); */
+  /** Like changeConfiguration, with both requests to one node. */
   changeConfigurationAt = (address: string): Promise<ChangeOutcome> => this.operator.changeConfigurationAt(address);
 
   // ---------- processes ----------
@@ -258,7 +260,6 @@
     if (!found) throw new Error(`no process ${name}`);
     return found;
   }
-  /** @example fleet.start("store-1"); */
   start(name: string): void {
     const plan = this.planOf(name);
     const disk = this.disks.get(name) ?? new SimDisk(this.world);
@@ -273,7 +274,7 @@
         const { node } = started.value as unknown as { node?: { self: { id: string } } };
         if (node && plan.settings.program === "store") fleet.storeNameById.set(node.self.id, name);
       } else {
-        fleet.notes.push(`${name} refused to start: ${started.fault.detail}`);
+        fleet.notes.push(`${name} failed to start: ${started.fault.detail}`);
         fleet.world.kill(name);
       }
     });
@@ -282,7 +283,6 @@
     const process = this.world.processes.get(name);
     if (process) this.errors.push(...process.errors.splice(0));
   }
-  /** @example fleet.kill("store-1"); */
   kill(name: string, powerLost = false): void {
     this.actions.push(`${powerLost ? "power lost at" : "kill"} ${name} at ${this.world.now.toFixed(0)}`);
     this.collectErrors(name);
@@ -290,14 +290,14 @@
     this.daemons.delete(name);
     this.unreachable.open(this.httpOf(name), this.wall());
   }
-  /** A machine comes back with its disk, or with an empty one, perhaps at a new address. @example fleet.restart("store-1", { empty: true, moved: true }); */
-  restart(name: string, options: RestartOptions = {}): void {
+  /** Starts a machine again. @example fleet.restart("store-1", { withEmptyDisk: true, atNewAddress: true }); */
+  restart(name: string, how: RestartOptions = {}): void {
     this.actions.push(
-      `restart ${name} ${options.withEmptyDisk ? "empty" : ""}${options.atNewAddress ? " at a new address" : ""}`,
+      `restart ${name} ${how.withEmptyDisk ? "empty" : ""}${how.atNewAddress ? " at a new address" : ""}`,
     );
     this.recordRestored(`${name} started again`);
-    if (options.withEmptyDisk) this.wipe(name);
-    if (options.atNewAddress) {
+    if (how.withEmptyDisk) this.wipe(name);
+    if (how.atNewAddress) {
       const plan = this.planOf(name);
       plan.settings = {
         ...plan.settings,
@@ -307,19 +307,19 @@
     }
     this.start(name);
   }
-  /** The disk is gone, and with it the member that stood on it. @example fleet.wipe("store-1"); */
+  /** Empties a disk, and forgets the member that was stored on it. */
   wipe(name: string): void {
     this.disks.get(name)?.wipe();
     for (const [id, store] of this.storeNameById) if (store === name) this.storeNameById.delete(id);
   }
-  /** A machine that was not there before. @example fleet.add("store", "store-5"); */
+  /** Adds a machine to the deployment. */
   add(program: "store" | "control", name: string): void {
-    const like = this.plan.processes.find((each) => each.settings.program === program)!;
+    const template = this.plan.processes.find((each) => each.settings.program === program)!;
     const zone = this.deployment.districts[this.plan.processes.length % this.deployment.districts.length];
     this.plan.processes.push({
       name,
       settings: {
-        ...like.settings,
+        ...template.settings,
         district: zone,
         address: `127.0.0.1:${(this.nextPort += 1)}`,
         http: `127.0.0.1:${(this.nextPort += 1)}`,
@@ -329,12 +329,12 @@
     this.actions.push(`add ${name}`);
     this.start(name);
   }
-  /** SIGTERM, and whether it ended by itself. @example await fleet.terminate("ingress-1"); */
+  /** Shuts a process down gracefully, as SIGTERM does. Returns whether it ended in time. */
   async terminate(name: string): Promise<boolean> {
     this.actions.push(`terminate ${name}`);
     const process = this.world.processes.get(name)!;
     const running = this.daemons.get(name)!;
-    const ended = await this.world.runTask(
+    const hasEnded = await this.world.runTask(
       process,
       function* () {
         yield* running.stop();
@@ -348,9 +348,8 @@
     this.world.kill(name);
     this.daemons.delete(name);
     this.unreachable.open(this.httpOf(name), this.wall() - TERMINATION_TIMEOUT_MS);
-    return ended === true;
+    return hasEnded === true;
   }
-  /** @example fleet.freeze("store-1"); */
   freeze(name: string): void {
     this.actions.push(`freeze ${name}`);
     this.unreachable.open(this.httpOf(name), this.wall());
@@ -364,31 +363,31 @@
   private recordRestored(what: string): void {
     this.history.add({ tag: "restored", at: this.wall(), what });
   }
-  /** Cuts a set of processes off from all others. @example fleet.cutOff(["store-1"], "both"); */
+  /** Partitions a set of processes from all others. */
   partition(names: string[], direction: "in" | "out" | "both" = "both"): void {
-    this.actions.push(`cut off ${names.join(" ")} ${direction}`);
+    this.actions.push(`partition ${names.join(" ")} ${direction}`);
     for (const name of names) this.unreachable.open(this.httpOf(name), this.wall());
     this.world.isolate(names, direction);
   }
-  /** Nothing comes from some processes to another. @example fleet.deafen("ingress-1", ["store-1"]); */
-  blockIncoming(name: string, to: string[]): void {
-    this.actions.push(`${name} hears nothing from ${to.join(" ")}`);
+  /** Drops all messages from the senders to a process. */
+  blockIncoming(name: string, senders: string[]): void {
+    this.actions.push(`${name} receives nothing from ${senders.join(" ")}`);
     this.unreachable.open(this.httpOf(name), this.wall());
-    for (const other of to) this.world.partition(other, name);
+    for (const sender of senders) this.world.partition(sender, name);
   }
   heal(): void {
     this.world.heal();
     this.recordRestored("cuts healed");
     this.unreachable.closeAll(this.wall() + RECONNECT_MS);
   }
-  /** @example fleet.httpOf("store-1") */
+  /** HTTP address of a process. */
   httpOf = (name: string): string => this.plan.processes.find((each) => each.name === name)?.settings.http ?? name;
-  /** Notes a fault for the bounds in seconds. @example fleet.fault("store-1 lost", true); */
-  recordFault(fault: string, heavy: boolean): void {
-    this.history.add({ tag: "fault", at: this.wall(), fault, heavy });
+  /** Records a fault in the history. After a heavy one the checker expects the service to return within a time limit. */
+  recordFault(fault: string, isHeavy: boolean): void {
+    this.history.add({ tag: "fault", at: this.wall(), fault, heavy: isHeavy });
   }
 
-  // ---------- replicas ----------
+  // ---------- endpoints ----------
   startEndpoint(settings: EndpointSettings): void {
     const process = this.world.start(`replica-${settings.id}`, new SimDisk(this.world));
     const endpoint = new StandInEndpoint(process.env, settings);
@@ -398,12 +397,12 @@
     Csp.go(process.scope, "main", () => endpoint.start());
   }
   killEndpoint(id: string): void {
-    this.actions.push(`kill replica ${id}`);
+    this.actions.push(`kill endpoint ${id}`);
     this.world.kill(`replica-${id}`);
   }
-  /** Goodbye, work in flight ends, then the process ends and a new one comes. @example await fleet.replaceReplica("model-1", "v2"); */
+  /** Deregisters an endpoint, lets its requests in flight end, and replaces its process. */
   async replaceEndpoint(id: string, version: string): Promise<void> {
-    this.actions.push(`replace replica ${id}`);
+    this.actions.push(`replace endpoint ${id}`);
     const { process, endpoint } = this.endpoints.get(id)!;
     if (await this.world.runTask(process, () => endpoint.deregister(), 3000))
       this.history.add({ tag: "goodbye", at: this.wall(), replica: id });
@@ -413,8 +412,8 @@
     this.startEndpoint({ ...endpoint.settings, version });
   }
 
-  // ---------- operators ----------
-  /** Asks some node, as an operator would. @example await fleet.operate("GET", "/v1/members"); */
+  // ---------- operator ----------
+  /** Sends a request of an operator, by default to a random running node. */
   send = (
     method: string,
     path: string,
@@ -422,39 +421,39 @@
     headers?: Record<string, string>,
     address?: string,
   ): Promise<NodeResponse | undefined> => this.operator.send(method, path, body, headers, address);
-  /** A configuration with one more marked route, made against the version that is read first. @example await fleet.change(1); */
+  /** Reads the configuration and adds a marker route; for `routes` above 1 it also adds that many other routes. */
   changeConfiguration = (routes = 1): Promise<ChangeOutcome> => this.operator.changeConfiguration(routes);
-  /** The same, made against a configuration read before. @example await fleet.changeFrom(body, 400); */
+  /** Like changeConfiguration, based on a configuration that was read before. */
   changeConfigurationFrom = (base: ConfigurationBody, routes = 1, address?: string): Promise<ChangeOutcome> =>
     this.operator.changeConfigurationFrom(base, routes, address);
-  /** The id of the member that runs under a name, as some node knows it. @example await fleet.memberIdOf("store-1") */
+  /** Member id of a process, as a random node knows it. */
   async memberIdOf(name: string): Promise<string> {
     const response = await this.send("GET", "/v1/members");
     const { members } = response!.body as MembersBody;
     const { address } = this.planOf(name).settings;
     return members.find((member) => member.address === address)!.id;
   }
-  /** A calendar entry due now; its last known state. @example await fleet.move({ kind: "drain", district: "north" }, 10_000); */
-  async runPlannedOperation(move: Record<string, unknown>, withinMs: number): Promise<string> {
-    this.actions.push(`move ${JSON.stringify(move).slice(0, 80)}`);
-    return this.operator.runPlannedOperation(move, withinMs);
+  /** Schedules a planned operation for now and waits until it ends, at most `withinMs`. Returns its last known state. */
+  async runPlannedOperation(operation: Record<string, unknown>, withinMs: number): Promise<string> {
+    this.actions.push(`planned operation ${JSON.stringify(operation).slice(0, 80)}`);
+    return this.operator.runPlannedOperation(operation, withinMs);
   }
-  /** The store that leads most shards now. @example fleet.busiestStore() */
+  /** The storage node that leads the most shards. */
   busiestStore(): string {
-    const leaders = (name: string): number => {
+    const leaderCount = (name: string): number => {
       const replicas = this.storageNode(name)?.replicas;
       return replicas ? [...replicas.values()].filter((replica) => replica.role === "lead").length : -1;
     };
-    return [...this.names("store")].sort((left, right) => leaders(right) - leaders(left))[0];
+    return [...this.names("store")].sort((left, right) => leaderCount(right) - leaderCount(left))[0];
   }
-  /** The control member that leads. @example fleet.controlLead() */
+  /** The control node that leads the group. */
   controlLeader(): string {
     return (
       this.names("control").find((name) => this.controlNode(name)?.group.hasLeaderLease()) ?? this.names("control")[0]
     );
   }
 
-  /** Ends the day: callers finish, everything is read back, the history is judged. @example const violations = await fleet.close(); */
+  /** Lets the callers finish, reads all results back, checks the invariants and kills all processes. */
   async stopAndCheck(): Promise<Violation[]> {
     this.world.heal();
     for (const process of this.world.processes.values()) process.resume();
@@ -493,7 +492,10 @@
     for (const error of this.errors) violations.push({ invariant: "no-task-error", detail: error.slice(0, 600) });
     const kinds = ["lookup", "streamEnd", "lotFinished"] as const;
     if (kinds.some((kind) => this.history.of(kind).length === 0))
-      violations.push({ invariant: "exercised", detail: "the run served nothing of some kind: it proves nothing" });
+      violations.push({
+        invariant: "exercised",
+        detail: "nothing of some kind was served: the run proves nothing",
+      });
     return violations;
   }
 }
--- a/src/simulation/simHttp.ts
+++ b/src/simulation/simHttp.ts
@@ -5,28 +5,29 @@
 import { NetworkClock, PipeSend, SimNetwork } from "./simNetwork";
 import type { SimProcess } from "./simProcess";
 
-const CHUNK_CAPACITY = 8192; // chunks; of one response, buffered at the client
+/** Maximum number of chunks of one response that are buffered at the client. */
+const CHUNK_CAPACITY = 8192;
 
-/** Serves the requests that come to one address. */
+/** Handles the requests at one address. */
 export type HttpHandler = (incoming: HttpExchange) => Task<void>;
 interface Server {
   process: SimProcess;
   handler: HttpHandler;
 }
-/** A request that has reached its server, and how either end learns that the other has gone. */
+/** A request that has reached its server, with the actions that disconnect each end. */
 interface OpenExchange {
   client: SimProcess;
   server: SimProcess;
-  breakClient: () => void;
-  breakServer: () => void;
+  disconnectClient: () => void;
+  disconnectServer: () => void;
 }
 type RequestState = "connecting" | "sent" | "responded" | "closed";
 
-/** One request as its client sees it: settled once, by a response, a fault or its time-out. */
+/** A request at its client. It is settled once, by a response, a fault or its time-outgoing. */
 class ClientRequest {
   state: RequestState = "connecting";
   exchange: OpenExchange | undefined;
-  /** The response, or why there is none. */
+  /** Receives the response or the fault. */
   readonly outcome = Csp.chan<{ value: Result<HttpResponse> }>(1);
   constructor(private readonly address: string) {}
 
@@ -42,68 +43,69 @@
     if (this.state !== "connecting" && this.state !== "sent") return;
     const tag = this.state === "sent" ? "timeout" : "refused";
     this.settle(Fault.fail(tag, "http request", this.address, "no reply in time"));
-    this.exchange?.breakServer();
+    this.exchange?.disconnectServer();
   }
   cancel(): void {
     this.settle(Fault.fail("broken", "http request", this.address, "given up by whoever asked"));
-    this.exchange?.breakClient();
-    this.exchange?.breakServer();
+    this.exchange?.disconnectClient();
+    this.exchange?.disconnectServer();
   }
   reset(): void {
     this.settle(Fault.fail("broken", "http request", this.address, "connection reset"));
   }
 }
 
-/** One request at its server, with the response on its way to the client. */
+/** A request at its server, and its response. */
 class ServerExchange {
   private readonly chunks: Chan<Buffer> = Csp.chan<Buffer>(CHUNK_CAPACITY);
-  private readonly gone: Chan<true> = Csp.chan<true>(1);
+  /** Closed when the client has disconnected or the response has ended. */
+  private readonly disconnected: Chan<true> = Csp.chan<true>(1);
   private readonly toClient: PipeSend;
-  private readonly open: OpenExchange;
+  private readonly exchange: OpenExchange;
   readonly incoming: HttpExchange;
-  private complete = false;
-  private headSent = false;
+  private isComplete = false;
+  private isHeadSent = false;
 
   constructor(
     private readonly http: SimHttp,
     private readonly request: ClientRequest,
     client: SimProcess,
     server: SimProcess,
-    out: HttpRequest,
+    outgoing: HttpRequest,
   ) {
     this.toClient = http.network.pipe(server, client);
-    this.open = {
+    this.exchange = {
       client,
       server,
-      breakClient: () => {
+      disconnectClient: () => {
         request.reset();
         this.chunks.close();
       },
-      breakServer: () =>
+      disconnectServer: () =>
         http.network.send(client, server, () => {
-          this.gone.close();
+          this.disconnected.close();
           this.incoming.onGone?.();
-          http.exchanges.delete(this.open);
+          http.exchanges.delete(this.exchange);
         }),
     };
-    this.incoming = this.exchangeOf(client, out);
-    request.exchange = this.open;
-    http.exchanges.add(this.open);
+    this.incoming = this.createIncoming(client, outgoing);
+    request.exchange = this.exchange;
+    http.exchanges.add(this.exchange);
   }
 
   private sendHead(status: number, headers: Record<string, string>): boolean {
-    if (this.headSent) return false;
-    this.headSent = true;
+    if (this.isHeadSent) return false;
+    this.isHeadSent = true;
     const response: HttpResponse = {
       status,
       headers,
       chunks: this.chunks,
-      broken: () => !this.complete,
+      broken: () => !this.isComplete,
       finish: () => undefined,
       abort: () => {
         this.request.state = "closed";
         this.chunks.close();
-        this.open.breakServer();
+        this.exchange.disconnectServer();
       },
     };
     this.toClient(() => this.request.settle(Fault.ok(response)));
@@ -113,25 +115,26 @@
     this.toClient(() => void Csp.offer(this.chunks, Buffer.from(chunk as string)));
   }
   private sendEnd(): void {
-    this.http.exchanges.delete(this.open);
-    this.gone.close();
+    this.http.exchanges.delete(this.exchange);
+    this.disconnected.close();
     this.toClient(() => {
-      this.complete = true;
+      this.isComplete = true;
       this.chunks.close();
     });
   }
-  private exchangeOf(client: SimProcess, out: HttpRequest): HttpExchange {
-    const url = new URL(out.path, "http://host");
+  private createIncoming(client: SimProcess, outgoing: HttpRequest): HttpExchange {
+    const url = new URL(outgoing.path, "http://host");
     return {
-      method: out.method,
+      method: outgoing.method,
       path: url.pathname,
-      target: out.path,
+      target: outgoing.path,
       query: url.searchParams,
-      headers: out.headers ?? {},
+      headers: outgoing.headers ?? {},
       caller: client.name,
-      gone: this.gone,
+      gone: this.disconnected,
       *body(limit) {
-        const data = typeof out.body === "string" ? Buffer.from(out.body, "utf8") : (out.body ?? Buffer.alloc(0));
+        const data =
+          typeof outgoing.body === "string" ? Buffer.from(outgoing.body, "utf8") : (outgoing.body ?? Buffer.alloc(0));
         return data.length > limit
           ? Fault.fail("invalid", "read body", "caller", "body over the limit")
           : Fault.ok(data);
@@ -144,13 +147,13 @@
       open: (status, headers) => void this.sendHead(status, headers),
       write: (chunk) => this.sendChunk(chunk),
       end: () => this.sendEnd(),
-      abort: () => this.toClient(() => this.open.breakClient()),
+      abort: () => this.toClient(() => this.exchange.disconnectClient()),
     };
   }
 }
 
 /**
- * HTTP between simulated processes: requests, streamed responses, and what either end sees when the other goes away.
+ * HTTP between simulated processes: requests, streamed responses and disconnections.
  *
  * @example
  * http.serve(process, "10.0.0.1:80", handler);
@@ -158,7 +161,7 @@
  */
 export class SimHttp {
   private readonly servers = new Map<string, Server>();
-  /** Requests at their servers whose responses have not ended. */
+  /** Exchanges whose responses have not ended. */
   readonly exchanges = new Set<OpenExchange>();
 
   constructor(
@@ -166,45 +169,45 @@
     readonly network: SimNetwork,
   ) {}
 
-  /** False where the address is taken. @example http.serve(process, "10.0.0.1:80", handler) */
+  /** Serves an address; returns false if it is already in use. */
   serve(process: SimProcess, address: string, handler: HttpHandler): boolean {
     if (this.servers.has(address)) return false;
     this.servers.set(address, { process, handler });
     return true;
   }
-  /** Takes no new request at any address of the process. @example http.stopServing(process); */
+  /** Stops serving all addresses of a process. Requests that have reached it continue. */
   stopServing(process: SimProcess): void {
     for (const [address, server] of this.servers) if (server.process === process) this.servers.delete(address);
   }
-  /** Breaks every exchange of a process that has ended, at its other end. @example http.breakExchangesOf(process); */
-  breakExchangesOf(process: SimProcess): void {
+  /** Disconnects the other end of every exchange of a process that has ended. */
+  disconnectExchangesOf(process: SimProcess): void {
     for (const exchange of [...this.exchanges]) {
       const { client, server } = exchange;
-      if (server === process) this.network.send(process, client, () => exchange.breakClient());
-      if (client === process) this.network.send(process, server, () => exchange.breakServer());
+      if (server === process) this.network.send(process, client, () => exchange.disconnectClient());
+      if (client === process) this.network.send(process, server, () => exchange.disconnectServer());
       if (server === process || client === process) this.exchanges.delete(exchange);
     }
   }
-  /** Sends a request; the fault says whether the server may have got it. @example yield* http.request(process, address, out) */
-  *request(client: SimProcess, address: string, out: HttpRequest): Task<Result<HttpResponse>> {
+  /** Sends a request. Faults: "refused" if it did not reach the server, "timeout" and "broken" if it may have. */
+  *request(client: SimProcess, address: string, outgoing: HttpRequest): Task<Result<HttpResponse>> {
     const request = new ClientRequest(address);
-    this.clock.schedule(out.timeoutMs, () => client.deliver(() => request.timeOut()));
-    if (out.cancellation) out.cancellation.cancel = () => request.cancel();
+    this.clock.schedule(outgoing.timeoutMs, () => client.deliver(() => request.timeOut()));
+    if (outgoing.cancellation) outgoing.cancellation.cancel = () => request.cancel();
     const server = this.servers.get(address);
     this.clock.schedule(this.network.latency(), () => {
       if (!server?.process.alive) client.deliver(() => request.refuse());
-      else this.arrive(request, client, server, out);
+      else this.arrive(request, client, server, outgoing);
     });
     return (yield* Csp.take(request.outcome))!.value;
   }
 
-  private arrive(request: ClientRequest, client: SimProcess, server: Server, out: HttpRequest): void {
-    const reached = this.network.connected(client, server.process) && client.alive;
-    if (!reached || request.state !== "connecting") return;
+  private arrive(request: ClientRequest, client: SimProcess, server: Server, outgoing: HttpRequest): void {
+    const isReachable = this.network.connected(client, server.process) && client.alive;
+    if (!isReachable || request.state !== "connecting") return;
     request.state = "sent";
-    const { incoming } = new ServerExchange(this, request, client, server.process, out);
+    const { incoming } = new ServerExchange(this, request, client, server.process, outgoing);
     server.process.deliver(
-      () => void Csp.go(server.process.scope, `${out.method} ${out.path}`, () => server.handler(incoming)),
+      () => void Csp.go(server.process.scope, `${outgoing.method} ${outgoing.path}`, () => server.handler(incoming)),
     );
   }
 }
--- a/src/simulation/simNetwork.ts
+++ b/src/simulation/simNetwork.ts
@@ -2,18 +2,24 @@
 import { Link } from "../runtime/env";
 import type { SimProcess } from "./simProcess";
 
-const MESSAGE_CAPACITY = 4096; // messages; buffered at each end of a link
-const ORDERING_GAP_MS = 0.0001; // ms; between two messages of one pipe that would arrive at once
-const SLOW_MESSAGE_SHARE = 0.002; // share of messages that take much longer than the others
-const SLOW_MESSAGE_MS = 15; // ms; by which such a message is late, at most
+/** Maximum number of messages buffered at each end of a link. */
+const MESSAGE_CAPACITY = 4096;
+/** Minimum time between two messages of one pipe, which keeps their order. */
+const ORDERING_GAP_MS = 0.0001;
+/** Share of messages that are slow. */
+const SLOW_MESSAGE_SHARE = 0.002;
+/** Longest additional latency of a slow message. */
+const SLOW_MESSAGE_MS = 15;
 
-/** The virtual clock and the seeded randomness that the network draws on. */
+/** The virtual clock and the seeded random numbers that the network uses. */
 export interface NetworkClock {
   readonly now: number;
+  /** From 0 to less than 1. */
   random(): number;
-  schedule(inMs: number, run: () => void): void;
+  /** Runs an action after a delay. */
+  schedule(delayMs: number, run: () => void): void;
 }
-/** Sends an action to the other end of a pipe; `bytes` is what it takes of both links' bandwidth. */
+/** Runs an action at the other end of a pipe, like a message of `bytes` that uses the bandwidth of both processes' links. */
 export type PipeSend = (run: () => void, bytes?: number) => void;
 interface LinkPair {
   ends: [SimProcess, SimProcess];
@@ -21,84 +27,79 @@
   reset: () => void;
 }
 
-/**
- * The simulated network: latency, loss of datagrams, bandwidth, ordered connections and partitions between processes.
- *
- * @example
- * network.partition("control-1", "control-2");
- * network.heal();
- */
+/** The simulated network between processes: latency, bandwidth, loss of datagrams, ordered connections and partitions. */
 export class SimNetwork {
   /** Share of datagrams that are lost. */
   lossRate = 0.003;
-  /** Least latency of a message and the width of its spread, in milliseconds. */
+  /** Latency of a message in ms: minimum, and maximum of the random part. */
   latencyMs: [number, number] = [0.15, 1.2];
-  /** Whether connections across a partition are refused at once, rather than left without a response. */
+  /** Whether a connection attempt across a partition is reset at once. Otherwise it gets no response. */
   partitionsReset = false;
-  /** Messages delivered so far. */
+  /** Number of messages delivered. */
   delivered = 0;
   private readonly linkPairs = new Set<LinkPair>();
-  private readonly partitions = new Set<string>(); // "from>to", by process name
+  /** The partitioned directions as "from>to", by process name. */
+  private readonly partitions = new Set<string>();
 
   constructor(private readonly clock: NetworkClock) {}
 
-  /** Loses all that one process sends to another. @example network.partition("control-1", "control-2"); */
+  /** Drops all messages from one process to another. The opposite direction is unaffected. */
   partition(from: string, to: string): void {
     this.partitions.add(`${from}>${to}`);
   }
-  /** Ends all partitions; connections that they broke stay broken. @example network.heal(); */
+  /** Ends all partitions. Connections that they broke stay broken. */
   heal(): void {
     this.partitions.clear();
   }
-  /** Resets the connections that a partition crosses. @example network.resetPartitioned(); */
+  /** Resets the connections across a partition. */
   resetPartitioned(): void {
     for (const pair of [...this.linkPairs]) if (!this.connected(...pair.ends)) pair.reset();
   }
-  /** Closes every connection of a process. @example network.closeLinksOf(process); */
+  /** Closes all connections of a process. */
   closeLinksOf(process: SimProcess): void {
     for (const pair of [...this.linkPairs]) if (pair.ends.includes(process)) pair.close();
   }
-  /** Whether messages from one process reach the other. @example network.reachable(client, server) */
+  /** Whether messages from one process reach the other. */
   reachable(from: SimProcess, to: SimProcess): boolean {
     return !this.partitions.has(`${from.name}>${to.name}`);
   }
-  /** Whether two processes reach each other both ways. @example network.connected(client, server) */
+  /** Whether two processes reach each other in both directions. */
   connected(left: SimProcess, right: SimProcess): boolean {
     return this.reachable(left, right) && this.reachable(right, left);
   }
-  /** The latency of the next message, in milliseconds. @example clock.at(network.latency(), run); */
+  /** Draws the latency of a message, in ms. */
   latency(): number {
-    const usual = this.latencyMs[0] + this.clock.random() * this.latencyMs[1];
-    return usual + (this.clock.random() < SLOW_MESSAGE_SHARE ? SLOW_MESSAGE_MS * this.clock.random() : 0);
+    const usualMs = this.latencyMs[0] + this.clock.random() * this.latencyMs[1];
+    return usualMs + (this.clock.random() < SLOW_MESSAGE_SHARE ? SLOW_MESSAGE_MS * this.clock.random() : 0);
   }
-  /** Delivers one message that has no order with others. @example network.send(client, server, run); */
-  send(from: SimProcess, to: SimProcess, run: () => void, inMs = this.latency()): void {
+  /** Delivers a message, in no defined order with other messages. */
+  send(from: SimProcess, to: SimProcess, run: () => void, delayMs = this.latency()): void {
     if (!this.reachable(from, to)) return;
-    this.clock.schedule(inMs, () => {
+    this.clock.schedule(delayMs, () => {
       if (!this.reachable(from, to)) return;
       this.delivered += 1;
       to.deliver(run);
     });
   }
-  /** Messages from one process to another, in order; a partition loses them, and the pipe never recovers. @example const toServer = network.pipe(client, server); */
+  /** Creates an ordered pipe from one process to another. Once it loses a message to a partition, it delivers no more. */
   pipe(from: SimProcess, to: SimProcess): PipeSend {
     let lastDueAt = 0;
-    let broken = false;
+    let isBroken = false;
     return (run, bytes = 0) => {
-      if (!this.reachable(from, to)) broken = true;
-      if (broken) return;
+      if (!this.reachable(from, to)) isBroken = true;
+      if (isBroken) return;
       const dueAt = Math.max(lastDueAt + ORDERING_GAP_MS, this.reserveBandwidth(from, to, bytes) + this.latency());
       lastDueAt = dueAt;
       this.clock.schedule(dueAt - this.clock.now, () => {
-        if (!this.reachable(from, to) || from.unsentMessagesLost) broken = true;
-        if (broken) return;
+        if (!this.reachable(from, to) || from.unsentMessagesLost) isBroken = true;
+        if (isBroken) return;
         this.delivered += 1;
         to.deliver(run);
       });
     };
   }
-  /** A connection of frames: the server accepts its end, the client's is returned. @example network.connect(client, server, accepted, address) */
-  connect(client: SimProcess, server: SimProcess, accepted: Chan<Link>, address: string): Link {
+  /** Opens a connection. The server's end goes to `acceptedLinks`; the client's end is returned. */
+  connect(client: SimProcess, server: SimProcess, acceptedLinks: Chan<Link>, address: string): Link {
     const toServer = this.pipe(client, server);
     const toClient = this.pipe(server, client);
     const atServer = Csp.chan<Buffer>(MESSAGE_CAPACITY);
@@ -132,11 +133,11 @@
         pair.close();
       },
     });
-    server.deliver(() => void Csp.offer(accepted, linkEnd(client.name, atServer, toClient, atClient)));
+    server.deliver(() => void Csp.offer(acceptedLinks, linkEnd(client.name, atServer, toClient, atClient)));
     return linkEnd(address, atClient, toServer, atServer);
   }
 
-  /** Virtual time at which so many bytes have passed the links of both ends. */
+  /** Reserves time on the links of both processes; returns the virtual time at which the bytes have been received. */
   private reserveBandwidth(from: SimProcess, to: SimProcess, bytes: number): number {
     from.sendFreeAt = Math.max(this.clock.now, from.sendFreeAt) + bytes / from.linkBytesPerMs;
     to.receiveFreeAt = Math.max(from.sendFreeAt, to.receiveFreeAt) + bytes / to.linkBytesPerMs;
--- a/src/simulation/simOperator.ts
+++ b/src/simulation/simOperator.ts
@@ -6,18 +6,20 @@
 import { SimProcess, SimWorld } from "./simWorld";
 
 const RESPONSE_LIMIT_BYTES = 32_000_000;
-const REQUEST_TIMEOUT_MS = 8000; // ms; of one request
-const OPERATION_TIMEOUT_MS = 9000; // ms; with the time that the simulator needs to run it
+const REQUEST_TIMEOUT_MS = 8000;
+/** Virtual time that the task of one request may take. It is longer than the time-out of the request itself. */
+const REQUEST_TASK_TIMEOUT_MS = 9000;
 const CALENDAR_ATTEMPTS = 5;
-const CALENDAR_POLL_MS = 400; // ms; between reads of a planned operation's state
+/** Interval between reads of a planned operation's state. */
+const CALENDAR_POLL_MS = 400;
 
-/** A node's response; the body is parsed JSON, or the text where it is no JSON. */
+/** A node's response. The body is the parsed JSON, or the text if it is not JSON. */
 export interface NodeResponse {
   status: number;
   body: unknown;
   headers: Record<string, string>;
 }
-/** A versioned configuration, as the nodes give it out. */
+/** Response body of a read of the configuration. */
 export interface ConfigurationBody {
   version: number;
   doc: { bindings: Record<string, unknown> };
@@ -25,23 +27,23 @@
 /** One page of the ledger. */
 export interface LedgerPage {
   entries: LedgerEntryBody[];
-  /** Stamp to go on from. */
+  /** Stamp after which the next page starts. */
   next: string;
 }
-/** What became of a configuration change, and the version that it made (0: none that is known). */
+/** Outcome of a configuration change and the resulting version, or 0 if no version is known. */
 export interface ChangeOutcome {
   outcome: "acknowledged" | "refused" | "unknown" | "unread";
   version: number;
 }
-/** What an operator needs of the fleet that it drives. */
+/** What an operator needs from the fleet. */
 export interface OperatedFleet {
   readonly world: SimWorld;
   readonly plan: Plan;
   readonly seed: number;
-  /** Wall time, in milliseconds since 1970. */
+  /** Wall time, in ms since 1970. */
   wall(): number;
 }
-/** One request of an operator to a node. */
+/** A request of an operator to a node. */
 export interface OperatorRequest {
   method: string;
   path: string;
@@ -54,7 +56,7 @@
 const MARKER_ROUTE = { kind: "lookup", pool: "desk", path: "/mark", safe: true };
 const MARKER_PREFIX = "mark-";
 
-/** Names of the marker routes that a configuration holds: each change adds one. @example markersOf(doc) // "mark-1,mark-2" */
+/** Names of the marker routes in a configuration. Each change adds one. @example markersOf(doc) // "mark-1,mark-2" */
 export const markersOf = (doc: { bindings: Record<string, unknown> }): string =>
   Object.keys(doc.bindings)
     .filter((name) => name.startsWith(MARKER_PREFIX))
@@ -68,20 +70,20 @@
   }
 }
 
-/** What an operator needs of the fleet that it operates. */
+/** What an operator needs from the fleet. */
 export interface OperatedFleet {
   readonly world: SimWorld;
   readonly plan: Plan;
   readonly seed: number;
-  /** Milliseconds since 1970, in the fleet's virtual time. */
+  /** Wall time, in ms since 1970. */
   wall(): number;
 }
 
 /**
- * An operator of a simulated fleet: reads and changes it over HTTP, and notes in the history what was acknowledged.
+ * An operator of a simulated fleet. It reads and changes the fleet over HTTP and records the outcomes in the history.
  *
  * @example
- * const response = await operator.operate("GET", "/v1/members");
+ * const response = await operator.send("GET", "/v1/members");
  * await operator.changeConfiguration();
  */
 export class SimOperator {
@@ -92,7 +94,7 @@
     private readonly history: History,
   ) {}
 
-  /** One request to a node, from a task; undefined where no response came. @example yield* operator.request({ method: "GET", path: "/readyz", address, timeoutMs: 400 }) */
+  /** Sends a request from within a task; undefined if no complete response came. */
   *request(request: OperatorRequest): Task<NodeResponse | undefined> {
     const { env } = this.process;
     const { method, path, body, headers = {}, address, timeoutMs } = request;
@@ -108,7 +110,7 @@
     if (text === undefined) return undefined;
     return { status: response.value.status, headers: response.value.headers, body: parseBody(text) };
   }
-  /** One request to some running node, virtual time passing. @example await operator.operate("GET", "/v1/members"); */
+  /** Sends a request, by default to a random running node, and lets virtual time pass until the response. */
   async send(
     method: string,
     path: string,
@@ -117,21 +119,21 @@
     address = this.anyNode(),
   ): Promise<NodeResponse | undefined> {
     const request = { method, path, body, headers, address, timeoutMs: REQUEST_TIMEOUT_MS };
-    return this.fleet.world.runTask(this.process, () => this.request(request), OPERATION_TIMEOUT_MS);
+    return this.fleet.world.runTask(this.process, () => this.request(request), REQUEST_TASK_TIMEOUT_MS);
   }
-  /** Adds marker routes to the configuration that is read first. @example await operator.changeConfiguration(1); */
+  /** Reads the configuration and adds a marker route; for `routes` above 1 it also adds that many other routes. */
   async changeConfiguration(routes = 1): Promise<ChangeOutcome> {
     const current = await this.send("GET", "/v1/manifest");
     if (current?.status !== 200) return { outcome: "unread", version: 0 };
     return this.changeConfigurationFrom(current.body as ConfigurationBody, routes);
   }
-  /** The same, read from and sent to one node. @example await operator.changeConfigurationAt(fleet.httpOf("control-1")); */
+  /** Like changeConfiguration, with both requests to one node. */
   async changeConfigurationAt(address: string): Promise<ChangeOutcome> {
     const current = await this.send("GET", "/v1/manifest", undefined, {}, address);
     if (current?.status !== 200) return { outcome: "unread", version: 0 };
     return this.changeConfigurationFrom(current.body as ConfigurationBody, 1, address);
   }
-  /** Adds marker routes to a configuration that was read before. @example await operator.changeConfigurationFrom(body, 400); */
+  /** Like changeConfiguration, based on a configuration that was read before. */
   async changeConfigurationFrom(base: ConfigurationBody, routes = 1, address?: string): Promise<ChangeOutcome> {
     const number = this.nextNumber();
     const mark = `${MARKER_PREFIX}${number}`;
@@ -146,11 +148,11 @@
     this.history.add({ tag: "change", at: this.fleet.wall(), what: "manifest", changeId, outcome, version, mark });
     return { outcome, version };
   }
-  /** Enters a planned operation due now and follows it; its last known state. @example await operator.runPlanned({ kind: "drain", district: "north" }, 10_000); */
+  /** Schedules a planned operation for now and waits until it ends, at most `withinMs`. Returns its last known state. */
   async runPlannedOperation(operation: Record<string, unknown>, withinMs: number): Promise<string> {
     const id = `move-${this.nextNumber()}`;
     const status = await this.submitOperation(id, operation);
-    if (status !== 200) return `not taken: ${status}`;
+    if (status !== 200) return `not accepted: ${status}`;
     const acknowledgedAt = this.fleet.wall();
     const zone = String(operation.district);
     if (operation.kind === "drain") this.history.add({ tag: "drained", at: acknowledgedAt, district: zone });
@@ -158,11 +160,11 @@
     if (operation.kind === "undrain") this.history.add({ tag: "undrained", at: acknowledgedAt, district: zone });
     return state;
   }
-  /** All stamps of the ledger as one node tells them, page by page. @example await operator.readLedger(address, 1500, 30) */
-  async readLedger(address: string, pageSize: number, pages: number): Promise<string[]> {
+  /** Reads the stamps of all ledger entries from one node, page by page. */
+  async readLedger(address: string, pageSize: number, maxPages: number): Promise<string[]> {
     const stamps: string[] = [];
     let after = "";
-    for (let page = 0; page < pages; page += 1) {
+    for (let page = 0; page < maxPages; page += 1) {
       const path = `/v1/ledger?limit=${pageSize}&after=${encodeURIComponent(after)}`;
       const response = await this.send("GET", path, undefined, {}, address);
       if (response?.status !== 200) break;
@@ -174,7 +176,7 @@
     return stamps;
   }
 
-  /** The fleet numbers configuration changes and planned operations together. */
+  /** The next number of the sequence that configuration changes and planned operations share. */
   private nextNumber(): number {
     this.changes += 1;
     return this.changes;
--- a/src/simulation/simProcess.ts
+++ b/src/simulation/simProcess.ts
@@ -2,42 +2,37 @@
 import { Environment } from "../runtime/env";
 import { SimDisk } from "./simDisk";
 
-/** Thrown at a fault point to end a process in the middle of its own code. */
+/** Thrown at a fault point to end the running task of a process that was killed there. */
 export class ProcessKilled extends Error {}
 
-/** What a simulated process needs of the world it runs in. */
+/** What a simulated process needs from the simulated world. */
 export interface ProcessHost {
-  /** The environment that the process gets. */
   environmentFor(process: SimProcess): Environment;
 }
 
-/**
- * One process of the simulated fleet: its tasks, disk, clock skew, network link and collected log.
- *
- * @example
- * const process = new SimProcess(world, "store-1", disk);
- * process.freeze();
- */
+/** A simulated process: its tasks, disk, clock skew, network link and recent log lines. */
 export class SimProcess {
   alive = true;
   frozen = false;
-  /** Its machine lost power: what still stood in its send buffers is gone. */
+  /** Whether its machine lost power, so that messages in its send buffers are lost. */
   unsentMessagesLost = false;
-  /** How far its wall clock is ahead of virtual time, in milliseconds. */
+  /** Skew of its wall clock against virtual time, in ms. */
   skewMs = 0;
-  /** Bandwidth of its network link, each way, in bytes per millisecond; 20 Mbit/s are 2500. */
+  /** Bandwidth of its network link in each direction, in bytes per ms; 20 Mbit/s are 2500. */
   linkBytesPerMs = Infinity;
-  /** Virtual time at which its link is free to send, or to receive, the next message. */
+  /** Virtual time at which its link can send the next message. */
   sendFreeAt = 0;
+  /** Virtual time at which its link can receive the next message. */
   receiveFreeAt = 0;
   readonly scope: Scope;
   readonly env: Environment;
-  /** Its newest log lines. */
+  /** Its most recent log lines. */
   readonly logs: string[] = [];
-  /** Errors of its tasks that nobody caught. */
+  /** Uncaught errors of its tasks. */
   readonly errors: string[] = [];
-  /** How often it reached each numbered fault point. */
+  /** Number of times it reached each fault point. */
   readonly faultPointHits = new Map<number, number>();
+  /** Actions to run when the process is resumed. */
   private deferred: (() => void)[] = [];
 
   constructor(
@@ -51,17 +46,17 @@
     });
     this.env = host.environmentFor(this);
   }
-  /** Runs what came from outside: later if the process is frozen, never if it has ended. @example process.deliver(() => chan.close()); */
+  /** Runs an action that comes from outside: after the resume if the process is frozen, never if it has ended. */
   deliver(run: () => void): void {
     if (!this.alive) return;
     if (this.frozen) this.deferred.push(run);
     else run();
   }
-  /** Stops the process, as SIGSTOP does. @example process.freeze(); */
+  /** Suspends the process, as SIGSTOP does. */
   freeze(): void {
     this.frozen = true;
   }
-  /** Lets a frozen process go on: what came meanwhile is delivered in order. @example process.wake(); */
+  /** Resumes a frozen process and runs the deferred actions in order. */
   resume(): void {
     if (!this.frozen) return;
     this.frozen = false;
--- a/src/simulation/simWorld.ts
+++ b/src/simulation/simWorld.ts
@@ -9,9 +9,10 @@
 
 export { SimProcess } from "./simProcess";
 
-const FINISH_STEP_MS = 10; // ms of virtual time between looks at whether a task has finished
+/** Interval of virtual time between checks whether a task has finished. */
+const TASK_CHECK_MS = 10;
 
-/** What an armed fault point does to the process that reaches it. */
+/** Runs when a process reaches an armed fault point. */
 export type FaultAction = (process: SimProcess, context?: FaultPointContext) => void;
 interface ArmedPoint {
   processPrefix: string;
@@ -19,12 +20,12 @@
   hitsLeft: number;
   action: FaultAction;
 }
-/** Which way a process is partitioned from the others. */
+/** Which messages of a partitioned process are dropped. */
 export type PartitionDirection = "in" | "out" | "both";
 
 /**
- * Virtual time, a lossy network and processes that can be killed, frozen and partitioned. Time advances only when no task
- * can run, and all randomness comes from the seed: one seed gives one run.
+ * Simulates virtual time, a lossy network and processes that can be killed, frozen and partitioned. Time advances only when
+ * no task can run, and all random numbers come from the seed, so runs with the same seed are identical.
  *
  * @example
  * const world = new SimWorld(7);
@@ -32,17 +33,17 @@
  * await world.run(1000);
  */
 export class SimWorld implements SimEnvironmentHost, ProcessHost {
-  /** Virtual time, in milliseconds. */
+  /** Virtual time, in ms. */
   now = 0;
   readonly processes = new Map<string, SimProcess>();
   readonly network = new SimNetwork(this);
   readonly http = new SimHttp(this, this.network);
   readonly log: (line: string) => void;
-  /** Share of disk operations that take much longer than the others. */
+  /** Share of disk syncs that are slow. */
   slowDiskShare = 0.004;
-  /** Wraps the environment of each process that starts, to count or to disturb what it does. */
+  /** Wraps the environment of each process that starts, to measure or disturb the process. */
   wrapEnvironment: (env: Environment) => Environment = (env) => env;
-  /** Called at every fault point that a process reaches. */
+  /** Called whenever a process reaches a fault point. */
   onFaultPoint: (process: SimProcess, point: number) => void = () => undefined;
   private readonly environments = new SimEnvironments(this);
   private readonly queue = new EventQueue();
@@ -56,7 +57,7 @@
   }
 
   // ---------- time and randomness ----------
-  /** A number in [0, 1) from the seed (mulberry32). @example world.random() */
+  /** The next random number from 0 to less than 1 (mulberry32). */
   random(): number {
     this.seed = (this.seed + 0x6d2b79f5) >>> 0;
     let mixed = this.seed;
@@ -64,12 +65,12 @@
     mixed ^= mixed + Math.imul(mixed ^ (mixed >>> 7), mixed | 61);
     return ((mixed ^ (mixed >>> 14)) >>> 0) / 4294967296;
   }
-  /** Schedules an action, in milliseconds from now. @example world.at(100, () => world.kill("store-1")); */
-  schedule(inMs: number, run: () => void): void {
+  /** Runs an action after a delay. */
+  schedule(delayMs: number, run: () => void): void {
     this.scheduled += 1;
-    this.queue.push({ time: this.now + Math.max(0, inMs), order: this.scheduled, run });
+    this.queue.push({ time: this.now + Math.max(0, delayMs), order: this.scheduled, run });
   }
-  /** Lets so much virtual time pass, in milliseconds. @example await world.run(5000); */
+  /** Lets virtual time pass. */
   async run(ms: number): Promise<void> {
     const until = this.now + ms;
     await this.untilIdle();
@@ -89,7 +90,7 @@
       this.queue.pop()!.run();
     }
   }
-  /** Resolves once no task can run without virtual time passing. */
+  /** Resolves once no task can continue before virtual time advances. */
   private async untilIdle(): Promise<void> {
     for (;;) {
       const before = Csp.turns();
@@ -97,28 +98,27 @@
       if (Csp.turns() === before) return;
     }
   }
-  /** Runs a task of a process to its end, virtual time passing; undefined if not in time. @example await world.finish(process, task, 5000) */
+  /** Runs a task in a process and lets virtual time pass until it ends; undefined if it takes longer than `withinMs`. */
   async runTask<T>(process: SimProcess, body: () => Task<T>, withinMs: number): Promise<T | undefined> {
     let result: { value: T } | undefined;
     Csp.go(process.scope, "finish", function* () {
       result = { value: yield* body() };
     });
-    for (const until = this.now + withinMs; this.now < until && !result;) await this.run(FINISH_STEP_MS);
+    for (const until = this.now + withinMs; this.now < until && !result;) await this.run(TASK_CHECK_MS);
     return result?.value;
   }
 
   // ---------- processes ----------
-  /** @example world.start("store-1", disk) */
   start(name: string, disk: SimDisk): SimProcess {
     const process = new SimProcess(this, name, disk);
     this.processes.set(name, process);
     return process;
   }
-  /** The environment that a process gets. @example world.environmentFor(process) */
+  /** Creates the environment of a process that starts. */
   environmentFor(process: SimProcess): Environment {
     return this.wrapEnvironment(this.environments.of(process));
   }
-  /** Ends a process at once; with its power, what it had not synced or was sending may be lost. @example world.kill("store-1", true); */
+  /** Kills a process. If its machine loses power, unsynced changes and unsent messages may be lost as well. */
   kill(name: string, powerLost = false): void {
     const process = this.processes.get(name);
     if (!process?.alive) return;
@@ -127,26 +127,26 @@
     process.scope.stop();
     if (powerLost) process.disk.losePower();
     this.environments.release(process);
-    this.http.breakExchangesOf(process);
+    this.http.disconnectExchangesOf(process);
     this.network.closeLinksOf(process);
   }
 
   // ---------- fault points ----------
-  /** How often all processes together reached a fault point. @example world.hits(41) */
+  /** Number of times that the current processes reached a fault point. */
   faultPointHits(point: number): number {
     return [...this.processes.values()].reduce((sum, process) => sum + (process.faultPointHits.get(point) ?? 0), 0);
   }
-  /** Acts once, at the given hit of a point by processes with the prefix. @example world.arm("store-", 41, 1, (process) => world.kill(process.name)); */
+  /** Runs an action once, at the given hit of a fault point by processes whose names have the prefix. */
   arm(processPrefix: string, point: number, hits: number, action: FaultAction): void {
     this.armed.push({ processPrefix, point, hitsLeft: hits, action });
   }
-  /** Disarms every point; how many were still armed. @example world.disarm() */
+  /** Disarms all fault points; returns how many were still armed. */
   disarm(): number {
-    const left = this.armed.length;
+    const armedCount = this.armed.length;
     this.armed = [];
-    return left;
+    return armedCount;
   }
-  /** Called by a process at a fault point; an armed action may end it there. @example world.reachPoint(process, 41); */
+  /** Runs the armed action of a fault point. If the action kills the process, this throws to end the running task. */
   reachFaultPoint(process: SimProcess, point: number, context?: FaultPointContext): void {
     this.onFaultPoint(process, point);
     process.faultPointHits.set(point, (process.faultPointHits.get(point) ?? 0) + 1);
@@ -162,18 +162,18 @@
   }
 
   // ---------- partitions ----------
-  /** Whether connections across a partition are refused at once, rather than left without a response. */
+  /** Whether a connection attempt across a partition is reset at once. Otherwise it gets no response. */
   get partitionsReset(): boolean {
     return this.network.partitionsReset;
   }
   set partitionsReset(reset: boolean) {
     this.network.partitionsReset = reset;
   }
-  /** Loses all that one process sends to another. @example world.partition("control-1", "control-2"); */
+  /** Drops all messages from one process to another. The opposite direction is unaffected. */
   partition(from: string, to: string): void {
     this.network.partition(from, to);
   }
-  /** Partitions a set of processes from all others. @example world.isolate(["store-1"], "both"); */
+  /** Partitions a set of processes from all others. */
   isolate(names: string[], direction: PartitionDirection): void {
     for (const name of names)
       for (const other of this.processes.keys())
@@ -182,11 +182,11 @@
           if (direction !== "out") this.partition(other, name);
         }
   }
-  /** Resets the connections that a partition crosses. @example world.resetPartitioned(); */
+  /** Resets the connections across a partition. */
   resetPartitioned(): void {
     this.network.resetPartitioned();
   }
-  /** Ends all partitions. @example world.heal(); */
+  /** Ends all partitions. */
   heal(): void {
     this.network.heal();
   }
--- a/src/simulation/unreachableWindows.ts
+++ b/src/simulation/unreachableWindows.ts
@@ -1,13 +1,13 @@
 interface Window {
   node: string;
   from: number;
-  /** Infinity while it is open. */
+  /** Infinity while the window is open. */
   to: number;
 }
 
 /**
- * Times in which a node may be out of touch, by the address of its HTTP: what it says then binds nobody. Times are wall
- * clock milliseconds.
+ * Time windows in which a node may be unreachable, so that the checker excuses its stale responses. Nodes are identified by
+ * their HTTP addresses; times are wall clock times in ms.
  *
  * @example
  * windows.open("10.0.0.1:80", now);
@@ -17,24 +17,24 @@
 export class UnreachableWindows {
   private readonly windows: Window[] = [];
 
-  /** A node goes out of touch. @example windows.open(address, now); */
+  /** Opens a window of a node. */
   open(node: string, from: number): void {
     this.windows.push({ node, from, to: Infinity });
   }
-  /** All open windows of a node end. @example windows.close(address, now + 4000); */
+  /** Ends all open windows of a node. */
   close(node: string, to: number): void {
     for (const window of this.windows) if (window.node === node && window.to === Infinity) window.to = to;
   }
-  /** The oldest open window of a node ends. @example windows.closeOldest(address, now + 2500); */
+  /** Ends the oldest open window of a node. */
   closeOldest(node: string, to: number): void {
     const window = this.windows.find((candidate) => candidate.node === node && candidate.to === Infinity);
     if (window) window.to = to;
   }
-  /** All open windows end. @example windows.closeAll(now + 4000); */
+  /** Ends the open windows of all nodes. */
   closeAll(to: number): void {
     for (const window of this.windows) if (window.to === Infinity) window.to = to;
   }
-  /** Whether a node was out of touch at some moment of a span. @example windows.covers(address, from, to) */
+  /** Whether a window of the node overlaps the period. */
   covers(node: string, from: number, to: number): boolean {
     return this.windows.some((window) => window.node === node && window.from <= to && window.to >= from);
   }
