--- a/src/simulation/scenarios/combinedScenarios.ts
+++ b/src/simulation/scenarios/combinedScenarios.ts
@@ -1,10 +1,10 @@
 import { pickRandom, UnnumberedScenario } from "./scenario";
 
-/** Closing faults, planned stops, releases, and troubles together. */
+/** Scenarios of a power loss of the whole fleet, planned stops, releases, and several faults in one run. */
 export const combinedScenarios: UnnumberedScenario[] = [
   {
     name: "closing-fault",
-    description: "at day's end everything loses power at once; then all is read back",
+    description: "all machines lose power at once at the end of the run, and restart",
     run: async (fleet) => {
       await fleet.changeConfiguration();
       await fleet.run(5000);
@@ -19,7 +19,7 @@
   },
   {
     name: "planned-stops",
-    description: "each program is stopped by SIGTERM in turn and started again; nothing else happens",
+    description: "one process of each program in turn is stopped by SIGTERM and started again, without any fault",
     run: async (fleet) => {
       fleet.plannedOnly = true;
       for (const program of ["ingress", "store", "agent", "control"]) {
@@ -29,12 +29,12 @@
             : program === "control"
               ? fleet.controlLeader()
               : fleet.names(program)[0];
-        // the platform sends clients to ready intake nodes
+        // Clients do not use an ingress that is about to stop: the platform sends them only to ready ones.
         const ingressHttp = fleet.plan.processes.find(
           (each) => each.name === (program === "agent" ? name.replace("agent", "ingress") : name),
         )!.settings.http;
         if (program === "ingress" || program === "agent") fleet.callers.avoid.add(ingressHttp);
-        if (!(await fleet.terminate(name))) throw new Error(`${name} did not end by itself`);
+        if (!(await fleet.terminate(name))) throw new Error(`${name} did not end after SIGTERM`);
         await fleet.run(4000);
         fleet.start(name);
         await fleet.run(6000);
@@ -44,7 +44,7 @@
   },
   {
     name: "release",
-    description: "a pool is released to a new version, and the release is taken back",
+    description: "a new version of a pool is released and rolled back",
     run: async (fleet) => {
       const pool = fleet.plan.replicas[0].pool;
       for (const endpoint of fleet.plan.replicas.filter((each) => each.pool === pool).slice(0, 3)) {
@@ -56,32 +56,33 @@
         });
       }
       await fleet.run(3000);
-      const fate = await fleet.runPlannedOperation({ kind: "release", pool, version: "v2", overMs: 5000 }, 12_000);
-      if (!fate.startsWith("finished")) throw new Error(`release: ${fate}`);
+      const state = await fleet.runPlannedOperation({ kind: "release", pool, version: "v2", overMs: 5000 }, 12_000);
+      if (!state.startsWith("finished")) throw new Error(`release: ${state}`);
       await fleet.run(4000);
-      const taken = (version: string, from: number): number =>
+      const runCount = (version: string, from: number): number =>
         fleet.startedEndpoints
           .filter((each) => each.settings.pool === pool && (each.settings.version === "v2") === (version === "v2"))
           .reduce((sum, each) => sum + each.runs.filter((run) => run.at > from).length, 0);
       const releasedAt = fleet.wall() - 2000;
-      if (taken("v2", releasedAt) === 0 || taken("v1", releasedAt) > 0)
-        throw new Error("released, and work still went to the former version, or none to the new");
-      const back = await fleet.runPlannedOperation({ kind: "rollback", pool }, 6000);
-      if (!back.startsWith("finished")) throw new Error(`rollback: ${back}`);
+      if (runCount("v2", releasedAt) === 0 || runCount("v1", releasedAt) > 0)
+        throw new Error("after the release, the old version still got requests or the new version got none");
+      const rollbackState = await fleet.runPlannedOperation({ kind: "rollback", pool }, 6000);
+      if (!rollbackState.startsWith("finished")) throw new Error(`rollback: ${rollbackState}`);
       await fleet.run(4000);
-      const backAt = fleet.wall() - 2000;
-      if (taken("v1", backAt) === 0 || taken("v2", backAt) > 0)
-        throw new Error("taken back, and work still went to the withdrawn version, or none to the former");
-      const again = await fleet.runPlannedOperation({ kind: "rollback", pool }, 6000);
-      if (!again.startsWith("failed")) throw new Error(`a second rollback of one release: ${again}`);
+      const rolledBackAt = fleet.wall() - 2000;
+      if (runCount("v1", rolledBackAt) === 0 || runCount("v2", rolledBackAt) > 0)
+        throw new Error("after the rollback, the new version still got requests or the old version got none");
+      const secondState = await fleet.runPlannedOperation({ kind: "rollback", pool }, 6000);
+      if (!secondState.startsWith("failed"))
+        throw new Error(`the second rollback of one release did not fail: ${secondState}`);
     },
   },
   {
     name: "together",
-    description: "several troubles at once, drawn by the seed",
+    description: "five random faults or operator changes, one after another, under double load",
     run: async (fleet) => {
       fleet.callers.load = 2;
-      const troubles: (() => Promise<void>)[] = [
+      const faults: (() => Promise<void>)[] = [
         async () => {
           const name = fleet.busiestStore();
           fleet.kill(name);
@@ -139,7 +140,7 @@
       ];
       fleet.recordFault("troubles begin", false);
       for (let round = 0; round < 5; round += 1) {
-        await pickRandom(fleet, troubles)();
+        await pickRandom(fleet, faults)();
         await fleet.run(fleet.world.random() * 2500);
       }
       fleet.callers.load = 1;
--- a/src/simulation/scenarios/diskScenarios.ts
+++ b/src/simulation/scenarios/diskScenarios.ts
@@ -1,10 +1,10 @@
 import { UnnumberedScenario } from "./scenario";
 
-/** Disks that are full or fail to sync. */
+/** Scenarios of full disks and failing syncs. */
 export const diskScenarios: UnnumberedScenario[] = [
   {
     name: "disk-full",
-    description: "the busiest store's disk fills, is freed, and is taken up again by the store itself",
+    description: "the busiest store's disk is full for a while; the store rejoins without a restart",
     run: async (fleet) => {
       const name = fleet.busiestStore();
       fleet.recordFault(`disk full at ${name}`, true);
@@ -18,7 +18,7 @@
   },
   {
     name: "disks-full",
-    description: "the disks of all stores fill at once, and are freed; nobody starts anything again",
+    description: "the disks of all stores are full for a while; the stores rejoin without a restart",
     run: async (fleet) => {
       fleet.recordFault("all stores' disks full", false);
       for (const name of fleet.names("store")) fleet.disks.get(name)!.full = true;
@@ -32,7 +32,7 @@
   },
   {
     name: "sync-errors",
-    description: "syncs fail on a store and on a control voter",
+    description: "syncs fail at a store, which rejoins by itself, and at a control voter, which is restarted",
     run: async (fleet) => {
       const store = fleet.busiestStore();
       const control = fleet.controlLeader();
@@ -42,7 +42,7 @@
       fleet.actions.push("sync errors");
       await fleet.changeConfiguration();
       await fleet.run(10_000);
-      fleet.disks.get(store)!.failing = false; // taken up again by the store itself
+      fleet.disks.get(store)!.failing = false; // The store uses its disk again without a restart.
       fleet.kill(control);
       fleet.disks.get(control)!.failing = false;
       fleet.restart(control);
--- a/src/simulation/scenarios/endpointScenarios.ts
+++ b/src/simulation/scenarios/endpointScenarios.ts
@@ -1,10 +1,10 @@
 import { UnnumberedScenario } from "./scenario";
 
-/** Load, and replicas that crash, go dark or are replaced. */
+/** Scenarios of high load, of endpoints that crash, misbehave or are replaced, and of killed processes. */
 export const endpointScenarios: UnnumberedScenario[] = [
   {
     name: "calm",
-    description: "nothing goes wrong",
+    description: "no faults occur",
     run: async (fleet) => {
       await fleet.changeConfiguration();
       await fleet.run(10_000);
@@ -12,7 +12,7 @@
   },
   {
     name: "crowd",
-    description: "crowds of live users and of lots at once",
+    description: "the load of live requests and batch jobs rises to five times its usual value for a while",
     load: 1,
     run: async (fleet) => {
       await fleet.run(3000);
@@ -24,7 +24,8 @@
   },
   {
     name: "overload",
-    description: "many times what the replicas can carry: refusals at once, live work ahead of lots",
+    description:
+      "the load is many times the capacity: rejections come quickly and live requests have priority over batch items",
     load: 1,
     run: async (fleet) => {
       await fleet.run(3000);
@@ -34,34 +35,34 @@
       const to = fleet.wall();
       fleet.callers.load = 1;
       await fleet.run(9000);
-      const busies = fleet.history
+      const rejectionMs = fleet.history
         .of("busy")
-        .filter((seen) => seen.at > from && seen.at < to)
-        .map((seen) => seen.tookMs)
+        .filter((rejection) => rejection.at > from && rejection.at < to)
+        .map((rejection) => rejection.tookMs)
         .sort((left, right) => left - right);
-      if (busies.length < 50) throw new Error(`only ${busies.length} refusals: nothing was overloaded`);
-      const slow = busies[Math.floor(busies.length * 0.95)];
-      if (slow > 1000) throw new Error(`one refusal in twenty was told after more than ${slow.toFixed(0)} ms`);
+      if (rejectionMs.length < 50) throw new Error(`only ${rejectionMs.length} rejections: nothing was overloaded`);
+      const percentile95 = rejectionMs[Math.floor(rejectionMs.length * 0.95)];
+      if (percentile95 > 1000) throw new Error(`5 % of rejections took longer than ${percentile95.toFixed(0)} ms`);
       const runs = fleet.startedEndpoints
         .flatMap((endpoint) => endpoint.runs)
         .filter((run) => run.at > from + 1500 && run.at < to);
-      const items = runs.filter((run) => run.id.includes("/")).length;
+      const itemCount = runs.filter((run) => run.id.includes("/")).length;
       fleet.notes.push(
-        `${busies.length} refusals, 95 of 100 within ${slow.toFixed(0)} ms; ${items} items of lots among ${runs.length} runs`,
+        `${rejectionMs.length} rejections, 95 % within ${percentile95.toFixed(0)} ms; ${itemCount} of ${runs.length} runs were batch items`,
       );
-      if (items > runs.length / 10)
-        throw new Error(`${items} of ${runs.length} runs were items of lots while live work was refused`);
+      if (itemCount > runs.length / 10)
+        throw new Error(`${itemCount} of ${runs.length} runs were batch items while live requests were rejected`);
     },
   },
   {
     name: "replicas-crash",
-    description: "a third of the replicas crash, and come back",
+    description: "a third of the endpoints crash and restart",
     run: async (fleet) => {
       const lost = fleet.plan.replicas.filter((_replica, at) => at % 3 === 0);
       fleet.recordFault("replicas crash", true);
       for (const endpoint of lost) fleet.killEndpoint(endpoint.id);
       await fleet.run(7000);
-      fleet.callers.load = 7; // those that come back must not be flooded
+      fleet.callers.load = 7; // The restarted endpoints must not be flooded with requests.
       await fleet.run(2000);
       for (const endpoint of lost) fleet.startEndpoint(endpoint);
       await fleet.run(3000);
@@ -71,7 +72,7 @@
   },
   {
     name: "replicas-dark",
-    description: "replicas accept and never reply, or reply nonsense, or never stop",
+    description: "some endpoints never reply, send malformed or endless replies, or are overloaded",
     run: async (fleet) => {
       fleet.recordFault("replicas dark", true);
       const behaviors = ["unresponsive", "malformed", "endless", "overloaded"] as const;
@@ -85,7 +86,7 @@
   },
   {
     name: "replicas-replaced",
-    description: "replicas are replaced one by one with goodbyes, under a crowd",
+    description: "endpoints are replaced one by one under double load, and each deregisters first",
     run: async (fleet) => {
       fleet.callers.load = 2;
       for (const endpoint of fleet.plan.replicas.slice(0, 5)) await fleet.replaceEndpoint(endpoint.id, "v2");
@@ -94,7 +95,7 @@
   },
   ...["ingress", "agent", "store", "control"].map((program): UnnumberedScenario => ({
     name: `kill-${program}`,
-    description: `a ${program} is killed, and started again`,
+    description: `a process of the ${program} program is killed and restarted`,
     run: async (fleet) => {
       const name =
         program === "store"
--- a/src/simulation/scenarios/operatorScenarios.ts
+++ b/src/simulation/scenarios/operatorScenarios.ts
@@ -1,32 +1,32 @@
 import { ConfigurationBody } from "../simOperator";
 import { joinPoints, otherProcesses, pickRandom, faultPoints, UnnumberedScenario } from "./scenario";
 
-/** Operators' changes and moves: races, retirements, drains. */
+/** Scenarios of concurrent configuration changes, retirements, joins, drains and lost zones. */
 export const operatorScenarios: UnnumberedScenario[] = [
   {
     name: "operators-race",
-    description: "two operators change the configuration at once, again and again",
+    description: "two operators repeatedly change the configuration at the same time",
     run: async (fleet) => {
-      let lost = 0;
+      let lostRaces = 0;
       for (let round = 0; round < 6; round += 1) {
-        const read = await fleet.send("GET", "/v1/manifest");
-        if (read?.status !== 200) continue;
+        const current = await fleet.send("GET", "/v1/manifest");
+        if (current?.status !== 200) continue;
         const nodes = [...fleet.plan.controlHttp, ...fleet.plan.ingressHttp];
-        const both = await Promise.all([
-          fleet.changeConfigurationFrom(read.body as ConfigurationBody, 1, pickRandom(fleet, nodes)),
-          fleet.changeConfigurationFrom(read.body as ConfigurationBody, 1, pickRandom(fleet, nodes)),
+        const outcomes = await Promise.all([
+          fleet.changeConfigurationFrom(current.body as ConfigurationBody, 1, pickRandom(fleet, nodes)),
+          fleet.changeConfigurationFrom(current.body as ConfigurationBody, 1, pickRandom(fleet, nodes)),
         ]);
-        lost += both.filter((each) => each.outcome === "refused").length;
+        lostRaces += outcomes.filter((each) => each.outcome === "refused").length;
         await fleet.run(300);
       }
-      if (lost === 0) throw new Error("no race was lost: nothing was exercised");
+      if (lostRaces === 0) throw new Error("no change lost a race: nothing was exercised");
       fleet.actions.push("operators race");
       await fleet.run(4000);
     },
   },
   {
     name: "change-races-lead",
-    description: "changes race a change of control lead",
+    description: "configuration changes race with a change of the control leader",
     run: async (fleet) => {
       for (let round = 0; round < 3; round += 1) {
         const name = fleet.controlLeader();
@@ -47,9 +47,9 @@
   },
   {
     name: "manifest-grows",
-    description: "the manifest grows by thousands of bindings",
+    description: "the configuration grows by thousands of routes",
     run: async (fleet) => {
-      fleet.actions.push("manifest grows");
+      fleet.actions.push("configuration grows");
       for (let round = 0; round < 4; round += 1) {
         await fleet.changeConfiguration(1000);
         await fleet.run(3000);
@@ -58,15 +58,15 @@
   },
   {
     name: "retire",
-    description: "a store is retired under load, and leaves",
+    description: "a store is retired under load and then stopped",
     run: async (fleet) => {
       const name = fleet.busiestStore();
       const id = await fleet.memberIdOf(name);
-      const fate = await fleet.runPlannedOperation({ kind: "retire", store: id }, 40_000);
-      fleet.notes.push(`retire: ${fate}`);
-      if (fleet.names("store").length > 3 && !fate.startsWith("finished"))
-        throw new Error(`retirement did not finish: ${fate}`);
-      if (fate.startsWith("finished")) {
+      const state = await fleet.runPlannedOperation({ kind: "retire", store: id }, 40_000);
+      fleet.notes.push(`retire: ${state}`);
+      if (fleet.names("store").length > 3 && !state.startsWith("finished"))
+        throw new Error(`retirement did not finish: ${state}`);
+      if (state.startsWith("finished")) {
         await fleet.terminate(name);
         await fleet.run(6000);
       } else await fleet.run(2000);
@@ -74,7 +74,7 @@
   },
   {
     name: "retire-and-lose",
-    description: "a store is retired while another is lost",
+    description: "a store is killed while another one is retired",
     run: async (fleet) => {
       const name = fleet.names("store")[0];
       const id = await fleet.memberIdOf(name);
@@ -90,26 +90,32 @@
   },
   {
     name: "join-and-lose",
-    description: "while a copy joins (by retirement or a machine added), every other member is lost (--point)",
+    description:
+      "while a replica joins a shard, because of a retirement or an added store, all other members are lost (--point)",
     points: joinPoints,
     run: async (fleet, point) => {
-      let lost: { name: string; disk: boolean }[] = [];
-      const after = point === 38 || point === 44; // from then on the joined copy must do alone
+      let lost: { name: string; withDisk: boolean }[] = [];
+      // From these points on the joined replica alone must suffice, so all others lose their disks too.
+      const losesAllDisks = point === 38 || point === 44;
       fleet.callers.load = 2;
-      fleet.world.arm(faultPoints[point].process, point, 1, function lose(_process, about): void {
-        if (!about || about.joiners.length === 0) return fleet.world.arm(faultPoints[point].process, point, 1, lose);
-        const view = fleet.views()[about.shard];
-        const others = view.members
-          .filter((id) => !about.joiners.includes(id))
+      fleet.world.arm(faultPoints[point].process, point, 1, function lose(_process, context): void {
+        if (!context || context.joiners.length === 0)
+          return fleet.world.arm(faultPoints[point].process, point, 1, lose);
+        const view = fleet.views()[context.shard];
+        const otherMembers = view.members
+          .filter((id) => !context.joiners.includes(id))
           .flatMap((id) => fleet.storeNameById.get(id) ?? []);
-        lost = others.map((name, at) => ({ name, disk: after || at < others.length - 1 }));
+        lost = otherMembers.map((name, index) => ({
+          name,
+          withDisk: losesAllDisks || index < otherMembers.length - 1,
+        }));
         fleet.recordFault(
-          `lost at point ${point}: ${lost.map(({ name, disk }) => `${name}${disk ? " with its disk" : ""}`).join(", ")}`,
+          `lost at point ${point}: ${lost.map(({ name, withDisk }) => `${name}${withDisk ? " with its disk" : ""}`).join(", ")}`,
           false,
         );
-        for (const { name, disk } of lost) {
+        for (const { name, withDisk } of lost) {
           fleet.kill(name, true);
-          if (disk) fleet.wipe(name);
+          if (withDisk) fleet.wipe(name);
         }
       });
       if (fleet.seed % 2 === 0) fleet.add("store", "store-9");
@@ -120,7 +126,7 @@
       }
       for (let waited = 0; lost.length === 0 && waited < 40; waited += 1) await fleet.run(500);
       fleet.world.disarm();
-      if (lost.length === 0) throw new Error(`nothing joined at point ${point}`);
+      if (lost.length === 0) throw new Error(`no replica joined at point ${point}`);
       await fleet.run(6000);
       fleet.recordFault("lost machines come back", true);
       for (const { name } of lost) fleet.restart(name);
@@ -129,7 +135,7 @@
   },
   {
     name: "drain-in-crowd",
-    description: "a district is drained during a crowd, and comes back",
+    description: "a zone is drained and undrained during an overload",
     run: async (fleet) => {
       fleet.callers.load = 3;
       const zone = pickRandom(fleet, fleet.deployment.districts);
@@ -140,20 +146,20 @@
       await fleet.run(4000);
     },
   },
-  ...([false, true] as const).map((draining): UnnumberedScenario => ({
-    name: draining ? "district-lost-in-drain" : "district-lost",
-    description: `a district is lost whole${draining ? " while another is drained, under a crowd" : ""}, and comes back (odd seeds: with empty disks)`,
+  ...([false, true] as const).map((isDraining): UnnumberedScenario => ({
+    name: isDraining ? "district-lost-in-drain" : "district-lost",
+    description: `all machines of a zone lose power${isDraining ? " while another zone is drained, under high load" : ""} and restart (odd seeds: with empty disks)`,
     run: async (fleet) => {
-      const [first, other] = [...fleet.deployment.districts].sort(() => fleet.world.random() - 0.5);
-      if (draining) {
+      const [lostZone, drainedZone] = [...fleet.deployment.districts].sort(() => fleet.world.random() - 0.5);
+      if (isDraining) {
         fleet.callers.load = 2;
-        fleet.notes.push(`drain: ${await fleet.runPlannedOperation({ kind: "drain", district: other }, 1000)}`);
+        fleet.notes.push(`drain: ${await fleet.runPlannedOperation({ kind: "drain", district: drainedZone }, 1000)}`);
       }
-      fleet.loseZone(first);
+      fleet.loseZone(lostZone);
       await fleet.run(15_000);
-      fleet.expectReplicasSpreadOverZones(first);
-      if (draining) await fleet.runPlannedOperation({ kind: "undrain", district: other }, 4000);
-      fleet.restoreZone(first, fleet.seed % 2 === 1);
+      fleet.expectReplicasSpreadOverZones(lostZone);
+      if (isDraining) await fleet.runPlannedOperation({ kind: "undrain", district: drainedZone }, 4000);
+      fleet.restoreZone(lostZone, fleet.seed % 2 === 1);
       await fleet.run(12_000);
       fleet.callers.load = 1;
       await fleet.run(6000);
--- a/src/simulation/scenarios/processScenarios.ts
+++ b/src/simulation/scenarios/processScenarios.ts
@@ -1,56 +1,57 @@
 import { otherProcesses, pickRandom, faultPoints, runOperatorChanges, UnnumberedScenario } from "./scenario";
 
-/** Processes killed, frozen, added, swapped, and disks lost. */
+/** Scenarios of killed, frozen, added and replaced processes, and of lost disks. */
 export const processScenarios: UnnumberedScenario[] = [
   {
     name: "kill-at-point",
-    description: "a process is killed at a numbered fault point (--point), and started again",
+    description: "a process is killed at a fault point (--point) and restarted",
     points: Object.keys(faultPoints).map(Number),
     run: async (fleet, point) => {
       const target = faultPoints[point];
       if (!target) throw new Error(`no fault point ${point}; known: ${Object.keys(faultPoints).join(" ")}`);
-      let victim = "";
+      let killedName = "";
       const hits =
         target.process === "store-" && ![13, 14, 17, 43, 44, 48, 49, 50].includes(point)
           ? 1 + Math.floor(fleet.world.random() * 6)
           : 1;
       fleet.world.arm(target.process, point, hits, (process) => {
-        victim = process.name;
-        fleet.recordFault(`kill ${victim} at point ${point}`, true);
-        fleet.kill(victim);
+        killedName = process.name;
+        fleet.recordFault(`kill ${killedName} at point ${point}`, true);
+        fleet.kill(killedName);
       });
-      // what makes the rarer points be reached
-      const nudge = [13, 14].includes(point)
+      // Makes the rarer fault points occur.
+      const trigger = [13, 14].includes(point)
         ? "long"
         : [31, 32, 34].includes(point)
           ? "election"
           : [17, 36, 38, 39, 40, 43, 44, 48, 49, 50].includes(point)
             ? "views"
             : "";
-      if (nudge === "election") {
+      if (trigger === "election") {
         const leader = fleet.controlLeader();
         fleet.kill(leader);
         await fleet.run(6000);
         fleet.restart(leader);
       }
-      if (nudge === "views") {
+      if (trigger === "views") {
         const store = fleet.names("store")[0];
         fleet.kill(store);
         await fleet.run(5000);
         fleet.restart(store);
       }
       await runOperatorChanges(fleet);
-      for (let waited = 0; victim === "" && waited < (nudge === "long" ? 240 : 15); waited += 1) await fleet.run(1000);
+      for (let waited = 0; killedName === "" && waited < (trigger === "long" ? 240 : 15); waited += 1)
+        await fleet.run(1000);
       fleet.world.disarm();
-      if (victim === "") throw new Error(`point ${point} was not reached`);
+      if (killedName === "") throw new Error(`point ${point} was not reached`);
       await fleet.run(5000);
-      fleet.restart(victim);
+      fleet.restart(killedName);
       await fleet.run(9000);
     },
   },
   {
     name: "freeze-store",
-    description: "the busiest store freezes past its grant, and wakes",
+    description: "the busiest store is frozen for longer than its lease",
     run: async (fleet) => {
       const name = fleet.busiestStore();
       fleet.recordFault(`freeze ${name}`, true);
@@ -62,7 +63,7 @@
   },
   {
     name: "freeze-control",
-    description: "the control lead freezes past its grant during changes, and wakes",
+    description: "the control leader is frozen for longer than its lease during configuration changes",
     run: async (fleet) => {
       const name = fleet.controlLeader();
       fleet.recordFault(`freeze ${name}`, true);
@@ -78,7 +79,7 @@
   },
   {
     name: "freeze-edge",
-    description: "an ingress and another's agent freeze while the configuration changes, and wake",
+    description: "an ingress and the agent of another ingress are frozen during a configuration change",
     run: async (fleet) => {
       const [ingress, ...rest] = fleet.names("ingress");
       fleet.freeze(ingress);
@@ -94,7 +95,7 @@
   },
   {
     name: "machines-added",
-    description: "a store and a control machine are added",
+    description: "a store and a control node are added",
     run: async (fleet) => {
       fleet.add("store", "store-9");
       fleet.add("control", "control-9");
@@ -103,7 +104,7 @@
   },
   {
     name: "swap-control",
-    description: "the control lead's machine is swapped for an empty one at a new address",
+    description: "the machines of two successive control leaders are replaced by empty ones at new addresses",
     run: async (fleet) => {
       const name = fleet.controlLeader();
       await fleet.changeConfiguration();
@@ -125,7 +126,7 @@
   },
   {
     name: "swap-store",
-    description: "the busiest store's machine is swapped for an empty one at a new address",
+    description: "the busiest store's machine is replaced by an empty one at a new address",
     run: async (fleet) => {
       const name = fleet.busiestStore();
       fleet.recordFault(`swap ${name}`, true);
@@ -137,7 +138,7 @@
   },
   {
     name: "power-loss",
-    description: "the busiest store loses power right after acknowledging, and comes back",
+    description: "the busiest store loses power right after it acknowledged an entry, and restarts",
     run: async (fleet) => {
       const name = fleet.busiestStore();
       fleet.world.arm(name, 47, 1, () => {
@@ -152,7 +153,7 @@
   },
   {
     name: "disk-loss",
-    description: "the busiest store loses its disk right after acknowledging",
+    description: "the busiest store loses its disk right after it acknowledged an entry",
     run: async (fleet) => {
       const name = fleet.busiestStore();
       fleet.world.arm(name, 47, 1, () => {
@@ -166,11 +167,12 @@
   },
   {
     name: "disk-loss-two",
-    description: "the busiest store and another lose their disks at once, while the busiest reaches no other store",
+    description:
+      "the busiest store and another store lose their disks at once, while the busiest store is partitioned from all others",
     run: async (fleet) => {
       const name = fleet.busiestStore();
       const second = pickRandom(fleet, otherProcesses(fleet, "store", name));
-      // whatever it answers in this moment, nobody else has
+      // No other store has the entries that the busiest store writes during the partition.
       for (const other of otherProcesses(fleet, "store", name)) fleet.world.partition(name, other);
       await fleet.run(300);
       fleet.recordFault(`disk loss at ${name} and ${second}`, true);
--- a/src/simulation/scenarios/scenarios.ts
+++ b/src/simulation/scenarios/scenarios.ts
@@ -9,7 +9,7 @@
 
 export type { Scenario } from "./scenario";
 
-/** In the order of their numbers: a new scenario comes last. */
+/** All scenarios in the order of their numbers. A new one goes to the end, so that the others keep their numbers. */
 const inOrder = [
   ...endpointScenarios,
   ...processScenarios,
@@ -20,16 +20,11 @@
   ...combinedScenarios,
 ];
 
-/**
- * Every scenario by number and name.
- *
- * @example
- * const scenario = Scenarios.find("freeze-store");
- */
+/** All scenarios, with their numbers. */
 export const Scenarios = {
   points: faultPoints,
   all: inOrder.map((scenario, at): Scenario => ({ ...scenario, number: at + 1 })),
-  /** By name or number; undefined if there is none. @example Scenarios.find("3") */
+  /** Finds a scenario by name or number. @example Scenarios.find("3") */
   find: (wanted: string): Scenario | undefined =>
     Scenarios.all.find((scenario) => scenario.name === wanted || String(scenario.number) === wanted),
 };
--- a/src/simulation/simFleet.ts
+++ b/src/simulation/simFleet.ts
@@ -494,7 +494,7 @@
     if (kinds.some((kind) => this.history.of(kind).length === 0))
       violations.push({
         invariant: "exercised",
-        detail: "nothing of some kind was served: the run proves nothing",
+        detail: "the run served nothing of some kind: it proves nothing",
       });
     return violations;
   }
--- a/test/simSuite.ts
+++ b/test/simSuite.ts
@@ -5,7 +5,7 @@
 import { Deployment } from "../src/tools/deployment";
 
 type Case = { scenario: string; seed: number; point: number };
-/** Seeds that once found a fault; the commit that mended it names them. */
+/** Runs that once revealed a fault. The commit that fixed the fault names the seed. */
 const regressions: Case[] = [
   { scenario: "freeze-edge", seed: 1, point: 0 },
   { scenario: "slow-puts", seed: 2, point: 0 },
@@ -22,24 +22,24 @@
 ];
 
 /**
- * The fixed set of simulated runs, shared out over test files so that they run side by side.
- *
- * @example
- * SimSuite.part(1, 7);
+ * A fixed set of simulated runs. It is split over several test files, which run in parallel.
  */
 export const SimSuite = {
-  part(part: number, of: number): void {
-    const read = Deployment.check(JSON.parse(fs.readFileSync(path.join(__dirname, "../../deploy/sim.json"), "utf8")));
-    if (!read.ok) throw new Error(JSON.stringify(read.fault));
+  /** Defines the tests of one test file, `part` from 1 to `partCount`. */
+  part(part: number, partCount: number): void {
+    const deployment = Deployment.check(
+      JSON.parse(fs.readFileSync(path.join(__dirname, "../../deploy/sim.json"), "utf8")),
+    );
+    if (!deployment.ok) throw new Error(JSON.stringify(deployment.fault));
     test.each(
       cases
-        .filter((_case, at) => at % of === part - 1)
+        .filter((_case, index) => index % partCount === part - 1)
         .map(
           (each) =>
             [`${each.scenario}${each.point ? ` at point ${each.point}` : ""}, seed ${each.seed}`, each] as const,
         ),
     )("%s", async (_name, each) => {
-      const report = await Campaign.run(read.value, Scenarios.find(each.scenario)!, each.seed, each.point);
+      const report = await Campaign.run(deployment.value, Scenarios.find(each.scenario)!, each.seed, each.point);
       expect(report.violations).toEqual([]);
       expect(report.served).toBeGreaterThan(50);
     });
