--- a/src/simulation/scenarios/endpointScenarios.ts
+++ b/src/simulation/scenarios/endpointScenarios.ts
@@ -58,13 +58,13 @@
     name: "replicas-crash",
     description: "a third of the endpoints crash and restart",
     run: async (fleet) => {
-      const lost = fleet.plan.replicas.filter((_replica, at) => at % 3 === 0);
+      const crashed = fleet.plan.replicas.filter((_endpoint, index) => index % 3 === 0);
       fleet.recordFault("replicas crash", true);
-      for (const endpoint of lost) fleet.killEndpoint(endpoint.id);
+      for (const endpoint of crashed) fleet.killEndpoint(endpoint.id);
       await fleet.run(7000);
       fleet.callers.load = 7; // The restarted endpoints must not be flooded with requests.
       await fleet.run(2000);
-      for (const endpoint of lost) fleet.startEndpoint(endpoint);
+      for (const endpoint of crashed) fleet.startEndpoint(endpoint);
       await fleet.run(3000);
       fleet.callers.load = 1;
       await fleet.run(5000);
@@ -76,8 +76,8 @@
     run: async (fleet) => {
       fleet.recordFault("replicas dark", true);
       const behaviors = ["unresponsive", "malformed", "endless", "overloaded"] as const;
-      [...fleet.endpoints.values()].forEach(({ endpoint }, at) => {
-        if (at % 3 === 0) endpoint.behavior = behaviors[(at / 3) % behaviors.length];
+      [...fleet.endpoints.values()].forEach(({ endpoint }, index) => {
+        if (index % 3 === 0) endpoint.behavior = behaviors[(index / 3) % behaviors.length];
       });
       await fleet.run(12_000);
       for (const { endpoint } of fleet.endpoints.values()) endpoint.behavior = "healthy";
--- a/src/simulation/scenarios/processScenarios.ts
+++ b/src/simulation/scenarios/processScenarios.ts
@@ -168,7 +168,7 @@
   {
     name: "disk-loss-two",
     description:
-      "the busiest store and another store lose their disks at once, while the busiest store is partitioned from all others",
+      "the busiest store and another store lose their disks at once, while the busiest store cannot reach any other store",
     run: async (fleet) => {
       const name = fleet.busiestStore();
       const second = pickRandom(fleet, otherProcesses(fleet, "store", name));
--- a/src/simulation/scenarios/scenario.ts
+++ b/src/simulation/scenarios/scenario.ts
@@ -37,7 +37,7 @@
     description: "all members of the next view have the whole sealed log, the view was not committed yet",
   },
   38: { process: "control-", description: "a view was committed but not installed yet" },
-  39: { process: "control-", description: "the remaining members were sealed, there is no new view yet" },
+  39: { process: "control-", description: "the reachable members were sealed, there is no new view yet" },
   40: { process: "control-", description: "the state transfer to a joining replica ended, no member was sealed yet" },
   41: { process: "store-", description: "a member is about to write an entry" },
   42: { process: "store-", description: "a member wrote an entry, the response was not sent yet" },
--- a/src/simulation/scenarios/scenarios.ts
+++ b/src/simulation/scenarios/scenarios.ts
@@ -10,7 +10,7 @@
 export type { Scenario } from "./scenario";
 
 /** All scenarios in the order of their numbers. A new one goes to the end, so that the others keep their numbers. */
-const inOrder = [
+const allScenarios = [
   ...endpointScenarios,
   ...processScenarios,
   ...networkScenarios,
@@ -23,7 +23,7 @@
 /** All scenarios, with their numbers. */
 export const Scenarios = {
   points: faultPoints,
-  all: inOrder.map((scenario, at): Scenario => ({ ...scenario, number: at + 1 })),
+  all: allScenarios.map((scenario, index): Scenario => ({ ...scenario, number: index + 1 })),
   /** Finds a scenario by name or number. @example Scenarios.find("3") */
   find: (wanted: string): Scenario | undefined =>
     Scenarios.all.find((scenario) => scenario.name === wanted || String(scenario.number) === wanted),
--- a/src/simulation/simHttp.ts
+++ b/src/simulation/simHttp.ts
@@ -23,7 +23,7 @@
 }
 type RequestState = "connecting" | "sent" | "responded" | "closed";
 
-/** A request at its client. It is settled once, by a response, a fault or its time-outgoing. */
+/** A request at its client. It is settled once, by a response, a fault or its time-out. */
 class ClientRequest {
   state: RequestState = "connecting";
   exchange: OpenExchange | undefined;
