--- a/src/simulation/simDiskSteps.ts
+++ b/src/simulation/simDiskSteps.ts
@@ -105,7 +105,7 @@
       if (location?.folder.names.has(location.name)) location.folder.change({ tag: "removed", name: location.name });
       return Fault.ok(true as const);
     },
-    *free() {
+    *freeBytes() {
       return Fault.ok(disk.full ? 0 : UNLIMITED_BYTES);
     },
     /** Locks nothing, since each simulated process has its own disk. It leaves a lock file, as the production code does. */
--- a/src/simulation/simHttp.ts
+++ b/src/simulation/simHttp.ts
@@ -84,7 +84,7 @@
       disconnectServer: () =>
         http.network.send(client, server, () => {
           this.disconnected.close();
-          this.incoming.onGone?.();
+          this.incoming.onDisconnect?.();
           http.exchanges.delete(this.exchange);
         }),
     };
@@ -100,8 +100,8 @@
       status,
       headers,
       chunks: this.chunks,
-      broken: () => !this.isComplete,
-      finish: () => undefined,
+      isIncomplete: () => !this.isComplete,
+      discardBody: () => undefined,
       abort: () => {
         this.request.state = "closed";
         this.chunks.close();
@@ -130,8 +130,8 @@
       target: outgoing.path,
       query: url.searchParams,
       headers: outgoing.headers ?? {},
-      caller: client.name,
-      gone: this.disconnected,
+      callerAddress: client.name,
+      disconnected: this.disconnected,
       *body(limit) {
         const data =
           typeof outgoing.body === "string" ? Buffer.from(outgoing.body, "utf8") : (outgoing.body ?? Buffer.alloc(0));
@@ -144,7 +144,7 @@
         this.sendChunk(body);
         this.sendEnd();
       },
-      open: (status, headers) => void this.sendHead(status, headers),
+      startStream: (status, headers) => void this.sendHead(status, headers),
       write: (chunk) => this.sendChunk(chunk),
       end: () => this.sendEnd(),
       abort: () => this.toClient(() => this.exchange.disconnectClient()),
