--- a/scripts/guardMutations/mutations.js
+++ b/scripts/guardMutations/mutations.js
@@ -103,7 +103,7 @@
     expectedInvariants: ["never-twice"],
     edits: [
       {
-        file: "storage/abandonedClaims.js",
+        file: "storage/abandonedClaimRecovery.js",
         find: "const operation = job.safe\n",
         replacement: "const operation = true\n",
       },
--- a/src/storage/abandonedClaims.ts
+++ b/src/storage/abandonedClaimRecovery.ts
@@ -14,19 +14,19 @@
 import { ShardWriter } from "./shardWriter";
 
 /** An owner is asked this often what it still executes, ms. */
-const OWNER_POLL_MS = 400;
+const OWNER_POLL_PERIOD_MS = 400;
 /** One such request's time-out, ms. */
-const OWNER_RESPONSE_MS = 500;
+const OWNER_POLL_TIMEOUT_MS = 500;
 /** An owner that doesn't respond for so long has lost its claims, ms: it gives up older ones itself. */
-const OWNER_SILENCE_MAX_MS = 2 * Constants.claimMaxAgeMs;
+const OWNER_LOSS_TIMEOUT_MS = 2 * Constants.claimMaxAgeMs;
 /** For how long the put that closes an abandoned request is repeated, ms. */
-const CLOSE_WITHIN_MS = 10_000;
+const CLOSE_TIMEOUT_MS = 10_000;
 /** For how long the put that releases an abandoned claim is repeated, ms. */
-const RELEASE_WITHIN_MS = 5000;
+const RELEASE_TIMEOUT_MS = 5000;
 
 /** Reason in the ledger for what a new leader decides. */
-const LEADER_CHANGED = "lead changed";
-const OWNER_LOST = "the store that ran it was lost";
+const LEADER_CHANGED_NOTE = "lead changed";
+const OWNER_LOST_DETAIL = "the store that ran it was lost";
 
 /** A claim in a shard's state, with the name by which its owner knows it. */
 type Claim =
@@ -46,7 +46,7 @@
  * recovery.start();
  * recovery.recoverShard(replica);
  */
-export class AbandonedClaims {
+export class AbandonedClaimRecovery {
   /** `SHARD/EPOCH/OWNER` of the owners that are being polled. */
   private readonly polledOwners = new Set<string>();
 
@@ -71,13 +71,13 @@
     const { epoch } = replica.view!;
     for (const [owner, claims] of claimsByOwner(replica)) {
       const key = `${replica.shard}/${epoch}/${owner}`;
-      const others = claims.filter(({ name }) => !this.running.has(name));
-      if (others.length === 0 || this.polledOwners.has(key)) continue;
+      const notRunningHere = claims.filter(({ name }) => !this.running.has(name));
+      if (notRunningHere.length === 0 || this.polledOwners.has(key)) continue;
       this.polledOwners.add(key);
       const recovery = this;
       Csp.go(this.env.scope, `orphans of ${owner}`, function* () {
         try {
-          yield* recovery.recoverFrom(owner, replica, epoch, others);
+          yield* recovery.recoverFrom(owner, replica, epoch, notRunningHere);
         } finally {
           recovery.polledOwners.delete(key);
         }
@@ -100,20 +100,21 @@
   /** Polls an owner until it executes none of the claims any more, and recovers each that it doesn't. */
   private *recoverFrom(owner: string, replica: ShardReplica, epoch: number, claims: Claim[]): Task<void> {
     let remaining = claims;
-    let respondedAt = this.env.mono();
+    let lastResponseAt = this.env.mono();
     while (remaining.length > 0 && replica.holdsLease() && replica.view?.epoch === epoch) {
       const names = remaining.map(({ name }) => name);
       const poll = yield* this.pollOwner(owner, names);
-      let executed = new Set<string>(poll.running);
-      if (poll.running !== undefined) respondedAt = this.env.mono();
-      else if (poll.isReachable && this.env.mono() - respondedAt < OWNER_SILENCE_MAX_MS) executed = new Set(names);
+      let stillRunning = new Set<string>(poll.running);
+      if (poll.running !== undefined) lastResponseAt = this.env.mono();
+      else if (poll.isReachable && this.env.mono() - lastResponseAt < OWNER_LOSS_TIMEOUT_MS)
+        stillRunning = new Set(names);
       for (const claim of remaining) {
-        if (executed.has(claim.name) || this.running.has(claim.name)) continue;
+        if (stillRunning.has(claim.name) || this.running.has(claim.name)) continue;
         if (claim.kind === "request") yield* this.recoverRequest(replica, claim.id);
         else yield* this.recoverItem(replica, claim);
       }
-      remaining = remaining.filter(({ name }) => executed.has(name));
-      if (remaining.length > 0) yield* EnvironmentTools.sleep(this.env, OWNER_POLL_MS);
+      remaining = remaining.filter(({ name }) => stillRunning.has(name));
+      if (remaining.length > 0) yield* EnvironmentTools.sleep(this.env, OWNER_POLL_PERIOD_MS);
     }
   }
 
@@ -123,7 +124,7 @@
     const state = this.node.membership.find(owner)?.state;
     const address = state === "alive" || state === "suspect" ? this.node.addressOf(owner) : undefined;
     if (!address) return { isReachable: false, running: undefined };
-    const response = yield* this.node.rpc.call(address, "work.running", { ids: names }, OWNER_RESPONSE_MS);
+    const response = yield* this.node.rpc.call(address, "work.running", { ids: names }, OWNER_POLL_TIMEOUT_MS);
     return { isReachable: true, running: response.ok ? response.value.running : undefined };
   }
 
@@ -132,14 +133,14 @@
     if (!request || isClosed(request)) return;
     if (request.state === "claimed" && !request.safe) {
       this.counters.unknowns += 1;
-      yield* this.closeRequest(replica, request, "unknown", `${OWNER_LOST}; it may have run`);
+      yield* this.closeRequest(replica, request, "unknown", `${OWNER_LOST_DETAIL}; it may have run`);
       return;
     }
     const route = this.node.snapshot().control?.manifest.doc.bindings[request.binding];
     const canContinue = request.pieces.length === 0 || request.exact;
     if (!route || request.deadlineAt < this.env.wall() || !canContinue) {
       const hasNotRun = request.state === "accepted" && request.pieces.length === 0;
-      yield* this.closeRequest(replica, request, hasNotRun ? "refused" : "failed", OWNER_LOST);
+      yield* this.closeRequest(replica, request, hasNotRun ? "refused" : "failed", OWNER_LOST_DETAIL);
       return;
     }
     yield* this.resumeRequest(replica, request, route);
@@ -153,7 +154,7 @@
     if (request.state === "claimed") {
       const release: ShardOperation = { op: "release", id, round: attempt, why: "its store was lost" };
       const putId = recoveryPutId(request);
-      const released = yield* this.writer.put(replica.shard, putId, [release], {}, RELEASE_WITHIN_MS);
+      const released = yield* this.writer.put(replica.shard, putId, [release], {}, RELEASE_TIMEOUT_MS);
       if (!released.ok || released.value.tag !== "done") {
         this.running.delete(id);
         return;
@@ -185,8 +186,8 @@
       replica.shard,
       recoveryPutId(request),
       [{ op: "close", id: request.id, round: request.round, state, outcome }],
-      { note: LEADER_CHANGED },
-      CLOSE_WITHIN_MS,
+      { note: LEADER_CHANGED_NOTE },
+      CLOSE_TIMEOUT_MS,
     );
   }
 
@@ -204,10 +205,10 @@
           item: index,
           round: attempt,
           state: "unknown",
-          result: JSON.stringify({ detail: `${OWNER_LOST}; it may have run` }),
+          result: JSON.stringify({ detail: `${OWNER_LOST_DETAIL}; it may have run` }),
         };
     const putId = `recover-${name}-${attempt}`;
-    yield* this.writer.put(replica.shard, putId, [operation], { note: LEADER_CHANGED }, RELEASE_WITHIN_MS);
+    yield* this.writer.put(replica.shard, putId, [operation], { note: LEADER_CHANGED_NOTE }, RELEASE_TIMEOUT_MS);
   }
 }
 
--- a/src/storage/batchJobs/batchJobReads.ts
+++ b/src/storage/batchJobs/batchJobReads.ts
@@ -26,16 +26,16 @@
  * const page = yield* reads.list(replica, { shard: 3, id: "lot-17", from: 12, waitMs: 1000 });
  */
 export class BatchJobReads {
-  /** @param submissions locks of the jobs that are being submitted, by job id */
+  /** @param submissionLocks locks of the jobs that are being submitted, by job id */
   constructor(
     private readonly env: Environment,
     private readonly node: Node,
-    private readonly submissions: KeyedLock,
+    private readonly submissionLocks: KeyedLock,
   ) {}
 
   /** Results from a position on, as soon as there is one, all are there or the time is up. */
   *list(replica: ShardReplica, { id, from, waitMs, anyAge }: ListJobRequest): Task<Result<JobResultPage>> {
-    const until = this.env.mono() + Math.min(waitMs, Constants.readWaitMs);
+    const deadline = this.env.mono() + Math.min(waitMs, Constants.readWaitMs);
     for (;;) {
       if (!isInView(this.node, replica)) return notInViewFault(this.node, "list");
       const oldest = this.env.wall() - Stamp.delay(this.node.clockBounds()) - Constants.jobListLagMs;
@@ -44,14 +44,14 @@
       const found = yield* replica.job(id);
       if (!found.ok) return found;
       const job = found.value;
-      const isTimeUp = this.env.mono() >= until;
+      const isTimeUp = this.env.mono() >= deadline;
       if (job) {
         if (job.positions.length > from || areAllStable(job) || isTimeUp) return Fault.ok(pageOf(job, from));
-      } else if (replica.holdsLease() && !this.submissions.isLocked(id))
+      } else if (replica.holdsLease() && !this.submissionLocks.isLocked(id))
         return Fault.fail("notFound", "list", this.node.self.id, `no lot ${id}`);
       else if (isTimeUp || !replica.holdsLease())
         return Fault.fail("notLead", "list", this.node.self.id, "not known here");
-      yield* replica.waitForChange(until - this.env.mono());
+      yield* replica.waitForChange(deadline - this.env.mono());
     }
   }
 
@@ -61,7 +61,7 @@
     const found = yield* replica.job(id);
     if (!found.ok) return found;
     const job = found.value;
-    const isUncertain = !replica.holdsLease() || this.submissions.isLocked(id);
+    const isUncertain = !replica.holdsLease() || this.submissionLocks.isLocked(id);
     if (!job) return Fault.fail(isUncertain ? "notLead" : "notFound", "item body", this.node.self.id, `no lot ${id}`);
     const index = job.requests?.findIndex((request) => request.id === item) ?? -1;
     const body = job.ended ? undefined : job.bodies[index];
@@ -73,20 +73,20 @@
   /** Results with their positions and stamps, of jobs of either kind. */
   *results(replica: ShardReplica, body: JobResultsRequest): Task<Result<JobResultsResponse>> {
     if (!isInView(this.node, replica)) return notInViewFault(this.node, "read");
-    const until = this.env.mono() + Math.min(body.waitMs, Constants.readWaitMs);
+    const deadline = this.env.mono() + Math.min(body.waitMs, Constants.readWaitMs);
     for (;;) {
       const frontier = replica.frontier();
       const found = yield* replica.job(body.id);
       if (!found.ok) return found;
       const job = found.value;
-      const isTimeUp = this.env.mono() >= until;
+      const isTimeUp = this.env.mono() >= deadline;
       if (job) {
         const response = resultsOf(job, body, frontier);
         if (response.results.length > 0 || areAllStable(job) || isTimeUp) return Fault.ok(response);
       } else if (replica.holdsLease())
         return Fault.fail("notFound", "lot results", this.node.self.id, `no lot ${body.id}`);
       else if (isTimeUp) return Fault.fail("notLead", "lot results", this.node.self.id, "not here yet");
-      yield* replica.waitForChange(until - this.env.mono());
+      yield* replica.waitForChange(deadline - this.env.mono());
     }
   }
 }
--- a/src/storage/batchJobs/batchJobs.ts
+++ b/src/storage/batchJobs/batchJobs.ts
@@ -13,7 +13,7 @@
 import { OpenJobs } from "./openJobs";
 
 /** How long a put about a job may take at its leader, ms: longer than a view change. */
-const JOB_PUT_MS = 1100;
+const JOB_PUT_TIMEOUT_MS = 1100;
 
 /**
  * Batch jobs whose items are whole requests, at the leader of their shard: submitted, refused and ended. A job is
@@ -23,13 +23,13 @@
  * const response = yield* jobs.submit(replica, { shard, stamp, life, lot, cause });
  */
 export class BatchJobs {
-  /** @param submissions locks of the jobs that are being submitted, by job id */
+  /** @param submissionLocks locks of the jobs that are being submitted, by job id */
   constructor(
     private readonly env: Environment,
     private readonly node: Node,
     private readonly quota: Quota,
     private readonly openJobs: OpenJobs,
-    private readonly submissions: KeyedLock,
+    private readonly submissionLocks: KeyedLock,
   ) {}
 
   /**
@@ -38,7 +38,7 @@
    */
   *submit(replica: ShardReplica, body: SubmitJobRequest): Task<Result<SubmitJobResponse>> {
     const { id, bodyHash } = body.lot;
-    yield* this.submissions.whenFree(id);
+    yield* this.submissionLocks.waitUntilFree(id);
     if (!replica.holdsLease() || this.node.stopping || !this.node.mayHoldLeases())
       return notLeaderFault(this.node, replica, "hand in");
     const existing = findExisting(replica, id, bodyHash);
@@ -49,12 +49,12 @@
     if (!Stamp.admits(body.stamp.time, this.env.wall(), this.node.clockBounds()))
       return Fault.fail("late", "hand in", this.node.self.id, "stamp outside the bounds");
     if (replica.view!.members.length < Constants.minReplicasForJobs) return this.busy("too few copies");
-    this.submissions.acquire(id);
+    this.submissionLocks.acquire(id);
     try {
       return yield* this.reserveAndStore(replica, body);
     } finally {
       this.quota.release(replica.shard, id);
-      this.submissions.release(id);
+      this.submissionLocks.release(id);
     }
   }
 
@@ -74,7 +74,7 @@
         ops: [{ op: "lot", lot: job, life }],
         cause: { ...body.cause, view: replica.view?.epoch },
       },
-      JOB_PUT_MS,
+      JOB_PUT_TIMEOUT_MS,
     );
     if (!put.ok) return put;
     switch (put.value.tag) {
@@ -86,8 +86,8 @@
       case "no":
         return this.busy(put.value.why); // this arrival was refused before it was put
       default: {
-        const never: never = put.value;
-        return never;
+        const unreachable: never = put.value;
+        return unreachable;
       }
     }
   }
@@ -98,7 +98,10 @@
   *refuse(replica: ShardReplica, { id, stamp }: RefuseRequest): Task<Result<RefuseResponse>> {
     if (!replica.holdsLease()) return notLeaderFault(this.node, replica, "refuse lot");
     const putId = `refuse-lot-${id}-${Stamp.text(stamp)}`;
-    const put = yield* replica.put({ putId, stamp, ops: [{ op: "lotRefuse", lot: id }], cause: {} }, JOB_PUT_MS);
+    const put = yield* replica.put(
+      { putId, stamp, ops: [{ op: "lotRefuse", lot: id }], cause: {} },
+      JOB_PUT_TIMEOUT_MS,
+    );
     if (!put.ok) return put;
     this.openJobs.add(replica, id); // if it was stored after all
     return Fault.ok({ refused: put.value.tag === "done" });
@@ -109,12 +112,15 @@
     if (!replica.holdsLease()) return notLeaderFault(this.node, replica, "end lot");
     const job = replica.data.jobs.get(id);
     const sealed = replica.segments.find("lots", id);
-    if (!job && !sealed && this.submissions.isLocked(id))
+    if (!job && !sealed && this.submissionLocks.isLocked(id))
       return Fault.fail("notLead", "end lot", this.node.self.id, "it is being taken in");
     if (!job && !sealed) return Fault.fail("notFound", "end lot", this.node.self.id, `no lot ${id}`);
     if (sealed || job?.ended) return Fault.ok({ ended: true });
     const putId = `end-${id}-${Stamp.text(stamp)}`;
-    const put = yield* replica.put({ putId, stamp, ops: [{ op: "lotEnd", lot: id, by }], cause: {} }, JOB_PUT_MS);
+    const put = yield* replica.put(
+      { putId, stamp, ops: [{ op: "lotEnd", lot: id, by }], cause: {} },
+      JOB_PUT_TIMEOUT_MS,
+    );
     if (!put.ok) return put;
     this.openJobs.end(id);
     return Fault.ok({ ended: true });
--- a/src/storage/batchJobs/endpointUsage.ts
+++ b/src/storage/batchJobs/endpointUsage.ts
@@ -28,8 +28,8 @@
   total = (): number => [...this.byPool.values()].reduce((sum, count) => sum + count, 0);
 }
 
-function changeCount(counts: Map<string, number>, key: string, by: number): void {
-  const count = (counts.get(key) ?? 0) + by;
+function changeCount(counts: Map<string, number>, key: string, delta: number): void {
+  const count = (counts.get(key) ?? 0) + delta;
   if (count > 0) counts.set(key, count);
   else counts.delete(key);
 }
--- a/src/storage/batchJobs/itemEndpointChoice.ts
+++ b/src/storage/batchJobs/itemEndpointChoice.ts
@@ -40,8 +40,8 @@
   /** The pool of the next item, drawn by weight where the route splits its traffic. */
   poolOf(route: Route): string {
     if (!route.split || route.split.length === 0) return route.pool;
-    let drawn = this.env.random() * route.split.reduce((sum, { weight }) => sum + weight, 0);
-    return route.split.find(({ weight }) => (drawn -= weight) < 0)?.pool ?? route.pool;
+    let remainingWeight = this.env.random() * route.split.reduce((sum, { weight }) => sum + weight, 0);
+    return route.split.find(({ weight }) => (remainingWeight -= weight) < 0)?.pool ?? route.pool;
   }
 
   /** Whether a further item may start in the pool; if not, the pool is full for the whole pass. */
@@ -66,9 +66,9 @@
   ): Endpoint | undefined {
     const endpoints = this.endpointsOf(pass, pool, job.binding);
     const window = this.windowOf(pass, pool, job.binding, isUrgent);
-    const mostAtOne = Math.ceil((window / Math.max(1, endpoints.length)) * Constants.boundedLoad) + 1;
-    const loaded = endpoints.filter((endpoint) => this.usage.at(endpoint) >= mostAtOne);
-    const exclude = new Set(loaded.map(({ key }) => key));
+    const maxPerEndpoint = Math.ceil((window / Math.max(1, endpoints.length)) * Constants.boundedLoad) + 1;
+    const fullEndpoints = endpoints.filter((endpoint) => this.usage.at(endpoint) >= maxPerEndpoint);
+    const exclude = new Set(fullEndpoints.map(({ key }) => key));
     if (avoid && endpoints.some(({ key }) => key !== avoid && !exclude.has(key))) exclude.add(avoid);
     const criteria = {
       snapshot: pass.snapshot,
@@ -79,9 +79,9 @@
       prefix: this.prefixOf(job, item),
       workClass: "batch" as const,
     };
-    const inZone = this.excludingOtherZones(endpoints, exclude);
+    const excludeForZone = this.excludeOtherZones(endpoints, exclude);
     return (
-      this.endpointSelector.choose({ ...criteria, exclude: inZone }) ??
+      this.endpointSelector.choose({ ...criteria, exclude: excludeForZone }) ??
       this.endpointSelector.choose({ ...criteria, exclude })
     );
   }
@@ -100,8 +100,8 @@
 
   private endpointsOf(pass: SchedulingPass, pool: string, routeName: string): Endpoint[] {
     const key = `${pool} ${routeName}`;
-    const known = pass.endpoints.get(key);
-    if (known) return known;
+    const cached = pass.endpoints.get(key);
+    if (cached) return cached;
     const { snapshot } = pass;
     const endpoints = EndpointEligibility.inPool({ snapshot, pool, route: routeName, caller: "", kind: ITEM_KIND });
     pass.endpoints.set(key, endpoints);
@@ -119,7 +119,7 @@
    * What is excluded, and all endpoints of other zones while this node's own has capacity: requests and their results
    * are long, and links between zones are slow.
    */
-  private excludingOtherZones(endpoints: Endpoint[], exclude: Set<string>): Set<string> {
+  private excludeOtherZones(endpoints: Endpoint[], exclude: Set<string>): Set<string> {
     const isSameZone = ({ district }: Endpoint): boolean => district === this.zone;
     const sameZone = endpoints.filter((endpoint) => isSameZone(endpoint) && !exclude.has(endpoint.key));
     const running = sameZone.reduce((sum, endpoint) => sum + this.usage.at(endpoint), 0);
--- a/src/storage/batchJobs/itemExecution.ts
+++ b/src/storage/batchJobs/itemExecution.ts
@@ -13,7 +13,7 @@
 import { OpenJobs } from "./openJobs";
 
 /** Least time that an endpoint is given for an item, ms. */
-const REMAINING_MIN_MS = 1000;
+const REMAINING_TIME_MIN_MS = 1000;
 /** Priority of batch items at an endpoint: behind all live requests, which begin at 0. */
 const ITEM_PRIORITY = 9;
 
@@ -47,8 +47,8 @@
 
   /** Forwards the item and reads its response; the endpoint's capacity is released at the end. */
   *attempt(open: OpenJob, job: BatchJob, item: number, endpoint: Endpoint): Task<ItemAttemptOutcome> {
-    const after = open.progress.get(item)?.lastEventId ?? 0;
-    const request = this.requestFor(job, item, after);
+    const lastEventId = open.progress.get(item)?.lastEventId ?? 0;
+    const request = this.requestFor(job, item, lastEventId);
     this.env.point(57);
     const opened = yield* DirectHttp.open(this.env, this.names, endpoint, request, Constants.itemResponseHeadMs);
     if (!opened.ok) {
@@ -61,7 +61,7 @@
       this.endpointSelector.requestEnded(endpoint, true);
       return { tag: "cancelled" };
     }
-    if (after > 0) this.counters.resumed += 1;
+    if (lastEventId > 0) this.counters.resumed += 1;
     open.running.set(item, opened.value.response);
     const outcome = yield* this.readResponse(open, item, endpoint, opened.value);
     this.env.point(58);
@@ -69,9 +69,9 @@
     return this.openJobs.mayContinue(open) || outcome.tag === "done" ? outcome : { tag: "cancelled" };
   }
 
-  private requestFor(job: BatchJob, item: number, after: number): Parameters<typeof DirectHttp.open>[3] {
+  private requestFor(job: BatchJob, item: number, lastEventId: number): Parameters<typeof DirectHttp.open>[3] {
     const { id, target, headers } = job.requests![item];
-    const remainingMs = Math.max(REMAINING_MIN_MS, giveUpAt(job, job.kept) - this.env.wall());
+    const remainingMs = Math.max(REMAINING_TIME_MIN_MS, giveUpAt(job, job.kept) - this.env.wall());
     return {
       method: "POST",
       target,
@@ -79,7 +79,7 @@
       body: Buffer.from(job.bodies[item], "base64"),
       id,
       remainingMs: Math.min(remainingMs, Constants.deadlineMaxMs),
-      lastEventId: after,
+      lastEventId,
       priority: ITEM_PRIORITY,
     };
   }
--- a/src/storage/batchJobs/itemResults.ts
+++ b/src/storage/batchJobs/itemResults.ts
@@ -9,7 +9,7 @@
 import { OpenJobs } from "./openJobs";
 
 /** For how long the put of results is repeated, ms: past a takeover of the shard. */
-const PUT_WITHIN_MS = 12_000;
+const PUT_TIMEOUT_MS = 12_000;
 
 interface PendingResult {
   open: OpenJob;
@@ -71,7 +71,7 @@
       if (batch.length === 0) return;
       this.batchNumber += 1;
       const putId = `results-${this.node.self.id}-${this.batchNumber}-${Math.floor(this.env.wall())}`;
-      const put = yield* this.writer.put(shard, putId, operationsOf(batch), {}, PUT_WITHIN_MS);
+      const put = yield* this.writer.put(shard, putId, operationsOf(batch), {}, PUT_TIMEOUT_MS);
       for (const { open, outcome } of batch) {
         open.running.delete(outcome.item);
         open.progress.delete(outcome.item);
--- a/src/storage/batchJobs/itemScheduler.ts
+++ b/src/storage/batchJobs/itemScheduler.ts
@@ -19,9 +19,9 @@
 import { OpenJobs } from "./openJobs";
 
 /** Without items to start, a pass comes after this long at the latest, ms. */
-const IDLE_PASS_MS = 1000;
+const IDLE_PERIOD_MS = 1000;
 /** A backoff is drawn from this range of multiples, so that retries don't come all at once. */
-const BACKOFF_JITTER = { least: 0.7, spread: 0.6 };
+const BACKOFF_JITTER_FACTOR = { min: 0.7, range: 0.6 };
 
 interface SchedulableJob {
   open: OpenJob;
@@ -39,7 +39,7 @@
  */
 export class ItemScheduler {
   private readonly endpointUsage = new EndpointUsage();
-  private readonly choice: ItemEndpointChoice;
+  private readonly endpointChoice: ItemEndpointChoice;
 
   constructor(
     private readonly env: Environment,
@@ -53,7 +53,7 @@
     private readonly counters: ItemCounters,
     names: HeaderNames,
   ) {
-    this.choice = new ItemEndpointChoice(env, node.self.district, endpointSelector, this.endpointUsage, names);
+    this.endpointChoice = new ItemEndpointChoice(env, node.self.district, endpointSelector, this.endpointUsage, names);
   }
 
   start(): void {
@@ -64,15 +64,15 @@
   runningCount = (): number => this.endpointUsage.total();
 
   private *scheduleLoop(): Task<void> {
-    for (let searchedAt = this.env.mono(); ;) {
+    for (let lastSearchAt = this.env.mono(); ;) {
       const hasWaiting = this.openJobs.all().some((open) => open.ready.length + open.delayed.length > 0);
       yield* EnvironmentTools.takeWithin(
         this.env,
         this.openJobs.changed,
-        hasWaiting ? Constants.jobSchedulingPeriodMs : IDLE_PASS_MS,
+        hasWaiting ? Constants.jobSchedulingPeriodMs : IDLE_PERIOD_MS,
       );
-      if (this.env.mono() - searchedAt > Constants.abandonedClaimSearchMs) {
-        searchedAt = this.env.mono();
+      if (this.env.mono() - lastSearchAt > Constants.abandonedClaimSearchMs) {
+        lastSearchAt = this.env.mono();
         // a job may have been accepted by a put that took longer than its request waited
         for (const replica of this.replicas.values()) if (replica.holdsLease()) this.openJobs.addJobsOf(replica);
       }
@@ -91,14 +91,14 @@
       endpoints: new Map(),
       fullPools: new Set(),
     };
-    for (const each of schedulable) {
-      const route = routeOf(snapshot, each.job);
-      if (!route) this.giveUp(each.open, "its binding was taken out of the manifest");
-      else if (this.env.wall() > giveUpAt(each.job, route))
-        this.giveUp(each.open, "not done in the time that its binding gives");
+    for (const entry of schedulable) {
+      const route = routeOf(snapshot, entry.job);
+      if (!route) this.abandonWaitingItems(entry.open, "its binding was taken out of the manifest");
+      else if (this.env.wall() > giveUpAt(entry.job, route))
+        this.abandonWaitingItems(entry.open, "not done in the time that its binding gives");
       else {
-        makeDelayedReady(each.open, now);
-        this.startItems(each, route, pass);
+        requeueDelayedItems(entry.open, now);
+        this.startItems(entry, route, pass);
       }
     }
   }
@@ -107,19 +107,19 @@
   private schedulableJobs(): SchedulableJob[] {
     const jobs: SchedulableJob[] = [];
     for (const open of this.openJobs.all()) {
-      const job = this.openJobs.find(open);
+      const job = this.openJobs.findSchedulable(open);
       if (!this.openJobs.mayContinue(open)) this.openJobs.abort(open);
       else if (job) jobs.push({ open, job, dueInMs: dueInMs(job, this.env.wall()) });
     }
     // results that are late already have lost most of their value: they come last
-    const lateness = ({ dueInMs: remainingMs }: SchedulableJob): number => (remainingMs > 0 ? 0 : 1);
+    const overdueRank = ({ dueInMs: remainingMs }: SchedulableJob): number => (remainingMs > 0 ? 0 : 1);
     return jobs.sort(
       (left, right) =>
-        left.job.order - right.job.order || lateness(left) - lateness(right) || left.dueInMs - right.dueInMs,
+        left.job.order - right.job.order || overdueRank(left) - overdueRank(right) || left.dueInMs - right.dueInMs,
     );
   }
 
-  private giveUp(open: OpenJob, why: string): void {
+  private abandonWaitingItems(open: OpenJob, why: string): void {
     for (const item of [...open.ready.splice(0), ...open.delayed.splice(0)])
       this.results.add(open, { item, state: "abandoned", result: "" }, why);
   }
@@ -128,12 +128,12 @@
   private startItems({ open, job, dueInMs: remainingMs }: SchedulableJob, route: Route, pass: SchedulingPass): void {
     const isUrgent = remainingMs < Constants.jobUrgentMs;
     for (let count = open.ready.length; count > 0; count -= 1) {
-      const pool = this.choice.poolOf(route);
-      if (!this.choice.hasCapacity(pass, pool, job.binding, isUrgent)) return;
+      const pool = this.endpointChoice.poolOf(route);
+      if (!this.endpointChoice.hasCapacity(pass, pool, job.binding, isUrgent)) return;
       const item = open.ready.shift()!;
       if (job.items[item].state !== "waiting") continue; // it has a result from another leader
       const avoid = open.progress.get(item)?.avoid;
-      const endpoint = this.choice.choose(pass, pool, job, item, isUrgent, avoid);
+      const endpoint = this.endpointChoice.choose(pass, pool, job, item, isUrgent, avoid);
       if (!endpoint) {
         open.ready.unshift(item);
         pass.fullPools.add(pool);
@@ -187,14 +187,14 @@
         open.running.delete(item);
         return;
       default: {
-        const never: never = outcome;
-        return never;
+        const unreachable: never = outcome;
+        return unreachable;
       }
     }
   }
 
   private retryLater(open: OpenJob, item: number, endpoint: Endpoint, backoffMs: number): void {
-    const jitter = BACKOFF_JITTER.least + BACKOFF_JITTER.spread * this.env.random();
+    const jitter = BACKOFF_JITTER_FACTOR.min + BACKOFF_JITTER_FACTOR.range * this.env.random();
     Object.assign(progressOf(open, item), { notBefore: this.env.mono() + backoffMs * jitter, avoid: endpoint.key });
     open.running.delete(item);
     open.delayed.push(item);
@@ -202,7 +202,7 @@
 }
 
 /** Items whose backoff has ended come before all others of their job. */
-function makeDelayedReady(open: OpenJob, now: number): void {
+function requeueDelayedItems(open: OpenJob, now: number): void {
   const due = open.delayed.filter((item) => open.progress.get(item)!.notBefore <= now);
   if (due.length === 0) return;
   open.delayed = open.delayed.filter((item) => !due.includes(item));
--- a/src/storage/batchJobs/jobDemand.ts
+++ b/src/storage/batchJobs/jobDemand.ts
@@ -5,7 +5,7 @@
 import { OpenJobs } from "./openJobs";
 
 /** An announced demand is replaced when it has changed by this share. */
-const SIGNIFICANT_CHANGE = 1 / 4;
+const ANNOUNCED_CHANGE_MIN = 1 / 4;
 
 /** What a storage node announces to the others. */
 interface AnnouncedDemand {
@@ -35,7 +35,7 @@
     const now = this.env.mono();
     const items = this.ownItems();
     const ageMs = now - this.announced.at;
-    const hasChanged = Math.abs(items - this.announced.items) > this.announced.items * SIGNIFICANT_CHANGE;
+    const hasChanged = Math.abs(items - this.announced.items) > this.announced.items * ANNOUNCED_CHANGE_MIN;
     const isDue = hasChanged || ageMs > Constants.jobDemandLeaseMs / 2;
     if (items < Constants.jobDemandItems || !isDue || ageMs < Constants.jobDemandPeriodMs) return;
     this.announced = { items, at: now };
--- a/src/storage/batchJobs/openJobs.ts
+++ b/src/storage/batchJobs/openJobs.ts
@@ -36,9 +36,9 @@
   add(replica: ShardReplica, id: string): void {
     const job = replica.data.jobs.get(id);
     const epoch = replica.view?.epoch ?? 0;
-    const known = this.jobs.get(id);
-    if (!job?.requests || job.open === 0 || job.ended || known?.epoch === epoch) return;
-    const open: OpenJob = known ?? {
+    const existing = this.jobs.get(id);
+    if (!job?.requests || job.open === 0 || job.ended || existing?.epoch === epoch) return;
+    const open: OpenJob = existing ?? {
       id,
       replica,
       epoch,
@@ -96,7 +96,7 @@
   }
 
   /** The job, if attempts may start: this node leads its shard in the epoch in which it was added. */
-  find(open: OpenJob): BatchJob | undefined {
+  findSchedulable(open: OpenJob): BatchJob | undefined {
     const { replica } = open;
     const job = replica.data.jobs.get(open.id);
     const leads = replica.view?.epoch === open.epoch && replica.holdsLease();
--- a/src/storage/batchWork.ts
+++ b/src/storage/batchWork.ts
@@ -67,9 +67,9 @@
     this.quotaOwner = new QuotaOwner(env, node, this.usageReports);
     this.quota = new Quota(shardClient, replicas, this.quotaOwner, this.usageReports);
 
-    const submissions = new KeyedLock();
-    this.jobs = new BatchJobs(env, node, this.quota, openJobs, submissions);
-    this.reads = new BatchJobReads(env, node, submissions);
+    const submissionLocks = new KeyedLock();
+    this.jobs = new BatchJobs(env, node, this.quota, openJobs, submissionLocks);
+    this.reads = new BatchJobReads(env, node, submissionLocks);
   }
 
   start(): void {
--- a/src/storage/claimedItems/claimedItemExecution.ts
+++ b/src/storage/claimedItems/claimedItemExecution.ts
@@ -15,11 +15,11 @@
 import { ShardWriter } from "../shardWriter";
 
 /** For how long the put of a claim is repeated, ms. */
-const CLAIM_WITHIN_MS = 2500;
+const CLAIM_TIMEOUT_MS = 2500;
 /** For how long the put that releases a claim is repeated, ms. */
-const RELEASE_WITHIN_MS = 10_000;
+const RELEASE_TIMEOUT_MS = 10_000;
 /** For how long the put of a result is repeated, ms. */
-const RESULT_WITHIN_MS = 20_000;
+const RESULT_TIMEOUT_MS = 20_000;
 
 /** One attempt of a batch item, with its endpoint's capacity taken. */
 export interface ClaimedItemAttempt {
@@ -85,7 +85,7 @@
     this.env.point(56);
     this.queue.release(endpoint, response.ok || response.fault.step === "deliver");
     const operation = this.operationFor(attempt, response);
-    yield* this.writer.put(shard, `result-${name}-${attempt.number}`, [operation], {}, RESULT_WITHIN_MS);
+    yield* this.writer.put(shard, `result-${name}-${attempt.number}`, [operation], {}, RESULT_TIMEOUT_MS);
     return operation.op === "itemResult";
   }
 
@@ -96,7 +96,7 @@
       `claim-${name}-${number}-${owner}`,
       [{ op: "itemClaim", lot: jobId, item: index, round: number, replica: endpoint.key, owner }],
       { manifest: this.node.snapshot().control?.manifest.version, view: this.replicas.get(shard)?.view?.epoch },
-      CLAIM_WITHIN_MS,
+      CLAIM_TIMEOUT_MS,
     );
   }
 
@@ -119,7 +119,7 @@
       `release-${name}-${number}`,
       [{ op: "itemRelease", lot: jobId, item: index, round: number, why }],
       {},
-      RELEASE_WITHIN_MS,
+      RELEASE_TIMEOUT_MS,
     );
   }
 
--- a/src/storage/claimedItems/claimedItemJobs.ts
+++ b/src/storage/claimedItems/claimedItemJobs.ts
@@ -11,7 +11,7 @@
 import { ClaimedItemScheduler } from "./claimedItemScheduler";
 
 /** How long the put of a job may take at its leader, ms: longer than a view change. */
-const ACCEPT_PUT_MS = 1100;
+const ACCEPT_PUT_TIMEOUT_MS = 1100;
 
 /**
  * Batch jobs whose items run under a claim: accepted once they are on every replica, and reported on.
@@ -35,8 +35,8 @@
       const same = replica.segments.hasSameBody(sealed, job.bodyHash);
       return Fault.ok({ tag: "exists", same, state: sealed.trimmed ? "trimmed" : "" });
     }
-    const known = replica.data.jobs.get(job.id);
-    if (known) return Fault.ok({ tag: "exists", same: known.bodyHash === job.bodyHash, state: "" });
+    const existing = replica.data.jobs.get(job.id);
+    if (existing) return Fault.ok({ tag: "exists", same: existing.bodyHash === job.bodyHash, state: "" });
     if (!Stamp.admits(stamp.time, this.env.wall(), this.node.clockBounds()))
       return Fault.fail("late", "accept lot", this.node.self.id, "stamp outside the bounds");
     if (replica.view!.members.length < Constants.minReplicasForJobs)
@@ -48,7 +48,7 @@
         ops: [{ op: "lot", lot: job }],
         cause: { ...cause, view: replica.view?.epoch },
       },
-      ACCEPT_PUT_MS,
+      ACCEPT_PUT_TIMEOUT_MS,
     );
     if (put.ok && put.value.tag === "done") this.scheduler.addJob(job.id, replica.shard);
     return put;
--- a/src/storage/claimedItems/claimedItemScheduler.ts
+++ b/src/storage/claimedItems/claimedItemScheduler.ts
@@ -86,7 +86,7 @@
     const schedulable = this.schedulableJobs();
     const pools = new Set(schedulable.map(({ job }) => this.routeOf(job).pool));
     for (const pool of pools) this.window.update(pool, snapshot);
-    for (const each of schedulable) this.startItemsOf(each, now);
+    for (const entry of schedulable) this.startItems(entry, now);
     if (this.backoffUntil.size > BACKOFF_ENTRIES_MAX) this.backoffUntil.clear();
   }
 
@@ -111,7 +111,7 @@
   private routeOf = (job: BatchJob): Route =>
     this.node.snapshot().control?.manifest.doc.bindings[job.binding] ?? job.kept;
 
-  private startItemsOf({ job, replica }: SchedulableJob, now: number): void {
+  private startItems({ job, replica }: SchedulableJob, now: number): void {
     const route = this.routeOf(job);
     for (const [index, item] of job.items.entries()) {
       const inFlight = this.inFlightByPool.get(route.pool) ?? 0;
--- a/src/storage/claimedItems/claimedItemWindow.ts
+++ b/src/storage/claimedItems/claimedItemWindow.ts
@@ -4,7 +4,7 @@
 import { Environment } from "../../runtime/env";
 
 /** An overload is announced again after this long at the earliest, ms. */
-const ANNOUNCE_PAUSE_MS = 200;
+const ANNOUNCEMENT_PERIOD_MIN_MS = 200;
 
 /**
  * How many items under a claim this node may execute in each pool: grows by one a pass while live requests find
@@ -26,7 +26,7 @@
   /** Live requests wait for the pool: the window closes, and the other nodes are notified. */
   reportOverload(pool: string): void {
     const now = this.env.mono();
-    if (now - this.lastOverload(pool) > ANNOUNCE_PAUSE_MS)
+    if (now - this.lastOverloadAt(pool) > ANNOUNCEMENT_PERIOD_MIN_MS)
       this.node.gossip.publish(`crowd/${this.node.self.id}/${pool}`, { pool }, Constants.jobOverloadHoldMs, true);
     this.overloadedAt.set(pool, now);
     this.sizes.set(pool, 0);
@@ -35,9 +35,9 @@
   /** One scheduling pass has come. */
   update(pool: string, snapshot: ClusterSnapshot): void {
     const isOverloaded =
-      snapshot.overloadedPools[pool] || this.env.mono() - this.lastOverload(pool) < Constants.jobOverloadHoldMs;
-    const grown = Math.min(Constants.jobWindowMax, this.sizeOf(pool) + 1);
-    this.sizes.set(pool, isOverloaded ? Constants.jobWindowMin : grown);
+      snapshot.overloadedPools[pool] || this.env.mono() - this.lastOverloadAt(pool) < Constants.jobOverloadHoldMs;
+    const grownSize = Math.min(Constants.jobWindowMax, this.sizeOf(pool) + 1);
+    this.sizes.set(pool, isOverloaded ? Constants.jobWindowMin : grownSize);
   }
 
   /** Items in flight at most. */
@@ -45,7 +45,7 @@
     return this.sizes.get(pool) ?? 0;
   }
 
-  private lastOverload(pool: string): number {
+  private lastOverloadAt(pool: string): number {
     return this.overloadedAt.get(pool) ?? -Infinity;
   }
 }
--- a/src/storage/claimedWork.ts
+++ b/src/storage/claimedWork.ts
@@ -4,7 +4,7 @@
 import { Csp } from "../runtime/csp";
 import { Environment } from "../runtime/env";
 import { ShardReplica } from "../shard/shardReplica";
-import { AbandonedClaims } from "./abandonedClaims";
+import { AbandonedClaimRecovery } from "./abandonedClaimRecovery";
 import { ClaimedItemExecution } from "./claimedItems/claimedItemExecution";
 import { ClaimedItemJobs } from "./claimedItems/claimedItemJobs";
 import { ClaimedItemScheduler } from "./claimedItems/claimedItemScheduler";
@@ -32,7 +32,7 @@
   readonly reader: LiveRequestReader;
   readonly itemJobs: ClaimedItemJobs;
   private readonly itemScheduler: ClaimedItemScheduler;
-  private readonly abandonedClaims: AbandonedClaims;
+  private readonly claimRecovery: AbandonedClaimRecovery;
   private readonly counters = newExecutionCounters();
 
   constructor(
@@ -61,7 +61,7 @@
     const itemExecution = new ClaimedItemExecution(env, node, writer, queue, replicas, running, counters);
     this.itemScheduler = new ClaimedItemScheduler(env, node, endpointSelector, replicas, window, itemExecution);
     this.itemJobs = new ClaimedItemJobs(env, node, this.itemScheduler);
-    this.abandonedClaims = new AbandonedClaims(
+    this.claimRecovery = new AbandonedClaimRecovery(
       env,
       node,
       writer,
@@ -75,15 +75,15 @@
 
   start(): void {
     this.itemScheduler.start();
-    this.abandonedClaims.start();
+    this.claimRecovery.start();
   }
 
   /** This node leads the shard from now on: its open jobs are scheduled, and its abandoned claims recovered. */
   leadershipStarted(replica: ShardReplica): void {
     this.itemScheduler.addJobsOf(replica);
-    const { abandonedClaims } = this;
+    const { claimRecovery } = this;
     Csp.go(this.env.scope, `take up shard ${replica.shard}`, function* () {
-      abandonedClaims.recoverShard(replica);
+      claimRecovery.recoverShard(replica);
     });
   }
 
--- a/src/storage/handlers/putHandler.ts
+++ b/src/storage/handlers/putHandler.ts
@@ -10,18 +10,23 @@
 import { notLeaderFault } from "../notLeaderFault";
 
 /** How long a put may take at the leader, ms: longer than a view change. */
-const PUT_MS = 1100;
+const PUT_TIMEOUT_MS = 1100;
 
 /** Registers the handler of puts. */
 export function addPutHandler(node: Node, wall: () => number, handlers: CheckedHandlers): void {
   handlers.forShard("shard.put", isPutRequest, function* (replica, { put }: PutRequest): Task<Result<PutOutcome>> {
-    const fault = putFault(node, wall, replica, put.stamp);
-    return fault ?? (yield* replica.put(put, PUT_MS));
+    const fault = admissionFault(node, wall, replica, put.stamp);
+    return fault ?? (yield* replica.put(put, PUT_TIMEOUT_MS));
   });
 }
 
 /** Rule 1 of the paper (section 2.9): the first node that a put reaches checks that its stamp is within the bounds. */
-function putFault(node: Node, wall: () => number, replica: ShardReplica, stamp: Stamp): Result<never> | undefined {
+function admissionFault(
+  node: Node,
+  wall: () => number,
+  replica: ShardReplica,
+  stamp: Stamp,
+): Result<never> | undefined {
   if (!replica.holdsLease()) return notLeaderFault(node, replica, "admit");
   if (!node.mayHoldLeases()) return Fault.fail("notLead", "admit", node.self.id, "our clock is not vouched for");
   if (!Stamp.admits(stamp.time, wall(), node.clockBounds()))
--- a/src/storage/ledgerReads.ts
+++ b/src/storage/ledgerReads.ts
@@ -18,7 +18,7 @@
 import { isInView, notInViewFault } from "./viewMembership";
 
 /** Before all stamps. */
-const BEGINNING: Stamp = { time: -1, node: "", seq: 0 };
+const BEFORE_ALL_STAMPS: Stamp = { time: -1, node: "", seq: 0 };
 
 /**
  * Temporal reads of a shard's ledger, at any member of its view: what lies behind the frontier, sealed or not.
@@ -36,7 +36,7 @@
   *read(replica: ShardReplica, body: LedgerReadRequest): Task<Result<LedgerReadResponse>> {
     if (!isInView(this.node, replica)) return notInViewFault(this.node, "read");
     const frontier = replica.frontier();
-    const after = Stamp.parse(body.after) ?? BEGINNING;
+    const after = Stamp.parse(body.after) ?? BEFORE_ALL_STAMPS;
     const sealed = yield* replica.readConsistently(() => replica.segments.ledger.after(after, body.limit));
     if (!sealed.ok) return sealed;
     // by position, not by stamp: the entries of a put may lie on both sides of the newest segment's end
@@ -67,7 +67,7 @@
   *nearestVersion(replica: ShardReplica, body: TemporalGetRequest): Task<Result<TemporalGetResponse>> {
     if (!isInView(this.node, replica)) return notInViewFault(this.node, "read");
     const { subject, time } = body;
-    const until = this.env.mono() + Math.min(body.waitMs, Constants.readWaitMs);
+    const deadline = this.env.mono() + Math.min(body.waitMs, Constants.readWaitMs);
     const isCandidate = (entry: LedgerEntry): boolean => entry.subject === subject && entry.stamp.time >= time;
     for (;;) {
       const frontier = replica.frontier();
@@ -77,12 +77,12 @@
       if (!sealed.ok) return sealed;
       const version = sealed.value[0] ?? LedgerIndex.nearest(replica.data, subject, time);
       if (version) return Fault.ok({ version, frontier });
-      if (this.env.mono() >= until) {
+      if (this.env.mono() >= deadline) {
         const retryAfterMs = Math.round(Math.max(Constants.retryAfterMs, time - frontier));
         const detail = `no stable version not prior to ${time} yet`;
         return Fault.busy("temporal get", this.node.self.id, detail, retryAfterMs);
       }
-      yield* replica.waitForChange(until - this.env.mono());
+      yield* replica.waitForChange(deadline - this.env.mono());
     }
   }
 }
--- a/src/storage/liveRequests/executingRequest.ts
+++ b/src/storage/liveRequests/executingRequest.ts
@@ -3,7 +3,7 @@
 import { RoutedRequest } from "../selectionCriteria";
 
 /** For how long the put that closes an attempt is repeated, ms. */
-export const CLOSE_WITHIN_MS = 20_000;
+export const CLOSE_TIMEOUT_MS = 20_000;
 
 /** A live request while this node executes it. */
 export interface ExecutingRequest extends RoutedRequest {
--- a/src/storage/liveRequests/liveRequestAdmission.ts
+++ b/src/storage/liveRequests/liveRequestAdmission.ts
@@ -25,11 +25,11 @@
 import { LiveRequestExecution, remainingWaitMs } from "./liveRequestExecution";
 
 /** How long the first put of a request may take at its leader, ms: longer than a view change. */
-const OPEN_PUT_MS = 1100;
+const OPEN_PUT_TIMEOUT_MS = 1100;
 /** The same for a refusal, ms. */
-const REFUSE_PUT_MS = 1000;
+const REFUSE_PUT_TIMEOUT_MS = 1000;
 /** For how long the outcome of the first put is at least asked after, ms. */
-const OUTCOME_MIN_MS = 1000;
+const OUTCOME_TIMEOUT_MIN_MS = 1000;
 
 /**
  * Accepts live requests at the leader of their shard. The first attempt is claimed in the very put that accepts the
@@ -39,7 +39,7 @@
  * const response = yield* admission.open(replica, body);
  */
 export class LiveRequestAdmission {
-  private readonly opening = new KeyedLock();
+  private readonly openLocks = new KeyedLock();
 
   constructor(
     private readonly env: Environment,
@@ -54,7 +54,7 @@
   /** Accepts a request. The fault "busy" means that nothing of it was put. */
   *open(replica: ShardReplica, body: OpenRequest): Task<Result<OpenResponse>> {
     const { id } = body.work;
-    yield* this.opening.whenFree(id);
+    yield* this.openLocks.waitUntilFree(id);
     if (!replica.holdsLease() || this.node.stopping || !this.node.mayHoldLeases())
       return notLeaderFault(this.node, replica, "open");
     const existing = findExisting(replica, body);
@@ -63,11 +63,11 @@
       return Fault.fail("late", "open", this.node.self.id, `stamp ${Stamp.text(body.stamp)} outside the bounds`);
     const route = this.node.snapshot().control?.manifest.doc.bindings[body.work.binding];
     if (!route) return Fault.fail("notFound", "open", this.node.self.id, `no binding ${body.work.binding}`);
-    this.opening.acquire(id);
+    this.openLocks.acquire(id);
     try {
       return yield* this.openAtEndpoint(replica, body, route);
     } finally {
-      this.opening.release(id);
+      this.openLocks.release(id);
     }
   }
 
@@ -88,7 +88,7 @@
     }
     const claimedAt = this.env.mono();
     this.execution.running.add(id);
-    const put = yield* this.putOpening(replica, body, endpoint);
+    const put = yield* this.putOpen(replica, body, endpoint);
     this.env.point(51);
     if (!put.ok || put.value.tag !== "done") {
       this.execution.running.delete(id);
@@ -102,7 +102,7 @@
   }
 
   /** Accepts the request and claims its first attempt in one put. */
-  private *putOpening(replica: ShardReplica, body: OpenRequest, endpoint: Endpoint): Task<Result<PutOutcome>> {
+  private *putOpen(replica: ShardReplica, body: OpenRequest, endpoint: Endpoint): Task<Result<PutOutcome>> {
     const { id, life, deadlineAt } = body.work;
     const putId = `open-${id}-${life}`;
     const ops: ShardOperation[] = [
@@ -114,20 +114,20 @@
     let put: Result<PutOutcome>;
     for (let attempt = 0; ; attempt += 1) {
       const cause = { ...body.cause, view: replica.view?.epoch };
-      put = yield* replica.put({ putId, stamp, ops, cause }, OPEN_PUT_MS);
+      put = yield* replica.put({ putId, stamp, ops, cause }, OPEN_PUT_TIMEOUT_MS);
       if (put.ok || put.fault.tag !== "late" || attempt >= Constants.restampAttempts) break;
       stamp = this.shardClient.stamp(this.env.wall());
       yield* EnvironmentTools.sleep(this.env, RESTAMP_PAUSE_MS);
     }
     if (put.ok || put.fault.tag !== "unknown") return put;
     // a view change cut in: as nothing was forwarded yet, the same put is repeated until its outcome is known
-    const outcomeWithinMs = Math.max(OUTCOME_MIN_MS, deadlineAt - this.env.wall());
-    return yield* this.writer.put(replica.shard, putId, ops, body.cause, outcomeWithinMs);
+    const outcomeTimeoutMs = Math.max(OUTCOME_TIMEOUT_MIN_MS, deadlineAt - this.env.wall());
+    return yield* this.writer.put(replica.shard, putId, ops, body.cause, outcomeTimeoutMs);
   }
 
   /** Makes sure that a request that its ingress has given up never runs, unless it was accepted before. */
   *refuse(replica: ShardReplica, { id, stamp }: RefuseRequest): Task<Result<RefuseResponse>> {
-    yield* this.opening.whenFree(id);
+    yield* this.openLocks.waitUntilFree(id);
     const put = yield* replica.put(
       {
         putId: `refuse-${id}-${Stamp.text(stamp)}`,
@@ -135,7 +135,7 @@
         ops: [{ op: "close", id, round: 0, state: "refused", outcome: "given up before it ran" }],
         cause: {},
       },
-      REFUSE_PUT_MS,
+      REFUSE_PUT_TIMEOUT_MS,
     );
     if (!put.ok) return put;
     const wasRefused = put.value.tag === "exists" && put.value.state === "refused";
@@ -151,9 +151,9 @@
     const state = sealed.trimmed ? "trimmed" : sealed.state;
     return { tag: "exists", same: replica.segments.hasSameBody(sealed, bodyHash), state };
   }
-  const known = replica.data.liveRequests.get(id);
-  if (!known) return undefined;
+  const existing = replica.data.liveRequests.get(id);
+  if (!existing) return undefined;
   const refusedEarlier =
-    known.state === "refused" && known.closedAt !== null && Stamp.compare(body.stamp, known.closedAt) > 0;
-  return refusedEarlier ? undefined : { tag: "exists", same: known.bodyHash === bodyHash, state: known.state };
+    existing.state === "refused" && existing.closedAt !== null && Stamp.compare(body.stamp, existing.closedAt) > 0;
+  return refusedEarlier ? undefined : { tag: "exists", same: existing.bodyHash === bodyHash, state: existing.state };
 }
--- a/src/storage/liveRequests/liveRequestExecution.ts
+++ b/src/storage/liveRequests/liveRequestExecution.ts
@@ -11,11 +11,11 @@
 import { LiveRequestSpec } from "../messages/liveRequestMessages";
 import { liveRequestCriteria } from "../selectionCriteria";
 import { ShardWriter } from "../shardWriter";
-import { AttemptOutcome, CLOSE_WITHIN_MS, closePutId, ExecutingRequest } from "./executingRequest";
+import { AttemptOutcome, CLOSE_TIMEOUT_MS, closePutId, ExecutingRequest } from "./executingRequest";
 import { LiveRequestForwarder } from "./liveRequestForwarder";
 
 /** For how long the put that claims a further attempt is repeated, ms. */
-const CLAIM_WITHIN_MS = 10_000;
+const CLAIM_TIMEOUT_MS = 10_000;
 
 /** For how much longer a request may wait for capacity, all its attempts together, ms; then it is refused. */
 export const remainingWaitMs = (env: Environment, spec: LiveRequestSpec): number =>
@@ -46,11 +46,11 @@
 
   /**
    * Runs a request until it is closed or another node has taken it over.
-   * @param first endpoint of the claimed attempt; none if the first attempt is yet to be claimed
+   * @param claimedEndpoint endpoint of the claimed attempt; none if the first attempt is yet to be claimed
    */
-  *run(request: ExecutingRequest, first: Endpoint | undefined): Task<void> {
+  *run(request: ExecutingRequest, claimedEndpoint: Endpoint | undefined): Task<void> {
     const exclude = new Set<string>();
-    let endpoint = first;
+    let endpoint = claimedEndpoint;
     try {
       for (;;) {
         let release: ShardOperation[] = [];
@@ -63,7 +63,7 @@
           release = [{ op: "release", id: request.spec.id, round: request.attempt, why: outcome.why }];
         }
         const next = yield* this.nextEndpoint(request, exclude);
-        if (!next) return yield* this.closeForWantOfEndpoint(request, release);
+        if (!next) return yield* this.closeWithoutEndpoint(request, release);
         if (!(yield* this.claimNextAttempt(request, next, release))) return;
         endpoint = next;
       }
@@ -122,16 +122,16 @@
     const claimed = yield* this.writer.put(
       shard,
       `claim-${spec.id}-${spec.life}-${request.attempt}-${this.node.self.id}`,
-      [...release, this.claimOf(request, request.attempt, endpoint.key)],
+      [...release, this.claimOperation(request, request.attempt, endpoint.key)],
       {},
-      CLAIM_WITHIN_MS,
+      CLAIM_TIMEOUT_MS,
     );
     if (claimed.ok && claimed.value.tag === "done") return true;
     this.queue.release(endpoint, true);
     return false;
   }
 
-  private claimOf = ({ spec }: ExecutingRequest, attempt: number, endpoint: string): ShardOperation => ({
+  private claimOperation = ({ spec }: ExecutingRequest, attempt: number, endpoint: string): ShardOperation => ({
     op: "claim",
     id: spec.id,
     round: attempt,
@@ -139,7 +139,7 @@
     owner: this.node.self.id,
   });
 
-  private *closeForWantOfEndpoint(request: ExecutingRequest, release: ShardOperation[]): Task<void> {
+  private *closeWithoutEndpoint(request: ExecutingRequest, release: ShardOperation[]): Task<void> {
     const { spec, shard, attempt, chunks, route } = request;
     if (chunks.length === 0) {
       const retryAfterMs = this.queue.retryAfterMs(route.pool);
@@ -150,10 +150,10 @@
     const outcome = JSON.stringify({ detail: "no replica to go on with" });
     const operations: ShardOperation[] = [
       ...release,
-      this.claimOf(request, attempt + 1, ""),
+      this.claimOperation(request, attempt + 1, ""),
       { op: "close", id: spec.id, round: attempt + 1, state: "failed", outcome },
     ];
-    yield* this.writer.put(shard, closePutId(request), operations, { note: "failed" }, CLOSE_WITHIN_MS);
+    yield* this.writer.put(shard, closePutId(request), operations, { note: "failed" }, CLOSE_TIMEOUT_MS);
   }
 
   private close(
@@ -170,6 +170,6 @@
       state,
       outcome: JSON.stringify(outcome),
     };
-    return this.writer.put(shard, closePutId(request), [...release, close], { note: state }, CLOSE_WITHIN_MS);
+    return this.writer.put(shard, closePutId(request), [...release, close], { note: state }, CLOSE_TIMEOUT_MS);
   }
 }
--- a/src/storage/liveRequests/liveRequestForwarder.ts
+++ b/src/storage/liveRequests/liveRequestForwarder.ts
@@ -11,12 +11,12 @@
 import { isStillEligible, liveRequestCriteria } from "../selectionCriteria";
 import { isErrorStatus } from "../responseStatus";
 import { ShardWriter } from "../shardWriter";
-import { AttemptOutcome, CLOSE_WITHIN_MS, closePutId, ExecutingRequest } from "./executingRequest";
+import { AttemptOutcome, CLOSE_TIMEOUT_MS, closePutId, ExecutingRequest } from "./executingRequest";
 
 /** For how long the put of further chunks is repeated, ms: past a takeover of the shard. */
-const CHUNKS_WITHIN_MS = 12_000;
+const CHUNKS_TIMEOUT_MS = 12_000;
 /** Characters of an error response that are stored as the detail of a failure. */
-const FAILURE_DETAIL_LENGTH = 500;
+const FAILURE_DETAIL_LENGTH_MAX = 500;
 
 /**
  * One attempt of a live request: forwards it to an endpoint, and stores the response in the request's shard.
@@ -35,7 +35,7 @@
 
   /** Forwards the request once; the endpoint's capacity is released at the end. */
   *forward(request: ExecutingRequest, endpoint: Endpoint, remainingMs: number): Task<AttemptOutcome> {
-    if (this.isTooLate(request, endpoint, remainingMs)) {
+    if (this.mustNotForward(request, endpoint, remainingMs)) {
       this.queue.release(endpoint, true);
       return { tag: "notRun", why: "claim was too old, or the replica has left" };
     }
@@ -56,7 +56,7 @@
   }
 
   /** Whether the deadline has passed; or, after a freeze, the claim may be another node's and the endpoint may have left. */
-  private isTooLate(request: ExecutingRequest, endpoint: Endpoint, remainingMs: number): boolean {
+  private mustNotForward(request: ExecutingRequest, endpoint: Endpoint, remainingMs: number): boolean {
     if (this.env.mono() - request.claimedAt > Constants.claimMaxAgeMs || remainingMs <= 0) return true;
     return !isStillEligible(endpoint, liveRequestCriteria(this.node.snapshot(), request, new Set()));
   }
@@ -75,7 +75,7 @@
     const { status, body } = response.value;
     const { spec, attempt } = request;
     const isDone = !isErrorStatus(status);
-    const outcome = isDone ? { status } : { status, detail: body.slice(0, FAILURE_DETAIL_LENGTH) };
+    const outcome = isDone ? { status } : { status, detail: body.slice(0, FAILURE_DETAIL_LENGTH_MAX) };
     const close: ShardOperation = {
       op: "close",
       id: spec.id,
@@ -83,8 +83,8 @@
       state: isDone ? "done" : "failed",
       outcome: JSON.stringify(outcome),
     };
-    const operations = isDone ? [chunksOf(request, [body]), close] : [close];
-    const put = yield* this.writer.put(request.shard, closePutId(request), operations, {}, CLOSE_WITHIN_MS);
+    const operations = isDone ? [chunksOperation(request, [body]), close] : [close];
+    const put = yield* this.writer.put(request.shard, closePutId(request), operations, {}, CLOSE_TIMEOUT_MS);
     return put.ok && put.value.tag === "done" ? { tag: "closed" } : { tag: "takenOver" };
   }
 
@@ -106,7 +106,7 @@
     const { spec, attempt, chunks } = request;
     const outcome = JSON.stringify({ pieces: chunks.length });
     const close: ShardOperation = { op: "close", id: spec.id, round: attempt, state: "done", outcome };
-    yield* this.writer.put(request.shard, closePutId(request), [close], {}, CLOSE_WITHIN_MS);
+    yield* this.writer.put(request.shard, closePutId(request), [close], {}, CLOSE_TIMEOUT_MS);
     return { tag: "closed" };
   }
 
@@ -119,9 +119,9 @@
   ): Task<AttemptOutcome | undefined> {
     const { spec, shard, attempt, chunks } = request;
     const deadline = this.env.mono() + remainingMs;
-    let patienceMs: number = Constants.firstPieceMs;
+    let chunkTimeoutMs: number = Constants.firstPieceMs;
     for (;;) {
-      const received = yield* stream.next(Math.min(patienceMs, deadline - this.env.mono()));
+      const received = yield* stream.next(Math.min(chunkTimeoutMs, deadline - this.env.mono()));
       if (!received.ok) {
         this.queue.release(endpoint, false);
         return { tag: "mayHaveRun", why: received.fault.detail };
@@ -131,9 +131,9 @@
       const put = yield* this.writer.put(
         shard,
         `pieces-${spec.id}-${spec.life}-${attempt}-${chunks.length + 1}`,
-        [chunksOf(request, received.value)],
+        [chunksOperation(request, received.value)],
         {},
-        CHUNKS_WITHIN_MS,
+        CHUNKS_TIMEOUT_MS,
       );
       if (!put.ok || put.value.tag !== "done") {
         stream.abort();
@@ -141,12 +141,12 @@
         return { tag: "takenOver" };
       }
       chunks.push(...received.value);
-      patienceMs = Constants.pieceGapMs;
+      chunkTimeoutMs = Constants.pieceGapMs;
     }
   }
 }
 
-const chunksOf = ({ spec, attempt, chunks }: ExecutingRequest, data: string[]): ShardOperation => ({
+const chunksOperation = ({ spec, attempt, chunks }: ExecutingRequest, data: string[]): ShardOperation => ({
   op: "pieces",
   id: spec.id,
   round: attempt,
--- a/src/storage/liveRequests/liveRequestReader.ts
+++ b/src/storage/liveRequests/liveRequestReader.ts
@@ -15,7 +15,7 @@
  * const response = yield* reader.read(replica, { shard: 3, id: "req-1", after: 3, waitMs: 800 });
  */
 export class LiveRequestReader {
-  private readonly waiting = new Map<string, Chan<true>[]>();
+  private readonly readersByRequest = new Map<string, Chan<true>[]>();
 
   constructor(
     private readonly env: Environment,
@@ -24,12 +24,12 @@
 
   /** Wakes the readers that wait for a change of the request. */
   wake(id: string): void {
-    for (const reader of this.waiting.get(id) ?? []) Csp.offer(reader, true);
+    for (const reader of this.readersByRequest.get(id) ?? []) Csp.offer(reader, true);
   }
 
   /** Responds once there is a further chunk, the request is closed, or the time is up. */
   *read(replica: ShardReplica, { id, after, waitMs }: ReadRequest): Task<Result<ReadResponse>> {
-    const until = this.env.mono() + waitMs;
+    const deadline = this.env.mono() + waitMs;
     const wake = this.addReader(id);
     try {
       for (;;) {
@@ -38,9 +38,9 @@
         if (!found.ok) return found;
         const request = found.value;
         if (!request) return Fault.fail("notFound", "read", this.node.self.id, `no request ${id}`);
-        if (request.pieces.length > after || isClosed(request) || this.env.mono() >= until)
+        if (request.pieces.length > after || isClosed(request) || this.env.mono() >= deadline)
           return Fault.ok(responseOf(request, after));
-        yield* EnvironmentTools.takeWithin(this.env, wake, until - this.env.mono());
+        yield* EnvironmentTools.takeWithin(this.env, wake, deadline - this.env.mono());
       }
     } finally {
       this.removeReader(id, wake);
@@ -49,14 +49,14 @@
 
   private addReader(id: string): Chan<true> {
     const wake = Csp.sliding<true>(1);
-    this.waiting.set(id, [...(this.waiting.get(id) ?? []), wake]);
+    this.readersByRequest.set(id, [...(this.readersByRequest.get(id) ?? []), wake]);
     return wake;
   }
 
   private removeReader(id: string, wake: Chan<true>): void {
-    const others = (this.waiting.get(id) ?? []).filter((reader) => reader !== wake);
-    if (others.length > 0) this.waiting.set(id, others);
-    else this.waiting.delete(id);
+    const others = (this.readersByRequest.get(id) ?? []).filter((reader) => reader !== wake);
+    if (others.length > 0) this.readersByRequest.set(id, others);
+    else this.readersByRequest.delete(id);
   }
 }
 
--- a/src/storage/quota/quota.ts
+++ b/src/storage/quota/quota.ts
@@ -8,7 +8,7 @@
 import { UsageReports } from "./usageReports";
 
 /** One attempt to reserve may take this long, ms: two rounds of reports and a margin. */
-const RESERVE_ATTEMPT_MS = 3 * Constants.usageReportTimeoutMs;
+const RESERVE_ATTEMPT_TIMEOUT_MS = 3 * Constants.usageReportTimeoutMs;
 
 /**
  * Limits the tokens that wait on a route in the whole cluster. The leader that accepts a job reserves its tokens at the
@@ -40,7 +40,13 @@
     const ownReplica = this.replicas.get(shard);
     const reserved = ownReplica?.holdsLease()
       ? yield* this.owner.reserve(ownReplica, body())
-      : yield* this.shardClient.callLeader(shard, "quota.reserve", body, Constants.jobCallMs, RESERVE_ATTEMPT_MS);
+      : yield* this.shardClient.callLeader(
+          shard,
+          "quota.reserve",
+          body,
+          Constants.jobCallMs,
+          RESERVE_ATTEMPT_TIMEOUT_MS,
+        );
     if (!reserved.ok) this.reports.removeSubmission(replica.shard, job);
     return reserved;
   }
--- a/src/storage/quota/quotaOwner.ts
+++ b/src/storage/quota/quotaOwner.ts
@@ -10,7 +10,7 @@
 import { UsageReports } from "./usageReports";
 
 /** Storage nodes that are asked for reports at once, at most. */
-const REPORTS_AT_ONCE_MAX = 64;
+const CONCURRENT_REPORTS_MAX = 64;
 
 /** The count of one route, for as long as this node owns it. */
 interface OwnedCount {
@@ -58,14 +58,14 @@
     if (!replica.holdsLease()) return notLeaderFault(this.node, replica, "quota");
     const count = this.countOf(route, replica.view!.epoch);
     const { usage } = count;
-    const askedAt = this.env.mono();
+    const requestedAt = this.env.mono();
     usage.add(body.tally);
     const fits = (): boolean => {
       const limit = this.limitOf(route);
       return usage.total() + tokens <= limit || limit <= 0;
     };
     if (!usage.isComplete() || !fits()) {
-      while (count.refreshedAt < askedAt - Constants.usageReportFreshMs) yield* this.refresh(count, route);
+      while (count.refreshedAt < requestedAt - Constants.usageReportFreshMs) yield* this.refresh(count, route);
       if (!replica.holdsLease()) return notLeaderFault(this.node, replica, "quota");
       if (!usage.isComplete()) return this.busy("count what waits", "not every shard told what waits with it");
     }
@@ -82,8 +82,8 @@
     Fault.busy(step, this.node.self.id, detail, Constants.retryAfterMs);
 
   private countOf(route: string, epoch: number): OwnedCount {
-    const known = this.counts.get(route);
-    if (known?.epoch === epoch) return known;
+    const existing = this.counts.get(route);
+    if (existing?.epoch === epoch) return existing;
     const count = { epoch, usage: new RouteUsage(), refreshedAt: -Infinity, refreshing: undefined };
     this.counts.set(route, count);
     return count;
@@ -95,7 +95,7 @@
       yield* Csp.take(count.refreshing);
       return;
     }
-    const done = (count.refreshing = Csp.chan<true>(1));
+    const refreshed = (count.refreshing = Csp.chan<true>(1));
     const startedAt = this.env.mono();
     this.counters.refreshed += 1;
     try {
@@ -103,23 +103,23 @@
     } finally {
       count.refreshedAt = startedAt;
       count.refreshing = undefined;
-      done.close();
+      refreshed.close();
     }
   }
 
   private *refreshFromAll(usage: RouteUsage, route: string): Task<void> {
     const views = this.node.snapshot().control?.views ?? {};
     const leaders = new Map(Object.values(views).map((view) => [view.shard, view.lead]));
-    const silent = yield* this.collect(usage, route, leaders, false);
-    const unknown = silent.filter((shard) => !usage.has(shard));
-    if (unknown.length === 0) return;
+    const shardsWithoutReport = yield* this.collect(usage, route, leaders, false);
+    const shardsWithoutCount = shardsWithoutReport.filter((shard) => !usage.has(shard));
+    if (shardsWithoutCount.length === 0) return;
     // all that was acknowledged is on every member, so the count of any of them is an upper bound
     const otherMember = (shard: number): string => {
       const { members, lead } = views[shard];
       const isSelf = (id: string): boolean => id === this.node.self.id;
       return members.find(isSelf) ?? members.find((id) => id !== lead) ?? "";
     };
-    yield* this.collect(usage, route, new Map(unknown.map((shard) => [shard, otherMember(shard)])), true);
+    yield* this.collect(usage, route, new Map(shardsWithoutCount.map((shard) => [shard, otherMember(shard)])), true);
   }
 
   /**
@@ -135,7 +135,7 @@
   ): Task<number[]> {
     const missing = new Set(sources.keys());
     const nodes = [...new Set(sources.values())].filter((id) => id !== "");
-    const done = Csp.chan<true>(REPORTS_AT_ONCE_MAX);
+    const responses = Csp.chan<true>(CONCURRENT_REPORTS_MAX);
     const owner = this;
     for (const id of nodes)
       Csp.go(this.env.scope, `tallies of ${id}`, function* () {
@@ -144,9 +144,9 @@
           usage.add(report);
           missing.delete(report.shard);
         }
-        Csp.offer(done, true);
+        Csp.offer(responses, true);
       });
-    for (let count = 0; count < nodes.length; count += 1) yield* Csp.take(done);
+    for (let count = 0; count < nodes.length; count += 1) yield* Csp.take(responses);
     return [...missing];
   }
 
--- a/src/storage/quota/routeUsage.ts
+++ b/src/storage/quota/routeUsage.ts
@@ -15,12 +15,12 @@
 
   /** Takes in a report, unless a later one of the same shard is known. */
   add(report: UsageReport): void {
-    const known = this.reports.get(report.shard);
-    if (known && isLater(known, report)) return;
+    const latest = this.reports.get(report.shard);
+    if (latest && isLater(latest, report)) return;
     let { tokens } = report;
     // jobs that ask for their reservation count once they have it
-    for (const [job, asked] of Object.entries(report.asking))
-      if (!this.reservations.has(`${report.shard}/${job}`)) tokens -= asked;
+    for (const [job, pendingTokens] of Object.entries(report.asking))
+      if (!this.reservations.has(`${report.shard}/${job}`)) tokens -= pendingTokens;
     this.reports.set(report.shard, { ...report, tokens, asking: {} });
   }
 
--- a/src/storage/quota/usageReports.ts
+++ b/src/storage/quota/usageReports.ts
@@ -2,7 +2,7 @@
 import { UsageReport, UsageRequest } from "../messages/quotaMessages";
 
 /** Sequence number of a report by a replica that doesn't lead its shard: any report of a leader replaces it. */
-const NOT_LEADING = -1;
+const NON_LEADER_SEQUENCE_NUMBER = -1;
 
 /**
  * Counts the tokens that wait on a route in the shards that this node stores: those of the jobs in the shard, and those
@@ -14,7 +14,7 @@
 export class UsageReports {
   /** By shard that this node leads: the jobs that are being submitted, by their ids. */
   private readonly submissions = new Map<number, Map<string, { route: string; tokens: number }>>();
-  private lastReport = 0;
+  private lastSequenceNumber = 0;
 
   constructor(private readonly replicas: ReadonlyMap<number, ShardReplica>) {}
 
@@ -41,8 +41,8 @@
       asking[job] = submission.tokens;
       tokens += submission.tokens;
     }
-    this.lastReport += 1;
-    return { shard: replica.shard, epoch: replica.view?.epoch ?? 0, turn: this.lastReport, tokens, asking };
+    this.lastSequenceNumber += 1;
+    return { shard: replica.shard, epoch: replica.view?.epoch ?? 0, turn: this.lastSequenceNumber, tokens, asking };
   }
 
   /** Reports of those of the shards that this node leads, or stores if any replica will do. */
@@ -50,7 +50,9 @@
     return shards.flatMap((shard) => {
       const replica = this.replicas.get(shard);
       if (replica?.holdsLease()) return [this.reportOf(replica, route)];
-      return anyReplica && replica?.exists ? [{ ...this.reportOf(replica, route), turn: NOT_LEADING }] : [];
+      return anyReplica && replica?.exists
+        ? [{ ...this.reportOf(replica, route), turn: NON_LEADER_SEQUENCE_NUMBER }]
+        : [];
     });
   }
 }
--- a/src/storage/retention.ts
+++ b/src/storage/retention.ts
@@ -12,7 +12,7 @@
 ] as const;
 
 /** How long the put of a trim may take, ms; the next repair tries again. */
-const TRIM_PUT_MS = 2000;
+const TRIM_PUT_TIMEOUT_MS = 2000;
 
 /**
  * Trims sealed objects that are older than the configuration's retention allows, by a decision in the ledger.
@@ -33,18 +33,18 @@
     for (const [kind, setting] of RETENTION_SETTINGS) {
       const maxAgeMs = configuration?.doc.retention?.[setting];
       if (maxAgeMs === undefined) continue;
-      const before = this.env.wall() - maxAgeMs;
-      const below = replica.segments.endOfOlderThan(kind, before);
+      const cutoff = this.env.wall() - maxAgeMs;
+      const below = replica.segments.endOfOlderThan(kind, cutoff);
       const trimmed = replica.data.trimmedCounts[kind];
       if (below <= trimmed) continue;
-      const newest = new Date(before).toISOString();
+      const newest = new Date(cutoff).toISOString();
       const detail = `trimmed ${kind} segments ${trimmed} to ${below - 1}: nothing in them is newer than ${newest}`;
       yield* this.shardClient.put(
         replica.shard,
         `trim-${replica.shard}-${kind}-${below}`,
         [{ op: "trim", kind, below, detail }],
         { manifest: configuration!.version, note: `retention ${setting} ${maxAgeMs}` },
-        TRIM_PUT_MS,
+        TRIM_PUT_TIMEOUT_MS,
       );
     }
   }
--- a/src/storage/shardClient.ts
+++ b/src/storage/shardClient.ts
@@ -11,11 +11,11 @@
 import { Cause, PutOutcome, ShardOperation } from "../shard/shardTypes";
 
 /** One call may take this long where its caller doesn't say, ms. */
-const ATTEMPT_MS = 1200;
+const ATTEMPT_TIMEOUT_MS = 1200;
 /** Pause before a put that came behind the stable prefix is stamped anew, ms. */
 const RESTAMP_PAUSE_MS = 15;
 /** The first pause is this share of the later ones: a leader that has just changed is mostly known soon. */
-const FIRST_PAUSE_SHARE = 0.3;
+const FIRST_PAUSE_FACTOR = 0.3;
 
 /**
  * Client of the shards: calls whichever storage node leads a shard now, until the time is up. A put that came too late
@@ -60,26 +60,28 @@
     shard: number,
     method: Method,
     body: () => Omit<RequestOf<Method>, "shard">,
-    withinMs: number,
-    attemptMs = ATTEMPT_MS,
-    unsentMs = withinMs,
+    timeoutMs: number,
+    attemptTimeoutMs = ATTEMPT_TIMEOUT_MS,
+    unsentTimeoutMs = timeoutMs,
   ): Task<Result<ResponseOf<Method>>> {
     const startedAt = this.env.mono();
-    const until = startedAt + withinMs;
-    let last: Result<ResponseOf<Method>> = Fault.fail("timeout", method, `shard ${shard}`, "no lead known");
+    const deadline = startedAt + timeoutMs;
+    let lastResult: Result<ResponseOf<Method>> = Fault.fail("timeout", method, `shard ${shard}`, "no lead known");
     let mayHaveArrived = false;
     for (let attempt = 0; ; attempt += 1) {
-      const remainingMs = until - this.env.mono();
+      const remainingMs = deadline - this.env.mono();
       // as long as nothing can have arrived, the caller needn't wait for an outcome
-      if (!mayHaveArrived && attempt > 0 && this.env.mono() - startedAt > unsentMs) return last;
+      if (!mayHaveArrived && attempt > 0 && this.env.mono() - startedAt > unsentTimeoutMs) return lastResult;
       if (remainingMs <= 0)
-        return mayHaveArrived && !last.ok ? Fault.fail("unknown", method, last.fault.member, last.fault.detail) : last;
+        return mayHaveArrived && !lastResult.ok
+          ? Fault.fail("unknown", method, lastResult.fault.member, lastResult.fault.detail)
+          : lastResult;
       const address = this.leaderAddress(shard);
       if (address) {
-        last = yield* this.callOnce(address, shard, method, body(), Math.min(remainingMs, attemptMs));
-        if (last.ok) return last;
-        const retry = retryAfter(last.fault);
-        if (retry === "never") return last;
+        lastResult = yield* this.callOnce(address, shard, method, body(), Math.min(remainingMs, attemptTimeoutMs));
+        if (lastResult.ok) return lastResult;
+        const retry = retryDecision(lastResult.fault);
+        if (retry === "never") return lastResult;
         if (retry === "restamped") {
           this.restampedPuts += 1;
           this.env.log(1405, { shard, verb: method });
@@ -88,8 +90,8 @@
         }
         if (retry === "mayHaveArrived") mayHaveArrived = true;
       }
-      const pauseMs = Math.min(Constants.leaderSearchPauseMs, Math.max(1, until - this.env.mono()));
-      yield* EnvironmentTools.sleep(this.env, pauseMs * (attempt === 0 ? FIRST_PAUSE_SHARE : 1));
+      const pauseMs = Math.min(Constants.leaderSearchPauseMs, Math.max(1, deadline - this.env.mono()));
+      yield* EnvironmentTools.sleep(this.env, pauseMs * (attempt === 0 ? FIRST_PAUSE_FACTOR : 1));
     }
   }
 
@@ -110,18 +112,18 @@
    * Puts operations into a shard. Faults: "busy", "unknown" and those of a shard that has no leader in time.
    * @example yield* shardClient.put(3, "p-1", [{ op: "note", entries }], {}, 5000)
    */
-  *put(shard: number, putId: string, ops: ShardOperation[], cause: Cause, withinMs: number): Task<Result<PutOutcome>> {
+  *put(shard: number, putId: string, ops: ShardOperation[], cause: Cause, timeoutMs: number): Task<Result<PutOutcome>> {
     return yield* this.callLeader(
       shard,
       "shard.put",
       () => ({ put: { putId, stamp: this.stamp(this.env.wall()), ops, cause } }),
-      withinMs,
+      timeoutMs,
     );
   }
 }
 
 /** What a fault means for a further attempt. */
-function retryAfter(fault: Fault): "never" | "restamped" | "mayHaveArrived" | "hasNotArrived" {
+function retryDecision(fault: Fault): "never" | "restamped" | "mayHaveArrived" | "hasNotArrived" {
   switch (fault.tag) {
     case "late":
       return "restamped";
--- a/src/storage/shardMaintenance.ts
+++ b/src/storage/shardMaintenance.ts
@@ -6,7 +6,7 @@
 import { Retention } from "./retention";
 
 /** Free space on the disk is checked this often, ms. */
-const DISK_CHECK_MS = 1000;
+const DISK_CHECK_PERIOD_MS = 1000;
 
 /**
  * Periodic work on the replicas of a storage node: free disk space, failed disks, calls for a view change, repair of
@@ -28,8 +28,8 @@
   ) {}
 
   start(): void {
-    EnvironmentTools.keep(this.env, this.env.scope, "disk watch", () => this.watchDisk());
-    EnvironmentTools.keep(this.env, this.env.scope, "calls for control", () => this.callControlLoop());
+    EnvironmentTools.keep(this.env, this.env.scope, "disk watch", () => this.diskCheckLoop());
+    EnvironmentTools.keep(this.env, this.env.scope, "calls for control", () => this.viewChangeRequestLoop());
     EnvironmentTools.keep(this.env, this.env.scope, "repair", () => this.repairLoop());
   }
 
@@ -39,7 +39,7 @@
   }
 
   /** The call is a hint that control should check the shards now; it decides by what it finds. */
-  private *callControlLoop(): Task<void> {
+  private *viewChangeRequestLoop(): Task<void> {
     for (;;) {
       yield* EnvironmentTools.takeWithin(this.env, this.viewChangeNeeded, Constants.leaseRenewMs);
       if (![...this.replicas.values()].some((replica) => replica.needsViewChange())) continue;
@@ -51,28 +51,28 @@
     }
   }
 
-  private *watchDisk(): Task<void> {
-    let checks = 0;
+  private *diskCheckLoop(): Task<void> {
+    let checkCount = 0;
     for (;;) {
       const free = yield* this.env.disk.free(this.dataFolder);
       const isLow = free.ok && free.value < Constants.diskReserveBytes;
-      checks += 1;
+      checkCount += 1;
       for (const replica of this.replicas.values()) {
         replica.diskLow = isLow;
-        if (checks % Constants.diskRetrySeconds === 0)
+        if (checkCount % Constants.diskRetrySeconds === 0)
           Csp.go(this.env.scope, "try disk again", () => replica.retryDisk());
       }
-      yield* EnvironmentTools.sleep(this.env, DISK_CHECK_MS);
+      yield* EnvironmentTools.sleep(this.env, DISK_CHECK_PERIOD_MS);
     }
   }
 
   private *repairLoop(): Task<void> {
-    let pass = 0;
+    let passNumber = 0;
     for (;;) {
       yield* EnvironmentTools.sleep(this.env, Constants.repairPeriodMs);
-      pass += 1;
+      passNumber += 1;
       for (const replica of this.replicas.values()) {
-        yield* replica.scrub(pass);
+        yield* replica.scrub(passNumber);
         if (!replica.holdsLease()) continue;
         yield* replica.repair();
         yield* this.retention.trim(replica);
--- a/src/storage/shardWriter.ts
+++ b/src/storage/shardWriter.ts
@@ -7,7 +7,7 @@
 import { ShardClient } from "./shardClient";
 
 /** How long one put to a shard that this node leads may take, ms. */
-const LOCAL_PUT_MS = 2500;
+const LOCAL_PUT_TIMEOUT_MS = 2500;
 /** Pause before a put that came behind the stable prefix is stamped anew, ms. */
 export const RESTAMP_PAUSE_MS = 10;
 
@@ -33,12 +33,12 @@
   ) {}
 
   /** Faults as of `ShardClient.put`. A put id is applied at most once, whichever leaders see it. */
-  *put(shard: number, putId: string, ops: ShardOperation[], cause: Cause, withinMs: number): Task<Result<PutOutcome>> {
+  *put(shard: number, putId: string, ops: ShardOperation[], cause: Cause, timeoutMs: number): Task<Result<PutOutcome>> {
     const replica = this.replicas.get(shard);
     for (let attempt = 0; attempt < Constants.restampAttempts; attempt += 1) {
-      if (!replica || !this.mayPut(replica, attempt)) break;
+      if (!replica || !this.mayPutLocally(replica, attempt)) break;
       const stamp = this.shardClient.stamp(this.env.wall());
-      const put = yield* replica.put({ putId, stamp, ops, cause }, Math.min(withinMs, LOCAL_PUT_MS));
+      const put = yield* replica.put({ putId, stamp, ops, cause }, Math.min(timeoutMs, LOCAL_PUT_TIMEOUT_MS));
       if (put.ok) {
         this.onPut(ops);
         return put;
@@ -46,10 +46,10 @@
       if (put.fault.tag !== "late") break;
       yield* EnvironmentTools.sleep(this.env, RESTAMP_PAUSE_MS);
     }
-    return yield* this.shardClient.put(shard, putId, ops, cause, withinMs);
+    return yield* this.shardClient.put(shard, putId, ops, cause, timeoutMs);
   }
 
-  private mayPut(replica: ShardReplica, attempt: number): boolean {
+  private mayPutLocally(replica: ShardReplica, attempt: number): boolean {
     return (attempt > 0 && this.leaseCheck === "firstAttempt") || replica.holdsLease();
   }
 }
--- a/src/storage/storageNode.ts
+++ b/src/storage/storageNode.ts
@@ -24,7 +24,7 @@
 import { ShardMaintenance } from "./shardMaintenance";
 
 /** A stopping node checks this often whether its work is done, ms. */
-const STOP_CHECK_MS = 50;
+const STOP_CHECK_PERIOD_MS = 50;
 
 /** Folders of replicas in the data folder. */
 const REPLICA_FOLDER = /^shard-(\d+)$/;
@@ -75,7 +75,7 @@
     const opened = yield* storage.openReplicas();
     if (!opened.ok) return opened;
     storage.addHandlers();
-    storage.node.gossip.onChange(() => storage.installKnownViews());
+    storage.node.gossip.onChange(() => storage.installGossipedViews());
     storage.node.onFreeze(() => {
       for (const replica of storage.replicas.values()) replica.stopLeader("frozen");
     });
@@ -103,8 +103,8 @@
 
   /** This node's replica of a shard, made if there is none. */
   private replicaOf(shard: number): ShardReplica {
-    const known = this.replicas.get(shard);
-    if (known) return known;
+    const existing = this.replicas.get(shard);
+    if (existing) return existing;
     const folder = `${this.settings.data}/shard-${shard}`;
     const replica = new ShardReplica(this.env, this.node.rpc, this.node.self.id, shard, folder, {
       addressOf: (id) => this.node.addressOf(id),
@@ -144,7 +144,7 @@
    * Installs views whose message from control was lost and that the configuration names. The former leader's lease may
    * have been renewed just before, so its whole length is waited for.
    */
-  private installKnownViews(): void {
+  private installGossipedViews(): void {
     const { snapshot } = this.node.gossip;
     if (!snapshot) return;
     for (const view of Object.values(snapshot.views)) {
@@ -202,9 +202,9 @@
   stop(): Task<void> {
     const storage = this;
     return this.node.shutDown(function* () {
-      const until = storage.env.mono() + Constants.stopGraceMs;
-      while (storage.env.mono() < until && storage.hasUnfinishedWork())
-        yield* EnvironmentTools.sleep(storage.env, STOP_CHECK_MS);
+      const deadline = storage.env.mono() + Constants.stopGraceMs;
+      while (storage.env.mono() < deadline && storage.hasUnfinishedWork())
+        yield* EnvironmentTools.sleep(storage.env, STOP_CHECK_PERIOD_MS);
     });
   }
 
--- a/test/batchJobDays.test.ts
+++ b/test/batchJobDays.test.ts
@@ -13,7 +13,7 @@
 } from "../src/tools/batchJobChecker";
 import { BatchJobFleet } from "./batchJobFleet";
 
-const events = 8;
+const EVENTS_PER_ITEM = 8;
 const bounds: BatchJobBounds = {
   endMs: 3000,
   settleMs: 1000,
@@ -23,49 +23,49 @@
   quotaOverrun: 0.1,
 };
 type FaultInjection = (fleet: BatchJobFleet) => Promise<void>;
-const stores = ["store-1", "store-2", "store-3", "store-4"];
+const storageNodes = ["store-1", "store-2", "store-3", "store-4"];
 const pick = <T>(fleet: BatchJobFleet, from: T[]): T => from[Math.floor(fleet.world.random() * from.length)];
-const restarted =
+const killAndRestart =
   (powerLost: boolean, wiped: boolean): FaultInjection =>
   async (fleet) => {
-    const name = pick(fleet, stores);
+    const name = pick(fleet, storageNodes);
     fleet.kill(name, powerLost);
     if (wiped) fleet.wipe(name);
     await fleet.world.run(500 + fleet.world.random() * 2500);
-    fleet.startStore(name);
+    fleet.startStorageNode(name);
   };
 const faults: Record<string, FaultInjection> = {
   none: () => Promise.resolve(),
-  killed: restarted(false, false),
-  "power lost": restarted(true, false),
-  "disk lost": restarted(true, true),
+  killed: killAndRestart(false, false),
+  "power lost": killAndRestart(true, false),
+  "disk lost": killAndRestart(true, true),
   frozen: async (fleet) => {
-    const name = pick(fleet, stores);
+    const name = pick(fleet, storageNodes);
     fleet.freeze(name);
     await fleet.world.run(400 + fleet.world.random() * 3000);
-    fleet.wake(name);
+    fleet.resume(name);
   },
-  "cut off": async (fleet) => {
-    fleet.world.isolate([pick(fleet, stores)], pick(fleet, ["in", "out", "both"] as const));
+  partitioned: async (fleet) => {
+    fleet.world.isolate([pick(fleet, storageNodes)], pick(fleet, ["in", "out", "both"] as const));
     await fleet.world.run(400 + fleet.world.random() * 4000);
     fleet.world.heal();
   },
-  "replicas fail": async (fleet) => {
+  "endpoints fail": async (fleet) => {
     for (const endpoint of fleet.endpoints)
-      endpoint.behavior = (id, step) => (step < 3 ? unluckyBehavior(id, fleet.world.random()) : behaviorOf(id));
+      endpoint.behavior = (id, step) => (step < 3 ? faultyBehavior(id, fleet.world.random()) : regularBehaviorOf(id));
     await fleet.world.run(2500);
-    for (const endpoint of fleet.endpoints) endpoint.behavior = behaviorOf;
+    for (const endpoint of fleet.endpoints) endpoint.behavior = regularBehaviorOf;
   },
 };
-const unluckyBehavior = (id: string, draw: number): ReturnType<EventStandIn["behavior"]> =>
+const faultyBehavior = (id: string, draw: number): ReturnType<EventStandIn["behavior"]> =>
   draw < 0.2
     ? { tag: "cut", after: Math.floor(draw * 40) }
     : draw < 0.3
       ? { tag: "notRun" }
       : draw < 0.35
         ? { tag: "silent" }
-        : behaviorOf(id);
-const behaviorOf = (id: string): ReturnType<EventStandIn["behavior"]> =>
+        : regularBehaviorOf(id);
+const regularBehaviorOf = (id: string): ReturnType<EventStandIn["behavior"]> =>
   id.endsWith("-i7")
     ? { tag: "status", status: 422 }
     : id.endsWith("-i9")
@@ -73,13 +73,13 @@
       : { tag: "complete" };
 
 /** A day of jobs from two submitting processes: submitted until the response is certain, read, and some of them ended. */
-class Day {
-  readonly seen: JobObservation[] = [];
-  readonly sent: ExpectedJob[] = [];
-  private open = 0;
+class Workload {
+  readonly observations: JobObservation[] = [];
+  readonly expectedJobs: ExpectedJob[] = [];
+  private openCount = 0;
   constructor(private readonly fleet: BatchJobFleet) {}
-  private observe(seen: JobObservation): void {
-    this.seen.push(seen);
+  private observe(observation: JobObservation): void {
+    this.observations.push(observation);
   }
   private host = (): BatchJobHost => pick(this.fleet, this.fleet.hosts);
   runs = (): ObservedRun[] =>
@@ -92,10 +92,16 @@
         .map(({ id }) => id),
     );
     const accepted = new Set(
-      this.seen.flatMap((seen) => (seen.tag === "submitted" && seen.outcome === "accepted" ? [seen.job] : [])),
+      this.observations.flatMap((observation) =>
+        observation.tag === "submitted" && observation.outcome === "accepted" ? [observation.job] : [],
+      ),
     );
-    const ended = new Set(this.seen.flatMap((seen) => (seen.tag === "ended" ? [seen.job] : [])));
-    const open = this.sent.filter(({ job }) => accepted.has(job) && !ended.has(job)).flatMap(({ items }) => items);
+    const ended = new Set(
+      this.observations.flatMap((observation) => (observation.tag === "ended" ? [observation.job] : [])),
+    );
+    const open = this.expectedJobs
+      .filter(({ job }) => accepted.has(job) && !ended.has(job))
+      .flatMap(({ items }) => items);
     const isGivenUp = (id: string): boolean =>
       this.runs().filter((run) => run.id === id).length >=
       (id.endsWith("-i7") ? 1 : id.endsWith("-i9") ? bounds.attempts : Infinity);
@@ -106,20 +112,20 @@
     const items = fleet.items(job, count);
     const expected = (id: string): "done" | "impossible" | "fails" =>
       id.endsWith("-i7") ? "impossible" : id.endsWith("-i9") ? "fails" : "done";
-    this.sent.push({
+    this.expectedJobs.push({
       job,
       items: items.map((item) => ({
         ...item,
         body: Buffer.from(item.body, "base64").toString(),
-        text: EventStandIn.textOf(item.id, events),
+        text: EventStandIn.textOf(item.id, EVENTS_PER_ITEM),
         expected: expected(item.id),
       })),
     });
-    this.open += 1;
-    const day = this;
+    this.openCount += 1;
+    const workload = this;
     Csp.go(fleet.caller.scope, `job ${job}`, function* () {
-      if (yield* day.submit(job, count)) yield* day.follow(job, count);
-      day.open -= 1;
+      if (yield* workload.submit(job, count)) yield* workload.follow(job, count);
+      workload.openCount -= 1;
     });
   }
   private *submit(job: string, count: number): Task<boolean> {
@@ -150,12 +156,12 @@
     return false;
   }
   private *follow(job: string, count: number): Task<void> {
-    const ends = this.fleet.world.random() < 0.15;
+    const endsEarly = this.fleet.world.random() < 0.15;
     let from = 0;
     for (let step = 0; step < 80 && from < count; step += 1) {
       const host = this.host();
       yield* EnvironmentTools.sleep(host.env, 500);
-      if (ends && from > 2) return yield* this.end(job);
+      if (endsEarly && from > 2) return yield* this.end(job);
       const position = this.fleet.world.random() < 0.2 ? Math.floor(this.fleet.world.random() * from) : from;
       from = Math.max(from, yield* this.read(host, job, position, 500));
       if (this.fleet.world.random() < 0.2)
@@ -188,27 +194,29 @@
     for (let attempt = 0; attempt < 10; attempt += 1) {
       const host = this.host();
       const ended = yield* new BatchSubmission(host).end(job, "caller");
-      if (ended.ok) return this.observe({ tag: "ended", at: host.env.wall(), job: job });
+      if (ended.ok) return this.observe({ tag: "ended", at: host.env.wall(), job });
       yield* EnvironmentTools.sleep(host.env, 300);
     }
   }
   /** Waits for all callers, then reads every job that was accepted and not ended, completely and at both processes. */
   async close(): Promise<void> {
-    for (let attempt = 0; attempt < 120 && this.open > 0; attempt += 1) await this.fleet.world.run(500);
-    expect(this.open).toBe(0);
+    for (let attempt = 0; attempt < 120 && this.openCount > 0; attempt += 1) await this.fleet.world.run(500);
+    expect(this.openCount).toBe(0);
     const accepted = new Set(
-      this.seen.flatMap((seen) => (seen.tag === "submitted" && seen.outcome === "accepted" ? [seen.job] : [])),
+      this.observations.flatMap((observation) =>
+        observation.tag === "submitted" && observation.outcome === "accepted" ? [observation.job] : [],
+      ),
     );
-    for (const seen of this.seen) if (seen.tag === "ended") accepted.delete(seen.job);
-    const day = this;
+    for (const observation of this.observations) if (observation.tag === "ended") accepted.delete(observation.job);
+    const workload = this;
     for (const job of accepted)
       for (const host of this.fleet.hosts) {
         const read = await this.fleet.call(function* () {
-          return yield* day.read(host, job, 0, 0);
+          return yield* workload.read(host, job, 0, 0);
         });
         expect({ lot: job, read }).toEqual({
           lot: job,
-          read: this.sent.find((sent) => sent.job === job)!.items.length,
+          read: this.expectedJobs.find((expectedJob) => expectedJob.job === job)!.items.length,
         });
       }
   }
@@ -220,27 +228,37 @@
       test(`${name}, seed ${seed}`, async () => {
         const fleet = await BatchJobFleet.start(
           seed,
-          { stores: 4, replicas: 3, events, slots: 12 },
+          { storageNodes: 4, endpoints: 3, events: EVENTS_PER_ITEM, slots: 12 },
           { maxWaitingTokens: bounds.maxTokens },
         );
-        for (const endpoint of fleet.endpoints) endpoint.behavior = behaviorOf;
-        const day = new Day(fleet);
+        for (const endpoint of fleet.endpoints) endpoint.behavior = regularBehaviorOf;
+        const workload = new Workload(fleet);
         let count = 0;
         for (let step = 0; step < 4; step += 1) {
           const until = fleet.world.now + 4500;
           const faultDone = step === 1 || step === 2 ? injectFault(fleet) : Promise.resolve();
           if (step === 1 || step === 2) {
-            for (let at = 0; at < 6; at += 1) day.start(`L${(count += 1)}`, 10 + Math.floor(fleet.world.random() * 15));
+            for (let at = 0; at < 6; at += 1)
+              workload.start(`L${(count += 1)}`, 10 + Math.floor(fleet.world.random() * 15));
             await faultDone;
           }
           while (fleet.world.now < until) {
-            day.start(`L${(count += 1)}`, 10 + Math.floor(fleet.world.random() * 15));
+            workload.start(`L${(count += 1)}`, 10 + Math.floor(fleet.world.random() * 15));
             await fleet.world.run(300 + fleet.world.random() * 400);
           }
         }
-        await day.close();
-        expect(BatchJobChecker.check({ observations: day.seen, runs: day.runs(), jobs: day.sent, bounds })).toEqual([]);
-        const accepted = day.seen.filter((seen) => seen.tag === "submitted" && seen.outcome === "accepted").length;
+        await workload.close();
+        expect(
+          BatchJobChecker.check({
+            observations: workload.observations,
+            runs: workload.runs(),
+            jobs: workload.expectedJobs,
+            bounds,
+          }),
+        ).toEqual([]);
+        const accepted = workload.observations.filter(
+          (observation) => observation.tag === "submitted" && observation.outcome === "accepted",
+        ).length;
         expect(accepted).toBeGreaterThan(count * 0.6);
         expect(fleet.errors()).toEqual([]);
       }, 200_000);
--- a/test/batchJobFleet.ts
+++ b/test/batchJobFleet.ts
@@ -19,22 +19,22 @@
 import { EventStandIn } from "../src/tools/eventStandIn";
 
 const zoneOf = (index: number): string => ["north", "east", "south", "west"][index % 4];
-const seeds = ["127.0.0.1:1"];
+const seedAddresses = ["127.0.0.1:1"];
 
 /**
  * A simulated fleet for batch jobs: one control node, a few storage nodes, endpoints that stream events, and two
  * processes that submit jobs.
  *
  * @example
- * const fleet = await BatchJobFleet.start(7, { stores: 3, replicas: 2 });
+ * const fleet = await BatchJobFleet.start(7, { storageNodes: 3, endpoints: 2 });
  * await fleet.call((host) => new BatchSubmission(host).submit("L1", "b", route, items, 3000));
  */
 export class BatchJobFleet {
   readonly world: SimWorld;
   readonly endpoints: EventStandIn[] = [];
-  readonly stores = new Map<string, StorageNode>();
-  private readonly disks = new Map<string, SimDisk>();
-  private readonly departed = new Set<string>();
+  readonly storageNodes = new Map<string, StorageNode>();
+  private readonly diskByProcess = new Map<string, SimDisk>();
+  private readonly withdrawnEndpoints = new Set<string>();
   private version = 0;
   caller!: SimProcess;
   readonly hosts: BatchJobHost[] = [];
@@ -55,7 +55,7 @@
   };
   private constructor(
     seed: number,
-    readonly size: { stores: number; replicas: number; events: number; slots: number },
+    readonly size: { storageNodes: number; endpoints: number; events: number; slots: number },
     log: (line: string) => void,
   ) {
     this.world = new SimWorld(seed, log);
@@ -66,11 +66,16 @@
     route: Partial<Route> = {},
     log: (line: string) => void = () => undefined,
   ): Promise<BatchJobFleet> {
-    const fleet = new BatchJobFleet(seed, { stores: 3, replicas: 2, events: 4, slots: 8, ...size }, log);
-    fleet.process("control-1", { program: "control", address: seeds[0], founders: seeds, data: "data/control-1" });
-    for (let index = 1; index <= fleet.size.stores; index += 1) fleet.startStore(`store-${index}`);
+    const fleet = new BatchJobFleet(seed, { storageNodes: 3, endpoints: 2, events: 4, slots: 8, ...size }, log);
+    fleet.process("control-1", {
+      program: "control",
+      address: seedAddresses[0],
+      founders: seedAddresses,
+      data: "data/control-1",
+    });
+    for (let index = 1; index <= fleet.size.storageNodes; index += 1) fleet.startStorageNode(`store-${index}`);
     for (let index = 1; index <= 2; index += 1) await fleet.startCaller(index);
-    for (let index = 1; index <= fleet.size.replicas; index += 1) await fleet.startEndpoint(`r${index}`);
+    for (let index = 1; index <= fleet.size.endpoints; index += 1) await fleet.startEndpoint(`r${index}`);
     for (
       let attempt = 0;
       attempt < 40 && Object.keys(fleet.node.snapshot().control?.views ?? {}).length < Constants.shardCount;
@@ -82,25 +87,25 @@
     return fleet;
   }
   private process(name: string, settings: Partial<Settings>): SimProcess {
-    const disk = this.disks.get(name) ?? new SimDisk(this.world);
-    this.disks.set(name, disk);
+    const disk = this.diskByProcess.get(name) ?? new SimDisk(this.world);
+    this.diskByProcess.set(name, disk);
     const process = this.world.start(name, disk);
     const settingsWithDefaults = {
       cluster: "lots",
       district: zoneOf(this.world.processes.size),
       http: `127.0.0.1:${50_000 + +settings.address!.split(":")[1]}`,
-      seeds,
+      seeds: seedAddresses,
       ...settings,
     } as Settings;
     const fleet = this;
     Csp.go(process.scope, "main", function* () {
       const started: Result<RunningDaemon> = yield* Daemon.start(process.env, settingsWithDefaults);
       if (!started.ok) throw new Error(started.fault.detail);
-      if (settingsWithDefaults.program === "store") fleet.stores.set(name, started.value as StorageNode);
+      if (settingsWithDefaults.program === "store") fleet.storageNodes.set(name, started.value as StorageNode);
     });
     return process;
   }
-  startStore(name: string): void {
+  startStorageNode(name: string): void {
     this.process(name, {
       program: "store",
       address: `127.0.0.1:${10 + +name.slice(6)}`,
@@ -119,7 +124,7 @@
       district: zoneOf(index),
       address: `127.0.0.1:${88 + 2 * index}`,
       http: `127.0.0.1:${89 + 2 * index}`,
-      seeds,
+      seeds: seedAddresses,
     };
     const started = await this.world.finish(process, () => Node.start(env, settings, "agent"), 5000);
     if (!started?.ok) throw new Error("no caller");
@@ -151,7 +156,7 @@
     await this.world.finish(process, () => endpoint.start(), 1000);
     const fleet = this;
     Csp.go(this.caller.scope, `announce ${id}`, function* () {
-      while (!fleet.departed.has(id)) {
+      while (!fleet.withdrawnEndpoints.has(id)) {
         yield* NodeContext.of(fleet.node).announce({
           id,
           address,
@@ -168,8 +173,8 @@
       yield* NodeContext.of(fleet.node).goodbye(id);
     });
   }
-  goodbye(id: string): void {
-    this.departed.add(id);
+  withdrawEndpoint(id: string): void {
+    this.withdrawnEndpoints.add(id);
   }
   /** Configures these routes and no others. @example await fleet.configure({ b: BatchJobFleet.route }); */
   async configure(routes: Record<string, Route>): Promise<void> {
@@ -251,20 +256,20 @@
   /** Name of the storage node that leads the job's shard. @example fleet.leaderOf("L1") */
   leaderOf(job: string): string {
     const shard = this.host.shardClient.shardOf(job);
-    return [...this.stores].find(([, store]) => store.replicas.get(shard)?.holdsLease())?.[0] ?? "";
+    return [...this.storageNodes].find(([, storageNode]) => storageNode.replicas.get(shard)?.holdsLease())?.[0] ?? "";
   }
   kill(name: string, powerLost = false): void {
-    this.stores.delete(name);
+    this.storageNodes.delete(name);
     this.world.kill(name, powerLost);
   }
   /** Empties the disk of a storage node that is down. @example fleet.wipe("store-2"); */
   wipe(name: string): void {
-    this.disks.get(name)!.wipe();
+    this.diskByProcess.get(name)!.wipe();
   }
   freeze(name: string): void {
     this.world.processes.get(name)!.freeze();
   }
-  wake(name: string): void {
+  resume(name: string): void {
     this.world.processes.get(name)!.wake();
   }
   errors = (): string[] => [...this.world.processes.values()].flatMap((process) => process.errors);
--- a/test/batchJobs.test.ts
+++ b/test/batchJobs.test.ts
@@ -112,15 +112,15 @@
 test("the quota of waiting tokens holds over all shards: what fits is accepted, the rest rejected, and ended jobs free it", async () => {
   const fleet = await BatchJobFleet.start(4, { slots: 2, events: 20 }, { maxWaitingTokens: 10_000 });
   let acceptedCount = 0;
-  const refused: string[] = [];
+  const refusedSteps: string[] = [];
   for (let at = 0; at < 14; at += 1) {
     const response = await fleet.submit(`Q${at}`, 10, 100);
     if (response?.ok) acceptedCount += 1;
-    else refused.push(response && !response.ok ? response.fault.step : "nothing");
+    else refusedSteps.push(response && !response.ok ? response.fault.step : "nothing");
   }
   expect(acceptedCount).toBeGreaterThanOrEqual(10);
   expect(acceptedCount).toBeLessThanOrEqual(11);
-  expect(new Set(refused)).toEqual(new Set(["quota"]));
+  expect(new Set(refusedSteps)).toEqual(new Set(["quota"]));
   expect(await fleet.call((host) => new BatchSubmission(host).end("Q8", "caller"))).toMatchObject({ ok: true });
   await fleet.world.run(100);
   expect((await fleet.submit("Q20", 5, 100))?.ok).toBe(true);
@@ -132,10 +132,10 @@
   const fleet = await BatchJobFleet.start(5);
   const leader = fleet.leaderOf("R");
   fleet.world.partition(leader, "caller"); // requests arrive, responses are lost
-  const abandonedSubmission = fleet.submit("R", 5, 100, 700);
+  const submission = fleet.submit("R", 5, 100, 700);
   await fleet.world.run(700);
   fleet.world.heal();
-  const response = await abandonedSubmission;
+  const response = await submission;
   // it has been stored meanwhile, or it is certain that it never will be
   expect(response?.ok ? response.value.tag : response?.fault.tag).toMatch(/exists|accepted|busy/);
   const runs = (): number =>
@@ -166,7 +166,7 @@
 }, 120_000);
 
 test("a killed leader loses no job: the next one runs the items without a result, and positions stay", async () => {
-  const fleet = await BatchJobFleet.start(6, { stores: 4, slots: 4, events: 20 });
+  const fleet = await BatchJobFleet.start(6, { storageNodes: 4, slots: 4, events: 20 });
   expect((await fleet.submit("K", 30))?.ok).toBe(true);
   await fleet.world.run(2200);
   const before = (await fleet.list("K"))!;
@@ -185,7 +185,7 @@
   const fleet = await BatchJobFleet.start(8, { slots: 2, events: 20 });
   expect((await fleet.submit("G", 30))?.ok).toBe(true);
   await fleet.world.run(1500);
-  fleet.goodbye("r1");
+  fleet.withdrawEndpoint("r1");
   await fleet.world.run(1500);
   const leftAt = fleet.caller.env.wall();
   await fleet.configure({});
@@ -197,7 +197,7 @@
 
 test("a job submitted while a storage node freezes, the leader or another replica, is stored within 1250 ms", async () => {
   for (const seed of [11, 12, 13]) {
-    const fleet = await BatchJobFleet.start(seed, { stores: 4 });
+    const fleet = await BatchJobFleet.start(seed, { storageNodes: 4 });
     fleet.freeze("store-2");
     await fleet.world.run(50);
     const durations = await fleet.submitAll(["A", "B", "C", "D", "E", "F", "G", "H"], 3);
