--- a/test/batchJobDays.test.ts
+++ b/test/batchJobDays.test.ts
@@ -45,7 +45,7 @@
     await fleet.world.run(400 + fleet.world.random() * 3000);
     fleet.resume(name);
   },
-  partitioned: async (fleet) => {
+  "network partition": async (fleet) => {
     fleet.world.isolate([pick(fleet, storageNodes)], pick(fleet, ["in", "out", "both"] as const));
     await fleet.world.run(400 + fleet.world.random() * 4000);
     fleet.world.heal();
@@ -74,12 +74,12 @@
 
 /** A day of jobs from two submitting processes: submitted until the response is certain, read, and some of them ended. */
 class Workload {
-  readonly observations: JobObservation[] = [];
+  readonly observed: JobObservation[] = [];
   readonly expectedJobs: ExpectedJob[] = [];
   private openCount = 0;
   constructor(private readonly fleet: BatchJobFleet) {}
   private observe(observation: JobObservation): void {
-    this.observations.push(observation);
+    this.observed.push(observation);
   }
   private host = (): BatchJobHost => pick(this.fleet, this.fleet.hosts);
   runs = (): ObservedRun[] =>
@@ -92,12 +92,10 @@
         .map(({ id }) => id),
     );
     const accepted = new Set(
-      this.observations.flatMap((observation) =>
-        observation.tag === "submitted" && observation.outcome === "accepted" ? [observation.job] : [],
-      ),
+      this.observed.flatMap((seen) => (seen.tag === "submitted" && seen.outcome === "accepted" ? [seen.job] : [])),
     );
     const ended = new Set(
-      this.observations.flatMap((observation) => (observation.tag === "ended" ? [observation.job] : [])),
+      this.observed.flatMap((observation) => (observation.tag === "ended" ? [observation.job] : [])),
     );
     const open = this.expectedJobs
       .filter(({ job }) => accepted.has(job) && !ended.has(job))
@@ -203,11 +201,9 @@
     for (let attempt = 0; attempt < 120 && this.openCount > 0; attempt += 1) await this.fleet.world.run(500);
     expect(this.openCount).toBe(0);
     const accepted = new Set(
-      this.observations.flatMap((observation) =>
-        observation.tag === "submitted" && observation.outcome === "accepted" ? [observation.job] : [],
-      ),
+      this.observed.flatMap((seen) => (seen.tag === "submitted" && seen.outcome === "accepted" ? [seen.job] : [])),
     );
-    for (const observation of this.observations) if (observation.tag === "ended") accepted.delete(observation.job);
+    for (const observation of this.observed) if (observation.tag === "ended") accepted.delete(observation.job);
     const workload = this;
     for (const job of accepted)
       for (const host of this.fleet.hosts) {
@@ -250,13 +246,13 @@
         await workload.close();
         expect(
           BatchJobChecker.check({
-            observations: workload.observations,
+            observations: workload.observed,
             runs: workload.runs(),
             jobs: workload.expectedJobs,
             bounds,
           }),
         ).toEqual([]);
-        const accepted = workload.observations.filter(
+        const accepted = workload.observed.filter(
           (observation) => observation.tag === "submitted" && observation.outcome === "accepted",
         ).length;
         expect(accepted).toBeGreaterThan(count * 0.6);
