--- a/src/storage/abandonedClaimRecovery.ts
+++ b/src/storage/abandonedClaimRecovery.ts
@@ -13,44 +13,46 @@
 import { LiveRequestExecution } from "./liveRequests/liveRequestExecution";
 import { ShardWriter } from "./shardWriter";
 
-/** An owner is asked this often what it still executes, ms. */
+/** Period at which an owner is polled for the claims that it still executes, ms. */
 const OWNER_POLL_PERIOD_MS = 400;
-/** One such request's time-out, ms. */
+/** Time-out of one poll, ms. */
 const OWNER_POLL_TIMEOUT_MS = 500;
-/** An owner that doesn't respond for so long has lost its claims, ms: it gives up older ones itself. */
+/**
+ * An owner that has not responded for this long no longer holds its claims, ms: a storage node does not forward under a
+ * claim that is older than `claimMaxAgeMs`.
+ */
 const OWNER_LOSS_TIMEOUT_MS = 2 * Constants.claimMaxAgeMs;
-/** For how long the put that closes an abandoned request is repeated, ms. */
+/** The put that closes an abandoned request is retried for this long, ms. */
 const CLOSE_TIMEOUT_MS = 10_000;
-/** For how long the put that releases an abandoned claim is repeated, ms. */
+/** The put that releases an abandoned claim is retried for this long, ms. */
 const RELEASE_TIMEOUT_MS = 5000;
 
-/** Reason in the ledger for what a new leader decides. */
+/** Note in the ledger on every decision that this recovery makes. */
 const LEADER_CHANGED_NOTE = "lead changed";
 const OWNER_LOST_DETAIL = "the store that ran it was lost";
 
-/** A claim in a shard's state, with the name by which its owner knows it. */
+/** A claim in the state of a shard, with the name under which its owner lists it as running. */
 type Claim =
   { kind: "request"; name: string; id: string } | { kind: "item"; name: string; jobId: string; index: number };
 
-/** What an owner responded; undefined if it did not. */
+/** The result of polling an owner. */
 interface OwnerPoll {
+  /** Whether membership has an address of the owner as a live or suspected member. */
   isReachable: boolean;
+  /** The polled claims that the owner still executes; undefined if it did not respond. */
   running: string[] | undefined;
 }
 
 /**
- * Recovers claims whose owner, a storage node, no longer executes them. A leader looks for them when it begins to lead
- * and every now and then. What may have run is closed as "unknown"; what is safe to repeat runs again.
- *
- * @example
- * recovery.start();
- * recovery.recoverShard(replica);
+ * Recovers claims whose owner, a storage node, no longer executes them. The leader of a shard searches for such claims
+ * when it starts to lead and periodically afterwards. A request or an item that may have run is closed as "unknown",
+ * unless it is safe to repeat; then it runs again.
  */
 export class AbandonedClaimRecovery {
   /** `SHARD/EPOCH/OWNER` of the owners that are being polled. */
   private readonly polledOwners = new Set<string>();
 
-  /** @param running names of all that this node executes under a claim */
+  /** @param running names of the requests and items that this node executes under a claim */
   constructor(
     private readonly env: Environment,
     private readonly node: Node,
@@ -66,7 +68,7 @@
     EnvironmentTools.keep(this.env, this.env.scope, "orphans", () => this.recoveryLoop());
   }
 
-  /** Recovers, in tasks of their own, all claims of a shard that their owners have abandoned. */
+  /** Recovers the abandoned claims of a shard, in one background task for each owner. */
   recoverShard(replica: ShardReplica): void {
     const { epoch } = replica.view!;
     for (const [owner, claims] of claimsByOwner(replica)) {
@@ -75,7 +77,7 @@
       if (notRunningHere.length === 0 || this.polledOwners.has(key)) continue;
       this.polledOwners.add(key);
       const recovery = this;
-      Csp.go(this.env.scope, `orphans of ${owner}`, function* () {
+      Csp.go(this.env.scope, `recover claims of ${owner}`, function* () {
         try {
           yield* recovery.recoverFrom(owner, replica, epoch, notRunningHere);
         } finally {
@@ -85,7 +87,10 @@
     }
   }
 
-  /** Finds also what was accepted or claimed by a put that took longer than its request waited. */
+  /**
+   * Searches all led shards periodically. The search also finds objects that were accepted or claimed by a put that
+   * completed only after its caller had stopped waiting.
+   */
   private *recoveryLoop(): Task<void> {
     for (;;) {
       yield* EnvironmentTools.sleep(this.env, Constants.abandonedClaimSearchMs);
@@ -97,7 +102,7 @@
     }
   }
 
-  /** Polls an owner until it executes none of the claims any more, and recovers each that it doesn't. */
+  /** Recovers each claim that its owner no longer executes, and polls the owner until none of the claims is left. */
   private *recoverFrom(owner: string, replica: ShardReplica, epoch: number, claims: Claim[]): Task<void> {
     let remaining = claims;
     let lastResponseAt = this.env.mono();
@@ -146,7 +151,7 @@
     yield* this.resumeRequest(replica, request, route);
   }
 
-  /** Runs a request further from the chunks that are stored. */
+  /** Resumes a request after the response chunks that are already stored. */
   private *resumeRequest(replica: ShardReplica, request: LiveRequest, route: Route): Task<void> {
     const { id, round: attempt } = request;
     this.counters.resumed += 1;
@@ -214,7 +219,7 @@
 
 const recoveryPutId = ({ id, life, round }: LiveRequest): string => `recover-${id}-${life}-${round}`;
 
-/** All claims in a shard's state by their owner; requests that were accepted and not claimed have the owner "". */
+/** All claims in the state of a shard, by owner. Requests that were accepted and not claimed have the owner "". */
 function claimsByOwner(replica: ShardReplica): Map<string, Claim[]> {
   const claims = new Map<string, Claim[]>();
   const add = (owner: string, claim: Claim): void => void claims.set(owner, [...(claims.get(owner) ?? []), claim]);
--- a/src/storage/batchJobs/batchJobReads.ts
+++ b/src/storage/batchJobs/batchJobReads.ts
@@ -19,21 +19,21 @@
 import { isInView, notInViewFault } from "../viewMembership";
 
 /**
- * Temporal reads of batch jobs: any member of a shard's view responds, from its stable prefix. The fault "notFound" is
- * given only where it is certain, by a leader that isn't accepting such a job just now.
+ * Temporal reads of batch jobs. Any member of a shard's view serves them from its stable prefix. Only the leader returns
+ * the fault "notFound", and `list` and `itemBody` do so only while no submission of the job is in progress.
  *
  * @example
  * const page = yield* reads.list(replica, { shard: 3, id: "lot-17", from: 12, waitMs: 1000 });
  */
 export class BatchJobReads {
-  /** @param submissionLocks locks of the jobs that are being submitted, by job id */
+  /** @param submissionLocks held for each job that is being submitted, by job id */
   constructor(
     private readonly env: Environment,
     private readonly node: Node,
     private readonly submissionLocks: KeyedLock,
   ) {}
 
-  /** Results from a position on, as soon as there is one, all are there or the time is up. */
+  /** Reads results from a position. Responds once there is one, all results are stable, or the wait has ended. */
   *list(replica: ShardReplica, { id, from, waitMs, anyAge }: ListJobRequest): Task<Result<JobResultPage>> {
     const deadline = this.env.mono() + Math.min(waitMs, Constants.readWaitMs);
     for (;;) {
@@ -55,7 +55,7 @@
     }
   }
 
-  /** The request body of an item of a job that hasn't ended. */
+  /** Reads the request body of an item. A job that was ended has no bodies. */
   *itemBody(replica: ShardReplica, { id, item }: ItemBodyRequest): Task<Result<ItemBodyResponse>> {
     if (!isInView(this.node, replica)) return notInViewFault(this.node, "item body");
     const found = yield* replica.job(id);
@@ -70,7 +70,7 @@
       : Fault.ok({ body });
   }
 
-  /** Results with their positions and stamps, of jobs of either kind. */
+  /** Reads results with their positions and stamps, of jobs with or without claims. */
   *results(replica: ShardReplica, body: JobResultsRequest): Task<Result<JobResultsResponse>> {
     if (!isInView(this.node, replica)) return notInViewFault(this.node, "read");
     const deadline = this.env.mono() + Math.min(body.waitMs, Constants.readWaitMs);
@@ -91,12 +91,12 @@
   }
 }
 
-/** Whether there is a result of every item, each behind the frontier. */
+/** Whether every item that has a final state has it in the stable prefix, and no item is open. */
 function areAllStable(job: BatchJob): boolean {
   return job.open === 0 && job.positions.length === job.items.filter((item) => item.stamp).length;
 }
 
-/** As many results as fit into one response, at least one if there is any. */
+/** A page with as many results as fit into one response, and with at least one if there is any. */
 function pageOf(job: BatchJob, from: number): JobResultPage {
   const results: JobResultEntry[] = [];
   let bytes = 0;
--- a/src/storage/batchJobs/batchJobs.ts
+++ b/src/storage/batchJobs/batchJobs.ts
@@ -12,18 +12,15 @@
 import { Quota } from "../quota/quota";
 import { OpenJobs } from "./openJobs";
 
-/** How long a put about a job may take at its leader, ms: longer than a view change. */
+/** Time-out of a put at the leader, ms. It is longer than a view change. */
 const JOB_PUT_TIMEOUT_MS = 1100;
 
 /**
- * Batch jobs whose items are whole requests, at the leader of their shard: submitted, refused and ended. A job is
- * accepted once it is on every replica and fits into its route's quota.
- *
- * @example
- * const response = yield* jobs.submit(replica, { shard, stamp, life, lot, cause });
+ * Submits, refuses and ends batch jobs whose items are whole requests, at the leader of their shard. A job is accepted
+ * if it fits into its route's quota, once it is on every replica.
  */
 export class BatchJobs {
-  /** @param submissionLocks locks of the jobs that are being submitted, by job id */
+  /** @param submissionLocks held for each job that is being submitted, by job id */
   constructor(
     private readonly env: Environment,
     private readonly node: Node,
@@ -33,8 +30,8 @@
   ) {}
 
   /**
-   * Accepts a job, once by its id. Only "accepted" and "exists" mean that the job is stored; after "busy" this arrival
-   * of it never will be.
+   * Accepts a job; a job id is accepted at most once. The job is stored only if the response is "accepted" or "exists".
+   * After the fault "busy" this submission is never stored.
    */
   *submit(replica: ShardReplica, body: SubmitJobRequest): Task<Result<SubmitJobResponse>> {
     const { id, bodyHash } = body.lot;
@@ -64,7 +61,7 @@
     const reserved = yield* this.quota.reserve(replica, job.binding, job.id, tokens);
     if (!reserved.ok) {
       if (reserved.fault.tag === "busy") return reserved;
-      // nothing was put, so whatever went wrong with the count, the job is certainly not stored
+      // Nothing was put yet, so the job is certainly not stored, whatever fault the count had.
       return this.busy(`what waits could not be counted: ${reserved.fault.detail}`);
     }
     const put = yield* replica.put(
@@ -84,7 +81,7 @@
       case "exists":
         return Fault.ok(put.value);
       case "no":
-        return this.busy(put.value.why); // this arrival was refused before it was put
+        return this.busy(put.value.why); // The submission was refused before it was put.
       default: {
         const unreachable: never = put.value;
         return unreachable;
@@ -94,7 +91,7 @@
 
   private busy = (why: string): Result<never> => Fault.busy("hand in", this.node.self.id, why, Constants.retryAfterMs);
 
-  /** Makes sure that no arrival of a job up to now is ever stored, unless one is already. */
+  /** Ensures that no submission of a job made up to now is ever stored, unless one is stored already. */
   *refuse(replica: ShardReplica, { id, stamp }: RefuseRequest): Task<Result<RefuseResponse>> {
     if (!replica.holdsLease()) return notLeaderFault(this.node, replica, "refuse lot");
     const putId = `refuse-lot-${id}-${Stamp.text(stamp)}`;
@@ -103,11 +100,11 @@
       JOB_PUT_TIMEOUT_MS,
     );
     if (!put.ok) return put;
-    this.openJobs.add(replica, id); // if it was stored after all
+    this.openJobs.add(replica, id); // The job may have been stored after all.
     return Fault.ok({ refused: put.value.tag === "done" });
   }
 
-  /** Ends a job: none of its items starts from now on, and what runs is aborted. */
+  /** Ends a job: no further item starts, and running items are aborted. */
   *end(replica: ShardReplica, { id, stamp, by }: EndJobRequest): Task<Result<EndJobResponse>> {
     if (!replica.holdsLease()) return notLeaderFault(this.node, replica, "end lot");
     const job = replica.data.jobs.get(id);
@@ -127,7 +124,7 @@
   }
 }
 
-/** The job of the same id that was accepted earlier. */
+/** The earlier accepted job of the same id, if there is one. */
 function findExisting(replica: ShardReplica, id: string, bodyHash: string): ExistingObject | undefined {
   const sealed = replica.segments.find("lots", id);
   if (sealed) {
--- a/src/storage/batchJobs/endpointUsage.ts
+++ b/src/storage/batchJobs/endpointUsage.ts
@@ -1,12 +1,6 @@
 import { Endpoint } from "../../node/clusterSnapshot";
 
-/**
- * How many items this node runs in each pool and at each endpoint.
- *
- * @example
- * usage.add(endpoint, "model");
- * usage.remove(endpoint, "model");
- */
+/** Counts the items that this node runs in each pool and at each endpoint. */
 export class EndpointUsage {
   private readonly byPool = new Map<string, number>();
   private readonly byEndpoint = new Map<string, number>();
--- a/src/storage/batchJobs/itemCounters.ts
+++ b/src/storage/batchJobs/itemCounters.ts
@@ -1,18 +1,18 @@
-/** Counters of items that are whole requests; with the prefix `items_` their names are names of metrics. */
+/** Counters of items that are whole requests. With the prefix `items_` the field names are metric names. */
 export interface ItemCounters {
   /** Attempts started. */
   started: number;
   /** Items with a result. */
   done: number;
-  /** Items given up. */
+  /** Items that were abandoned. */
   abandoned: number;
-  /** Attempts that did not run, or whose response broke off. */
+  /** Attempts that did not run, or whose response was interrupted. */
   again: number;
   /** Attempts that failed. */
   failed: number;
-  /** Attempts that continued a stream. */
+  /** Attempts that resumed a stream. */
   resumed: number;
-  /** Attempts aborted because their job had ended. */
+  /** Attempts that were aborted because their job had ended or another node leads its shard. */
   broken_off: number;
 }
 
--- a/src/storage/batchJobs/itemEndpointChoice.ts
+++ b/src/storage/batchJobs/itemEndpointChoice.ts
@@ -9,24 +9,21 @@
 import { ITEM_KIND } from "../selectionCriteria";
 import { EndpointUsage } from "./endpointUsage";
 
-/** One pass over all items that wait, on one view of the cluster. */
+/** State of one scheduling pass over all waiting items, based on one cluster snapshot. */
 export interface SchedulingPass {
   snapshot: ClusterSnapshot;
   /** This node's share of the capacity for batch items, from 0 to 1. */
   share: number;
-  /** Eligible endpoints by pool and route. */
+  /** Eligible endpoints by `POOL ROUTE`. */
   endpoints: Map<string, Endpoint[]>;
-  /** Pools in which no item can start any more. */
+  /** Pools in which no further item can start. */
   fullPools: Set<string>;
 }
 
 /**
- * Chooses the endpoint of a batch item: within this node's window, evenly over the endpoints, in this node's zone as
- * long as there is capacity, and where a long shared prefix of the prompt may be cached.
- *
- * @example
- * const pool = choice.poolOf(route);
- * if (choice.hasCapacity(pass, pool, job.binding, false)) choice.choose(pass, pool, job, 3, false, undefined);
+ * Chooses the endpoint of a batch item. The items stay within this node's window and are spread evenly over the
+ * endpoints. Endpoints in this node's zone are preferred while they have capacity, and so are endpoints that may have
+ * cached a long shared prefix of the prompt.
  */
 export class ItemEndpointChoice {
   constructor(
@@ -37,14 +34,14 @@
     private readonly names: HeaderNames,
   ) {}
 
-  /** The pool of the next item, drawn by weight where the route splits its traffic. */
+  /** The pool of the next item; drawn at random by weight if the route splits its traffic. */
   poolOf(route: Route): string {
     if (!route.split || route.split.length === 0) return route.pool;
     let remainingWeight = this.env.random() * route.split.reduce((sum, { weight }) => sum + weight, 0);
     return route.split.find(({ weight }) => (remainingWeight -= weight) < 0)?.pool ?? route.pool;
   }
 
-  /** Whether a further item may start in the pool; if not, the pool is full for the whole pass. */
+  /** Whether a further item may start in the pool. If not, the pool counts as full for the rest of the pass. */
   hasCapacity(pass: SchedulingPass, pool: string, routeName: string, isUrgent: boolean): boolean {
     if (pass.fullPools.has(pool)) return false;
     if (this.usage.inPool(pool) < this.windowOf(pass, pool, routeName, isUrgent)) return true;
@@ -53,7 +50,7 @@
   }
 
   /**
-   * An endpoint with capacity; none if there is none.
+   * Chooses an endpoint; undefined if none has capacity.
    * @param avoid key of an endpoint that is chosen only if there is no other
    */
   choose(
@@ -87,8 +84,8 @@
   }
 
   /**
-   * How many items this node may run in a pool at once: its share of the capacity for batch items, less while live
-   * requests have to wait.
+   * The number of items that this node may run in a pool at once: its share of the capacity for batch items. The window
+   * is smaller while live requests wait for the pool, except for items of urgent jobs.
    */
   private windowOf(pass: SchedulingPass, pool: string, routeName: string, isUrgent: boolean): number {
     const endpoints = this.endpointsOf(pass, pool, routeName);
@@ -108,7 +105,7 @@
     return endpoints;
   }
 
-  /** Id of the first part of the prompt, if it is long enough that a cached copy of it is worth a queue; else "". */
+  /** The id of the first part of the prompt if that part is long enough to prefer an endpoint that has cached it; else "". */
   private prefixOf(job: BatchJob, item: number): string {
     const promptParts = job.requests![item].headers[this.names.promptParts] ?? "";
     const [part, tokens] = promptParts.split(",")[0].split(":");
@@ -116,8 +113,8 @@
   }
 
   /**
-   * What is excluded, and all endpoints of other zones while this node's own has capacity: requests and their results
-   * are long, and links between zones are slow.
+   * Adds all endpoints of other zones to the excluded ones while this node's own zone has capacity. Requests and their
+   * results are long, and links between zones are slow.
    */
   private excludeOtherZones(endpoints: Endpoint[], exclude: Set<string>): Set<string> {
     const isSameZone = ({ district }: Endpoint): boolean => district === this.zone;
--- a/src/storage/batchJobs/itemExecution.ts
+++ b/src/storage/batchJobs/itemExecution.ts
@@ -12,29 +12,26 @@
 import { OpenJob, progressOf } from "./openJob";
 import { OpenJobs } from "./openJobs";
 
-/** Least time that an endpoint is given for an item, ms. */
+/** The minimum deadline that is sent to an endpoint with an item, ms. */
 const REMAINING_TIME_MIN_MS = 1000;
-/** Priority of batch items at an endpoint: behind all live requests, which begin at 0. */
+/** Priority of batch items at an endpoint: after all live requests, whose priorities start at 0. */
 const ITEM_PRIORITY = 9;
 
-/** How one attempt of an item ended. */
+/** Outcome of one attempt of an item. */
 export type ItemAttemptOutcome =
   | { tag: "done"; result: string }
   /** No attempt can succeed. */
   | { tag: "impossible"; why: string }
-  /** The endpoint ran it and failed. */
+  /** The endpoint ran the item and failed. */
   | { tag: "failed"; why: string }
-  /** It did not run, or its response broke off: it is tried at another endpoint. */
+  /** The item did not run, or its response was interrupted. It is retried, at another endpoint if there is one. */
   | { tag: "interrupted"; why: string }
-  /** The job has ended, or another node leads its shard. */
+  /** The job has ended, or this node no longer leads its shard. */
   | { tag: "cancelled" };
 
 /**
- * Runs one attempt of an item that is a whole request. A stream that broke off in an earlier attempt is continued after
- * the last event that was received.
- *
- * @example
- * const outcome = yield* execution.attempt(open, job, 3, endpoint);
+ * Runs one attempt of an item that is a whole request. A stream that was interrupted in an earlier attempt is resumed
+ * after the last event that was received.
  */
 export class ItemExecution {
   constructor(
@@ -45,7 +42,7 @@
     private readonly counters: ItemCounters,
   ) {}
 
-  /** Forwards the item and reads its response; the endpoint's capacity is released at the end. */
+  /** Forwards the item and reads its response, then releases the endpoint's capacity. */
   *attempt(open: OpenJob, job: BatchJob, item: number, endpoint: Endpoint): Task<ItemAttemptOutcome> {
     const lastEventId = open.progress.get(item)?.lastEventId ?? 0;
     const request = this.requestFor(job, item, lastEventId);
@@ -108,7 +105,7 @@
     return { tag: "done", result: body.toString("utf8") };
   }
 
-  /** The result of a stream is the data of all its events, a line each. */
+  /** Reads a stream. Its result is the data of all events, one line for each. */
   private *readEvents(
     open: OpenJob,
     item: number,
@@ -131,6 +128,7 @@
   }
 }
 
+/** The outcome of a response whose status is not a success. */
 function failureFor(status: number, why: string): ItemAttemptOutcome {
   if (status === 422) return { tag: "impossible", why };
   return { tag: status === 500 ? "failed" : "interrupted", why };
--- a/src/storage/batchJobs/itemResults.ts
+++ b/src/storage/batchJobs/itemResults.ts
@@ -8,7 +8,7 @@
 import { OpenJob } from "./openJob";
 import { OpenJobs } from "./openJobs";
 
-/** For how long the put of results is repeated, ms: past a takeover of the shard. */
+/** The put of results is retried for this long, ms, which is longer than a change of the shard's leader takes. */
 const PUT_TIMEOUT_MS = 12_000;
 
 interface PendingResult {
@@ -17,8 +17,8 @@
 }
 
 /**
- * Stores the results of items. Results of one shard that come close together share a put; an item counts as running
- * until its result is on every replica.
+ * Stores the results of items. Results of one shard that arrive within a short period share a put. An item counts as
+ * running until its result is on every replica.
  *
  * @example
  * results.add(open, { item: 3, state: "done", result: text }, "");
@@ -36,7 +36,10 @@
     private readonly counters: ItemCounters,
   ) {}
 
-  /** @param why reason for the log, of an item that is abandoned */
+  /**
+   * Adds a result to the next put.
+   * @param why reason that is logged for an abandoned item
+   */
   add(open: OpenJob, outcome: ItemOutcome, why: string): void {
     if (outcome.state === "done") this.counters.done += 1;
     else {
@@ -62,7 +65,7 @@
     });
   }
 
-  /** Puts what is pending, until there is nothing more. */
+  /** Puts the pending results of a shard in batches until none is left. */
   private *flush(shard: number): Task<void> {
     for (;;) {
       yield* EnvironmentTools.sleep(this.env, Constants.itemResultBatchMs);
@@ -75,14 +78,15 @@
       for (const { open, outcome } of batch) {
         open.running.delete(outcome.item);
         open.progress.delete(outcome.item);
-        // another leader has the results or runs the items anew; while this node leads, they are put again
+        // After a failed put this node adds the results again while it leads the shard. Otherwise a new leader has the
+        // results or runs the items again.
         if (!put.ok && this.openJobs.mayContinue(open)) this.add(open, outcome, "put again");
       }
     }
   }
 }
 
-/** One operation for each job of the batch. */
+/** The operations that store a batch, one for each job. */
 function operationsOf(batch: PendingResult[]): ShardOperation[] {
   const byJob = new Map<string, ItemOutcome[]>();
   for (const { open, outcome } of batch) byJob.set(open.id, [...(byJob.get(open.id) ?? []), outcome]);
--- a/src/storage/batchWork.ts
+++ b/src/storage/batchWork.ts
@@ -19,12 +19,8 @@
 import { ShardWriter } from "./shardWriter";
 
 /**
- * The batch jobs whose items are whole requests, for the shards that a storage node leads. Their items may run more than
- * once, so they need no claim.
- *
- * @example
- * const work = new BatchWork(env, node, shardClient, endpointSelector, replicas, names);
- * work.start();
+ * Composes the components that accept, run and read the batch jobs whose items are whole HTTP requests, for the shards
+ * that a storage node leads. These items may run more than once, so they need no claim.
  */
 export class BatchWork {
   readonly jobs: BatchJobs;
@@ -76,12 +72,12 @@
     this.scheduler.start();
   }
 
-  /** This node leads the shard from now on. */
+  /** Starts to run the open jobs of a shard that this node now leads. */
   leadershipStarted(replica: ShardReplica): void {
     this.openJobs.addJobsOf(replica);
   }
 
-  /** This node no longer leads the shard. */
+  /** Starts no further item of a shard that this node no longer leads. */
   leadershipStopped(replica: ShardReplica): void {
     this.openJobs.leadershipStopped(replica);
   }
--- a/src/storage/claimedWork.ts
+++ b/src/storage/claimedWork.ts
@@ -18,15 +18,11 @@
 import { ShardWriter } from "./shardWriter";
 
 /**
- * The work that a storage node executes under a claim, for the shards that it leads: live requests, and items of batch
- * jobs that may not run twice. A claim is put before anything is forwarded.
- *
- * @example
- * const work = new ClaimedWork(env, node, shardClient, endpointSelector, replicas);
- * work.start();
+ * Composes the components that execute work under a claim, for the shards that a storage node leads: live requests, and
+ * items of batch jobs that must not run twice. The claim is put into the shard before anything is forwarded.
  */
 export class ClaimedWork {
-  /** Ids of the live requests, and `JOB/INDEX` of the items, that are being executed. */
+  /** Names of what this node executes under a claim: ids of live requests, and `JOB/INDEX` of batch items. */
   readonly running = new Set<string>();
   readonly admission: LiveRequestAdmission;
   readonly reader: LiveRequestReader;
@@ -78,16 +74,19 @@
     this.claimRecovery.start();
   }
 
-  /** This node leads the shard from now on: its open jobs are scheduled, and its abandoned claims recovered. */
+  /** Schedules the open jobs and recovers the abandoned claims of a shard that this node now leads. */
   leadershipStarted(replica: ShardReplica): void {
     this.itemScheduler.addJobsOf(replica);
     const { claimRecovery } = this;
-    Csp.go(this.env.scope, `take up shard ${replica.shard}`, function* () {
+    Csp.go(this.env.scope, `recover claims of shard ${replica.shard}`, function* () {
       claimRecovery.recoverShard(replica);
     });
   }
 
-  /** This node no longer leads the shard. What runs goes on; a new leader finds out whether it does. */
+  /**
+   * Schedules no further item of a shard that this node no longer leads. Running work continues, and the new leader
+   * polls this node for it.
+   */
   leadershipStopped(replica: ShardReplica): void {
     this.itemScheduler.removeJobsOf(replica);
   }
--- a/src/storage/executionCounters.ts
+++ b/src/storage/executionCounters.ts
@@ -1,20 +1,20 @@
-/** Counters of the work that runs under a claim; their names are names of metrics. */
+/** Counters of the work that runs under a claim. The field names are metric names. */
 export interface ExecutionCounters {
-  /** Streams forwarded, each attempt counted. */
+  /** Forwarded attempts of streaming requests. */
   streams: number;
-  /** Single requests forwarded, each attempt counted. */
+  /** Forwarded attempts of requests with a single response. */
   singles: number;
-  /** Batch items forwarded, each attempt counted. */
+  /** Forwarded attempts of batch items. */
   items: number;
-  /** Live requests rejected for want of capacity. */
+  /** Live requests that were rejected because no endpoint had capacity. */
   busies: number;
-  /** Live requests and items whose outcome is unknown: they may have run. */
+  /** Live requests and items that may have run and whose outcome is unknown. */
   unknowns: number;
-  /** Live requests that went on at another endpoint after an attempt that may have run. */
+  /** Live requests that were resumed at another endpoint after an attempt that may have run. */
   resumed: number;
   /** Attempts that provably did not run. */
   released: number;
-  /** Live requests that failed after a part of their response. */
+  /** Live requests that failed after a part of their response was stored, and could not be resumed. */
   failed: number;
 }
 
--- a/src/storage/ledgerReads.ts
+++ b/src/storage/ledgerReads.ts
@@ -17,11 +17,12 @@
 } from "./messages/shardMessages";
 import { isInView, notInViewFault } from "./viewMembership";
 
-/** Before all stamps. */
+/** Sorts before every stamp of an entry. */
 const BEFORE_ALL_STAMPS: Stamp = { time: -1, node: "", seq: 0 };
 
 /**
- * Temporal reads of a shard's ledger, at any member of its view: what lies behind the frontier, sealed or not.
+ * Temporal reads of a shard's ledger. Any member of the shard's view serves them, from the sealed segments and from the
+ * unsealed entries behind the frontier, which is the end of its stable prefix.
  *
  * @example
  * const page = yield* reads.read(replica, { shard: 3, after: "", limit: 100 });
@@ -32,14 +33,15 @@
     private readonly node: Node,
   ) {}
 
-  /** A page of entries in the order of their stamps; the entries of one put stay together. */
+  /** Reads a page of entries in the order of their stamps. The entries of one put are never split between pages. */
   *read(replica: ShardReplica, body: LedgerReadRequest): Task<Result<LedgerReadResponse>> {
     if (!isInView(this.node, replica)) return notInViewFault(this.node, "read");
     const frontier = replica.frontier();
     const after = Stamp.parse(body.after) ?? BEFORE_ALL_STAMPS;
     const sealed = yield* replica.readConsistently(() => replica.segments.ledger.after(after, body.limit));
     if (!sealed.ok) return sealed;
-    // by position, not by stamp: the entries of a put may lie on both sides of the newest segment's end
+    // Unsealed entries are found by position, not by stamp: the entries of one put may lie on both sides of the end of
+    // the newest segment.
     const unsealed = sealed.value.all ? replica.data.ledger.slice(LedgerIndex.firstAfter(replica.data, after)) : [];
     const entries = [...sealed.value.entries, ...unsealed];
     let end = Math.min(body.limit, entries.length);
@@ -48,7 +50,7 @@
     return Fault.ok({ frontier, entries: entries.slice(0, end), oldest });
   }
 
-  /** All entries about some subjects; the leader adds those that aren't stable yet. */
+  /** Reads all entries about some subjects. The leader of the shard adds entries that are not stable yet. */
   *about(replica: ShardReplica, { subjects, change }: LedgerAboutRequest): Task<Result<LedgerAboutResponse>> {
     if (!isInView(this.node, replica)) return notInViewFault(this.node, "read");
     const isAbout = (entry: LedgerEntry): boolean =>
@@ -63,7 +65,10 @@
     return Fault.ok({ entries: [...sealed.value, ...stable, ...unstable], frontier: replica.frontier() });
   }
 
-  /** The nearest version of a subject that isn't older than a time; "busy" if there is none behind the frontier in time. */
+  /**
+   * Reads the oldest stable version of a subject that is not older than a time. The fault is "busy" if there is none
+   * when the wait ends.
+   */
   *nearestVersion(replica: ShardReplica, body: TemporalGetRequest): Task<Result<TemporalGetResponse>> {
     if (!isInView(this.node, replica)) return notInViewFault(this.node, "read");
     const { subject, time } = body;
--- a/src/storage/responseStatus.ts
+++ b/src/storage/responseStatus.ts
@@ -1,5 +1,5 @@
-/** HTTP status from which on the response of an endpoint is an error. */
+/** The lowest HTTP status that counts as an error of an endpoint. */
 const FIRST_ERROR_STATUS = 400;
 
-/** Whether an endpoint has responded with an error. @example isErrorStatus(404) // true */
+/** Whether the HTTP status of an endpoint's response is an error. */
 export const isErrorStatus = (status: number): boolean => status >= FIRST_ERROR_STATUS;
--- a/src/storage/retention.ts
+++ b/src/storage/retention.ts
@@ -4,21 +4,19 @@
 import { ShardReplica } from "../shard/shardReplica";
 import { ShardClient } from "./shardClient";
 
-/** Which setting limits the age of which kind of sealed objects. */
+/** Kinds of sealed objects, each with the retention setting that limits its age. */
 const RETENTION_SETTINGS = [
   ["works", "requestsMs"],
   ["lots", "lotsMs"],
   ["ledger", "ledgerMs"],
 ] as const;
 
-/** How long the put of a trim may take, ms; the next repair tries again. */
+/** Time-out of the put of a trim, ms. After a time-out the next repair pass tries again. */
 const TRIM_PUT_TIMEOUT_MS = 2000;
 
 /**
- * Trims sealed objects that are older than the configuration's retention allows, by a decision in the ledger.
- *
- * @example
- * yield* retention.trim(replica);
+ * Removes sealed objects that are older than the configured retention. Each removal is a put, which all replicas apply
+ * and the ledger records.
  */
 export class Retention {
   constructor(
@@ -27,7 +25,7 @@
     private readonly shardClient: ShardClient,
   ) {}
 
-  /** Trims what a replica that leads its shard finds too old. */
+  /** Trims the expired segments of a shard. The replica must lead the shard. */
   *trim(replica: ShardReplica): Task<void> {
     const configuration = this.node.snapshot().control?.manifest;
     for (const [kind, setting] of RETENTION_SETTINGS) {
--- a/src/storage/selectionCriteria.ts
+++ b/src/storage/selectionCriteria.ts
@@ -1,13 +1,13 @@
-/** What the endpoint of a live request or of a batch item is selected by. */
+/** Criteria by which the endpoint of a live request or of a batch item is selected. */
 import { Route } from "../controlState/configuration";
 import { ClusterSnapshot, Endpoint } from "../node/clusterSnapshot";
 import { EndpointEligibility } from "../routing/endpointEligibility";
 import { SelectionCriteria } from "../routing/selectionCriteria";
 
-/** Policies match batch items as work of this kind. */
+/** The kind of work that policies match batch items as. */
 export const ITEM_KIND = "item";
 
-/** A live request's route, and what else of it the selection depends on. */
+/** A live request's route and its other properties that endpoint selection depends on. */
 export interface RoutedRequest {
   route: Route;
   routeName: string;
@@ -15,7 +15,7 @@
   body: string;
 }
 
-/** Criteria of a live request; streams that begin alike go to the same endpoint. */
+/** Criteria of a live request. Streaming requests whose bodies share a prefix prefer the same endpoint. */
 export function liveRequestCriteria(
   snapshot: ClusterSnapshot,
   request: RoutedRequest,
@@ -38,6 +38,6 @@
   exclude: new Set<string>(),
 });
 
-/** Whether the endpoint is still announced, not drained, and allowed by the policies. */
+/** Whether the endpoint is still announced, is not drained, and is allowed by the policies. */
 export const isStillEligible = (endpoint: Endpoint, criteria: SelectionCriteria): boolean =>
   EndpointEligibility.inPool(criteria).some((eligible) => eligible.key === endpoint.key);
--- a/src/storage/shardClient.ts
+++ b/src/storage/shardClient.ts
@@ -10,24 +10,26 @@
 import type { ShardMethod } from "../shard/checkedHandlers";
 import { Cause, PutOutcome, ShardOperation } from "../shard/shardTypes";
 
-/** One call may take this long where its caller doesn't say, ms. */
+/** Default time-out of one attempt, ms. */
 const ATTEMPT_TIMEOUT_MS = 1200;
-/** Pause before a put that came behind the stable prefix is stamped anew, ms. */
+/** Pause before a put whose stamp the stable prefix has already passed is sent with a new stamp, ms. */
 const RESTAMP_PAUSE_MS = 15;
-/** The first pause is this share of the later ones: a leader that has just changed is mostly known soon. */
+/** Ratio of the first pause to the later ones: a new leader is usually known soon after a change. */
 const FIRST_PAUSE_FACTOR = 0.3;
 
 /**
- * Client of the shards: calls whichever storage node leads a shard now, until the time is up. A put that came too late
- * is stamped anew under the same put id, which is applied at most once, so that a repeated call is safe.
+ * Client of the shards: calls the storage node that currently leads a shard, with retries up to a time-out. A put that
+ * is rejected as late is sent again with a new stamp and the same put id. A put id is applied at most once, so retries
+ * are safe.
  *
  * @example
  * const shardClient = new ShardClient(env, rpc, "node-1", () => node.snapshot());
  * yield* shardClient.put(3, "p-1", ops, {}, 5000);
  */
 export class ShardClient {
-  /** The next stamp of this node, at a wall time in ms. */
+  /** Makes the next stamp of this node from a wall time in ms. */
   readonly stamp: (now: number) => Stamp;
+  /** Calls that were repeated with a new stamp. */
   restampedPuts = 0;
 
   constructor(
@@ -39,10 +41,10 @@
     this.stamp = Stamp.maker(selfId);
   }
 
-  /** The shard of a request, a job or another subject. @example shardClient.shardOf("lot-17") */
+  /** The shard that stores a request, a job or another subject. */
   shardOf = (id: string): number => Hash.number(id) % Constants.shardCount;
 
-  /** Address of a shard's leader, as far as known. @example shardClient.leaderAddress(3) */
+  /** The address of a shard's leader; undefined if it is unknown. */
   leaderAddress(shard: number): string | undefined {
     const snapshot = this.snapshot();
     const leader = snapshot.control?.views[shard]?.lead;
@@ -50,10 +52,11 @@
   }
 
   /**
-   * Calls the leader of a shard until it responds. Only faults that another leader or another stamp may cure are
-   * retried. The fault "unknown" means that an attempt may have arrived.
+   * Calls the leader of a shard, with retries for faults that another leader or a new stamp may resolve. The fault
+   * "unknown" means that an attempt may have arrived and its outcome is not known.
    *
-   * @param body made anew for each attempt
+   * @param body makes the body of each attempt
+   * @param unsentTimeoutMs the call ends earlier, after this time, if no attempt can have arrived
    * @example yield* shardClient.callLeader(3, "work.read", () => ({ id, after: 3, waitMs: 800 }), 5000)
    */
   *callLeader<Method extends ShardMethod>(
@@ -70,7 +73,7 @@
     let mayHaveArrived = false;
     for (let attempt = 0; ; attempt += 1) {
       const remainingMs = deadline - this.env.mono();
-      // as long as nothing can have arrived, the caller needn't wait for an outcome
+      // If no attempt can have arrived, there is no outcome to wait for.
       if (!mayHaveArrived && attempt > 0 && this.env.mono() - startedAt > unsentTimeoutMs) return lastResult;
       if (remainingMs <= 0)
         return mayHaveArrived && !lastResult.ok
@@ -95,7 +98,7 @@
     }
   }
 
-  /** A leader that doesn't respond isn't waited for once another has replaced it. */
+  /** Makes one attempt. It ends early when another node replaces the leader that was called. */
   private callOnce<Method extends ShardMethod>(
     address: string,
     shard: number,
@@ -109,8 +112,8 @@
   }
 
   /**
-   * Puts operations into a shard. Faults: "busy", "unknown" and those of a shard that has no leader in time.
-   * @example yield* shardClient.put(3, "p-1", [{ op: "note", entries }], {}, 5000)
+   * Puts operations into a shard, applied at most once by the put id. Faults: "busy", "unknown", and the last fault met
+   * if no leader was reached within the time-out.
    */
   *put(shard: number, putId: string, ops: ShardOperation[], cause: Cause, timeoutMs: number): Task<Result<PutOutcome>> {
     return yield* this.callLeader(
@@ -122,7 +125,7 @@
   }
 }
 
-/** What a fault means for a further attempt. */
+/** Decides whether a fault is retried, and whether the failed attempt may have arrived. */
 function retryDecision(fault: Fault): "never" | "restamped" | "mayHaveArrived" | "hasNotArrived" {
   switch (fault.tag) {
     case "late":
--- a/src/storage/shardMaintenance.ts
+++ b/src/storage/shardMaintenance.ts
@@ -5,16 +5,12 @@
 import { ShardReplica } from "../shard/shardReplica";
 import { Retention } from "./retention";
 
-/** Free space on the disk is checked this often, ms. */
+/** Period at which the free disk space is checked, ms. */
 const DISK_CHECK_PERIOD_MS = 1000;
 
 /**
- * Periodic work on the replicas of a storage node: free disk space, failed disks, calls for a view change, repair of
- * replicas that differ, retention.
- *
- * @example
- * maintenance.start();
- * maintenance.requestViewChange();
+ * Background maintenance of the replicas of a storage node: it checks the free disk space, retries failed disks,
+ * requests view changes from the control group, repairs replicas that differ, and applies the retention.
  */
 export class ShardMaintenance {
   private readonly viewChangeNeeded: Chan<true> = Csp.sliding(1);
@@ -28,23 +24,26 @@
   ) {}
 
   start(): void {
-    EnvironmentTools.keep(this.env, this.env.scope, "disk watch", () => this.diskCheckLoop());
-    EnvironmentTools.keep(this.env, this.env.scope, "calls for control", () => this.viewChangeRequestLoop());
+    EnvironmentTools.keep(this.env, this.env.scope, "disk check", () => this.diskCheckLoop());
+    EnvironmentTools.keep(this.env, this.env.scope, "view change requests", () => this.viewChangeRequestLoop());
     EnvironmentTools.keep(this.env, this.env.scope, "repair", () => this.repairLoop());
   }
 
-  /** A replica needs another view: control is called at once. */
+  /** Requests a view change from the control group without waiting for the next period. */
   requestViewChange(): void {
     Csp.offer(this.viewChangeNeeded, true);
   }
 
-  /** The call is a hint that control should check the shards now; it decides by what it finds. */
+  /**
+   * Notifies the control nodes while a replica needs a view change. The notification only makes them check the shards
+   * at once; they decide by their own checks.
+   */
   private *viewChangeRequestLoop(): Task<void> {
     for (;;) {
       yield* EnvironmentTools.takeWithin(this.env, this.viewChangeNeeded, Constants.leaseRenewMs);
       if (![...this.replicas.values()].some((replica) => replica.needsViewChange())) continue;
       for (const member of this.node.membership.alive("control"))
-        Csp.go(this.env.scope, "call for control", () =>
+        Csp.go(this.env.scope, "request view change", () =>
           this.node.rpc.call(member.address, "views.call", {}, Constants.replicateTimeoutMs),
         );
       yield* EnvironmentTools.sleep(this.env, Constants.statusPollGapMs);
@@ -60,7 +59,7 @@
       for (const replica of this.replicas.values()) {
         replica.diskLow = isLow;
         if (checkCount % Constants.diskRetrySeconds === 0)
-          Csp.go(this.env.scope, "try disk again", () => replica.retryDisk());
+          Csp.go(this.env.scope, "retry disk", () => replica.retryDisk());
       }
       yield* EnvironmentTools.sleep(this.env, DISK_CHECK_PERIOD_MS);
     }
--- a/src/storage/shardWriter.ts
+++ b/src/storage/shardWriter.ts
@@ -6,23 +6,20 @@
 import { Cause, PutOutcome, ShardOperation } from "../shard/shardTypes";
 import { ShardClient } from "./shardClient";
 
-/** How long one put to a shard that this node leads may take, ms. */
+/** Time-out of one attempt of a put to a shard that this node leads, ms. */
 const LOCAL_PUT_TIMEOUT_MS = 2500;
-/** Pause before a put that came behind the stable prefix is stamped anew, ms. */
+/** Pause before a put whose stamp the stable prefix has already passed is retried with a new stamp, ms. */
 export const RESTAMP_PAUSE_MS = 10;
 
 /**
- * Puts operations into shards for the work that this node executes: directly where it leads the shard, else through the
- * leader of the moment.
- *
- * @example
- * const put = yield* writer.put(3, "close-req-1", [{ op: "close", ... }], {}, 20_000);
+ * Puts operations into shards for the work that this node executes: through the local replica if it leads the shard,
+ * otherwise through the shard's current leader.
  */
 export class ShardWriter {
   /**
-   * @param leaseCheck when a put that comes late again and again looks at the lease: before its first attempt only, or before
-   *   each
-   * @param onPut called with the operations of each put that this node's own replica has ordered
+   * @param leaseCheck whether a put that is retried with new stamps checks the lease before its first attempt only, or
+   *   before every attempt
+   * @param onPut called with the operations of each put that the local replica completed
    */
   constructor(
     private readonly env: Environment,
@@ -32,7 +29,7 @@
     private readonly onPut: (operations: readonly ShardOperation[]) => void = () => undefined,
   ) {}
 
-  /** Faults as of `ShardClient.put`. A put id is applied at most once, whichever leaders see it. */
+  /** Puts operations. A put id is applied at most once, whichever leaders receive it. Faults: see `ShardClient.put`. */
   *put(shard: number, putId: string, ops: ShardOperation[], cause: Cause, timeoutMs: number): Task<Result<PutOutcome>> {
     const replica = this.replicas.get(shard);
     for (let attempt = 0; attempt < Constants.restampAttempts; attempt += 1) {
--- a/src/storage/storageNode.ts
+++ b/src/storage/storageNode.ts
@@ -23,30 +23,27 @@
 import { ShardClient } from "./shardClient";
 import { ShardMaintenance } from "./shardMaintenance";
 
-/** A stopping node checks this often whether its work is done, ms. */
+/** Period at which a stopping node checks whether its work has ended, ms. */
 const STOP_CHECK_PERIOD_MS = 50;
 
-/** Folders of replicas in the data folder. */
+/** Names of the replicas' folders in the data folder. */
 const REPLICA_FOLDER = /^shard-(\d+)$/;
 
 /**
- * A storage node: replicas of shards, and the work of those that it leads. This class composes its parts and connects
- * them to the node; it decides nothing.
- *
- * @example
- * const started = yield* StorageNode.start(env, settings);
+ * A storage node: it stores replicas of shards and executes the work of the shards that it leads. This class only
+ * composes the components and connects them to the node.
  */
 export class StorageNode {
-  /** By shard. */
+  /** This node's replicas by shard index. */
   readonly replicas = new Map<number, ShardReplica>();
   readonly shardClient: ShardClient;
   readonly endpointSelector: EndpointSelector;
   private readonly claimedWork: ClaimedWork;
   private readonly batchWork: BatchWork;
   private readonly maintenance: ShardMaintenance;
-  /** From a put's arrival at the leader until it is on every replica: Δ of the paper. */
+  /** Time from a put's arrival at the leader until it is on every replica, ms: Δ of the paper. */
   private readonly putLatency = new LatencySummary();
-  /** From a request's stamp until it arrives here: ε of the paper, and the clock skew. */
+  /** Time from a request's stamp until it arrives here, ms: ε of the paper plus the clock skew. */
   private readonly relayLatency = new LatencySummary();
 
   private constructor(
@@ -65,8 +62,8 @@
   }
 
   /**
-   * Starts a storage node on the replicas in its data folder. Faults: those of the node's start, and "disk".
-   * @example yield* StorageNode.start(env, settings)
+   * Starts a storage node with the replicas in its data folder. Faults: those of `Node.start`, of the operators' HTTP
+   * server, and "disk".
    */
   static *start(env: Environment, settings: Settings, names: HeaderNames = ownHeaderNames): Task<Result<StorageNode>> {
     const started = yield* Node.start(env, settings, "store");
@@ -101,7 +98,7 @@
     return Fault.ok(true as const);
   }
 
-  /** This node's replica of a shard, made if there is none. */
+  /** This node's replica of a shard, which is created if there is none. */
   private replicaOf(shard: number): ShardReplica {
     const existing = this.replicas.get(shard);
     if (existing) return existing;
@@ -141,8 +138,8 @@
   }
 
   /**
-   * Installs views whose message from control was lost and that the configuration names. The former leader's lease may
-   * have been renewed just before, so its whole length is waited for.
+   * Installs views that the gossiped snapshot of the control state contains and whose install message was lost. The
+   * former leader's lease may have been renewed just before, so the replica waits for a whole lease.
    */
   private installGossipedViews(): void {
     const { snapshot } = this.node.gossip;
@@ -150,7 +147,7 @@
     for (const view of Object.values(snapshot.views)) {
       const replica = this.replicas.get(view.shard);
       if (!replica || replica.view === undefined || view.epoch <= replica.view.epoch) continue;
-      Csp.go(this.env.scope, "view from frame", () =>
+      Csp.go(this.env.scope, "install gossiped view", () =>
         replica.viewChange.onInstall({ shard: view.shard, view, waitMs: Constants.shardLeaseMs }),
       );
     }
@@ -195,9 +192,8 @@
   }
 
   /**
-   * Graceful shutdown on SIGTERM: leadership is handed over, and what this node executes under a claim ends or is taken
-   * over.
-   * @example yield* storage.stop();
+   * Shuts down gracefully on SIGTERM: waits, for `stopGraceMs` at most, until other members lead this node's shards and
+   * all work under a claim has ended. The new leaders recover what still runs then.
    */
   stop(): Task<void> {
     const storage = this;
