--- a/src/storage/batchJobs/batchJobReads.ts
+++ b/src/storage/batchJobs/batchJobReads.ts
@@ -19,8 +19,9 @@
 import { isInView, notInViewFault } from "../viewMembership";
 
 /**
- * Temporal reads of batch jobs. Any member of a shard's view serves them from its stable prefix. Only the leader returns
- * the fault "notFound", and `list` and `itemBody` do so only while no submission of the job is in progress.
+ * Temporal reads of batch jobs. Any member of a shard's view serves them from its stable prefix. For an unknown
+ * job only the leader returns the fault "notFound"; `list` and `itemBody` return it only while no submission of the job
+ * is in progress.
  *
  * @example
  * const page = yield* reads.list(replica, { shard: 3, id: "lot-17", from: 12, waitMs: 1000 });
@@ -91,7 +92,7 @@
   }
 }
 
-/** Whether every item that has a final state has it in the stable prefix, and no item is open. */
+/** Whether no item is open and all results are in the stable prefix. */
 function areAllStable(job: BatchJob): boolean {
   return job.open === 0 && job.positions.length === job.items.filter((item) => item.stamp).length;
 }
--- a/src/storage/batchJobs/itemEndpointChoice.ts
+++ b/src/storage/batchJobs/itemEndpointChoice.ts
@@ -105,7 +105,7 @@
     return endpoints;
   }
 
-  /** The id of the first part of the prompt if that part is long enough to prefer an endpoint that has cached it; else "". */
+  /** The id of the prompt's first part if it is long enough to prefer an endpoint that may have cached it; else "". */
   private prefixOf(job: BatchJob, item: number): string {
     const promptParts = job.requests![item].headers[this.names.promptParts] ?? "";
     const [part, tokens] = promptParts.split(",")[0].split(":");
--- a/src/storage/batchJobs/itemScheduler.ts
+++ b/src/storage/batchJobs/itemScheduler.ts
@@ -18,24 +18,21 @@
 import { OpenJob, progressOf } from "./openJob";
 import { OpenJobs } from "./openJobs";
 
-/** Without items to start, a pass comes after this long at the latest, ms. */
+/** Maximum time between two passes while no item waits, ms. */
 const IDLE_PERIOD_MS = 1000;
-/** A backoff is drawn from this range of multiples, so that retries don't come all at once. */
+/** A backoff is multiplied by a random factor from `min` to `min + range`, so that retries are spread over time. */
 const BACKOFF_JITTER_FACTOR = { min: 0.7, range: 0.6 };
 
 interface SchedulableJob {
   open: OpenJob;
   job: BatchJob;
-  /** Until its results are due, ms. */
+  /** Time until the job's results are due, ms; negative once they are late. */
   dueInMs: number;
 }
 
 /**
- * Starts the items of batch jobs whose items are whole requests. Jobs share the capacity that live requests leave, by
- * their priority and then the one due soonest first.
- *
- * @example
- * scheduler.start();
+ * Starts the items of batch jobs whose items are whole requests. The jobs share the capacity that live requests leave, in
+ * the order of their priority; among jobs of the same priority the one that is due soonest comes first.
  */
 export class ItemScheduler {
   private readonly endpointUsage = new EndpointUsage();
@@ -57,10 +54,10 @@
   }
 
   start(): void {
-    EnvironmentTools.keep(this.env, this.env.scope, "items of lots", () => this.scheduleLoop());
+    EnvironmentTools.keep(this.env, this.env.scope, "item scheduler", () => this.scheduleLoop());
   }
 
-  /** Items that run now. */
+  /** Number of items that run now. */
   runningCount = (): number => this.endpointUsage.total();
 
   private *scheduleLoop(): Task<void> {
@@ -73,7 +70,7 @@
       );
       if (this.env.mono() - lastSearchAt > Constants.abandonedClaimSearchMs) {
         lastSearchAt = this.env.mono();
-        // a job may have been accepted by a put that took longer than its request waited
+        // A job may have been accepted by a put that completed only after its caller had stopped waiting.
         for (const replica of this.replicas.values()) if (replica.holdsLease()) this.openJobs.addJobsOf(replica);
       }
       if (this.openJobs.size === 0 || this.node.stopping || !this.node.mayHoldLeases()) continue;
@@ -103,7 +100,7 @@
     }
   }
 
-  /** Jobs whose items may start, in the order in which they are served. */
+  /** Jobs whose items may start, in the order in which they are scheduled. Jobs that may not continue are aborted. */
   private schedulableJobs(): SchedulableJob[] {
     const jobs: SchedulableJob[] = [];
     for (const open of this.openJobs.all()) {
@@ -111,7 +108,7 @@
       if (!this.openJobs.mayContinue(open)) this.openJobs.abort(open);
       else if (job) jobs.push({ open, job, dueInMs: dueInMs(job, this.env.wall()) });
     }
-    // results that are late already have lost most of their value: they come last
+    // Results that are already late have lost most of their value, so their jobs come last.
     const overdueRank = ({ dueInMs: remainingMs }: SchedulableJob): number => (remainingMs > 0 ? 0 : 1);
     return jobs.sort(
       (left, right) =>
@@ -124,14 +121,14 @@
       this.results.add(open, { item, state: "abandoned", result: "" }, why);
   }
 
-  /** Starts items of a job until none is ready or a pool is full. */
+  /** Starts items of a job until none is ready or the pool of the next one is full. */
   private startItems({ open, job, dueInMs: remainingMs }: SchedulableJob, route: Route, pass: SchedulingPass): void {
     const isUrgent = remainingMs < Constants.jobUrgentMs;
     for (let count = open.ready.length; count > 0; count -= 1) {
       const pool = this.endpointChoice.poolOf(route);
       if (!this.endpointChoice.hasCapacity(pass, pool, job.binding, isUrgent)) return;
       const item = open.ready.shift()!;
-      if (job.items[item].state !== "waiting") continue; // it has a result from another leader
+      if (job.items[item].state !== "waiting") continue; // The item has a result from another leader.
       const avoid = open.progress.get(item)?.avoid;
       const endpoint = this.endpointChoice.choose(pass, pool, job, item, isUrgent, avoid);
       if (!endpoint) {
@@ -201,7 +198,7 @@
   }
 }
 
-/** Items whose backoff has ended come before all others of their job. */
+/** Moves items whose backoff has ended to the front of the job's queue. */
 function requeueDelayedItems(open: OpenJob, now: number): void {
   const due = open.delayed.filter((item) => open.progress.get(item)!.notBefore <= now);
   if (due.length === 0) return;
--- a/src/storage/batchJobs/jobDeadlines.ts
+++ b/src/storage/batchJobs/jobDeadlines.ts
@@ -1,22 +1,25 @@
-/** When the results of a batch job are due, and when its items are given up. */
+/** Deadlines of a batch job: when its results are due, and when its items are abandoned. */
 import { Constants } from "../../common/constants";
 import { Route } from "../../controlState/configuration";
 import { ClusterSnapshot } from "../../node/clusterSnapshot";
 import { BatchJob } from "../../shard/shardTypes";
 
-/** How long until all results of a job are due, ms; negative once they are late. */
+/** Time until all results of a job are due, ms; negative once they are late. */
 export const dueInMs = (job: BatchJob, wallNow: number): number =>
   job.stamp.time + (job.kept.completionMs ?? Constants.requestDeadlineMs) - wallNow;
 
-/** When the items of a job are given up: wall time, ms. The route may have changed since the job was accepted. */
+/**
+ * The wall time at which the remaining items of a job are abandoned, ms. The route may have changed since the job was
+ * accepted, so the longer of the two limits applies.
+ */
 export function giveUpAt(job: BatchJob, route: Route): number {
   const afterMs = Math.max(route.giveUpMs ?? Infinity, job.kept.giveUpMs ?? Infinity);
   return job.stamp.time + afterMs + Constants.jobGiveUpMarginMs;
 }
 
 /**
- * The route of a job as it is configured now; as it was when the job was accepted, while this node's configuration is
- * older than that; undefined once the route has been removed.
+ * The route of a job as it is configured now, or undefined if the route has been removed. While this node's configuration
+ * is older than the job, it is the route as it was when the job was accepted.
  */
 export function routeOf(snapshot: ClusterSnapshot, job: BatchJob): Route | undefined {
   const configuration = snapshot.control?.manifest;
--- a/src/storage/batchJobs/jobDemand.ts
+++ b/src/storage/batchJobs/jobDemand.ts
@@ -4,22 +4,18 @@
 import { Environment } from "../../runtime/env";
 import { OpenJobs } from "./openJobs";
 
-/** An announced demand is replaced when it has changed by this share. */
+/** The demand is announced again when it differs from the announced one by more than this ratio. */
 const ANNOUNCED_CHANGE_MIN = 1 / 4;
 
-/** What a storage node announces to the others. */
+/** The demand that a storage node announces by gossip. */
 interface AnnouncedDemand {
-  /** Items that wait or run. */
+  /** Number of items that wait or run. */
   items: number;
 }
 
 /**
- * Shares the capacity for batch items among the storage nodes by what each has to run. Nodes announce their demand by
- * gossip, so the shares agree only roughly; an endpoint that is full rejects what is too much.
- *
- * @example
- * demand.announce();
- * const share = demand.share(snapshot);
+ * Divides the capacity for batch items among the storage nodes in proportion to the number of items that each has to run.
+ * Nodes announce their demand by gossip, so the shares agree only approximately; a full endpoint rejects excess items.
  */
 export class JobDemand {
   private announced = { items: 0, at: -Infinity };
@@ -30,7 +26,7 @@
     private readonly openJobs: OpenJobs,
   ) {}
 
-  /** Announces the demand if it has changed or its announcement runs out; a small demand isn't worth a message. */
+  /** Announces the demand if it has changed or its announcement is about to expire. A small demand is not announced. */
   announce(): void {
     const now = this.env.mono();
     const items = this.ownItems();
@@ -42,7 +38,7 @@
     this.node.gossip.publish(this.gossipKey(), { items }, Constants.jobDemandLeaseMs, true);
   }
 
-  /** This node's share, from 0 to 1: that of the announced demand, and at least that of the shards that it leads. */
+  /** This node's share, from 0 to 1: its share of the demand, and at least its share of the led shards. */
   share(snapshot: ClusterSnapshot): number {
     const views = Object.values(snapshot.control?.views ?? {});
     const ledViews = views.filter((view) => view.lead === this.node.self.id);
@@ -52,6 +48,7 @@
     return Math.max(shareOfShards, shareOfDemand);
   }
 
+  /** Items that wait or run here; items in backoff do not count. */
   private ownItems(): number {
     let items = 0;
     for (const open of this.openJobs.all()) items += open.ready.length + open.running.size;
--- a/src/storage/batchJobs/openJobs.ts
+++ b/src/storage/batchJobs/openJobs.ts
@@ -8,16 +8,12 @@
 import { OpenJob } from "./openJob";
 
 /**
- * The jobs whose items this node runs: those of the shards that it leads. Items may run more than once, so there is no
- * claim: only the leader knows what runs, and a new leader starts anew what has no result.
- *
- * @example
- * openJobs.add(replica, "lot-17");
- * const job = openJobs.find(open);
+ * The jobs whose items this node runs, which are those of the shards that it leads. The items may run more than once, so
+ * no claims are stored: only the leader knows which items run, and a new leader restarts all items without a result.
  */
 export class OpenJobs {
   private readonly jobs = new Map<string, OpenJob>();
-  /** Has a value when there may be something to schedule. */
+  /** Holds a value when there may be items to schedule. */
   readonly changed: Chan<true> = Csp.sliding(1);
 
   constructor(
@@ -32,7 +28,7 @@
 
   all = (): OpenJob[] => [...this.jobs.values()];
 
-  /** Begins to run a job that was accepted, or found in the log of a shard that this node leads now. */
+  /** Adds a job that was accepted, or that a shard contains which this node now leads. */
   add(replica: ShardReplica, id: string): void {
     const job = replica.data.jobs.get(id);
     const epoch = replica.view?.epoch ?? 0;
@@ -48,34 +44,34 @@
       running: new Map(),
       leadershipLostAt: Infinity,
     };
-    // attempts that began before a view change go on
+    // Attempts that started before a view change continue.
     const hasBegun = (item: number): boolean => open.running.has(item) || open.delayed.includes(item);
     open.ready = job.items.flatMap((item, index) => (item.state === "waiting" && !hasBegun(index) ? [index] : []));
     this.jobs.set(id, Object.assign(open, { epoch, leadershipLostAt: Infinity }));
     Csp.offer(this.changed, true);
   }
 
-  /** This node leads the shard from now on. */
+  /** Adds all open jobs of a shard that this node now leads. */
   addJobsOf(replica: ShardReplica): void {
     for (const job of replica.data.jobs.values()) this.add(replica, job.id);
   }
 
   /**
-   * This node has stopped leading the shard. No attempt starts from now on; what runs goes on for a while, as most view
-   * changes leave the leader as it is.
+   * Records that this node has stopped leading the shard. No further attempt starts. Running attempts continue for
+   * `leadershipRegainMs`, because most view changes keep the leader.
    */
   leadershipStopped(replica: ShardReplica): void {
     for (const open of this.jobs.values())
       if (open.replica === replica) open.leadershipLostAt = Math.min(open.leadershipLostAt, this.env.mono());
   }
 
-  /** The job has been ended: what runs of it is aborted. */
+  /** Aborts the running items of a job that was ended. */
   end(id: string): void {
     const open = this.jobs.get(id);
     if (open) this.abort(open);
   }
 
-  /** Aborts what runs of a job and forgets it. */
+  /** Aborts the running items of a job and removes the job. */
   abort(open: OpenJob): void {
     this.jobs.delete(open.id);
     for (const response of open.running.values()) {
@@ -86,7 +82,10 @@
     Csp.offer(this.changed, true);
   }
 
-  /** Whether running attempts may go on: the job isn't ended, and no other node is known to lead its shard. */
+  /**
+   * Whether running attempts may continue: the job is open and was not ended, and this node leads its shard or stopped
+   * leading it only recently.
+   */
   mayContinue(open: OpenJob): boolean {
     const { view, data } = open.replica;
     const job = data.jobs.get(open.id);
@@ -95,7 +94,7 @@
     return !!job && job.open > 0 && !job.ended && leads && this.jobs.get(open.id) === open;
   }
 
-  /** The job, if attempts may start: this node leads its shard in the epoch in which it was added. */
+  /** The job if its attempts may start: it was not ended, and this node leads its shard in the epoch of the addition. */
   findSchedulable(open: OpenJob): BatchJob | undefined {
     const { replica } = open;
     const job = replica.data.jobs.get(open.id);
--- a/src/storage/claimedItems/claimedItemExecution.ts
+++ b/src/storage/claimedItems/claimedItemExecution.ts
@@ -14,14 +14,14 @@
 import { isStillEligible, itemCriteria } from "../selectionCriteria";
 import { ShardWriter } from "../shardWriter";
 
-/** For how long the put of a claim is repeated, ms. */
+/** The put of a claim is retried for this long, ms. */
 const CLAIM_TIMEOUT_MS = 2500;
-/** For how long the put that releases a claim is repeated, ms. */
+/** The put that releases a claim is retried for this long, ms. */
 const RELEASE_TIMEOUT_MS = 10_000;
-/** For how long the put of a result is repeated, ms. */
+/** The put of a result is retried for this long, ms. */
 const RESULT_TIMEOUT_MS = 20_000;
 
-/** One attempt of a batch item, with its endpoint's capacity taken. */
+/** One attempt of a batch item, for which capacity of the endpoint is reserved. */
 export interface ClaimedItemAttempt {
   /** `JOB/INDEX`, which is also the id of the forwarded request. */
   name: string;
@@ -37,14 +37,11 @@
 }
 
 /**
- * Executes one attempt of a batch item under a claim. An item that was forwarded and not answered gets the result
- * "unknown" and never runs again, unless its route says that repeating it is safe.
- *
- * @example
- * const hasResult = yield* execution.run(attempt);
+ * Executes one attempt of a batch item under a claim. An item that was forwarded and got no response has the result
+ * "unknown" and never runs again, unless its route is configured as safe to repeat.
  */
 export class ClaimedItemExecution {
-  /** @param running names of all that this node executes under a claim: ids of live requests, and `JOB/INDEX` of items */
+  /** @param running names of what this node executes under a claim: ids of live requests, and `JOB/INDEX` of items */
   constructor(
     private readonly env: Environment,
     private readonly node: Node,
@@ -55,14 +52,14 @@
     private readonly counters: ExecutionCounters,
   ) {}
 
-  /** Claims, forwards and reports the item; false if it has no result, so that it is tried again. */
+  /** Claims the item, forwards it and stores its result. Returns false if it has no result and is to be retried. */
   *run(attempt: ClaimedItemAttempt): Task<boolean> {
     const { name, endpoint, route, shard } = attempt;
     const claimedAt = this.env.mono();
     const claimed = yield* this.claim(attempt);
     if (!claimed.ok || claimed.value.tag !== "done") {
       this.queue.release(endpoint, true);
-      // the claim may have been put all the same; nothing was forwarded, so releasing it is right either way
+      // The claim may have been put nevertheless. Nothing was forwarded, so the claim can be released in either case.
       if (!claimed.ok) yield* this.release(attempt, "claim not confirmed in time");
       return false;
     }
@@ -100,7 +97,7 @@
     );
   }
 
-  /** Whether the claim may be another node's by now, or the attempt has become pointless. */
+  /** Whether another node may have taken over the claim, the job has ended, or the endpoint is no longer eligible. */
   private isClaimStale({ shard, jobId, route, routeName, endpoint }: ClaimedItemAttempt, claimedAt: number): boolean {
     const replica = this.replicas.get(shard);
     const job = replica?.data.jobs.get(jobId);
@@ -123,7 +120,7 @@
     );
   }
 
-  /** What an attempt's response, or its fault, makes of the item. */
+  /** The operation that stores the outcome of an attempt: a result, or the release of the claim. */
   private operationFor(
     { jobId, index, number, route, endpoint }: ClaimedItemAttempt,
     response: Result<{ status: number; body: string }>,
--- a/src/storage/claimedItems/claimedItemJobs.ts
+++ b/src/storage/claimedItems/claimedItemJobs.ts
@@ -10,15 +10,10 @@
 import { notLeaderFault } from "../notLeaderFault";
 import { ClaimedItemScheduler } from "./claimedItemScheduler";
 
-/** How long the put of a job may take at its leader, ms: longer than a view change. */
+/** Time-out of the put of a job at the leader, ms. It is longer than a view change. */
 const ACCEPT_PUT_TIMEOUT_MS = 1100;
 
-/**
- * Batch jobs whose items run under a claim: accepted once they are on every replica, and reported on.
- *
- * @example
- * const outcome = yield* jobs.accept(replica, body);
- */
+/** Accepts batch jobs whose items run under a claim, once they are on every replica, and reports the status of jobs. */
 export class ClaimedItemJobs {
   constructor(
     private readonly env: Environment,
@@ -26,7 +21,7 @@
     private readonly scheduler: ClaimedItemScheduler,
   ) {}
 
-  /** Accepts a job, once by its id. The fault "busy" means that nothing of it was put. */
+  /** Accepts a job; a job id is accepted at most once. The fault "busy" means that the job was not put. */
   *accept(replica: ShardReplica, body: AcceptJobRequest): Task<Result<PutOutcome>> {
     const { lot: job, stamp, cause } = body;
     if (!replica.holdsLease() || !this.node.mayHoldLeases()) return notLeaderFault(this.node, replica, "accept lot");
@@ -54,7 +49,7 @@
     return put;
   }
 
-  /** How far a job is, whether or not its items run under a claim. */
+  /** The status of a job, whether or not its items run under a claim. */
   *status(replica: ShardReplica, { id }: JobStatusRequest): Task<Result<JobStatusResponse>> {
     if (!replica.holdsLease()) return notLeaderFault(this.node, replica, "lot status");
     const found = yield* replica.job(id);
--- a/src/storage/claimedItems/claimedItemScheduler.ts
+++ b/src/storage/claimedItems/claimedItemScheduler.ts
@@ -11,9 +11,9 @@
 import { ClaimedItemExecution } from "./claimedItemExecution";
 import { ClaimedItemWindow } from "./claimedItemWindow";
 
-/** An item whose attempt gave no result waits this long for the next, ms. */
+/** Pause after an attempt without a result before the next attempt of the item, ms. */
 const BACKOFF_MS = 300;
-/** Items in backoff that are remembered, at most. */
+/** Maximum number of remembered backoffs. Beyond it all are forgotten. */
 const BACKOFF_ENTRIES_MAX = 5000;
 
 interface SchedulableJob {
@@ -22,19 +22,15 @@
 }
 
 /**
- * Starts the items that run under a claim, of the jobs whose shards this node leads: by the jobs' priority, then in the
- * order in which they came, as far as each pool's window allows.
- *
- * @example
- * scheduler.start();
- * scheduler.addJob("lot-17", 3);
+ * Starts the items that run under a claim, of the jobs whose shards this node leads. Jobs are scheduled by their priority
+ * and then in the order of their stamps, within the window of each pool.
  */
 export class ClaimedItemScheduler {
-  /** Shard by job id, for the shards that this node leads. */
+  /** The shard of each open job by job id, for the shards that this node leads. */
   private readonly openJobs = new Map<string, number>();
   private readonly jobAdded: Chan<true> = Csp.sliding(1);
   private readonly inFlightByPool = new Map<string, number>();
-  /** By `JOB/INDEX`: monotonic time, ms, before which the item isn't tried again. */
+  /** End of an item's backoff by `JOB/INDEX`: monotonic time, ms. */
   private readonly backoffUntil = new Map<string, number>();
 
   constructor(
@@ -47,26 +43,29 @@
   ) {}
 
   start(): void {
-    EnvironmentTools.keep(this.env, this.env.scope, "lot dispatch", () => this.scheduleLoop());
+    EnvironmentTools.keep(this.env, this.env.scope, "claimed item scheduler", () => this.scheduleLoop());
   }
 
   get openJobCount(): number {
     return this.openJobs.size;
   }
 
-  /** Schedules a job from now on. */
+  /** Adds a job to the schedule. */
   addJob(id: string, shard: number): void {
     this.openJobs.set(id, shard);
     Csp.offer(this.jobAdded, true);
   }
 
-  /** Schedules the open jobs of a shard; among them may be one whose put took longer than its request waited. */
+  /**
+   * Adds the open jobs of a shard to the schedule. They may include a job whose put completed only after its caller had
+   * stopped waiting.
+   */
   addJobsOf(replica: ShardReplica): void {
     for (const job of replica.data.jobs.values())
       if (job.open > 0 && !job.ended && !job.requests) this.addJob(job.id, replica.shard);
   }
 
-  /** This node no longer leads the shard. */
+  /** Removes the jobs of a shard that this node no longer leads. */
   removeJobsOf(replica: ShardReplica): void {
     for (const [job, shard] of this.openJobs) if (shard === replica.shard) this.openJobs.delete(job);
   }
@@ -90,7 +89,7 @@
     if (this.backoffUntil.size > BACKOFF_ENTRIES_MAX) this.backoffUntil.clear();
   }
 
-  /** Jobs with items to run, in the order in which they are served. */
+  /** Jobs with items to run, in the order in which they are scheduled. */
   private schedulableJobs(): SchedulableJob[] {
     const jobs: SchedulableJob[] = [];
     for (const [id, shard] of this.openJobs) {
@@ -107,7 +106,7 @@
     );
   }
 
-  /** The route as it is now; as it was when the job was accepted, if the configuration has it no longer. */
+  /** The route as it is configured now, or as it was when the job was accepted if it has been removed. */
   private routeOf = (job: BatchJob): Route =>
     this.node.snapshot().control?.manifest.doc.bindings[job.binding] ?? job.kept;
 
--- a/src/storage/claimedItems/claimedItemWindow.ts
+++ b/src/storage/claimedItems/claimedItemWindow.ts
@@ -3,16 +3,13 @@
 import { Node } from "../../node/node";
 import { Environment } from "../../runtime/env";
 
-/** An overload is announced again after this long at the earliest, ms. */
+/** Minimum time between two announcements of an overload, ms. */
 const ANNOUNCEMENT_PERIOD_MIN_MS = 200;
 
 /**
- * How many items under a claim this node may execute in each pool: grows by one a pass while live requests find
- * capacity, and falls to the minimum at once when one has to wait, here or on another node.
- *
- * @example
- * window.update("model", snapshot);
- * if (inFlight < window.sizeOf("model")) startNextItem();
+ * The number of items under a claim that this node may execute in each pool at once. The window grows by one in each
+ * scheduling pass while live requests find capacity. It closes as soon as a live request waits on this node, and is at
+ * its minimum while live requests wait on any node.
  */
 export class ClaimedItemWindow {
   private readonly sizes = new Map<string, number>();
@@ -23,7 +20,7 @@
     private readonly node: Node,
   ) {}
 
-  /** Live requests wait for the pool: the window closes, and the other nodes are notified. */
+  /** Closes the window because live requests wait for the pool, and notifies the other nodes. */
   reportOverload(pool: string): void {
     const now = this.env.mono();
     if (now - this.lastOverloadAt(pool) > ANNOUNCEMENT_PERIOD_MIN_MS)
@@ -32,7 +29,7 @@
     this.sizes.set(pool, 0);
   }
 
-  /** One scheduling pass has come. */
+  /** Adapts the window in a scheduling pass. */
   update(pool: string, snapshot: ClusterSnapshot): void {
     const isOverloaded =
       snapshot.overloadedPools[pool] || this.env.mono() - this.lastOverloadAt(pool) < Constants.jobOverloadHoldMs;
@@ -40,7 +37,7 @@
     this.sizes.set(pool, isOverloaded ? Constants.jobWindowMin : grownSize);
   }
 
-  /** Items in flight at most. */
+  /** Maximum number of items in flight. */
   sizeOf(pool: string): number {
     return this.sizes.get(pool) ?? 0;
   }
