--- a/src/storage/batchJobs/itemScheduler.ts
+++ b/src/storage/batchJobs/itemScheduler.ts
@@ -31,8 +31,8 @@
 }
 
 /**
- * Starts the items of batch jobs whose items are whole requests. The jobs share the capacity that live requests leave, in
- * the order of their priority; among jobs of the same priority the one that is due soonest comes first.
+ * Starts the items of batch jobs whose items are whole requests. The jobs share the capacity that live requests leave,
+ * in the order of their priority; among jobs of the same priority the one that is due soonest comes first.
  */
 export class ItemScheduler {
   private readonly endpointUsage = new EndpointUsage();
--- a/src/storage/batchJobs/jobDeadlines.ts
+++ b/src/storage/batchJobs/jobDeadlines.ts
@@ -18,8 +18,8 @@
 }
 
 /**
- * The route of a job as it is configured now, or undefined if the route has been removed. While this node's configuration
- * is older than the job, it is the route as it was when the job was accepted.
+ * The route of a job as it is configured now, or undefined if the route has been removed. While this node's
+ * configuration is older than the job, the result is the route as it was when the job was accepted.
  */
 export function routeOf(snapshot: ClusterSnapshot, job: BatchJob): Route | undefined {
   const configuration = snapshot.control?.manifest;
--- a/src/storage/batchJobs/jobDemand.ts
+++ b/src/storage/batchJobs/jobDemand.ts
@@ -14,8 +14,9 @@
 }
 
 /**
- * Divides the capacity for batch items among the storage nodes in proportion to the number of items that each has to run.
- * Nodes announce their demand by gossip, so the shares agree only approximately; a full endpoint rejects excess items.
+ * Divides the capacity for batch items among the storage nodes in proportion to the number of items that each has to
+ * run. Nodes announce their demand by gossip, so the shares agree only approximately; a full endpoint rejects excess
+ * items.
  */
 export class JobDemand {
   private announced = { items: 0, at: -Infinity };
--- a/src/storage/batchJobs/openJobs.ts
+++ b/src/storage/batchJobs/openJobs.ts
@@ -8,8 +8,8 @@
 import { OpenJob } from "./openJob";
 
 /**
- * The jobs whose items this node runs, which are those of the shards that it leads. The items may run more than once, so
- * no claims are stored: only the leader knows which items run, and a new leader restarts all items without a result.
+ * The jobs whose items this node runs, which are those of the shards that it leads. The items may run more than once,
+ * so no claims are stored: only the leader knows which items run, and a new leader restarts all items without a result.
  */
 export class OpenJobs {
   private readonly jobs = new Map<string, OpenJob>();
@@ -94,7 +94,7 @@
     return !!job && job.open > 0 && !job.ended && leads && this.jobs.get(open.id) === open;
   }
 
-  /** The job if its attempts may start: it was not ended, and this node leads its shard in the epoch of the addition. */
+  /** The job if its attempts may start: it was not ended, and this node leads its shard in the epoch of `add`. */
   findSchedulable(open: OpenJob): BatchJob | undefined {
     const { replica } = open;
     const job = replica.data.jobs.get(open.id);
--- a/src/storage/claimedItems/claimedItemScheduler.ts
+++ b/src/storage/claimedItems/claimedItemScheduler.ts
@@ -22,8 +22,8 @@
 }
 
 /**
- * Starts the items that run under a claim, of the jobs whose shards this node leads. Jobs are scheduled by their priority
- * and then in the order of their stamps, within the window of each pool.
+ * Starts the items that run under a claim, of the jobs whose shards this node leads. Jobs are scheduled by their
+ * priority and then in the order of their stamps, within the window of each pool.
  */
 export class ClaimedItemScheduler {
   /** The shard of each open job by job id, for the shards that this node leads. */
--- a/src/storage/handlers/batchJobHandlers.ts
+++ b/src/storage/handlers/batchJobHandlers.ts
@@ -1,4 +1,4 @@
-/** Handlers of the methods of batch jobs (`lot.*`) and of their quota (`quota.*`). */
+/** RPC handlers of batch jobs (`lot.*`) and of their quota (`quota.*`). */
 import { Fault } from "../../common/fault";
 import { BatchJobReads } from "../batchJobs/batchJobReads";
 import { BatchJobs } from "../batchJobs/batchJobs";
@@ -18,7 +18,7 @@
 import { QuotaOwner } from "../quota/quotaOwner";
 import { UsageReports } from "../quota/usageReports";
 
-/** @param onArrival called with the time of the stamp of each job that arrives */
+/** @param onArrival called with the stamp time of each submitted job */
 export function addBatchJobHandlers(
   handlers: CheckedHandlers,
   jobs: BatchJobs,
--- a/src/storage/handlers/ledgerHandlers.ts
+++ b/src/storage/handlers/ledgerHandlers.ts
@@ -1,4 +1,4 @@
-/** Handlers of the temporal reads of a shard's ledger. */
+/** RPC handlers of the temporal reads of a shard's ledger. */
 import { CheckedHandlers } from "../../shard/checkedHandlers";
 import { LedgerReads } from "../ledgerReads";
 import { isLedgerAboutRequest, isLedgerReadRequest, isTemporalGetRequest } from "../messages/shardMessages";
--- a/src/storage/handlers/liveRequestHandlers.ts
+++ b/src/storage/handlers/liveRequestHandlers.ts
@@ -1,4 +1,4 @@
-/** Handlers of the methods of live requests (`work.*`). */
+/** RPC handlers of live requests (`work.*`). */
 import { Fault } from "../../common/fault";
 import { CheckedHandlers } from "../../shard/checkedHandlers";
 import { LiveRequestAdmission } from "../liveRequests/liveRequestAdmission";
@@ -6,8 +6,8 @@
 import { isOpenRequest, isReadRequest, isRefuseRequest, isRunningRequest } from "../messages/liveRequestMessages";
 
 /**
- * @param running names of all that this node executes under a claim
- * @param onArrival called with the time of the stamp of each request that arrives
+ * @param running names of the requests and items that this node executes under a claim
+ * @param onArrival called with the stamp time of each request that is opened
  */
 export function addLiveRequestHandlers(
   handlers: CheckedHandlers,
--- a/src/storage/handlers/putHandler.ts
+++ b/src/storage/handlers/putHandler.ts
@@ -1,4 +1,4 @@
-/** Handler of puts, at the node whose replica leads the shard. */
+/** RPC handler of puts, at the node whose replica leads the shard. */
 import { Fault, Result } from "../../common/fault";
 import { Stamp } from "../../common/stamp";
 import { Node } from "../../node/node";
@@ -9,10 +9,9 @@
 import { isPutRequest, PutRequest } from "../messages/shardMessages";
 import { notLeaderFault } from "../notLeaderFault";
 
-/** How long a put may take at the leader, ms: longer than a view change. */
+/** Time-out of a put at the leader, ms. It is longer than a view change. */
 const PUT_TIMEOUT_MS = 1100;
 
-/** Registers the handler of puts. */
 export function addPutHandler(node: Node, wall: () => number, handlers: CheckedHandlers): void {
   handlers.forShard("shard.put", isPutRequest, function* (replica, { put }: PutRequest): Task<Result<PutOutcome>> {
     const fault = admissionFault(node, wall, replica, put.stamp);
@@ -20,7 +19,10 @@
   });
 }
 
-/** Rule 1 of the paper (section 2.9): the first node that a put reaches checks that its stamp is within the bounds. */
+/**
+ * The fault of a put that must not be admitted. By rule 1 of the paper (section 2.9) the first node that a put reaches
+ * checks that its stamp is within the bounds.
+ */
 function admissionFault(
   node: Node,
   wall: () => number,
--- a/src/storage/handlers/statusHandlers.ts
+++ b/src/storage/handlers/statusHandlers.ts
@@ -1,4 +1,4 @@
-/** Handlers of the methods by which control and operators see a storage node. */
+/** RPC handlers that report the status of a storage node to the control group and to operators. */
 import { Fault } from "../../common/fault";
 import { Node } from "../../node/node";
 import { ShardReplica } from "../../shard/shardReplica";
@@ -20,7 +20,7 @@
   });
 }
 
-/** The jobs of a shard that this node leads. */
+/** The jobs of a shard, if this node leads it. */
 function jobsOf(replica: ShardReplica): StoreShardsResponse["lots"] {
   if (replica.role !== "lead") return [];
   return [...replica.data.jobs.values()].map((job) => ({
--- a/src/storage/liveRequests/executingRequest.ts
+++ b/src/storage/liveRequests/executingRequest.ts
@@ -2,33 +2,33 @@
 import { LiveRequestSpec } from "../messages/liveRequestMessages";
 import { RoutedRequest } from "../selectionCriteria";
 
-/** For how long the put that closes an attempt is repeated, ms. */
+/** The put that closes an attempt is retried for this long, ms. */
 export const CLOSE_TIMEOUT_MS = 20_000;
 
 /** A live request while this node executes it. */
 export interface ExecutingRequest extends RoutedRequest {
   readonly spec: LiveRequestSpec;
   readonly shard: number;
-  /** Number of the attempt that has the claim, from 1. */
+  /** Number of the claimed attempt, from 1. */
   attempt: number;
-  /** When that attempt was claimed: monotonic time, ms. */
+  /** When this attempt was claimed: monotonic time, ms. */
   claimedAt: number;
   /** Chunks of the response that are stored on every replica of the shard. */
   readonly chunks: string[];
 }
 
-/** How an attempt ended. */
+/** Outcome of one attempt. */
 export type AttemptOutcome =
   /** The request is closed. */
   | { tag: "closed" }
-  /** Another node has taken the request over: it is no longer this node's to close. */
+  /** Another node has taken over the request, so this node must not close it. */
   | { tag: "takenOver" }
-  /** The endpoint provably did not run it. */
+  /** The endpoint provably did not run the request. */
   | { tag: "notRun"; why: string }
-  /** The endpoint may have run it, or a part of it. */
+  /** The endpoint may have run the request, or a part of it. */
   | { tag: "mayHaveRun"; why: string };
 
-/** The request as its ingress submitted it, without what has happened to it since. */
+/** The request as its ingress submitted it, without its later state. */
 export const specOf = (request: LiveRequest): LiveRequestSpec => ({
   id: request.id,
   binding: request.binding,
--- a/src/storage/liveRequests/liveRequestAdmission.ts
+++ b/src/storage/liveRequests/liveRequestAdmission.ts
@@ -24,21 +24,19 @@
 import { RESTAMP_PAUSE_MS, ShardWriter } from "../shardWriter";
 import { LiveRequestExecution, remainingWaitMs } from "./liveRequestExecution";
 
-/** How long the first put of a request may take at its leader, ms: longer than a view change. */
+/** Time-out of the put that opens a request at the leader, ms. It is longer than a view change. */
 const OPEN_PUT_TIMEOUT_MS = 1100;
-/** The same for a refusal, ms. */
+/** Time-out of the put that refuses a request at the leader, ms. */
 const REFUSE_PUT_TIMEOUT_MS = 1000;
-/** For how long the outcome of the first put is at least asked after, ms. */
+/** The opening put is retried for at least this long after an unknown outcome, ms. */
 const OUTCOME_TIMEOUT_MIN_MS = 1000;
 
 /**
- * Accepts live requests at the leader of their shard. The first attempt is claimed in the very put that accepts the
- * request, so nothing is forwarded that isn't on every replica.
- *
- * @example
- * const response = yield* admission.open(replica, body);
+ * Accepts live requests at the leader of their shard. One put accepts the request and claims its first attempt, so a
+ * request is forwarded only after it is on every replica.
  */
 export class LiveRequestAdmission {
+  /** Held for each request that is being opened, by its id. */
   private readonly openLocks = new KeyedLock();
 
   constructor(
@@ -51,7 +49,7 @@
     private readonly counters: ExecutionCounters,
   ) {}
 
-  /** Accepts a request. The fault "busy" means that nothing of it was put. */
+  /** Accepts a request and starts its first attempt. The fault "busy" means that the request was not put. */
   *open(replica: ShardReplica, body: OpenRequest): Task<Result<OpenResponse>> {
     const { id } = body.work;
     yield* this.openLocks.waitUntilFree(id);
@@ -71,6 +69,7 @@
     }
   }
 
+  /** Waits for an endpoint with capacity, then opens the request and runs it there. */
   private *openAtEndpoint(replica: ShardReplica, body: OpenRequest, route: Route): Task<Result<OpenResponse>> {
     const { id, binding: routeName } = body.work;
     const routed: RoutedRequest = { route, routeName, caller: body.caller, body: body.work.body };
@@ -109,7 +108,7 @@
       { op: "open", work: body.work },
       { op: "claim", id, round: 1, replica: endpoint.key, owner: this.node.self.id },
     ];
-    // the stamp of the arrival, unless the stable prefix has passed it while the request was waiting
+    // The put has the stamp of the request's arrival, or a new one if the stable prefix has passed that meanwhile.
     let stamp = body.stamp;
     let put: Result<PutOutcome>;
     for (let attempt = 0; ; attempt += 1) {
@@ -120,12 +119,12 @@
       yield* EnvironmentTools.sleep(this.env, RESTAMP_PAUSE_MS);
     }
     if (put.ok || put.fault.tag !== "unknown") return put;
-    // a view change cut in: as nothing was forwarded yet, the same put is repeated until its outcome is known
+    // A view change interrupted the put. Nothing was forwarded yet, so the same put is retried to learn its outcome.
     const outcomeTimeoutMs = Math.max(OUTCOME_TIMEOUT_MIN_MS, deadlineAt - this.env.wall());
     return yield* this.writer.put(replica.shard, putId, ops, body.cause, outcomeTimeoutMs);
   }
 
-  /** Makes sure that a request that its ingress has given up never runs, unless it was accepted before. */
+  /** Ensures that a request that its ingress has given up never runs, unless it was accepted before. */
   *refuse(replica: ShardReplica, { id, stamp }: RefuseRequest): Task<Result<RefuseResponse>> {
     yield* this.openLocks.waitUntilFree(id);
     const put = yield* replica.put(
@@ -143,7 +142,7 @@
   }
 }
 
-/** The request of the same id that was accepted earlier, unless it was refused before this arrival. */
+/** The request of the same id that was accepted earlier, unless it was refused before this arrival's stamp. */
 function findExisting(replica: ShardReplica, body: OpenRequest): ExistingObject | undefined {
   const { id, bodyHash } = body.work;
   const sealed = replica.segments.find("works", id);
--- a/src/storage/liveRequests/liveRequestExecution.ts
+++ b/src/storage/liveRequests/liveRequestExecution.ts
@@ -14,23 +14,23 @@
 import { AttemptOutcome, CLOSE_TIMEOUT_MS, closePutId, ExecutingRequest } from "./executingRequest";
 import { LiveRequestForwarder } from "./liveRequestForwarder";
 
-/** For how long the put that claims a further attempt is repeated, ms. */
+/** The put that claims a further attempt is retried for this long, ms. */
 const CLAIM_TIMEOUT_MS = 10_000;
 
-/** For how much longer a request may wait for capacity, all its attempts together, ms; then it is refused. */
+/**
+ * How much longer a request may wait for capacity, ms. The limit is counted from its submission, over all its attempts;
+ * then the request is refused.
+ */
 export const remainingWaitMs = (env: Environment, spec: LiveRequestSpec): number =>
   Constants.liveWaitMs - (env.wall() - Stamp.parse(spec.life)!.time);
 
 /**
  * Executes live requests from their claim to their close, in as many attempts as are safe. A request that was forwarded
- * and not answered is closed as "unknown" and never run again, unless its route says that repeating it is safe.
- *
- * @example
- * Csp.go(env.scope, `run ${request.spec.id}`, () => execution.run(request, endpoint));
+ * and got no response is closed as "unknown" and never runs again, unless its route is configured as safe to repeat.
  */
 export class LiveRequestExecution {
   /**
-   * @param running names of all that this node executes under a claim: ids of live requests, and `JOB/INDEX` of items
+   * @param running names of what this node executes under a claim: ids of live requests, and `JOB/INDEX` of items
    * @param onFinished called when this node has finished with a request
    */
   constructor(
@@ -46,7 +46,7 @@
 
   /**
    * Runs a request until it is closed or another node has taken it over.
-   * @param claimedEndpoint endpoint of the claimed attempt; none if the first attempt is yet to be claimed
+   * @param claimedEndpoint endpoint of the claimed attempt; undefined if no attempt is claimed yet
    */
   *run(request: ExecutingRequest, claimedEndpoint: Endpoint | undefined): Task<void> {
     const exclude = new Set<string>();
@@ -75,7 +75,7 @@
 
   private remainingMs = ({ spec }: ExecutingRequest): number => spec.deadlineAt - this.env.wall();
 
-  /** Whether a further attempt is safe; if not, the request is closed. */
+  /** Whether a further attempt is safe. If not, the request is closed. */
   private *mayRetry(
     request: ExecutingRequest,
     endpoint: Endpoint,
@@ -102,7 +102,7 @@
     return true;
   }
 
-  /** An endpoint with its capacity taken; none if there is none in time. */
+  /** Reserves capacity of an endpoint; undefined if there is none in time. */
   private *nextEndpoint(request: ExecutingRequest, exclude: Set<string>): Task<Endpoint | undefined> {
     const remainingMs = this.remainingMs(request);
     if (remainingMs <= 0) return undefined;
@@ -115,6 +115,7 @@
     );
   }
 
+  /** Releases the previous attempt and claims the next one in one put; false if another node has the request. */
   private *claimNextAttempt(request: ExecutingRequest, endpoint: Endpoint, release: ShardOperation[]): Task<boolean> {
     const { spec, shard } = request;
     request.claimedAt = this.env.mono();
@@ -139,6 +140,7 @@
     owner: this.node.self.id,
   });
 
+  /** Closes a request for which no endpoint has capacity: as refused, or as failed after a part of its response. */
   private *closeWithoutEndpoint(request: ExecutingRequest, release: ShardOperation[]): Task<void> {
     const { spec, shard, attempt, chunks, route } = request;
     if (chunks.length === 0) {
@@ -146,7 +148,7 @@
       yield* this.close(request, "refused", { detail: "no replica would take it", retryAfterMs }, release);
       return;
     }
-    // only an attempt that has the claim can fail
+    // Only a claimed attempt can be closed as failed.
     const outcome = JSON.stringify({ detail: "no replica to go on with" });
     const operations: ShardOperation[] = [
       ...release,
--- a/src/storage/liveRequests/liveRequestForwarder.ts
+++ b/src/storage/liveRequests/liveRequestForwarder.ts
@@ -13,17 +13,12 @@
 import { ShardWriter } from "../shardWriter";
 import { AttemptOutcome, CLOSE_TIMEOUT_MS, closePutId, ExecutingRequest } from "./executingRequest";
 
-/** For how long the put of further chunks is repeated, ms: past a takeover of the shard. */
+/** The put of further chunks is retried for this long, ms, which is longer than a change of the shard's leader takes. */
 const CHUNKS_TIMEOUT_MS = 12_000;
-/** Characters of an error response that are stored as the detail of a failure. */
+/** Maximum number of characters of an error response that are stored as the detail of a failure. */
 const FAILURE_DETAIL_LENGTH_MAX = 500;
 
-/**
- * One attempt of a live request: forwards it to an endpoint, and stores the response in the request's shard.
- *
- * @example
- * const outcome = yield* forwarder.forward(request, endpoint, 4000);
- */
+/** Executes one attempt of a live request: forwards it to an endpoint, and stores the response in the request's shard. */
 export class LiveRequestForwarder {
   constructor(
     private readonly env: Environment,
@@ -33,7 +28,7 @@
     private readonly counters: ExecutionCounters,
   ) {}
 
-  /** Forwards the request once; the endpoint's capacity is released at the end. */
+  /** Forwards the request once, then releases the endpoint's capacity. */
   *forward(request: ExecutingRequest, endpoint: Endpoint, remainingMs: number): Task<AttemptOutcome> {
     if (this.mustNotForward(request, endpoint, remainingMs)) {
       this.queue.release(endpoint, true);
@@ -55,7 +50,10 @@
       : yield* this.forwardSingle(request, endpoint, forwarded);
   }
 
-  /** Whether the deadline has passed; or, after a freeze, the claim may be another node's and the endpoint may have left. */
+  /**
+   * Whether the deadline has passed, another node may have taken over the claim, or the endpoint is no longer eligible.
+   * The latter two happen when this process was frozen for a while.
+   */
   private mustNotForward(request: ExecutingRequest, endpoint: Endpoint, remainingMs: number): boolean {
     if (this.env.mono() - request.claimedAt > Constants.claimMaxAgeMs || remainingMs <= 0) return true;
     return !isStillEligible(endpoint, liveRequestCriteria(this.node.snapshot(), request, new Set()));
@@ -110,7 +108,10 @@
     return { tag: "closed" };
   }
 
-  /** Stores the chunks of a stream as they come, each before the next is read; undefined at the proper end. */
+  /**
+   * Stores the chunks of a stream as they arrive; each is stored before the next is read. Returns undefined at the regular
+   * end of the stream.
+   */
   private *relay(
     request: ExecutingRequest,
     endpoint: Endpoint,
--- a/src/storage/liveRequests/liveRequestReader.ts
+++ b/src/storage/liveRequests/liveRequestReader.ts
@@ -9,12 +9,13 @@
 import { notLeaderFault } from "../notLeaderFault";
 
 /**
- * Reads of live requests at the leader of their shard: chunks are visible as soon as they are on every replica.
+ * Reads live requests at the leader of their shard. Response chunks are visible as soon as they are on every replica.
  *
  * @example
  * const response = yield* reader.read(replica, { shard: 3, id: "req-1", after: 3, waitMs: 800 });
  */
 export class LiveRequestReader {
+  /** The channels that wake waiting readers, by request id. */
   private readonly readersByRequest = new Map<string, Chan<true>[]>();
 
   constructor(
@@ -27,7 +28,7 @@
     for (const reader of this.readersByRequest.get(id) ?? []) Csp.offer(reader, true);
   }
 
-  /** Responds once there is a further chunk, the request is closed, or the time is up. */
+  /** Responds once there is a further chunk, the request is closed, or the wait has ended. */
   *read(replica: ShardReplica, { id, after, waitMs }: ReadRequest): Task<Result<ReadResponse>> {
     const deadline = this.env.mono() + waitMs;
     const wake = this.addReader(id);
