--- a/src/storage/liveRequests/liveRequestExecution.ts
+++ b/src/storage/liveRequests/liveRequestExecution.ts
@@ -115,7 +115,7 @@
     );
   }
 
-  /** Releases the previous attempt and claims the next one in one put; false if another node has the request. */
+  /** Releases the previous attempt and claims the next one in one put; false if that put had no effect. */
   private *claimNextAttempt(request: ExecutingRequest, endpoint: Endpoint, release: ShardOperation[]): Task<boolean> {
     const { spec, shard } = request;
     request.claimedAt = this.env.mono();
--- a/src/storage/liveRequests/liveRequestForwarder.ts
+++ b/src/storage/liveRequests/liveRequestForwarder.ts
@@ -13,12 +13,12 @@
 import { ShardWriter } from "../shardWriter";
 import { AttemptOutcome, CLOSE_TIMEOUT_MS, closePutId, ExecutingRequest } from "./executingRequest";
 
-/** The put of further chunks is retried for this long, ms, which is longer than a change of the shard's leader takes. */
+/** The put of further chunks is retried for this long, ms: longer than a change of the shard's leader takes. */
 const CHUNKS_TIMEOUT_MS = 12_000;
 /** Maximum number of characters of an error response that are stored as the detail of a failure. */
 const FAILURE_DETAIL_LENGTH_MAX = 500;
 
-/** Executes one attempt of a live request: forwards it to an endpoint, and stores the response in the request's shard. */
+/** Executes one attempt of a live request: forwards it to an endpoint and stores the response in the request's shard. */
 export class LiveRequestForwarder {
   constructor(
     private readonly env: Environment,
@@ -52,7 +52,7 @@
 
   /**
    * Whether the deadline has passed, another node may have taken over the claim, or the endpoint is no longer eligible.
-   * The latter two happen when this process was frozen for a while.
+   * The latter two can happen after this process was frozen.
    */
   private mustNotForward(request: ExecutingRequest, endpoint: Endpoint, remainingMs: number): boolean {
     if (this.env.mono() - request.claimedAt > Constants.claimMaxAgeMs || remainingMs <= 0) return true;
@@ -109,8 +109,8 @@
   }
 
   /**
-   * Stores the chunks of a stream as they arrive; each is stored before the next is read. Returns undefined at the regular
-   * end of the stream.
+   * Stores the chunks of a stream as they arrive; each is stored before the next is read. Returns undefined at the
+   * regular end of the stream.
    */
   private *relay(
     request: ExecutingRequest,
--- a/src/storage/messages/batchJobMessages.ts
+++ b/src/storage/messages/batchJobMessages.ts
@@ -1,4 +1,4 @@
-/** Bodies of the methods of batch jobs (on the wire: lots), and the checks of those that arrive. */
+/** Bodies of the RPC methods of batch jobs (on the wire: lots), and the validation of received ones. */
 import { Stamp } from "../../common/stamp";
 import type { BatchItemState, BatchJobSpec, Cause, ItemRequest, PutOutcome } from "../../shard/shardTypes";
 import type { ExistingObject, RefuseRequest, RefuseResponse } from "./liveRequestMessages";
@@ -18,12 +18,12 @@
 /** Submits a job whose items are whole HTTP requests. */
 export interface SubmitJobRequest {
   shard: number;
-  /** When the job arrived at its ingress; later when the submission is repeated. */
+  /** When the job arrived at its ingress. A repeated submission has a later stamp. */
   stamp: Stamp;
-  /** Text of the stamp of the first submission: names this arrival of the job, so that it can be refused. */
+  /** Text of the stamp of the first attempt. It identifies this submission of the job, so that it can be refused. */
   life: string;
   lot: BatchJobSpec;
-  /** Configuration and policy under which the ingress admitted it, for the ledger. */
+  /** Configuration and policy under which the ingress admitted the job, for the ledger. */
   cause: Cause;
 }
 
@@ -43,9 +43,9 @@
   id: string;
   /** Position of the first result, from 0. */
   from: number;
-  /** How long to wait for a first result, ms. */
+  /** How long to wait for the first result, ms. */
   waitMs: number;
-  /** Whether a replica responds whose stable prefix lags behind. */
+  /** Whether a replica may respond whose stable prefix lags behind. */
   anyAge?: boolean;
 }
 
@@ -64,18 +64,18 @@
   ended: boolean;
 }
 
-/** Asks for the request body of one item. */
+/** Reads the request body of one item. */
 export interface ItemBodyRequest {
   shard: number;
   id: string;
   /** Id of the item. */
   item: string;
-  /** Sent with every read of a job; not used here. */
+  /** Sent with every read of a job, but ignored by this one. */
   anyAge?: boolean;
 }
 
 export interface ItemBodyResponse {
-  /** In base64. */
+  /** Encoded in base64. */
   body: string;
 }
 
@@ -89,12 +89,12 @@
   /** Name of the route. */
   binding: string;
   items: number;
-  /** How many items are in each state. */
+  /** Number of items in each state. */
   states: Partial<Record<BatchItemState, number>>;
   ended: boolean;
-  /** Items without a result. */
+  /** Number of items without a result. */
   open: number;
-  /** Text of the stamp of the job. */
+  /** Text of the stamp with which the job was accepted. */
   accepted: string;
   bodyHash: string;
 }
@@ -103,9 +103,9 @@
 export interface JobResultsRequest {
   shard: number;
   id: string;
-  /** How many results the reader has. */
+  /** Number of results that the reader already has. */
   after: number;
-  /** Results in the response, at most. */
+  /** Maximum number of results in the response. */
   limit: number;
   /** How long to wait for a further result, ms. */
   waitMs: number;
@@ -116,7 +116,7 @@
   position: number;
   /** Index of the item in its job. */
   item: number;
-  /** Id of the item, where its items are whole requests. */
+  /** Id of the item, if the items of the job are whole requests. */
   id?: string;
   state: BatchItemState;
   result: string;
@@ -125,7 +125,7 @@
 
 export interface JobResultsResponse {
   results: PositionedResult[];
-  /** Whether there will be no result after these. */
+  /** Whether no further result will follow. */
   finished: boolean;
   ended: boolean;
   /** End of the replica's stable prefix: wall time, ms. */
@@ -146,19 +146,19 @@
 
 declare module "../../rpc/methods" {
   interface RpcMethods {
-    /** Faults: notLead, late, busy (step "quota" if it doesn't fit), unknown. Idempotent by the id of the job. */
+    /** Faults: notLead, late, busy (step "quota" if the quota is exceeded), unknown. Idempotent by the id of the job. */
     "lot.handIn": RpcMethod<SubmitJobRequest, SubmitJobResponse>;
-    /** Faults: notLead, late, busy, unknown. Idempotent: an arrival refused once stays refused. */
+    /** Faults: notLead, late, busy, unknown. Idempotent: a refused submission stays refused. */
     "lot.refuse": RpcMethod<RefuseRequest, RefuseResponse>;
-    /** Faults: notLead, notFound, disk. A read. */
+    /** Faults: notLead, notFound, disk. Read-only. */
     "lot.list": RpcMethod<ListJobRequest, JobResultPage>;
-    /** Faults: notLead, notFound, disk. A read. */
+    /** Faults: notLead, notFound, disk. Read-only. */
     "lot.itemBody": RpcMethod<ItemBodyRequest, ItemBodyResponse>;
     /** Faults: notLead, late, busy, unknown. Idempotent by the id of the job. */
     "lot.accept": RpcMethod<AcceptJobRequest, PutOutcome>;
-    /** Faults: notLead, notFound, disk. A read. */
+    /** Faults: notLead, notFound, disk. Read-only. */
     "lot.status": RpcMethod<JobStatusRequest, JobStatusResponse>;
-    /** Faults: notLead, notFound, disk. A read. */
+    /** Faults: notLead, notFound, disk. Read-only. */
     "lot.results": RpcMethod<JobResultsRequest, JobResultsResponse>;
     /** Faults: notLead, notFound, late, busy, unknown. Idempotent: an ended job stays ended. */
     "lot.end": RpcMethod<EndJobRequest, EndJobResponse>;
--- a/src/storage/messages/liveRequestMessages.ts
+++ b/src/storage/messages/liveRequestMessages.ts
@@ -1,4 +1,4 @@
-/** Bodies of the methods of live requests, and the checks of those that arrive. */
+/** Bodies of the RPC methods of live requests, and the validation of received ones. */
 import { Stamp } from "../../common/stamp";
 import type { Cause, LiveRequestState, OperationOf } from "../../shard/shardTypes";
 import {
@@ -13,33 +13,33 @@
   isText,
 } from "../../rpc/bodyChecks";
 
-/** A live request as its ingress submits it; its deadline is wall time, ms. */
+/** A live request as its ingress submits it. Its deadline is wall time, ms. */
 export type LiveRequestSpec = OperationOf<"open">["work"];
 
 /** Accepts a live request and starts its first attempt. */
 export interface OpenRequest {
   shard: number;
-  /** When the request arrived at its ingress; later when the open is repeated. */
+  /** When the request arrived at its ingress. A repeated open has a later stamp. */
   stamp: Stamp;
   work: LiveRequestSpec;
-  /** Who sent the request, as the policies match it. */
+  /** Identity of the caller, which policies match. */
   caller: string;
-  /** Configuration and policy under which the ingress admitted it, for the ledger. */
+  /** Configuration and policy under which the ingress admitted the request, for the ledger. */
   cause: Cause;
 }
 
-/** An object of the same id was accepted earlier. */
+/** Response if an object of the same id was accepted earlier. */
 export interface ExistingObject {
   tag: "exists";
-  /** Whether it has the same body; if not, the id was used twice for different things. */
+  /** Whether that object has the same body. If not, the id was used for two different objects. */
   same: boolean;
-  /** The state it is in; "trimmed" where only its id is left. */
+  /** State of that object; "trimmed" if retention has left only its id. */
   state: string;
 }
 
 export type OpenResponse = { tag: "opened" } | ExistingObject;
 
-/** Makes sure that a request that its ingress has given up never runs. */
+/** Ensures that a request or a submission of a job that its ingress has given up never runs. */
 export interface RefuseRequest {
   shard: number;
   id: string;
@@ -47,33 +47,33 @@
 }
 
 export interface RefuseResponse {
-  /** False if it was accepted after all, and may run. */
+  /** False if it was accepted after all and may run. */
   refused: boolean;
 }
 
-/** Reads the response of a live request as far as it is stored on every replica. */
+/** Reads the part of a live request's response that is stored on every replica. */
 export interface ReadRequest {
   shard: number;
   id: string;
-  /** How many chunks the reader has. */
+  /** Number of chunks that the reader already has. */
   after: number;
   /** How long to wait for a further chunk, ms. */
   waitMs: number;
 }
 
 export interface ReadResponse {
-  /** Chunks after those that the reader has; `n` counts from 1. */
+  /** The chunks that follow those that the reader has. `n` counts from 1. */
   pieces: { n: number; data: string }[];
   closed: boolean;
   state: LiveRequestState;
-  /** JSON text with the status or the detail; empty while the request is open. */
+  /** JSON text with the outcome, such as the HTTP status or the detail of a failure; empty while the request is open. */
   outcome: string;
   bodyHash: string;
   /** Name of the route. */
   binding: string;
 }
 
-/** Asks a storage node which of these claims it still executes. */
+/** Asks a storage node which of these requests and items it still executes. */
 export interface RunningRequest {
   /** Ids of live requests, and `JOB/INDEX` of batch items. */
   ids: string[];
@@ -89,9 +89,9 @@
     "work.open": RpcMethod<OpenRequest, OpenResponse>;
     /** Faults: notLead, late, busy, unknown. Idempotent: a closed request stays closed. */
     "work.refuse": RpcMethod<RefuseRequest, RefuseResponse>;
-    /** Faults: notLead, notFound, disk. A read. */
+    /** Faults: notLead, notFound, disk. Read-only. */
     "work.read": RpcMethod<ReadRequest, ReadResponse>;
-    /** No faults. A read. */
+    /** No faults. Read-only. */
     "work.running": RpcMethod<RunningRequest, RunningResponse>;
   }
 }
--- a/src/storage/messages/quotaMessages.ts
+++ b/src/storage/messages/quotaMessages.ts
@@ -1,36 +1,36 @@
-/** Bodies of the methods of the quota of waiting tokens, and the checks of those that arrive. */
+/** Bodies of the RPC methods of the quota of waiting tokens, and the validation of received ones. */
 import { isCount, isFlag, isListOf, isNumber, isObject, isShardIndex, isText } from "../../rpc/bodyChecks";
 
-/** What waits on a route in one shard, as a replica of the shard counts it. */
+/** The tokens that wait on a route in one shard, counted by a replica of the shard. */
 export interface UsageReport {
   shard: number;
-  /** Epoch of the shard's view in which it was counted. */
+  /** Epoch of the shard's view in which the tokens were counted. */
   epoch: number;
-  /** Rises with every report of a leader, so that of two the later is known; -1 from a replica that doesn't lead. */
+  /** Sequence number that grows with every report of a leader; -1 in reports of other replicas. */
   turn: number;
-  /** Tokens of items without a result, those of `asking` among them. */
+  /** Tokens of all items without a result, including those of `asking`. */
   tokens: number;
-  /** Tokens of jobs that wait for their reservation or their put, by job id. */
+  /** Tokens of the jobs whose reservation or put is still pending, by job id. */
   asking: Record<string, number>;
 }
 
-/** Reserves quota for a job at the owner of the route's count. */
+/** Reserves quota for a job at the node that owns the route's count. */
 export interface QuotaReservation {
   /** Name of the route. */
   binding: string;
   /** Id of the job. */
   lot: string;
   tokens: number;
-  /** What waits in the job's shard. */
+  /** Report of the job's shard. */
   tally: UsageReport;
 }
 
-/** Asks a storage node what waits on a route in shards that it stores. */
+/** Asks a storage node for the reports of shards that it stores. */
 export interface UsageRequest {
   /** Name of the route. */
   binding: string;
   shards: number[];
-  /** Whether a replica that doesn't lead its shard reports too. */
+  /** Whether replicas that do not lead their shard report too. */
   anyCopy: boolean;
 }
 
@@ -40,9 +40,9 @@
 
 declare module "../../rpc/methods" {
   interface RpcMethods {
-    /** Faults: notLead, busy (step "quota" if it doesn't fit). Idempotent by the id of the job. */
+    /** Faults: notLead, busy (step "quota" if the quota is exceeded). Idempotent by the id of the job. */
     "quota.reserve": RpcMethod<QuotaReservation & { shard: number }, true>;
-    /** No faults. A read. */
+    /** No faults. Read-only. */
     "quota.tallies": RpcMethod<UsageRequest, UsageResponse>;
   }
 }
--- a/src/storage/messages/shardMessages.ts
+++ b/src/storage/messages/shardMessages.ts
@@ -1,24 +1,24 @@
-/** Bodies of the methods that write to a shard, read its ledger or report on it, and the checks of those that arrive. */
+/** Bodies of the RPC methods that write to a shard, read its ledger or report its status, and their validation. */
 import { Stamp } from "../../common/stamp";
 import type { ShardReplicaStatus } from "../../shard/shardReplica";
 import type { LedgerEntry, Put, PutOutcome } from "../../shard/shardTypes";
 import { isCount, isListOf, isName, isNumber, isObject, isShardIndex, isStamp, isText } from "../../rpc/bodyChecks";
 
-/** Any request about one shard. */
+/** Base of requests to one shard. */
 export interface ShardRequest {
   shard: number;
 }
 
-/** Puts operations into the log of a shard. */
+/** Appends operations to the log of a shard. */
 export interface PutRequest extends ShardRequest {
   put: Put;
 }
 
 /** Reads a page of a shard's ledger in the order of its stamps. */
 export interface LedgerReadRequest extends ShardRequest {
-  /** Text of the stamp after which the page begins; any other text for the beginning. */
+  /** Text of the stamp after which the page starts. With any other text it starts at the beginning. */
   after: string;
-  /** Entries in the response, at most; the entries of one put stay together all the same. */
+  /** Maximum number of entries in the response. It may be exceeded to keep the entries of one put together. */
   limit: number;
 }
 
@@ -26,14 +26,14 @@
   /** End of the replica's stable prefix: wall time, ms. */
   frontier: number;
   entries: LedgerEntry[];
-  /** Stamp of the oldest entry that retention has left. */
+  /** Stamp of the oldest entry that retention has not removed; null if there is none. */
   oldest: Stamp | null;
 }
 
 /** Reads all entries about some subjects. */
 export interface LedgerAboutRequest extends ShardRequest {
   subjects: string[];
-  /** Id of a change whose consequences are wanted too; empty for none. */
+  /** Id of a change whose entries are read too; empty for none. */
   change: string;
 }
 
@@ -43,12 +43,12 @@
   frontier: number;
 }
 
-/** Reads the nearest version of a subject that isn't older than a time. */
+/** Reads the oldest version of a subject that is not older than a time. */
 export interface TemporalGetRequest extends ShardRequest {
   subject: string;
   /** Wall time, ms. */
   time: number;
-  /** How long to wait for it to become stable, ms. */
+  /** How long to wait for a stable version, ms. */
   waitMs: number;
 }
 
@@ -58,15 +58,15 @@
   frontier: number;
 }
 
-/** What a storage node reports to the leader of control. */
+/** Status that a storage node reports to the leader of the control group. */
 export interface StoreStatusResponse {
   shards: ShardReplicaStatus[];
   stopping: boolean;
-  /** Whether its clock and its configuration may be relied on. */
+  /** Whether the node's clock and configuration are reliable, so that it may hold leases. */
   vouches: boolean;
 }
 
-/** What operators see of a storage node: its replicas, and the jobs of the shards that it leads. */
+/** Status of a storage node for operators: its replicas, and the jobs of the shards that it leads. */
 export interface StoreShardsResponse {
   shards: ShardReplicaStatus[];
   lots: { id: string; shard: number; items: number; open: number; ended: boolean; results: number }[];
@@ -76,15 +76,15 @@
   interface RpcMethods {
     /** Faults: notLead, late, busy, unknown. Idempotent by put id. */
     "shard.put": RpcMethod<PutRequest, PutOutcome>;
-    /** Faults: notLead, disk. A read. */
+    /** Faults: notLead, disk. Read-only. */
     "ledger.read": RpcMethod<LedgerReadRequest, LedgerReadResponse>;
-    /** Faults: notLead, disk. A read. */
+    /** Faults: notLead, disk. Read-only. */
     "ledger.about": RpcMethod<LedgerAboutRequest, LedgerAboutResponse>;
-    /** Faults: notLead, disk, busy (nothing stable yet). A read. */
+    /** Faults: notLead, disk, busy (nothing stable yet). Read-only. */
     "temporal.get": RpcMethod<TemporalGetRequest, TemporalGetResponse>;
-    /** No faults. A read. */
+    /** No faults. Read-only. */
     "store.status": RpcMethod<Record<string, never>, StoreStatusResponse>;
-    /** No faults. A read. */
+    /** No faults. Read-only. */
     "store.shards": RpcMethod<Record<string, never>, StoreShardsResponse>;
   }
 }
@@ -109,5 +109,5 @@
 export const isTemporalGetRequest = (body: unknown): body is TemporalGetRequest =>
   isObject(body) && isShardIndex(body.shard) && isText(body.subject) && isNumber(body.time) && isNumber(body.waitMs);
 
-/** For methods whose request has no content. */
+/** Accepts any body; for methods whose request has no content. */
 export const isAnyRequest = (_body: unknown): _body is Record<string, never> => true;
--- a/src/storage/quota/quota.ts
+++ b/src/storage/quota/quota.ts
@@ -7,16 +7,16 @@
 import { QuotaOwner } from "./quotaOwner";
 import { UsageReports } from "./usageReports";
 
-/** One attempt to reserve may take this long, ms: two rounds of reports and a margin. */
+/** Time-out of one attempt to reserve, ms. The owner may need two rounds of reports; the rest is a margin. */
 const RESERVE_ATTEMPT_TIMEOUT_MS = 3 * Constants.usageReportTimeoutMs;
 
 /**
- * Limits the tokens that wait on a route in the whole cluster. The leader that accepts a job reserves its tokens at the
- * owner of the route's count before it stores the job.
+ * Limits the tokens that wait on a route in the whole cluster. The leader that accepts a job reserves the job's tokens at
+ * the owner of the route's count before it stores the job.
  *
  * @example
  * const reserved = yield* quota.reserve(replica, "audit", "lot-17", 940);
- * quota.release(replica.shard, "lot-17"); // once the job is stored, or never will be
+ * quota.release(replica.shard, "lot-17"); // When the job is stored, or is certain never to be stored.
  */
 export class Quota {
   constructor(
@@ -26,7 +26,7 @@
     private readonly reports: UsageReports,
   ) {}
 
-  /** Reserves a job's tokens; the fault "busy" has the step "quota" if they don't fit. */
+  /** Reserves a job's tokens. The fault "busy" has the step "quota" if they exceed the quota. */
   *reserve(replica: ShardReplica, route: string, job: string, tokens: number): Task<Result<true>> {
     if (this.owner.limitOf(route) <= 0) return Fault.ok(true as const);
     this.reports.addSubmission(replica.shard, job, route, tokens);
@@ -51,7 +51,7 @@
     return reserved;
   }
 
-  /** The job is counted as one of its shard from now on, or will never be stored. */
+  /** Ends the submission of a job, which the shard's own count now contains, or which is never stored. */
   release(shard: number, job: string): void {
     this.reports.removeSubmission(shard, job);
   }
--- a/src/storage/quota/quotaOwner.ts
+++ b/src/storage/quota/quotaOwner.ts
@@ -9,21 +9,21 @@
 import { RouteUsage } from "./routeUsage";
 import { UsageReports } from "./usageReports";
 
-/** Storage nodes that are asked for reports at once, at most. */
+/** Capacity of the channel that counts the responses of one refresh, so at most this many nodes can be asked at once. */
 const CONCURRENT_REPORTS_MAX = 64;
 
-/** The count of one route, for as long as this node owns it. */
+/** The count of one route while this node owns it. */
 interface OwnedCount {
-  /** Epoch in which this node leads the shard that the count belongs to. */
+  /** Epoch in which this node leads the shard that owns the count. */
   epoch: number;
   usage: RouteUsage;
   /** When the last refresh began: monotonic time, ms. */
   refreshedAt: number;
-  /** Closed at the end of the refresh that is under way. */
+  /** Closed at the end of the refresh in progress; undefined if there is none. */
   refreshing: Chan<true> | undefined;
 }
 
-/** Quota counters; with the prefix `quota_` their names are names of metrics. */
+/** Quota counters. With the prefix `quota_` the field names are metric names. */
 export interface QuotaCounters {
   granted: number;
   refused: number;
@@ -31,9 +31,9 @@
 }
 
 /**
- * Owner of the counts of waiting tokens. A route's count belongs to the leader of one shard, which the route's name
- * determines. It knows an upper bound of what waits in each shard, and asks all leaders anew before it rejects a
- * reservation. Nothing of it is stored: a new owner asks all leaders first.
+ * Owns the counts of waiting tokens. A route's count is owned by the leader of one shard, which the route's name
+ * determines. The owner keeps an upper bound of the tokens that wait in each shard, and asks all leaders for new reports
+ * before it rejects a reservation. The counts are not stored: a new owner asks all leaders first.
  *
  * @example
  * const reserved = yield* owner.reserve(replica, { binding: "audit", lot: "lot-17", tokens: 940, tally });
@@ -48,11 +48,11 @@
     private readonly reports: UsageReports,
   ) {}
 
-  /** Most tokens that may wait on a route; 0 for any number. */
+  /** Maximum number of tokens that may wait on a route; 0 for no limit. */
   limitOf = (route: string): number =>
     this.node.snapshot().control?.manifest.doc.bindings[route]?.maxWaitingTokens ?? 0;
 
-  /** Reserves tokens for a job; the fault "busy" has the step "quota" if they don't fit. */
+  /** Reserves tokens for a job. The fault "busy" has the step "quota" if they exceed the quota. */
   *reserve(replica: ShardReplica, body: QuotaReservation): Task<Result<true>> {
     const { binding: route, tokens } = body;
     if (!replica.holdsLease()) return notLeaderFault(this.node, replica, "quota");
@@ -89,7 +89,7 @@
     return count;
   }
 
-  /** Asks every shard's leader, and another replica where it doesn't respond; one refresh serves all that wait for it. */
+  /** Refreshes the count with new reports of all shards. Concurrent callers share one refresh. */
   private *refresh(count: OwnedCount, route: string): Task<void> {
     if (count.refreshing) {
       yield* Csp.take(count.refreshing);
@@ -107,13 +107,14 @@
     }
   }
 
+  /** Asks the leader of every shard, and for a shard that stays without a report another replica. */
   private *refreshFromAll(usage: RouteUsage, route: string): Task<void> {
     const views = this.node.snapshot().control?.views ?? {};
     const leaders = new Map(Object.values(views).map((view) => [view.shard, view.lead]));
     const shardsWithoutReport = yield* this.collect(usage, route, leaders, false);
     const shardsWithoutCount = shardsWithoutReport.filter((shard) => !usage.has(shard));
     if (shardsWithoutCount.length === 0) return;
-    // all that was acknowledged is on every member, so the count of any of them is an upper bound
+    // Every acknowledged put is on every member, so the count of any member is an upper bound.
     const otherMember = (shard: number): string => {
       const { members, lead } = views[shard];
       const isSelf = (id: string): boolean => id === this.node.self.id;
@@ -123,7 +124,7 @@
   }
 
   /**
-   * Asks each storage node once.
+   * Asks each storage node once and adds the reports to the count.
    * @param sources which storage node to ask, by shard
    * @returns the shards without a report
    */
@@ -138,7 +139,7 @@
     const responses = Csp.chan<true>(CONCURRENT_REPORTS_MAX);
     const owner = this;
     for (const id of nodes)
-      Csp.go(this.env.scope, `tallies of ${id}`, function* () {
+      Csp.go(this.env.scope, `usage reports of ${id}`, function* () {
         const shards = [...sources].flatMap(([shard, source]) => (source === id ? [shard] : []));
         for (const report of yield* owner.fetchReports(id, route, shards, anyReplica)) {
           usage.add(report);
@@ -150,7 +151,7 @@
     return [...missing];
   }
 
-  /** A node's reports; none if it doesn't respond. */
+  /** A storage node's reports; none if it does not respond. */
   private *fetchReports(id: string, route: string, shards: number[], anyReplica: boolean): Task<UsageReport[]> {
     const body = { binding: route, shards, anyCopy: anyReplica };
     if (id === this.node.self.id) return this.reports.reports(body);
--- a/src/storage/quota/routeUsage.ts
+++ b/src/storage/quota/routeUsage.ts
@@ -2,7 +2,7 @@
 import { UsageReport } from "../messages/quotaMessages";
 
 /**
- * An upper bound of the tokens that wait on one route in each shard, as the owner of the count knows it.
+ * Upper bound of the tokens that wait on one route in each shard, kept by the owner of the count.
  *
  * @example
  * usage.add(report);
@@ -10,21 +10,21 @@
  */
 export class RouteUsage {
   private readonly reports = new Map<number, UsageReport>();
-  /** `SHARD/JOB` of the reservations that reports may not contain yet, oldest first. */
+  /** `SHARD/JOB` of the granted reservations that reports may not contain yet, oldest first. */
   private readonly reservations = new Set<string>();
 
-  /** Takes in a report, unless a later one of the same shard is known. */
+  /** Adds a report unless a later one of the same shard is known. */
   add(report: UsageReport): void {
     const latest = this.reports.get(report.shard);
     if (latest && isLater(latest, report)) return;
     let { tokens } = report;
-    // jobs that ask for their reservation count once they have it
+    // A job whose reservation is pending counts only after its reservation was granted.
     for (const [job, pendingTokens] of Object.entries(report.asking))
       if (!this.reservations.has(`${report.shard}/${job}`)) tokens -= pendingTokens;
     this.reports.set(report.shard, { ...report, tokens, asking: {} });
   }
 
-  /** Adds the tokens of a job to those of its shard, of which there is a report. */
+  /** Adds the tokens of a job to those of its shard, whose report must be known. */
   reserve(shard: number, job: string, tokens: number): void {
     const report = this.reports.get(shard)!;
     this.reports.set(shard, { ...report, tokens: report.tokens + tokens });
@@ -45,7 +45,10 @@
   }
 }
 
-/** Whether a known report is later than a new one; one without a sequence number replaces others of its epoch. */
+/**
+ * Whether the latest known report is later than a new one. A new report without a sequence number (-1) replaces reports
+ * of its epoch.
+ */
 function isLater(known: UsageReport, report: UsageReport): boolean {
   if (known.epoch !== report.epoch) return known.epoch > report.epoch;
   return known.turn > report.turn && report.turn >= 0;
