--- a/src/storage/liveRequests/liveRequestForwarder.ts
+++ b/src/storage/liveRequests/liveRequestForwarder.ts
@@ -18,7 +18,7 @@
 /** Maximum number of characters of an error response that are stored as the detail of a failure. */
 const FAILURE_DETAIL_LENGTH_MAX = 500;
 
-/** Executes one attempt of a live request: forwards it to an endpoint and stores the response in the request's shard. */
+/** Executes one attempt of a live request: forwards it to an endpoint and stores the response in its shard. */
 export class LiveRequestForwarder {
   constructor(
     private readonly env: Environment,
--- a/src/storage/messages/batchJobMessages.ts
+++ b/src/storage/messages/batchJobMessages.ts
@@ -146,7 +146,7 @@
 
 declare module "../../rpc/methods" {
   interface RpcMethods {
-    /** Faults: notLead, late, busy (step "quota" if the quota is exceeded), unknown. Idempotent by the id of the job. */
+    /** Faults: notLead, late, busy (step "quota" if over the quota), unknown. Idempotent by the id of the job. */
     "lot.handIn": RpcMethod<SubmitJobRequest, SubmitJobResponse>;
     /** Faults: notLead, late, busy, unknown. Idempotent: a refused submission stays refused. */
     "lot.refuse": RpcMethod<RefuseRequest, RefuseResponse>;
--- a/src/storage/messages/liveRequestMessages.ts
+++ b/src/storage/messages/liveRequestMessages.ts
@@ -66,7 +66,7 @@
   pieces: { n: number; data: string }[];
   closed: boolean;
   state: LiveRequestState;
-  /** JSON text with the outcome, such as the HTTP status or the detail of a failure; empty while the request is open. */
+  /** JSON text of the outcome, with the HTTP status or the detail of a failure; empty while the request is open. */
   outcome: string;
   bodyHash: string;
   /** Name of the route. */
--- a/src/storage/messages/quotaMessages.ts
+++ b/src/storage/messages/quotaMessages.ts
@@ -40,7 +40,7 @@
 
 declare module "../../rpc/methods" {
   interface RpcMethods {
-    /** Faults: notLead, busy (step "quota" if the quota is exceeded). Idempotent by the id of the job. */
+    /** Faults: notLead, busy (step "quota" if over the quota). Idempotent by the id of the job. */
     "quota.reserve": RpcMethod<QuotaReservation & { shard: number }, true>;
     /** No faults. Read-only. */
     "quota.tallies": RpcMethod<UsageRequest, UsageResponse>;
--- a/src/storage/quota/quota.ts
+++ b/src/storage/quota/quota.ts
@@ -11,8 +11,8 @@
 const RESERVE_ATTEMPT_TIMEOUT_MS = 3 * Constants.usageReportTimeoutMs;
 
 /**
- * Limits the tokens that wait on a route in the whole cluster. The leader that accepts a job reserves the job's tokens at
- * the owner of the route's count before it stores the job.
+ * Limits the tokens that wait on a route in the whole cluster. The leader that accepts a job reserves the job's tokens
+ * at the owner of the route's count before it stores the job.
  *
  * @example
  * const reserved = yield* quota.reserve(replica, "audit", "lot-17", 940);
--- a/src/storage/quota/quotaOwner.ts
+++ b/src/storage/quota/quotaOwner.ts
@@ -9,7 +9,7 @@
 import { RouteUsage } from "./routeUsage";
 import { UsageReports } from "./usageReports";
 
-/** Capacity of the channel that counts the responses of one refresh, so at most this many nodes can be asked at once. */
+/** Capacity of the channel that counts the nodes' responses; at most this many nodes can be asked at once. */
 const CONCURRENT_REPORTS_MAX = 64;
 
 /** The count of one route while this node owns it. */
@@ -32,8 +32,8 @@
 
 /**
  * Owns the counts of waiting tokens. A route's count is owned by the leader of one shard, which the route's name
- * determines. The owner keeps an upper bound of the tokens that wait in each shard, and asks all leaders for new reports
- * before it rejects a reservation. The counts are not stored: a new owner asks all leaders first.
+ * determines. The owner keeps an upper bound of the tokens that wait in each shard, and asks all leaders for new
+ * reports before it rejects a reservation. The counts are not stored: a new owner asks all leaders first.
  *
  * @example
  * const reserved = yield* owner.reserve(replica, { binding: "audit", lot: "lot-17", tokens: 940, tally });
@@ -107,7 +107,7 @@
     }
   }
 
-  /** Asks the leader of every shard, and for a shard that stays without a report another replica. */
+  /** Asks the leader of every shard, then another replica of each shard that still has no report. */
   private *refreshFromAll(usage: RouteUsage, route: string): Task<void> {
     const views = this.node.snapshot().control?.views ?? {};
     const leaders = new Map(Object.values(views).map((view) => [view.shard, view.lead]));
--- a/src/storage/quota/usageReports.ts
+++ b/src/storage/quota/usageReports.ts
@@ -5,8 +5,8 @@
 const NON_LEADER_SEQUENCE_NUMBER = -1;
 
 /**
- * Counts the tokens that wait on a route in the shards that this node stores: tokens of the stored jobs, and of the jobs
- * that are being submitted.
+ * Counts the tokens that wait on a route in the shards that this node stores: tokens of the stored jobs, and of the
+ * jobs that are being submitted.
  *
  * @example
  * const report = reports.reportOf(replica, "audit");
--- a/test/batchJobDays.test.ts
+++ b/test/batchJobDays.test.ts
@@ -52,7 +52,8 @@
   },
   "endpoints fail": async (fleet) => {
     for (const endpoint of fleet.endpoints)
-      endpoint.behavior = (id, step) => (step < 3 ? faultyBehavior(id, fleet.world.random()) : regularBehaviorOf(id));
+      endpoint.behavior = (id, attempt) =>
+        attempt < 3 ? faultyBehavior(id, fleet.world.random()) : regularBehaviorOf(id);
     await fleet.world.run(2500);
     for (const endpoint of fleet.endpoints) endpoint.behavior = regularBehaviorOf;
   },
@@ -72,7 +73,7 @@
       ? { tag: "status", status: 500 }
       : { tag: "complete" };
 
-/** A day of jobs from two submitting processes: submitted until the response is certain, read, and some of them ended. */
+/** A workload from two submitting processes: each job is submitted until it is accepted, then read, and some are ended. */
 class Workload {
   readonly observed: JobObservation[] = [];
   readonly expectedJobs: ExpectedJob[] = [];
@@ -84,7 +85,7 @@
   private host = (): BatchJobHost => pick(this.fleet, this.fleet.hosts);
   runs = (): ObservedRun[] =>
     this.fleet.endpoints.flatMap(({ runs }) => runs.map((run) => ({ ...run, requestedAt: run.at })));
-  /** Tokens of the items without a complete run at any endpoint. */
+  /** Tokens of the accepted items without a complete run at any endpoint. */
   private waiting(): number {
     const complete = new Set(
       this.runs()
@@ -176,8 +177,8 @@
     this.observe({ tag: "listed", at, job, from, total: listed.value.total, results: listed.value.results });
     return from + listed.value.results.length;
   }
-  private *readItemBody(host: BatchJobHost, job: string, at: number): Task<void> {
-    const item = `${job}-i${at}`;
+  private *readItemBody(host: BatchJobHost, job: string, index: number): Task<void> {
+    const item = `${job}-i${index}`;
     const found = yield* new BatchJobReader(host).itemBody(job, item);
     if (found.ok || found.fault.tag === "notFound")
       this.observe({
@@ -196,7 +197,7 @@
       yield* EnvironmentTools.sleep(host.env, 300);
     }
   }
-  /** Waits for all callers, then reads every job that was accepted and not ended, completely and at both processes. */
+  /** Waits until all jobs are finished, then reads each accepted job that was not ended completely at both processes. */
   async close(): Promise<void> {
     for (let attempt = 0; attempt < 120 && this.openCount > 0; attempt += 1) await this.fleet.world.run(500);
     expect(this.openCount).toBe(0);
@@ -218,7 +219,7 @@
   }
 }
 
-describe("batch jobs through a day with faults: no invariant is violated, and every accepted job is completed", () => {
+describe("batch jobs under injected faults: no invariant is violated, and every accepted job that was not ended is completed", () => {
   for (const [name, injectFault] of Object.entries(faults))
     for (const seed of (process.env.BATCH_JOB_SEEDS ?? "101").split(",").map(Number))
       test(`${name}, seed ${seed}`, async () => {
@@ -234,7 +235,7 @@
           const until = fleet.world.now + 4500;
           const faultDone = step === 1 || step === 2 ? injectFault(fleet) : Promise.resolve();
           if (step === 1 || step === 2) {
-            for (let at = 0; at < 6; at += 1)
+            for (let index = 0; index < 6; index += 1)
               workload.start(`L${(count += 1)}`, 10 + Math.floor(fleet.world.random() * 15));
             await faultDone;
           }
--- a/test/batchJobFleet.ts
+++ b/test/batchJobFleet.ts
@@ -22,8 +22,8 @@
 const seedAddresses = ["127.0.0.1:1"];
 
 /**
- * A simulated fleet for batch jobs: one control node, a few storage nodes, endpoints that stream events, and two
- * processes that submit jobs.
+ * A simulated cluster for tests of batch jobs: one control node, several storage nodes, endpoints that stream events,
+ * and two processes that submit jobs.
  *
  * @example
  * const fleet = await BatchJobFleet.start(7, { storageNodes: 3, endpoints: 2 });
@@ -105,6 +105,7 @@
     });
     return process;
   }
+  /** Starts a storage node, or starts it again with the disk that it had. */
   startStorageNode(name: string): void {
     this.process(name, {
       program: "store",
@@ -113,7 +114,7 @@
       district: zoneOf(+name.slice(6)),
     });
   }
-  /** Starts a process that submits jobs; the first one makes the calls of the tests. */
+  /** Starts a process that submits jobs. The first one also makes the calls of the tests. */
   private async startCaller(index: number): Promise<void> {
     const process = this.world.start(index === 1 ? "caller" : `caller-${index}`, new SimDisk(this.world));
     if (index === 1) this.caller = process;
@@ -127,7 +128,7 @@
       seeds: seedAddresses,
     };
     const started = await this.world.finish(process, () => Node.start(env, settings, "agent"), 5000);
-    if (!started?.ok) throw new Error("no caller");
+    if (!started?.ok) throw new Error("the submitting process did not start");
     const node = started.value;
     this.nodes.push(node);
     this.hosts.push({
@@ -173,10 +174,11 @@
       yield* NodeContext.of(fleet.node).goodbye(id);
     });
   }
+  /** Ends the announcements of an endpoint and deregisters it. */
   withdrawEndpoint(id: string): void {
     this.withdrawnEndpoints.add(id);
   }
-  /** Configures these routes and no others. @example await fleet.configure({ b: BatchJobFleet.route }); */
+  /** Replaces all configured routes. */
   async configure(routes: Record<string, Route>): Promise<void> {
     const fleet = this;
     const change = (): Task<Result<{ version: number }>> =>
@@ -194,7 +196,7 @@
         8000,
       );
     let changed = await this.call(change);
-    // a control group of one waits for further voters before it accepts its first change
+    // A control group of one member waits for further voters before it accepts its first change.
     for (let attempt = 0; attempt < 10 && !changed?.ok; attempt += 1) {
       await this.world.run(1000);
       changed = await this.call(change);
@@ -202,7 +204,7 @@
     if (!changed?.ok) throw new Error(JSON.stringify(changed));
     this.version = changed.value.version;
   }
-  /** Runs a call in the first submitting process; undefined if it takes too long. @example await fleet.call((host) => new BatchJobReader(host).list("L1", 0, 0)) */
+  /** Runs a call in the first submitting process; undefined if it does not end in time. */
   call<T>(body: (host: BatchJobHost) => Task<T>, withinMs = 20_000): Promise<T | undefined> {
     return this.world.finish(this.caller, () => body(this.host), withinMs);
   }
@@ -224,7 +226,7 @@
         withinMs,
       ),
     );
-  /** Submits several jobs at once; how long each took to be accepted, ms. @example await fleet.submitAll(["A", "B"], 3) */
+  /** Submits several jobs at once. Returns the time until each was accepted, ms; Infinity for a rejected job. */
   async submitAll(ids: string[], count: number): Promise<number[]> {
     const durations = new Map<string, number>();
     for (const id of ids) {
@@ -243,17 +245,19 @@
     const listed = await this.call((host) => new BatchJobReader(host).list(job, from, 0));
     return listed?.ok ? listed.value : undefined;
   }
-  /** Reads until all results are listed, or the time is up. @example await fleet.readAll("L1", 8000) */
+  /** Reads a job until all its results are listed or the time-out has passed. */
   async readAll(job: string, withinMs: number): Promise<JobResultPage> {
     for (const until = this.world.now + withinMs; ;) {
       const listed = await this.list(job);
       if (listed && (listed.results.length === listed.total || this.world.now > until)) return listed;
       if (this.world.now > until)
-        throw new Error(`job ${job} can't be read: ${JSON.stringify(Fault.fail("timeout", "list", job, ""))}`);
+        throw new Error(
+          `job ${job} could not be read before the time-out: ${JSON.stringify(Fault.fail("timeout", "list", job, ""))}`,
+        );
       await this.world.run(250);
     }
   }
-  /** Name of the storage node that leads the job's shard. @example fleet.leaderOf("L1") */
+  /** Name of the storage node that leads the job's shard; empty if none does. */
   leaderOf(job: string): string {
     const shard = this.host.shardClient.shardOf(job);
     return [...this.storageNodes].find(([, storageNode]) => storageNode.replicas.get(shard)?.holdsLease())?.[0] ?? "";
@@ -262,7 +266,7 @@
     this.storageNodes.delete(name);
     this.world.kill(name, powerLost);
   }
-  /** Empties the disk of a storage node that is down. @example fleet.wipe("store-2"); */
+  /** Erases the disk of a storage node that is down. */
   wipe(name: string): void {
     this.diskByProcess.get(name)!.wipe();
   }
@@ -272,5 +276,6 @@
   resume(name: string): void {
     this.world.processes.get(name)!.wake();
   }
+  /** Errors that the simulated processes have recorded. */
   errors = (): string[] => [...this.world.processes.values()].flatMap((process) => process.errors);
 }
--- a/test/batchJobs.test.ts
+++ b/test/batchJobs.test.ts
@@ -3,10 +3,10 @@
 import { EventStandIn } from "../src/tools/eventStandIn";
 import { BatchJobFleet } from "./batchJobFleet";
 
-const texts = (job: string, count: number, events = 4): string[] =>
-  Array.from({ length: count }, (_each, at) => EventStandIn.textOf(`${job}-i${at}`, events));
+const expectedTexts = (job: string, count: number, events = 4): string[] =>
+  Array.from({ length: count }, (_each, index) => EventStandIn.textOf(`${job}-i${index}`, events));
 
-test("a job is accepted once, every item runs as the request that it is, and its results are listed in fixed positions", async () => {
+test("a job is accepted once, each item is forwarded once as it was submitted, and results keep their positions in the list", async () => {
   const fleet = await BatchJobFleet.start(1);
   expect(await fleet.submit("L1", 12)).toEqual({ ok: true, value: { tag: "accepted" } });
   expect(await fleet.submit("L1", 12)).toEqual({ ok: true, value: { tag: "exists", same: true, state: "" } });
@@ -16,7 +16,7 @@
   const firstPage = await fleet.list("L1");
   expect(firstPage?.total).toBe(12);
   const page = await fleet.readAll("L1", 6000);
-  expect(page.results.map(({ text }) => text).sort()).toEqual(texts("L1", 12).sort());
+  expect(page.results.map(({ text }) => text).sort()).toEqual(expectedTexts("L1", 12).sort());
   expect(new Set(page.results.map(({ state }) => state))).toEqual(new Set(["complete"]));
   expect((await fleet.list("L1", 9))?.results).toEqual(page.results.slice(9));
   const runs = fleet.endpoints.flatMap((endpoint) => endpoint.runs);
@@ -33,23 +33,23 @@
   });
   expect(fleet.errors()).toEqual([]);
 }, 120_000);
-test("a stream is resumed after its last event, 422 and repeated failures abandon an item, and what did not run is retried", async () => {
+test("an interrupted stream is resumed after its last event, status 422 or repeated failures abandon an item, and an attempt that did not run is retried", async () => {
   const fleet = await BatchJobFleet.start(2);
   for (const endpoint of fleet.endpoints)
-    endpoint.behavior = (id, turn) => {
+    endpoint.behavior = (id, attempt) => {
       switch (id) {
         case "M-i0":
-          return turn < 3 ? { tag: "cut", after: 2 } : { tag: "complete" };
+          return attempt < 3 ? { tag: "cut", after: 2 } : { tag: "complete" };
         case "M-i1":
           return { tag: "status", status: 422 };
         case "M-i2":
           return { tag: "status", status: 500 };
         case "M-i3":
-          return turn < 4 ? { tag: "notRun" } : { tag: "complete" };
+          return attempt < 4 ? { tag: "notRun" } : { tag: "complete" };
         case "M-i4":
-          return turn < 2 ? { tag: "silent" } : { tag: "complete" };
+          return attempt < 2 ? { tag: "silent" } : { tag: "complete" };
         case "M-i5":
-          return turn < 2 ? { tag: "status", status: 500 } : { tag: "complete" };
+          return attempt < 2 ? { tag: "status", status: 500 } : { tag: "complete" };
         default:
           return { tag: "complete" };
       }
@@ -57,7 +57,7 @@
   expect((await fleet.submit("M", 7))?.ok).toBe(true);
   const page = await fleet.readAll("M", 15_000);
   const stateOf = (item: string): string => page.results.find(({ id }) => id === item)?.state ?? "none";
-  expect([0, 1, 2, 3, 4, 5, 6].map((at) => stateOf(`M-i${at}`))).toEqual([
+  expect([0, 1, 2, 3, 4, 5, 6].map((index) => stateOf(`M-i${index}`))).toEqual([
     "complete",
     "abandoned",
     "abandoned",
@@ -76,7 +76,7 @@
   expect(fleet.errors()).toEqual([]);
 }, 120_000);
 
-test("an ended job starts no item, aborts what runs, still lists its results, and may be ended again", async () => {
+test("an ended job starts no further item, aborts its running items, still lists its results, and can be ended again", async () => {
   const fleet = await BatchJobFleet.start(3, { slots: 4, events: 40 });
   expect((await fleet.submit("E", 40))?.ok).toBe(true);
   await fleet.world.run(2500);
@@ -109,12 +109,12 @@
   expect(fleet.errors()).toEqual([]);
 }, 120_000);
 
-test("the quota of waiting tokens holds over all shards: what fits is accepted, the rest rejected, and ended jobs free it", async () => {
+test("the quota of waiting tokens applies to all shards together: jobs that fit are accepted, others are rejected, and an ended job frees its tokens", async () => {
   const fleet = await BatchJobFleet.start(4, { slots: 2, events: 20 }, { maxWaitingTokens: 10_000 });
   let acceptedCount = 0;
   const refusedSteps: string[] = [];
-  for (let at = 0; at < 14; at += 1) {
-    const response = await fleet.submit(`Q${at}`, 10, 100);
+  for (let index = 0; index < 14; index += 1) {
+    const response = await fleet.submit(`Q${index}`, 10, 100);
     if (response?.ok) acceptedCount += 1;
     else refusedSteps.push(response && !response.ok ? response.fault.step : "nothing");
   }
@@ -128,15 +128,15 @@
   expect(fleet.errors()).toEqual([]);
 }, 120_000);
 
-test("a submission that was given up is never stored, and the job is accepted when it is submitted again", async () => {
+test("a submission whose response is lost is reported as stored or never runs, a refused submission that arrives late is rejected, and both jobs are accepted when submitted again", async () => {
   const fleet = await BatchJobFleet.start(5);
   const leader = fleet.leaderOf("R");
-  fleet.world.partition(leader, "caller"); // requests arrive, responses are lost
+  fleet.world.partition(leader, "caller"); // Requests arrive, but responses are lost.
   const submission = fleet.submit("R", 5, 100, 700);
   await fleet.world.run(700);
   fleet.world.heal();
   const response = await submission;
-  // it has been stored meanwhile, or it is certain that it never will be
+  // The job was stored meanwhile, or it is certain that this submission is never stored.
   expect(response?.ok ? response.value.tag : response?.fault.tag).toMatch(/exists|accepted|busy/);
   const runs = (): number =>
     fleet.endpoints.flatMap((endpoint) => endpoint.runs).filter((run) => run.id.startsWith("R-")).length;
@@ -149,14 +149,14 @@
     new BatchSubmission(host).refuse("S", { tag: "unknown", step: "", member: "", detail: "" }),
   );
   expect(refuse).toMatchObject({ ok: false, fault: { tag: "busy" } });
-  const firstPage = { time: Math.floor(fleet.caller.env.wall()) - 1000, node: "early", seq: 0 };
+  const earlyStamp = { time: Math.floor(fleet.caller.env.wall()) - 1000, node: "early", seq: 0 };
   const { job, cause } = new BatchSubmission(fleet.host).prepare("S", "b", BatchJobFleet.route, fleet.items("S", 2));
-  const arrivalText = `${firstPage.time}~early~0`;
+  const submissionStampText = `${earlyStamp.time}~early~0`;
   const late = await fleet.call((host) =>
     host.shardClient.callLeader(
       shard,
       "lot.handIn",
-      () => ({ stamp: host.shardClient.stamp(host.env.wall()), life: arrivalText, lot: job, cause }),
+      () => ({ stamp: host.shardClient.stamp(host.env.wall()), life: submissionStampText, lot: job, cause }),
       2000,
     ),
   );
@@ -165,7 +165,7 @@
   expect(fleet.errors()).toEqual([]);
 }, 120_000);
 
-test("a killed leader loses no job: the next one runs the items without a result, and positions stay", async () => {
+test("after the leader is killed no job is lost: the next leader runs the items without a result, and results keep their positions", async () => {
   const fleet = await BatchJobFleet.start(6, { storageNodes: 4, slots: 4, events: 20 });
   expect((await fleet.submit("K", 30))?.ok).toBe(true);
   await fleet.world.run(2200);
@@ -174,28 +174,28 @@
   expect(before.results.length).toBeLessThan(30);
   fleet.kill(fleet.leaderOf("K"));
   await fleet.world.run(300);
-  expect((await fleet.list("K"))!.results.slice(0, before.results.length)).toEqual(before.results); // read from the other replicas
+  expect((await fleet.list("K"))!.results.slice(0, before.results.length)).toEqual(before.results); // The results are read from the other replicas.
   const page = await fleet.readAll("K", 25_000);
   expect(page.results.slice(0, before.results.length)).toEqual(before.results);
-  expect(page.results.map(({ text }) => text).sort()).toEqual(texts("K", 30, 20).sort());
+  expect(page.results.map(({ text }) => text).sort()).toEqual(expectedTexts("K", 30, 20).sort());
   expect(fleet.errors()).toEqual([]);
 }, 120_000);
 
-test("items of a removed route are abandoned, and an endpoint that said goodbye gets no item", async () => {
+test("the remaining items of a removed route are abandoned, and a deregistered endpoint receives no further item", async () => {
   const fleet = await BatchJobFleet.start(8, { slots: 2, events: 20 });
   expect((await fleet.submit("G", 30))?.ok).toBe(true);
   await fleet.world.run(1500);
   fleet.withdrawEndpoint("r1");
   await fleet.world.run(1500);
-  const leftAt = fleet.caller.env.wall();
+  const deregisteredAt = fleet.caller.env.wall();
   await fleet.configure({});
   const page = await fleet.readAll("G", 6000);
   expect(new Set(page.results.map(({ state }) => state))).toEqual(new Set(["complete", "abandoned"]));
-  expect(fleet.endpoints[0].runs.filter((run) => run.at > leftAt)).toEqual([]);
+  expect(fleet.endpoints[0].runs.filter((run) => run.at > deregisteredAt)).toEqual([]);
   expect(fleet.errors()).toEqual([]);
 }, 120_000);
 
-test("a job submitted while a storage node freezes, the leader or another replica, is stored within 1250 ms", async () => {
+test("a job that is submitted while a storage node is frozen, leader or not, is accepted within 1250 ms", async () => {
   for (const seed of [11, 12, 13]) {
     const fleet = await BatchJobFleet.start(seed, { storageNodes: 4 });
     fleet.freeze("store-2");
--- a/test/storageMessages.test.ts
+++ b/test/storageMessages.test.ts
@@ -37,7 +37,7 @@
 };
 const tally = { shard: 3, epoch: 1, turn: 1, tokens: 200, asking: { "lot-1": 100 } };
 
-/** The check of a method, a body that passes, and changes after which it doesn't. */
+/** For each method: its check, a body that passes the check, and changes each of which makes the body malformed. */
 const cases: [string, (body: unknown) => boolean, Body, Body[]][] = [
   [
     "work.open",
@@ -114,8 +114,11 @@
   ],
 ];
 
-test.each(cases)("a request %s passes its check, and no malformed one does", (_method, isRequest, body, changes) => {
-  expect(isRequest(JSON.parse(JSON.stringify(body)))).toBe(true);
-  for (const change of changes) expect([change, isRequest({ ...body, ...change })]).toEqual([change, false]);
-  for (const other of [undefined, null, 1, "text", [], {}]) expect(isRequest(other)).toBe(false);
-});
+test.each(cases)(
+  "a well-formed body of %s passes its check, and malformed bodies and other values do not",
+  (_method, isRequest, body, changes) => {
+    expect(isRequest(JSON.parse(JSON.stringify(body)))).toBe(true);
+    for (const change of changes) expect([change, isRequest({ ...body, ...change })]).toEqual([change, false]);
+    for (const other of [undefined, null, 1, "text", [], {}]) expect(isRequest(other)).toBe(false);
+  },
+);
--- a/test/viewChange.test.ts
+++ b/test/viewChange.test.ts
@@ -2,7 +2,7 @@
 
 type ViewChange = { shard: number; epoch: number; reason: string; members: string[] };
 
-test("after a kill and a freeze no view repeats the members of the one before, and each shard has all its replicas again", async () => {
+test("after one storage node is killed and another frozen, no view change repeats the reason and members of the shard's previous one, and each shard has all its replicas again", async () => {
   for (const seed of [1, 4]) {
     const changes: ViewChange[] = [];
     const fleet = await BatchJobFleet.start(seed, { storageNodes: 4 }, {}, (line) => {
