--- a/test/batchJobDays.test.ts
+++ b/test/batchJobDays.test.ts
@@ -52,10 +52,9 @@
   },
   "endpoints fail": async (fleet) => {
     for (const endpoint of fleet.endpoints)
-      endpoint.behavior = (id, attempt) =>
-        attempt < 3 ? faultyBehavior(id, fleet.world.random()) : regularBehaviorOf(id);
+      endpoint.behavior = (id, attempt) => (attempt < 3 ? faultyBehavior(id, fleet.world.random()) : usualBehavior(id));
     await fleet.world.run(2500);
-    for (const endpoint of fleet.endpoints) endpoint.behavior = regularBehaviorOf;
+    for (const endpoint of fleet.endpoints) endpoint.behavior = usualBehavior;
   },
 };
 const faultyBehavior = (id: string, draw: number): ReturnType<EventStandIn["behavior"]> =>
@@ -65,8 +64,8 @@
       ? { tag: "notRun" }
       : draw < 0.35
         ? { tag: "silent" }
-        : regularBehaviorOf(id);
-const regularBehaviorOf = (id: string): ReturnType<EventStandIn["behavior"]> =>
+        : usualBehavior(id);
+const usualBehavior = (id: string): ReturnType<EventStandIn["behavior"]> =>
   id.endsWith("-i7")
     ? { tag: "status", status: 422 }
     : id.endsWith("-i9")
@@ -228,7 +227,7 @@
           { storageNodes: 4, endpoints: 3, events: EVENTS_PER_ITEM, slots: 12 },
           { maxWaitingTokens: bounds.maxTokens },
         );
-        for (const endpoint of fleet.endpoints) endpoint.behavior = regularBehaviorOf;
+        for (const endpoint of fleet.endpoints) endpoint.behavior = usualBehavior;
         const workload = new Workload(fleet);
         let count = 0;
         for (let step = 0; step < 4; step += 1) {
