--- a/src/storage/abandonedClaimRecovery.ts
+++ b/src/storage/abandonedClaimRecovery.ts
@@ -27,7 +27,7 @@
 /** The put that releases an abandoned claim is retried for this long, ms. */
 const RELEASE_TIMEOUT_MS = 5000;
 
-/** Note in the ledger on every decision that this recovery makes. */
+/** Ledger note on the closes of requests and the decisions about items that this recovery makes. */
 const LEADER_CHANGED_NOTE = "lead changed";
 const OWNER_LOST_DETAIL = "the store that ran it was lost";
 
