--- a/src/storage/batchJobs/itemEndpointChoice.ts
+++ b/src/storage/batchJobs/itemEndpointChoice.ts
@@ -74,7 +74,7 @@
       caller: "",
       kind: ITEM_KIND,
       prefix: this.prefixOf(job, item),
-      workClass: "batch" as const,
+      trafficClass: "batch" as const,
     };
     const excludeForZone = this.excludeOtherZones(endpoints, exclude);
     return (
--- a/src/storage/retention.ts
+++ b/src/storage/retention.ts
@@ -32,7 +32,7 @@
       const maxAgeMs = configuration?.doc.retention?.[setting];
       if (maxAgeMs === undefined) continue;
       const cutoff = this.env.wall() - maxAgeMs;
-      const below = replica.segments.endOfOlderThan(kind, cutoff);
+      const below = replica.segments.firstSegmentSince(kind, cutoff);
       const trimmed = replica.data.trimmedCounts[kind];
       if (below <= trimmed) continue;
       const newest = new Date(cutoff).toISOString();
--- a/src/storage/shardMaintenance.ts
+++ b/src/storage/shardMaintenance.ts
@@ -57,7 +57,7 @@
       const isLow = free.ok && free.value < Constants.diskReserveBytes;
       checkCount += 1;
       for (const replica of this.replicas.values()) {
-        replica.diskLow = isLow;
+        replica.isDiskLow = isLow;
         if (checkCount % Constants.diskRetrySeconds === 0)
           Csp.go(this.env.scope, "retry disk", () => replica.retryDisk());
       }
--- a/src/storage/storageNode.ts
+++ b/src/storage/storageNode.ts
@@ -1,4 +1,4 @@
-import { HeaderNames, ownHeaderNames } from "../forwarding/headerNames";
+import { HeaderNames, defaultHeaderNames } from "../forwarding/headerNames";
 import { OperatorHttp } from "../adapters/operatorHttp";
 import { Constants } from "../common/constants";
 import { Fault, Result } from "../common/fault";
@@ -65,7 +65,11 @@
    * Starts a storage node with the replicas in its data folder. Faults: those of `Node.start`, of the operators' HTTP
    * server, and "disk".
    */
-  static *start(env: Environment, settings: Settings, names: HeaderNames = ownHeaderNames): Task<Result<StorageNode>> {
+  static *start(
+    env: Environment,
+    settings: Settings,
+    names: HeaderNames = defaultHeaderNames,
+  ): Task<Result<StorageNode>> {
     const started = yield* Node.start(env, settings, "store");
     if (!started.ok) return started;
     const storage = new StorageNode(env, settings, started.value, names);
--- a/test/batchJobDays.test.ts
+++ b/test/batchJobDays.test.ts
@@ -1,6 +1,6 @@
 import { Csp, Task } from "../src/runtime/csp";
 import { EnvironmentTools } from "../src/runtime/env";
-import type { BatchJobHost } from "../src/ingress/batchJobHost";
+import type { BatchJobContext } from "../src/ingress/batchJobContext";
 import { BatchJobReader } from "../src/ingress/batchJobReader";
 import { BatchSubmission } from "../src/ingress/batchSubmission";
 import { EventStandIn } from "../src/tools/eventStandIn";
@@ -81,7 +81,7 @@
   private observe(observation: JobObservation): void {
     this.observed.push(observation);
   }
-  private host = (): BatchJobHost => pick(this.fleet, this.fleet.hosts);
+  private host = (): BatchJobContext => pick(this.fleet, this.fleet.hosts);
   runs = (): ObservedRun[] =>
     this.fleet.endpoints.flatMap(({ runs }) => runs.map((run) => ({ ...run, requestedAt: run.at })));
   /** Tokens of the accepted items without a complete run at any endpoint. */
@@ -166,7 +166,7 @@
         yield* this.readItemBody(host, job, Math.floor(this.fleet.world.random() * count));
     }
   }
-  *read(host: BatchJobHost, job: string, from: number, waitMs: number): Task<number> {
+  *read(host: BatchJobContext, job: string, from: number, waitMs: number): Task<number> {
     const listed = yield* new BatchJobReader(host).list(job, from, waitMs);
     const at = host.env.wall();
     if (!listed.ok) {
@@ -176,7 +176,7 @@
     this.observe({ tag: "listed", at, job, from, total: listed.value.total, results: listed.value.results });
     return from + listed.value.results.length;
   }
-  private *readItemBody(host: BatchJobHost, job: string, index: number): Task<void> {
+  private *readItemBody(host: BatchJobContext, job: string, index: number): Task<void> {
     const item = `${job}-i${index}`;
     const found = yield* new BatchJobReader(host).itemBody(job, item);
     if (found.ok || found.fault.tag === "notFound")
--- a/test/batchJobFleet.ts
+++ b/test/batchJobFleet.ts
@@ -8,7 +8,7 @@
 import { Csp, Task } from "../src/runtime/csp";
 import { EnvironmentTools } from "../src/runtime/env";
 import type { SubmittedItem } from "../src/adapters/caller/callerOperations";
-import type { BatchJobHost } from "../src/ingress/batchJobHost";
+import type { BatchJobContext } from "../src/ingress/batchJobContext";
 import { BatchJobReader } from "../src/ingress/batchJobReader";
 import { BatchSubmission } from "../src/ingress/batchSubmission";
 import { SimDisk } from "../src/simulation/simDisk";
@@ -37,7 +37,7 @@
   private readonly withdrawnEndpoints = new Set<string>();
   private version = 0;
   caller!: SimProcess;
-  readonly hosts: BatchJobHost[] = [];
+  readonly hosts: BatchJobContext[] = [];
   readonly nodes: Node[] = [];
   static readonly route: Route = {
     kind: "item",
@@ -139,7 +139,7 @@
       snapshot: () => node.snapshot(),
     });
   }
-  get host(): BatchJobHost {
+  get host(): BatchJobContext {
     return this.hosts[0];
   }
   get node(): Node {
@@ -205,7 +205,7 @@
     this.version = changed.value.version;
   }
   /** Runs a call in the first submitting process; undefined if it does not end in time. */
-  call<T>(body: (host: BatchJobHost) => Task<T>, withinMs = 20_000): Promise<T | undefined> {
+  call<T>(body: (host: BatchJobContext) => Task<T>, withinMs = 20_000): Promise<T | undefined> {
     return this.world.finish(this.caller, () => body(this.host), withinMs);
   }
   items = (job: string, count: number, tokens = 100): SubmittedItem[] =>
--- a/test/cutOff.test.ts
+++ b/test/cutOff.test.ts
@@ -9,7 +9,7 @@
 const put = async (fleet: ControlFleet, version: number, at: string): Promise<number> => {
   const routes = { [`only-in-${version}`]: route };
   const headers = { "if-match": String(version - 1) };
-  return (await fleet.ask("PUT", "/v1/manifest", { version, bindings: routes }, headers, http(fleet, at))).status;
+  return (await fleet.send("PUT", "/v1/manifest", { version, bindings: routes }, headers, http(fleet, at))).status;
 };
 const versionAt = (fleet: ControlFleet, name: string): number =>
   fleet.ingress(name)?.snapshot().control?.manifest.version ?? 0;
@@ -67,7 +67,7 @@
       fleet.world.partitionsReset = resets;
       const control = victim(fleet, leading);
       const island = [control, "ingress-1", "ingress-2", "ingress-3"];
-      fleet.cutOff(island, way);
+      fleet.partition(island, way);
       freeze(fleet, "ingress-2");
       await changeOutside(fleet, island, 2);
       await fleet.run(applyMs);
@@ -85,7 +85,7 @@
       const late = await servedOld(fleet, ["ingress-1", "ingress-2", "ingress-4"], 2, cutMs / 2);
       expect([...early, ...late]).toEqual([]);
       // it has nothing to do with the cut, and is told at once rather than left to wait
-      const refused = await fleet.ask("POST", "/v1/requests/only-in-1", "q", {}, http(fleet, "ingress-1"));
+      const refused = await fleet.send("POST", "/v1/requests/only-in-1", "q", {}, http(fleet, "ingress-1"));
       expect([refused.status, Number(refused.headers["retry-after"])]).toEqual([503, 1]);
       expect([serves(fleet, "ingress-3"), versionAt(fleet, "ingress-3")]).toEqual([true, 1]);
       fleet.world.heal();
@@ -150,7 +150,7 @@
       freeze(fleet, "ingress-1");
       await fleet.run(300);
       const island = [victim(fleet, true), "ingress-1"];
-      fleet.cutOff(island);
+      fleet.partition(island);
       await changeOutside(fleet, island, 2);
       await fleet.run(applyMs);
       wake(fleet, "ingress-1");
@@ -170,7 +170,7 @@
   expect(await fleet.until(() => fleet.leader() !== undefined, 5000)).toBeDefined();
   expect(await fleet.until(() => fleet.names("store").every(vouches), 5000)).toBeDefined();
   const control = victim(fleet, false);
-  fleet.cutOff([control, "store-1", "store-2"]);
+  fleet.partition([control, "store-1", "store-2"]);
   fleet.kill("store-1");
   fleet.restart("store-1", { seeds: [fleet.settings.get(control)!.address] });
   for (let at = 0; at < 200; at += 1) {
@@ -184,9 +184,9 @@
 
 test("an ingress that starts beside an agent which runs on asks for itself", async () => {
   const fleet = await started(61, 1);
-  fleet.add("ingress-1", "agent-1");
+  fleet.addMachine("ingress-1", "agent-1");
   Object.assign(fleet.settings.get("agent-1")!, { program: "agent" });
-  fleet.add("ingress-1", "ingress-2");
+  fleet.addMachine("ingress-1", "ingress-2");
   fleet.kill("agent-1");
   fleet.kill("ingress-2");
   fleet.start("agent-1");
@@ -196,7 +196,7 @@
   fleet.start("ingress-2");
   expect(await fleet.until(() => serves(fleet, "ingress-2"), 5000)).toBeDefined();
   const island = [victim(fleet, false), "agent-1", "ingress-2"];
-  fleet.cutOff(island);
+  fleet.partition(island);
   await changeOutside(fleet, island, 2);
   await fleet.run(applyMs);
   fleet.kill("ingress-2");
@@ -228,7 +228,7 @@
       case 0:
         inside = ingress;
         fleet.world.partitionsReset = random(2) === 0;
-        fleet.cutOff([control, inside], (["in", "out", "both"] as const)[random(3)]);
+        fleet.partition([control, inside], (["in", "out", "both"] as const)[random(3)]);
         break;
       case 1:
         fleet.world.heal();
--- a/test/voterRecovery.test.ts
+++ b/test/voterRecovery.test.ts
@@ -47,7 +47,7 @@
       // two voters are left, so that nothing is committed without the leader's own disk
       fleet.disks.get(leader)!.syncMs = [7000, 0];
       fleet.kill(victim, true);
-      fleet.restart(victim, { empty: true });
+      fleet.restart(victim, { withEmptyDisk: true });
       let most = 0;
       await fleet.until(
         () => {
@@ -70,8 +70,8 @@
       const [victim] = VoterRecovery.pick(fleet, "follower", 1);
       fleet.kill(victim, true);
       fleet.settings.delete(victim);
-      fleet.reseed();
-      fleet.add(fleet.names("control")[0], "successor");
+      fleet.updateSeeds();
+      fleet.addMachine(fleet.names("control")[0], "successor");
       const isVoter = (): boolean =>
         fleet
           .control(fleet.leader() ?? "")
@@ -80,7 +80,7 @@
       expect(await fleet.until(isVoter, 8000, 1)).toBeDefined();
       fleet.kill("successor", true);
       await fleet.run(1500);
-      const put = await fleet.ask("PUT", "/v1/manifest", { version: 1, bindings: {} }, { "if-match": "0" });
+      const put = await fleet.send("PUT", "/v1/manifest", { version: 1, bindings: {} }, { "if-match": "0" });
       expect([seed, put.status]).toEqual([seed, 200]);
       expect(fleet.close()).toEqual([]);
     }
--- a/test/voterRecoveryTrial.ts
+++ b/test/voterRecoveryTrial.ts
@@ -77,10 +77,10 @@
     for (const name of stopped) fleet.kill(name, true);
     await fleet.run(trial.downMs);
     victims.forEach((victim, at) => {
-      if (trial.kinds[at] === "wiped") return fleet.restart(victim, { empty: true });
+      if (trial.kinds[at] === "wiped") return fleet.restart(victim, { withEmptyDisk: true });
       fleet.settings.delete(victim);
-      fleet.reseed(trial.seed);
-      fleet.add(others[0], `${victim}-successor`);
+      fleet.updateSeeds(trial.seed);
+      fleet.addMachine(others[0], `${victim}-successor`);
     });
     if (trial.allPower) for (const name of others) fleet.restart(name);
   },
@@ -130,7 +130,7 @@
   /** An operator's change to this version; its status. @example await VoterRecovery.change(fleet, 1) // 200 */
   async change(fleet: ControlFleet, version: number): Promise<number> {
     const ifMatch = { "if-match": String(version - 1) };
-    return (await fleet.ask("PUT", "/v1/manifest", { version, bindings: {} }, ifMatch)).status;
+    return (await fleet.send("PUT", "/v1/manifest", { version, bindings: {} }, ifMatch)).status;
   },
   /** Names of voters, the leader first or left out. @example VoterRecovery.pick(fleet, "follower", 2) */
   pick(fleet: ControlFleet, first: "lead" | "follower", count: number): string[] {
