--- a/test/batchJobDays.test.ts
+++ b/test/batchJobDays.test.ts
@@ -81,7 +81,7 @@
   private observe(observation: JobObservation): void {
     this.observed.push(observation);
   }
-  private host = (): BatchJobContext => pick(this.fleet, this.fleet.hosts);
+  private context = (): BatchJobContext => pick(this.fleet, this.fleet.contexts);
   runs = (): ObservedRun[] =>
     this.fleet.endpoints.flatMap(({ runs }) => runs.map((run) => ({ ...run, requestedAt: run.at })));
   /** Tokens of the accepted items without a complete run at any endpoint. */
@@ -129,8 +129,8 @@
   private *submit(job: string, count: number): Task<boolean> {
     const route = { ...BatchJobFleet.route, maxWaitingTokens: bounds.maxTokens };
     for (let attempt = 0; attempt < 8; attempt += 1) {
-      const host = this.host();
-      const submitted = yield* new BatchSubmission(host).submit(
+      const context = this.context();
+      const submitted = yield* new BatchSubmission(context).submit(
         job,
         "b",
         route,
@@ -144,12 +144,12 @@
             ? "notFitting"
             : "refused"
           : "unknown";
-      this.observe({ tag: "submitted", at: host.env.wall(), job, outcome, tokens: 100 * count });
+      this.observe({ tag: "submitted", at: context.env.wall(), job, outcome, tokens: 100 * count });
       if (outcome === "accepted") {
-        this.observe({ tag: "waiting", at: host.env.wall(), tokens: this.waiting() });
+        this.observe({ tag: "waiting", at: context.env.wall(), tokens: this.waiting() });
         return true;
       }
-      yield* EnvironmentTools.sleep(host.env, 400);
+      yield* EnvironmentTools.sleep(context.env, 400);
     }
     return false;
   }
@@ -157,18 +157,18 @@
     const endsEarly = this.fleet.world.random() < 0.15;
     let from = 0;
     for (let step = 0; step < 80 && from < count; step += 1) {
-      const host = this.host();
-      yield* EnvironmentTools.sleep(host.env, 500);
+      const context = this.context();
+      yield* EnvironmentTools.sleep(context.env, 500);
       if (endsEarly && from > 2) return yield* this.end(job);
       const position = this.fleet.world.random() < 0.2 ? Math.floor(this.fleet.world.random() * from) : from;
-      from = Math.max(from, yield* this.read(host, job, position, 500));
+      from = Math.max(from, yield* this.read(context, job, position, 500));
       if (this.fleet.world.random() < 0.2)
-        yield* this.readItemBody(host, job, Math.floor(this.fleet.world.random() * count));
+        yield* this.readItemBody(context, job, Math.floor(this.fleet.world.random() * count));
     }
   }
-  *read(host: BatchJobContext, job: string, from: number, waitMs: number): Task<number> {
-    const listed = yield* new BatchJobReader(host).list(job, from, waitMs);
-    const at = host.env.wall();
+  *read(context: BatchJobContext, job: string, from: number, waitMs: number): Task<number> {
+    const listed = yield* new BatchJobReader(context).list(job, from, waitMs);
+    const at = context.env.wall();
     if (!listed.ok) {
       this.observe({ tag: "notFound", at, job, certain: listed.fault.tag === "notFound" });
       return 0;
@@ -176,13 +176,13 @@
     this.observe({ tag: "listed", at, job, from, total: listed.value.total, results: listed.value.results });
     return from + listed.value.results.length;
   }
-  private *readItemBody(host: BatchJobContext, job: string, index: number): Task<void> {
+  private *readItemBody(context: BatchJobContext, job: string, index: number): Task<void> {
     const item = `${job}-i${index}`;
-    const found = yield* new BatchJobReader(host).itemBody(job, item);
+    const found = yield* new BatchJobReader(context).itemBody(job, item);
     if (found.ok || found.fault.tag === "notFound")
       this.observe({
         tag: "body",
-        at: host.env.wall(),
+        at: context.env.wall(),
         job,
         item,
         body: found.ok ? Buffer.from(found.value.body, "base64").toString() : undefined,
@@ -190,10 +190,10 @@
   }
   private *end(job: string): Task<void> {
     for (let attempt = 0; attempt < 10; attempt += 1) {
-      const host = this.host();
-      const ended = yield* new BatchSubmission(host).end(job, "caller");
-      if (ended.ok) return this.observe({ tag: "ended", at: host.env.wall(), job });
-      yield* EnvironmentTools.sleep(host.env, 300);
+      const context = this.context();
+      const ended = yield* new BatchSubmission(context).end(job, "caller");
+      if (ended.ok) return this.observe({ tag: "ended", at: context.env.wall(), job });
+      yield* EnvironmentTools.sleep(context.env, 300);
     }
   }
   /** Waits until all jobs are finished, then reads each accepted job that was not ended completely at both processes. */
@@ -206,9 +206,9 @@
     for (const observation of this.observed) if (observation.tag === "ended") accepted.delete(observation.job);
     const workload = this;
     for (const job of accepted)
-      for (const host of this.fleet.hosts) {
+      for (const context of this.fleet.contexts) {
         const read = await this.fleet.call(function* () {
-          return yield* workload.read(host, job, 0, 0);
+          return yield* workload.read(context, job, 0, 0);
         });
         expect({ lot: job, read }).toEqual({
           lot: job,
--- a/test/batchJobFleet.ts
+++ b/test/batchJobFleet.ts
@@ -27,7 +27,7 @@
  *
  * @example
  * const fleet = await BatchJobFleet.start(7, { storageNodes: 3, endpoints: 2 });
- * await fleet.call((host) => new BatchSubmission(host).submit("L1", "b", route, items, 3000));
+ * await fleet.call((context) => new BatchSubmission(context).submit("L1", "b", route, items, 3000));
  */
 export class BatchJobFleet {
   readonly world: SimWorld;
@@ -37,7 +37,7 @@
   private readonly withdrawnEndpoints = new Set<string>();
   private version = 0;
   caller!: SimProcess;
-  readonly hosts: BatchJobContext[] = [];
+  readonly contexts: BatchJobContext[] = [];
   readonly nodes: Node[] = [];
   static readonly route: Route = {
     kind: "item",
@@ -131,7 +131,7 @@
     if (!started?.ok) throw new Error("the submitting process did not start");
     const node = started.value;
     this.nodes.push(node);
-    this.hosts.push({
+    this.contexts.push({
       env,
       rpc: node.rpc,
       zone: settings.district,
@@ -139,8 +139,8 @@
       snapshot: () => node.snapshot(),
     });
   }
-  get host(): BatchJobContext {
-    return this.hosts[0];
+  get context(): BatchJobContext {
+    return this.contexts[0];
   }
   get node(): Node {
     return this.nodes[0];
@@ -205,8 +205,8 @@
     this.version = changed.value.version;
   }
   /** Runs a call in the first submitting process; undefined if it does not end in time. */
-  call<T>(body: (host: BatchJobContext) => Task<T>, withinMs = 20_000): Promise<T | undefined> {
-    return this.world.finish(this.caller, () => body(this.host), withinMs);
+  call<T>(body: (context: BatchJobContext) => Task<T>, withinMs = 20_000): Promise<T | undefined> {
+    return this.world.finish(this.caller, () => body(this.context), withinMs);
   }
   items = (job: string, count: number, tokens = 100): SubmittedItem[] =>
     Array.from({ length: count }, (_each, index) => ({
@@ -217,11 +217,11 @@
       tokens,
     }));
   submit = (job: string, count: number, tokens = 100, withinMs = 3000) =>
-    this.call((host) =>
-      new BatchSubmission(host).submit(
+    this.call((context) =>
+      new BatchSubmission(context).submit(
         job,
         "b",
-        { ...BatchJobFleet.route, ...host.snapshot().control?.manifest.doc.bindings.b },
+        { ...BatchJobFleet.route, ...context.snapshot().control?.manifest.doc.bindings.b },
         this.items(job, count, tokens),
         withinMs,
       ),
@@ -231,10 +231,16 @@
     const durations = new Map<string, number>();
     for (const id of ids) {
       const startedAt = this.world.now;
-      const route = { ...BatchJobFleet.route, ...this.host.snapshot().control?.manifest.doc.bindings.b };
+      const route = { ...BatchJobFleet.route, ...this.context.snapshot().control?.manifest.doc.bindings.b };
       const fleet = this;
       Csp.go(this.caller.scope, `submit ${id}`, function* () {
-        const submitted = yield* new BatchSubmission(fleet.host).submit(id, "b", route, fleet.items(id, count), 3000);
+        const submitted = yield* new BatchSubmission(fleet.context).submit(
+          id,
+          "b",
+          route,
+          fleet.items(id, count),
+          3000,
+        );
         durations.set(id, submitted.ok ? fleet.world.now - startedAt : Infinity);
       });
     }
@@ -242,7 +248,7 @@
     return ids.map((id) => durations.get(id)!);
   }
   async list(job: string, from = 0): Promise<JobResultPage | undefined> {
-    const listed = await this.call((host) => new BatchJobReader(host).list(job, from, 0));
+    const listed = await this.call((context) => new BatchJobReader(context).list(job, from, 0));
     return listed?.ok ? listed.value : undefined;
   }
   /** Reads a job until all its results are listed or the time-out has passed. */
@@ -259,7 +265,7 @@
   }
   /** Name of the storage node that leads the job's shard; empty if none does. */
   leaderOf(job: string): string {
-    const shard = this.host.shardClient.shardOf(job);
+    const shard = this.context.shardClient.shardOf(job);
     return [...this.storageNodes].find(([, storageNode]) => storageNode.replicas.get(shard)?.holdsLease())?.[0] ?? "";
   }
   kill(name: string, powerLost = false): void {
--- a/test/batchJobs.test.ts
+++ b/test/batchJobs.test.ts
@@ -11,7 +11,7 @@
   expect(await fleet.submit("L1", 12)).toEqual({ ok: true, value: { tag: "accepted" } });
   expect(await fleet.submit("L1", 12)).toEqual({ ok: true, value: { tag: "exists", same: true, state: "" } });
   expect(await fleet.submit("L1", 11)).toEqual({ ok: true, value: { tag: "exists", same: false, state: "" } });
-  const body = await fleet.call((host) => new BatchJobReader(host).itemBody("L1", "L1-i7"));
+  const body = await fleet.call((context) => new BatchJobReader(context).itemBody("L1", "L1-i7"));
   expect(body?.ok && Buffer.from(body.value.body, "base64").toString()).toBe("body L1 7");
   const firstPage = await fleet.list("L1");
   expect(firstPage?.total).toBe(12);
@@ -27,7 +27,7 @@
     body: "body L1 3",
     after: 0,
   });
-  expect(await fleet.call((host) => new BatchJobReader(host).list("L2", 0, 0))).toMatchObject({
+  expect(await fleet.call((context) => new BatchJobReader(context).list("L2", 0, 0))).toMatchObject({
     ok: false,
     fault: { tag: "notFound" },
   });
@@ -81,7 +81,7 @@
   expect((await fleet.submit("E", 40))?.ok).toBe(true);
   await fleet.world.run(2500);
   const before = (await fleet.list("E"))!;
-  expect(await fleet.call((host) => new BatchSubmission(host).end("E", "caller"))).toEqual({
+  expect(await fleet.call((context) => new BatchSubmission(context).end("E", "caller"))).toEqual({
     ok: true,
     value: { ended: true },
   });
@@ -90,7 +90,7 @@
   expect(fleet.endpoints.map(({ active }) => active)).toEqual([0, 0]);
   await fleet.world.run(3000);
   expect(fleet.endpoints.flatMap((endpoint) => endpoint.runs).filter((run) => run.at > endedAt + 50)).toEqual([]);
-  expect(await fleet.call((host) => new BatchSubmission(host).end("E", "caller"))).toEqual({
+  expect(await fleet.call((context) => new BatchSubmission(context).end("E", "caller"))).toEqual({
     ok: true,
     value: { ended: true },
   });
@@ -98,11 +98,11 @@
   expect(after.results.slice(0, before.results.length)).toEqual(before.results);
   expect(after).toMatchObject({ total: 40, ended: true });
   expect(after.results.length).toBeLessThan(40);
-  expect(await fleet.call((host) => new BatchSubmission(host).end("none", "caller"))).toMatchObject({
+  expect(await fleet.call((context) => new BatchSubmission(context).end("none", "caller"))).toMatchObject({
     ok: false,
     fault: { tag: "notFound" },
   });
-  expect(await fleet.call((host) => new BatchJobReader(host).itemBody("E", "E-i39"))).toMatchObject({
+  expect(await fleet.call((context) => new BatchJobReader(context).itemBody("E", "E-i39"))).toMatchObject({
     ok: false,
     fault: { tag: "notFound" },
   });
@@ -121,7 +121,7 @@
   expect(acceptedCount).toBeGreaterThanOrEqual(10);
   expect(acceptedCount).toBeLessThanOrEqual(11);
   expect(new Set(refusedSteps)).toEqual(new Set(["quota"]));
-  expect(await fleet.call((host) => new BatchSubmission(host).end("Q8", "caller"))).toMatchObject({ ok: true });
+  expect(await fleet.call((context) => new BatchSubmission(context).end("Q8", "caller"))).toMatchObject({ ok: true });
   await fleet.world.run(100);
   expect((await fleet.submit("Q20", 5, 100))?.ok).toBe(true);
   expect(await fleet.submit("Q13", 100, 200)).toMatchObject({ ok: false, fault: { step: "quota" } });
@@ -144,19 +144,19 @@
   if (!response?.ok) expect(runs()).toBe(0);
   expect((await fleet.submit("R", 5))?.ok).toBe(true);
   expect((await fleet.readAll("R", 6000)).results).toHaveLength(5);
-  const shard = fleet.host.shardClient.shardOf("S");
-  const refuse = await fleet.call((host) =>
-    new BatchSubmission(host).refuse("S", { tag: "unknown", step: "", member: "", detail: "" }),
+  const shard = fleet.context.shardClient.shardOf("S");
+  const refuse = await fleet.call((context) =>
+    new BatchSubmission(context).refuse("S", { tag: "unknown", step: "", member: "", detail: "" }),
   );
   expect(refuse).toMatchObject({ ok: false, fault: { tag: "busy" } });
   const earlyStamp = { time: Math.floor(fleet.caller.env.wall()) - 1000, node: "early", seq: 0 };
-  const { job, cause } = new BatchSubmission(fleet.host).prepare("S", "b", BatchJobFleet.route, fleet.items("S", 2));
+  const { job, cause } = new BatchSubmission(fleet.context).prepare("S", "b", BatchJobFleet.route, fleet.items("S", 2));
   const submissionStampText = `${earlyStamp.time}~early~0`;
-  const late = await fleet.call((host) =>
-    host.shardClient.callLeader(
+  const late = await fleet.call((context) =>
+    context.shardClient.callLeader(
       shard,
       "lot.handIn",
-      () => ({ stamp: host.shardClient.stamp(host.env.wall()), life: submissionStampText, lot: job, cause }),
+      () => ({ stamp: context.shardClient.stamp(context.env.wall()), life: submissionStampText, lot: job, cause }),
       2000,
     ),
   );
--- a/test/viewChange.test.ts
+++ b/test/viewChange.test.ts
@@ -34,7 +34,7 @@
       lastMembers.set(shard, [...members].sort().join());
     }
     expect(changes.length).toBeGreaterThan(8);
-    expect(Object.values(fleet.host.snapshot().control!.views).map((view) => view.members.length)).toEqual(
+    expect(Object.values(fleet.context.snapshot().control!.views).map((view) => view.members.length)).toEqual(
       Array(8).fill(3),
     );
     expect(fleet.errors()).toEqual([]);
