--- a/src/model/voterMaintenance.ts
+++ b/src/model/voterMaintenance.ts
@@ -5,17 +5,17 @@
 import type { Incarnation, Machine } from "./machine";
 
 /**
- * What the control node does about the voters, in a simpler form: as leader it removes voters with emptied disks, and
- * brings their number back to what it should be.
+ * A simpler form of the control node's voter maintenance. A leader removes voters whose disks were wiped, and restores
+ * the target number of voters.
  */
 export class VoterMaintenance {
   constructor(
     private readonly machines: readonly Machine[],
     private readonly diskLoss: DiskLossLimit,
-    private readonly votersWanted: number,
+    private readonly targetVoterCount: number,
   ) {}
 
-  /** Runs in the process of one replica until it ends. */
+  /** Runs in the process of one replica until the process ends. */
   *run(incarnation: Incarnation): Task<void> {
     const { process, group } = incarnation;
     for (;;) {
@@ -26,16 +26,16 @@
         yield* group.propose({ tag: "voters", voters }, Constants.proposeTimeoutMs);
     }
   }
-  private nextVoters({ id: self, group }: Incarnation): string[] | undefined {
+  private nextVoters({ id: selfId, group }: Incarnation): string[] | undefined {
     const voters = group.voters();
     const wiped = voters.find((id) => this.diskLoss.isWiped(id));
     if (wiped !== undefined) return voters.filter((id) => id !== wiped);
-    if (voters.length > this.votersWanted) {
-      const others = voters.filter((id) => id !== self);
+    if (voters.length > this.targetVoterCount) {
+      const others = voters.filter((id) => id !== selfId);
       const surplus = others.sort((left, right) => group.lag(right) - group.lag(left))[0];
       return voters.filter((id) => id !== surplus);
     }
-    if (voters.length === this.votersWanted) return undefined;
+    if (voters.length === this.targetVoterCount) return undefined;
     const ids = this.machines.map(({ incarnation }) => incarnation.id);
     const standby = ids.find((id) => !voters.includes(id) && group.isCaughtUp(id));
     return standby === undefined ? undefined : [...voters, standby];
--- a/src/shard/replica/logReplication.ts
+++ b/src/shard/replica/logReplication.ts
@@ -14,15 +14,15 @@
 import type { ShardLogEntry } from "./shardLog";
 import type { StablePrefix } from "./stablePrefix";
 
-/** How often an idle leader looks whether it still leads, ms. */
-const IDLE_LOOK_MS = 1000;
+/** How often an idle leader checks whether it still leads, ms. */
+const LEADERSHIP_CHECK_MS = 1000;
 
-/** Whether a put brings new work, which is refused while a disk is nearly full. */
-const opensWork = (put: Put): boolean => put.ops.some((op) => op.op === "open" || op.op === "lot");
+/** Whether a put opens a request or a job, which is rejected while a disk is nearly full. */
+const opensRequestOrJob = (put: Put): boolean => put.ops.some((op) => op.op === "open" || op.op === "lot");
 
 /**
- * The leader's part of replication: orders puts into entries (group commit), and completes a put once every member of
- * the view has synced its entry.
+ * Replication at the leader: orders puts into entries (group commit), and completes a put once every member of the view
+ * has synced its entry.
  */
 export class LogReplication {
   constructor(
@@ -34,11 +34,10 @@
   ) {}
 
   /**
-   * Puts through the leader. Faults: "late", "busy" and "notLead" mean that it was never logged; "unknown" that it may
-   * be, and may be repeated under the same id.
+   * Logs and applies a put. The faults "late", "busy" and "notLead" mean that the put was not logged. "unknown" means
+   * that it may have been; it may be retried under the same id.
    *
-   * @param withinMs time to wait for the outcome
-   * @example const outcome = yield* replication.put(put, 1000);
+   * @param withinMs how long to wait for the outcome, ms
    */
   *put(put: Put, withinMs: number): Task<Result<PutOutcome>> {
     const { state, leadership } = this;
@@ -46,19 +45,20 @@
     if (!leadership.holdsLease()) return Fault.fail("notLead", "put", selfId, state.view?.lead ?? "");
     const earlier = state.data.putOutcomes.get(put.putId);
     if (earlier) return Fault.ok(earlier.outcome);
-    const refusal = this.refusalOf(put);
-    if (refusal) return refusal;
+    const rejection = this.rejectionOf(put);
+    if (rejection) return rejection;
     const response = leadership.puts.add(put, env.mono());
     Csp.offer(leadership.wake, true);
     const outcome = yield* EnvironmentTools.takeWithin(env, response, withinMs);
     return outcome ?? Fault.fail("unknown", "put", selfId, "not on every copy in time");
   }
-  private refusalOf(put: Put): Result<never> | undefined {
+  /** The fault of a put that can't be queued; undefined if it can. */
+  private rejectionOf(put: Put): Result<never> | undefined {
     const { state, leadership, stablePrefix } = this;
     const { selfId } = state.context;
     if (leadership.puts.length >= Constants.queuedPutsMax)
       return Fault.busy("put", selfId, "shard buffer full", Constants.retryAfterMs);
-    if (opensWork(put) && leadership.isAnyDiskLow())
+    if (opensRequestOrJob(put) && leadership.isAnyDiskLow())
       return Fault.busy("put", selfId, "a store's disk is nearly full", 5 * Constants.retryAfterMs);
     stablePrefix.advance();
     if (put.stamp.time > stablePrefix.published) return undefined;
@@ -67,20 +67,20 @@
     return Fault.fail("late", "put", selfId, detail);
   }
 
-  /** Replicates queued puts as long as this replica leads the epoch. @example yield* replication.run(epoch); */
+  /** Replicates queued puts until this replica no longer leads the epoch. */
   *run(epoch: number): Task<void> {
     const { state, leadership } = this;
     while (leadership.isLeaderOf(epoch)) {
       if (leadership.puts.length === 0)
-        yield* EnvironmentTools.takeWithin(state.context.env, leadership.wake, IDLE_LOOK_MS);
+        yield* EnvironmentTools.takeWithin(state.context.env, leadership.wake, LEADERSHIP_CHECK_MS);
       if (!leadership.isLeaderOf(epoch)) return;
       if (leadership.puts.length === 0) continue;
       const isReplicated = yield* this.replicateBatch(epoch, leadership.puts.takeBatch(Constants.putBatchMax));
       if (!isReplicated) return;
-      yield* state.locked(() => this.storage.compactIfLong());
+      yield* state.withLock(() => this.storage.compactIfLong());
     }
   }
-  /** Replicates one batch as one entry; false once this replica no longer leads. */
+  /** Replicates a batch as one entry. Returns false once this replica no longer leads. */
   private *replicateBatch(epoch: number, batch: QueuedPut[]): Task<boolean> {
     const { state, leadership } = this;
     const { env } = state.context;
@@ -99,7 +99,7 @@
         Csp.offer(acknowledgements, yield* sender.sendUntilSynced(id, request));
       });
     env.point(45);
-    const written = yield* state.locked(() => this.appendOwn(epoch, entry));
+    const written = yield* state.withLock(() => this.appendOwn(epoch, entry));
     if (!written.ok) {
       leadership.stop("entry not written");
       return false;
