--- a/scripts/guardMutations/mutations.js
+++ b/scripts/guardMutations/mutations.js
@@ -38,7 +38,7 @@
     edits: [
       {
         file: "control/viewChange.js",
-        find: "this.chooseMembers(view, levelled, joiners)",
+        find: "this.chooseMembers(view, syncedIds, joiners)",
         replacement:
           "this.chooseMembers(view, [...new Set([...sealed.map((replica) => replica.id), ...joiners])], joiners)",
       },
--- a/src/control/calendarRunner.ts
+++ b/src/control/calendarRunner.ts
@@ -121,7 +121,7 @@
 
   private *advanceRetirement(entry: CalendarEntry, operation: RetireOperation): Task<void> {
     if (entry.fate === CalendarEntryState.scheduled) {
-      const obstacle = this.storeRetirement.obstacleTo(operation.store);
+      const obstacle = this.storeRetirement.retirementBlocker(operation.store);
       if (obstacle !== undefined) yield* this.transition(entry, CalendarEntryState.failed, obstacle);
       else yield* this.transition(entry, CalendarEntryState.started);
       return;
--- a/src/control/groupBootstrap.ts
+++ b/src/control/groupBootstrap.ts
@@ -7,7 +7,7 @@
 import { Environment, EnvironmentTools } from "../runtime/env";
 
 /** Response to "found.status": what a founder knows of a group. */
-interface FounderStatus {
+interface BootstrapStatus {
   id: string;
   /** Whether the founder belongs to a group. */
   founded: boolean;
@@ -26,7 +26,7 @@
 declare module "../rpc/methods" {
   interface RpcMethods {
     /** What a founder knows of a group. Idempotent: it only reads. */
-    "found.status": RpcMethod<Record<string, never>, FounderStatus>;
+    "found.status": RpcMethod<Record<string, never>, BootstrapStatus>;
     /**
      * Makes a founder a member of a new group. Faults: "conflict" where it belongs to another group or knows one.
      * Idempotent: the same group again changes nothing.
@@ -80,7 +80,7 @@
     this.node.rpc.handle("found.commit", (body) => this.onCommit(body));
   }
 
-  private status(): FounderStatus {
+  private status(): BootstrapStatus {
     return {
       id: this.node.self.id,
       founded: this.group.isBootstrapped(),
@@ -109,10 +109,10 @@
   private *attempt(): Task<void> {
     if (this.node.gossip.snapshot) return this.postpone("a group is known here; waiting to be taken in as standby");
     if (this.founders[0] !== this.settings.address) return;
-    const ids = yield* this.emptyFounders();
+    const ids = yield* this.collectEmptyFounders();
     if (ids.length < this.founders.length) return;
-    const informed = yield* this.memberWithGroup();
-    if (informed !== undefined) return this.postpone(`member ${informed} knows a group`);
+    const memberId = yield* this.memberWithGroup();
+    if (memberId !== undefined) return this.postpone(`member ${memberId} knows a group`);
     yield* this.bootstrap(ids);
   }
 
@@ -122,7 +122,7 @@
   }
 
   /** Ids of the founders that are empty and agree; the own one included. */
-  private *emptyFounders(): Task<string[]> {
+  private *collectEmptyFounders(): Task<string[]> {
     const ids: string[] = [];
     for (const address of this.founders) {
       if (address === this.settings.address) {
@@ -130,14 +130,14 @@
         continue;
       }
       const status = yield* this.node.rpc.call(address, "found.status", {}, STATUS_TIMEOUT_MS);
-      const obstacle = this.obstacleOf(address, status);
+      const obstacle = this.bootstrapBlocker(address, status);
       if (obstacle !== undefined) this.postpone(obstacle);
       else if (status.ok) ids.push(status.value.id);
     }
     return ids;
   }
 
-  private obstacleOf(address: string, status: Result<FounderStatus>): string | undefined {
+  private bootstrapBlocker(address: string, status: Result<BootstrapStatus>): string | undefined {
     if (!status.ok) return `founder ${address} does not answer`;
     const { founded, group, founders } = status.value;
     if (founded || group) return `founder ${address} knows group ${group}`;
@@ -147,13 +147,13 @@
 
   /** Id of a live member that has a snapshot of some group's state. */
   private *memberWithGroup(): Task<string | undefined> {
-    let informed: string | undefined;
+    let memberId: string | undefined;
     for (const { id, address } of this.node.membership.alive()) {
       if (id === this.node.self.id) continue;
       const snapshot = yield* this.node.rpc.call<unknown>(address, "frame.fetch", { have: 0 }, STATUS_TIMEOUT_MS);
-      if (snapshot.ok && snapshot.value) informed = id;
+      if (snapshot.ok && snapshot.value) memberId = id;
     }
-    return informed;
+    return memberId;
   }
 
   private *bootstrap(ids: string[]): Task<void> {
--- a/src/control/memberCalls.ts
+++ b/src/control/memberCalls.ts
@@ -15,7 +15,7 @@
 }
 
 /** Capacity of the channel on which calls report their end; more than a view has members. */
-const MAX_MEMBERS = 16;
+const DONE_CHANNEL_CAPACITY = 16;
 
 /** Calls members of a view concurrently. */
 export class MemberCalls {
@@ -34,7 +34,7 @@
     const { members, method, body, timeoutMs, cancelIfUnresponsive = false } = request;
     const { isResponsive } = this.statuses;
     const responses: (Response & { id: string })[] = [];
-    const done = Csp.chan<string>(MAX_MEMBERS);
+    const done = Csp.chan<string>(DONE_CHANNEL_CAPACITY);
     const { node } = this;
     for (const id of members)
       Csp.go(this.env.scope, `${method} at ${id}`, function* () {
--- a/src/control/retirementOrders.ts
+++ b/src/control/retirementOrders.ts
@@ -33,7 +33,7 @@
     const store = live ?? stores[0];
     const isRetiring = store !== undefined && this.group.state.retiring.includes(store.id);
     const needed = this.retirement.replicationFactor;
-    const remaining = store ? this.retirement.machinesWithout(store) : 0;
+    const remaining = store ? this.retirement.countRemainingMachines(store) : 0;
     // a leader that was just elected may not have discovered every node yet
     const isIncomplete = this.env.mono() - this.group.leaderSince < Constants.storeDiscoveryAfterElectionMs;
     if (!isRetiring && (!store || remaining < needed) && isIncomplete)
--- a/src/control/storeRetirement.ts
+++ b/src/control/storeRetirement.ts
@@ -36,11 +36,12 @@
   private isComplete(retired: RetiredStore): boolean {
     return Object.values(this.group.state.views).every(
       (view) =>
-        !view.members.some((id) => this.isOn(id, retired)) && this.intactMachines(view) >= this.replicationFactor,
+        !view.members.some((id) => this.isOnRetiredMachine(id, retired)) &&
+        this.intactMachines(view) >= this.replicationFactor,
     );
   }
 
-  private isOn(id: string, { store, name }: RetiredStore): boolean {
+  private isOnRetiredMachine(id: string, { store, name }: RetiredStore): boolean {
     return id === store || (name !== undefined && this.node.membership.find(id)?.name === name);
   }
 
@@ -68,7 +69,7 @@
   }
 
   /** Why the storage node cannot retire now; undefined if it can. @example retirement.obstacleTo("store-3") */
-  obstacleTo(store: string): string | undefined {
+  retirementBlocker(store: string): string | undefined {
     if (this.node.membership.find(store)?.program !== "store") return `no store ${store}`;
     const remaining = this.node.membership
       .alive("store")
@@ -81,7 +82,7 @@
    * Machines with a storage node that would remain without this one; those that are down for a moment count.
    * @example retirement.machinesWithout(member)
    */
-  machinesWithout(store: Member): number {
+  countRemainingMachines(store: Member): number {
     const remaining = this.node.membership
       .all()
       .filter(
--- a/src/control/viewChange.ts
+++ b/src/control/viewChange.ts
@@ -25,7 +25,7 @@
 type SealedReplica = Extract<SealResponse, { tag: "sealed" }> & { id: string };
 
 /** Response to "shard.level": the members that have synced the log up to the sealed end. */
-interface LevelResponse {
+interface LogSyncResponse {
   ids: string[];
 }
 
@@ -40,7 +40,7 @@
 }
 
 /** How long the parts of a view change took, ms; the names are those of the log event. */
-interface Stages {
+interface StageDurations {
   /** Longest silence of a member before the change. */
   silentMs: number;
   sealMs: number;
@@ -109,21 +109,21 @@
       return false;
     }
     this.blocked.delete(shard);
-    const levelled = yield* this.level(change, sealed);
-    if (!levelled) return false;
+    const syncedIds = yield* this.syncLogs(change, sealed);
+    if (!syncedIds) return false;
     this.env.point(36, { shard, joiners });
-    const next = this.chooseMembers(view, levelled, joiners);
-    const levelledAt = this.env.mono();
+    const next = this.chooseMembers(view, syncedIds, joiners);
+    const syncedAt = this.env.mono();
     // a leader that was sealed has stopped; else its lease ends with the first member that does not renew it
     const isLeaderSealed = responses.some((replica) => replica.id === view.lead);
     const leaseLeftMs = isLeaderSealed
       ? 0
       : Math.min(...sealed.map((replica) => replica.grantLeftMs)) + LEASE_MARGIN_MS;
-    return yield* this.finish(change, next, levelledAt, {
+    return yield* this.finish(change, next, syncedAt, {
       silentMs,
       sealMs: Math.round(sealedAt - startedAt),
-      levelMs: Math.round(levelledAt - sealedAt),
-      grantWaitMs: Math.round(Math.max(0, leaseLeftMs - (levelledAt - sealedAt))),
+      levelMs: Math.round(syncedAt - sealedAt),
+      grantWaitMs: Math.round(Math.max(0, leaseLeftMs - (syncedAt - sealedAt))),
     });
   }
 
@@ -142,14 +142,14 @@
   }
 
   /** The replica with the longest log brings the others to its end; gives the ids of those that are there. */
-  private *level({ view, epoch, joiners }: Reconfiguration, sealed: SealedReplica[]): Task<string[] | undefined> {
+  private *syncLogs({ view, epoch, joiners }: Reconfiguration, sealed: SealedReplica[]): Task<string[] | undefined> {
     const [longest, ...others] = sealed.sort(byLogLength);
     // with their addresses: a storage node may not know a machine yet that was just added
     const targets = [...others.map((replica) => replica.id), ...joiners].flatMap((id) => {
       const address = this.node.addressOf(id);
       return address ? [{ id, address }] : [];
     });
-    const [response] = yield* this.calls.callAll<LevelResponse>({
+    const [response] = yield* this.calls.callAll<LogSyncResponse>({
       members: [longest.id],
       method: "shard.level",
       body: { shard: view.shard, epoch, targets },
@@ -162,8 +162,8 @@
   private *finish(
     { view, epoch, reason, joiners }: Reconfiguration,
     next: Pick<ShardView, "members" | "lead">,
-    levelledAt: number,
-    stages: Stages,
+    syncedAt: number,
+    stages: StageDurations,
   ): Task<boolean> {
     const { shard } = view;
     const { silentMs, sealMs, levelMs, grantWaitMs } = stages;
@@ -177,7 +177,7 @@
         reason,
         joiners,
         members: next.members,
-        stages: { ...stages, commitMs: Math.round(this.env.mono() - levelledAt) },
+        stages: { ...stages, commitMs: Math.round(this.env.mono() - syncedAt) },
       });
     return isDone;
   }
@@ -199,10 +199,10 @@
   }
 
   /** Members and leader of the next view, out of the nodes that hold the log up to the sealed end. */
-  private chooseMembers(view: ShardView, levelled: string[], joiners: string[]): Pick<ShardView, "members" | "lead"> {
+  private chooseMembers(view: ShardView, syncedIds: string[], joiners: string[]): Pick<ShardView, "members" | "lead"> {
     // retiring and stopping nodes go, unless too few others would be left
-    const remaining = levelled.filter((id) => this.isRemaining(id));
-    const members = remaining.length < Constants.minReplicasForJobs ? levelled : remaining;
+    const remaining = syncedIds.filter((id) => this.isRemaining(id));
+    const members = remaining.length < Constants.minReplicasForJobs ? syncedIds : remaining;
     const leader = this.chooseLeader(view, members, joiners);
     const removable = members
       .filter((id) => id !== leader && !joiners.includes(id))
--- a/src/control/viewChangeTrigger.ts
+++ b/src/control/viewChangeTrigger.ts
@@ -33,7 +33,8 @@
     const stopping = members.filter((id) => this.statuses.find(id)?.isStopping && this.statuses.isUp(id));
     if (stopping.length > 0) return `members leaving: ${stopping.join(", ")}`;
     return (
-      this.leaderReportReason(view) ?? (this.wasInterrupted(view) ? "an earlier change of view was not finished" : idle)
+      this.leaderReportReason(view) ??
+      (this.wasViewChangeInterrupted(view) ? "an earlier change of view was not finished" : idle)
     );
   }
 
@@ -58,7 +59,7 @@
   }
 
   /** A member is sealed for a later epoch than the view's: a view change began and was not finished. */
-  private wasInterrupted({ shard, epoch, members }: ShardView): boolean {
+  private wasViewChangeInterrupted({ shard, epoch, members }: ShardView): boolean {
     return members.some((id) => this.statuses.isUp(id) && (this.statuses.replica(id, shard)?.sealed ?? 0) > epoch);
   }
 
--- a/src/control/voterSelection.ts
+++ b/src/control/voterSelection.ts
@@ -7,9 +7,9 @@
   /** Voters by the last committed entry that names them. */
   committed: readonly string[];
   /** Voters by the last entry that names them, committed or not. */
-  newest: readonly string[];
+  latest: readonly string[];
   /** Voters that have certainly lost their disk: another node answers at their address. */
-  emptied: readonly string[];
+  diskLost: readonly string[];
   /** Voters that have been silent, or have left, for so long that another should replace them. */
   unavailable: readonly string[];
   /** Live nodes that hold nearly the whole log and are no voters, best first. */
@@ -29,8 +29,8 @@
  */
 export const VoterSelection = {
   /** Whether a change of voters is not committed yet. @example VoterSelection.isPending(situation) */
-  isPending: ({ committed, newest }: VoterSituation): boolean =>
-    committed.length !== newest.length || committed.some((id) => !newest.includes(id)),
+  isPending: ({ committed, latest }: VoterSituation): boolean =>
+    committed.length !== latest.length || committed.some((id) => !latest.includes(id)),
 
   /**
    * The next voters, or undefined if they should stay as they are. A lost voter is removed before its successor is
@@ -49,9 +49,9 @@
   },
 
   /** The voter to remove now, if any. @example VoterSelection.toRemove(situation) */
-  toRemove({ self, committed, wanted, emptied, unavailable, standbys, lag }: VoterSituation): string | undefined {
+  toRemove({ self, committed, wanted, diskLost, unavailable, standbys, lag }: VoterSituation): string | undefined {
     const others = committed.filter((id) => id !== self);
-    const withoutDisk = others.find((id) => emptied.includes(id));
+    const withoutDisk = others.find((id) => diskLost.includes(id));
     if (withoutDisk !== undefined) return withoutDisk;
     const silent = others.find((id) => unavailable.includes(id));
     const isSurplus = committed.length > wanted;
--- a/src/controlState/command.ts
+++ b/src/controlState/command.ts
@@ -24,7 +24,7 @@
 }
 
 /** First entry of the log. */
-export interface FoundCommand {
+export interface BootstrapCommand {
   tag: "found";
   /** Id of the consensus group. */
   group: string;
@@ -128,7 +128,7 @@
 /** What the consensus log replicates. Tags and fields are stored in the log and sent between voters. */
 export type Command =
   | NoopCommand
-  | FoundCommand
+  | BootstrapCommand
   | VotersCommand
   | ConfigurationCommand
   | PatchCommand
--- a/src/controlState/controlStateMachine.ts
+++ b/src/controlState/controlStateMachine.ts
@@ -1,5 +1,5 @@
 import { applyCancel, applySchedule, applyTransition } from "./calendarCommands";
-import type { Command, FoundCommand, Outcome, PoliciesCommand, ShardViewCommand, VotersCommand } from "./command";
+import type { Command, BootstrapCommand, Outcome, PoliciesCommand, ShardViewCommand, VotersCommand } from "./command";
 import { changeDocument, replaceConfiguration } from "./compareAndSet";
 import { ConfigurationPatch } from "./configurationPatch";
 import { ControlSnapshot } from "./controlSnapshot";
@@ -10,7 +10,7 @@
 
 const CONTROL_GROUP = "control group";
 
-function applyFound(state: ControlState, index: number, { group, voters }: FoundCommand): Outcome {
+function applyBootstrap(state: ControlState, index: number, { group, voters }: BootstrapCommand): Outcome {
   state.group = group;
   state.voters = voters;
   const decision = `founded with voters ${voters.join(", ")}`;
@@ -46,7 +46,7 @@
     case "noop":
       return { tag: "done", version: index };
     case "found":
-      return applyFound(state, index, command);
+      return applyBootstrap(state, index, command);
     case "voters":
       return applyVoters(state, index, command);
     case "manifest":
--- a/test/concurrentChanges.test.ts
+++ b/test/concurrentChanges.test.ts
@@ -13,7 +13,7 @@
     const fleet = new ControlFleet(8, { controls: 4 });
     await fleet.run(3000);
     const put = async (version: number, ifVersion: number): Promise<number> =>
-      (await fleet.ask("PUT", "/v1/manifest", configuration(version), { "if-match": String(ifVersion) })).status;
+      (await fleet.send("PUT", "/v1/manifest", configuration(version), { "if-match": String(ifVersion) })).status;
     expect([await put(9, 5), await put(5, 0), await put(9, 5), await put(7, 5)]).toEqual([503, 200, 200, 412]);
     expect(fleet.close()).toEqual([]);
   });
@@ -24,8 +24,8 @@
     group.propose = function* () {
       return Fault.fail("conflict", "propose", "x", "entry was replaced");
     };
-    const put = await fleet.ask("PUT", "/v1/manifest", configuration(1), { "if-match": "0" });
-    const drain = await fleet.ask("POST", "/v1/districts/north/drain");
+    const put = await fleet.send("PUT", "/v1/manifest", configuration(1), { "if-match": "0" });
+    const drain = await fleet.send("POST", "/v1/districts/north/drain");
     expect([put.status, drain.status]).toEqual([504, 504]);
     expect(fleet.close()).toEqual([]);
   });
--- a/test/controlFleet.ts
+++ b/test/controlFleet.ts
@@ -8,7 +8,7 @@
 import { SimDisk } from "../src/simulation/simDisk";
 import { SimProcess, SimWorld } from "../src/simulation/simWorld";
 
-export type Answer = { status: number; body: any; headers: Record<string, string> };
+export type OperatorResponse = { status: number; body: any; headers: Record<string, string> };
 type Options = {
   controls?: number;
   stores?: number;
@@ -16,7 +16,7 @@
   ingresses?: number;
   founders?: number;
   losses?: number;
-  shapes?: (settings: Settings) => ProtocolAdapters;
+  adaptersFor?: (settings: Settings) => ProtocolAdapters;
   log?: (line: string) => void;
 };
 const zones = ["north", "east", "south", "west"];
@@ -97,7 +97,7 @@
     const process = this.world.start(name, disk);
     const fleet = this;
     Csp.go(process.scope, "main", function* () {
-      const started = yield* Daemon.start(process.env, settings, fleet.options.shapes?.(settings));
+      const started = yield* Daemon.start(process.env, settings, fleet.options.adaptersFor?.(settings));
       if (started.ok) fleet.running.set(name, started.value);
       else fleet.errors.push(`${name}: ${started.fault.detail}`);
     });
@@ -122,20 +122,20 @@
     this.kill(name);
   }
   /** Started again, after a first start of all: it founds nothing. @example fleet.restart("control-1", { empty: true, moved: true }); */
-  restart(name: string, how: { empty?: boolean; moved?: boolean; seeds?: string[] } = {}): void {
+  restart(name: string, how: { withEmptyDisk?: boolean; atNewAddress?: boolean; seeds?: string[] } = {}): void {
     const settings = this.settings.get(name)!;
-    if (how.empty) this.disks.get(name)?.wipe();
+    if (how.withEmptyDisk) this.disks.get(name)?.wipe();
     const founders = settings.program === "control" ? { founders: [] } : {};
     this.settings.set(name, {
       ...settings,
       ...founders,
-      ...(how.moved ? this.place() : {}),
+      ...(how.atNewAddress ? this.place() : {}),
       ...(how.seeds ? { seeds: how.seeds } : {}),
     });
     this.start(name);
   }
   /** A machine like another, empty, at a new address. @example fleet.add("control-1", "control-5", "north"); */
-  add(like: string, name: string, zone?: string): void {
+  addMachine(like: string, name: string, zone?: string): void {
     const settings = this.settings.get(like)!;
     const founders = settings.program === "control" ? { founders: [] } : {};
     this.settings.set(name, {
@@ -149,13 +149,13 @@
     this.start(name);
   }
   /** Settings files name living machines, three of them from the given one on, as the operator's list has them. @example fleet.reseed(); */
-  reseed(start = 0): void {
+  updateSeeds(start = 0): void {
     const addresses = this.names("control").map((name) => this.settings.get(name)!.address);
     const seeds = [0, 1, 2].map((at) => addresses[(start + at) % addresses.length]);
     for (const settings of this.settings.values()) settings.seeds?.splice(0, settings.seeds.length, ...seeds);
   }
   /** Cuts machines off from all others, and leaves the operator a way to both sides. @example fleet.cutOff(["control-1"], "in"); */
-  cutOff(island: string[], way: "in" | "out" | "both" = "both"): void {
+  partition(island: string[], way: "in" | "out" | "both" = "both"): void {
     for (const inside of island)
       for (const outside of [...this.settings.keys()].filter((name) => !island.includes(name))) {
         if (way !== "in") this.world.partition(inside, outside);
@@ -176,13 +176,13 @@
     return undefined;
   }
   /** Asks one address as an operator or a replica would; status 0: no answer. @example await fleet.ask("GET", "/v1/manifest") */
-  async ask(
+  async send(
     method: string,
     path: string,
     body?: unknown,
     headers: Record<string, string> = {},
     address?: string,
-  ): Promise<Answer> {
+  ): Promise<OperatorResponse> {
     const { env } = this.operator;
     const up = this.names("control").find((name) => this.running.has(name));
     const to = address ?? (up ? this.settings.get(up)!.http : "127.0.0.1:1");
--- a/test/controlGroupRestart.test.ts
+++ b/test/controlGroupRestart.test.ts
@@ -6,8 +6,8 @@
   bindings: { a: { kind: "lookup", pool: "p", path } },
 });
 const put = async (fleet: ControlFleet, version: number, ifVersion: number): Promise<number> =>
-  (await fleet.ask("PUT", "/v1/manifest", configuration(version), { "if-match": String(ifVersion) })).status;
-const inForce = async (fleet: ControlFleet): Promise<number> => (await fleet.ask("GET", "/v1/manifest")).body.version;
+  (await fleet.send("PUT", "/v1/manifest", configuration(version), { "if-match": String(ifVersion) })).status;
+const inForce = async (fleet: ControlFleet): Promise<number> => (await fleet.send("GET", "/v1/manifest")).body.version;
 
 describe("restart of the whole control group", () => {
   test("after a power loss and at other addresses a leader is elected within two seconds, and acknowledged changes stay", async () => {
@@ -19,7 +19,7 @@
       await fleet.run(1000);
       const seeds: string[] = [];
       for (const name of fleet.names("control")) {
-        fleet.restart(name, { moved: true, seeds });
+        fleet.restart(name, { atNewAddress: true, seeds });
         if (seeds.length < 3) seeds.push(fleet.settings.get(name)!.address);
       }
       expect(await fleet.until(() => fleet.leader() !== undefined, 5000)).toBeLessThan(2000);
--- a/test/controlShutdown.test.ts
+++ b/test/controlShutdown.test.ts
@@ -41,7 +41,7 @@
         fleet.restart(name);
         await fleet.run(1200);
         const change = { version: version + 1, bindings: {} };
-        const put = await fleet.ask("PUT", "/v1/manifest", change, { "if-match": String(version) });
+        const put = await fleet.send("PUT", "/v1/manifest", change, { "if-match": String(version) });
         expect([seed, name, put.status]).toEqual([seed, name, 200]);
         version += 1;
       }
--- a/test/cutOff.test.ts
+++ b/test/cutOff.test.ts
@@ -1,15 +1,15 @@
 import { StorageNode } from "../src/storage/storageNode";
 import { ControlFleet } from "./controlFleet";
 
-type Way = "in" | "out" | "both";
+type PartitionDirection = "in" | "out" | "both";
 /** The newest version that was acknowledged counts after this long, ms: `config_apply_ms`. */
-const applyMs = 2000;
+const CONFIGURATION_APPLY_MS = 2000;
 const route = { kind: "lookup", pool: "p", path: "/x" };
 const http = (fleet: ControlFleet, name: string): string => fleet.settings.get(name)!.http;
 const put = async (fleet: ControlFleet, version: number, at: string): Promise<number> => {
   const routes = { [`only-in-${version}`]: route };
   const headers = { "if-match": String(version - 1) };
-  return (await fleet.ask("PUT", "/v1/manifest", { version, bindings: routes }, headers, http(fleet, at))).status;
+  return (await fleet.send("PUT", "/v1/manifest", { version, bindings: routes }, headers, http(fleet, at))).status;
 };
 const versionAt = (fleet: ControlFleet, name: string): number =>
   fleet.ingress(name)?.snapshot().control?.manifest.version ?? 0;
@@ -20,7 +20,7 @@
 const allServe = (fleet: ControlFleet, version: number): boolean =>
   fleet.names("ingress").every((name) => servesVersion(fleet, name, version));
 
-async function started(seed: number, ingresses = 4): Promise<ControlFleet> {
+async function startFleet(seed: number, ingresses = 4): Promise<ControlFleet> {
   const fleet = new ControlFleet(seed, { controls: 4, ingresses });
   expect(await fleet.until(() => fleet.leader() !== undefined, 5000)).toBeDefined();
   expect(await fleet.until(async () => (await put(fleet, 1, fleet.leader()!)) === 200, 8000)).toBeDefined();
@@ -30,17 +30,17 @@
 const isVoter = (fleet: ControlFleet, name: string): boolean =>
   fleet.control(fleet.leader()!)!.group.voters().includes(fleet.control(name)!.node.self.id);
 /** The lead, or a voter that does not lead. */
-const victim = (fleet: ControlFleet, leading: boolean): string =>
+const controlTarget = (fleet: ControlFleet, leading: boolean): string =>
   leading ? fleet.leader()! : fleet.names("control").find((name) => name !== fleet.leader() && isVoter(fleet, name))!;
 /** A change by the side that holds the majority, once it has a lead. */
-async function changeOutside(fleet: ControlFleet, island: string[], version: number): Promise<void> {
+async function putFromMajority(fleet: ControlFleet, island: string[], version: number): Promise<void> {
   const outside = fleet.names("control").find((name) => !island.includes(name))!;
   const leaders = (): boolean => fleet.leader() !== undefined && !island.includes(fleet.leader()!);
   expect(await fleet.until(leaders, 8000)).toBeDefined();
   expect(await fleet.until(async () => (await put(fleet, version, outside)) === 200, 5000)).toBeDefined();
 }
 /** Which of these served anything but the newest while time passed. */
-async function servedOld(fleet: ControlFleet, names: string[], version: number, ms: number): Promise<string[]> {
+async function findStaleServing(fleet: ControlFleet, names: string[], version: number, ms: number): Promise<string[]> {
   const old = new Set<string>();
   for (const until = fleet.world.now + ms; fleet.world.now < until; await fleet.run(40))
     for (const name of names)
@@ -52,7 +52,7 @@
 const wake = (fleet: ControlFleet, name: string): void => fleet.world.processes.get(name)!.wake();
 
 describe("cut off from the majority of the control group", () => {
-  const cases: { seed: number; way: Way; resets: boolean; leading: boolean; cutMs: number }[] = [
+  const cases: { seed: number; way: PartitionDirection; resets: boolean; leading: boolean; cutMs: number }[] = [
     { seed: 1, way: "both", resets: false, leading: false, cutMs: 20_000 },
     { seed: 2, way: "both", resets: true, leading: true, cutMs: 20_000 },
     { seed: 3, way: "in", resets: false, leading: true, cutMs: 20_000 },
@@ -63,29 +63,29 @@
   test.each(cases)(
     "who starts or thaws there serves nothing, who runs on goes on, all have the newest after the heal: %j",
     async ({ seed, way, resets, leading, cutMs }) => {
-      const fleet = await started(seed);
+      const fleet = await startFleet(seed);
       fleet.world.partitionsReset = resets;
-      const control = victim(fleet, leading);
+      const control = controlTarget(fleet, leading);
       const island = [control, "ingress-1", "ingress-2", "ingress-3"];
-      fleet.cutOff(island, way);
+      fleet.partition(island, way);
       freeze(fleet, "ingress-2");
-      await changeOutside(fleet, island, 2);
-      await fleet.run(applyMs);
+      await putFromMajority(fleet, island, 2);
+      await fleet.run(CONFIGURATION_APPLY_MS);
       wake(fleet, "ingress-2");
       // its list of seeds begins with the machine that is cut off
       const seeds = [control, ...fleet.names("control").filter((name) => name !== control)].slice(0, 3);
       fleet.kill("ingress-1");
       fleet.restart("ingress-1", { seeds: seeds.map((name) => fleet.settings.get(name)!.address) });
-      const early = await servedOld(fleet, ["ingress-1", "ingress-2", "ingress-4"], 2, cutMs / 2);
+      const early = await findStaleServing(fleet, ["ingress-1", "ingress-2", "ingress-4"], 2, cutMs / 2);
       // the control member too, with all that its disk holds; whoever starts beside it learns nothing better
       fleet.kill(control);
       fleet.restart(control);
       fleet.kill("ingress-1");
       fleet.restart("ingress-1");
-      const late = await servedOld(fleet, ["ingress-1", "ingress-2", "ingress-4"], 2, cutMs / 2);
+      const late = await findStaleServing(fleet, ["ingress-1", "ingress-2", "ingress-4"], 2, cutMs / 2);
       expect([...early, ...late]).toEqual([]);
       // it has nothing to do with the cut, and is told at once rather than left to wait
-      const refused = await fleet.ask("POST", "/v1/requests/only-in-1", "q", {}, http(fleet, "ingress-1"));
+      const refused = await fleet.send("POST", "/v1/requests/only-in-1", "q", {}, http(fleet, "ingress-1"));
       expect([refused.status, Number(refused.headers["retry-after"])]).toEqual([503, 1]);
       expect([serves(fleet, "ingress-3"), versionAt(fleet, "ingress-3")]).toEqual([true, 1]);
       fleet.world.heal();
@@ -98,7 +98,7 @@
 
 describe("no lead anywhere", () => {
   test("who runs on goes on serving, who starts waits for a majority, and serves soon after there is one", async () => {
-    const fleet = await started(11, 3);
+    const fleet = await startFleet(11, 3);
     const voters = fleet.names("control").filter((name) => isVoter(fleet, name));
     const lost = voters.slice(0, 2);
     for (const name of lost) fleet.kill(name);
@@ -116,7 +116,7 @@
   });
   test("after a loss of power of all, service comes as soon as the lead", async () => {
     for (const seed of [21, 22, 23]) {
-      const fleet = await started(seed);
+      const fleet = await startFleet(seed);
       const names = [...fleet.settings.keys()];
       for (const name of names) fleet.kill(name, true);
       await fleet.run(1000);
@@ -130,7 +130,7 @@
 
 describe("freezes", () => {
   test("a thaw in calm times costs a moment", async () => {
-    const fleet = await started(31);
+    const fleet = await startFleet(31);
     for (let round = 0; round < 8; round += 1) {
       freeze(fleet, "ingress-1");
       await fleet.run(1500 + 400 * round);
@@ -142,20 +142,20 @@
   });
   test("responses that lay in a frozen process confirm nothing when it thaws", async () => {
     for (const seed of [41, 43, 45]) {
-      const fleet = await started(seed, 2);
+      const fleet = await startFleet(seed, 2);
       fleet.kill("ingress-1");
       fleet.restart("ingress-1");
       // its first requests are on their way, or just answered
       await fleet.run(20 + 60 * (seed - 41));
       freeze(fleet, "ingress-1");
       await fleet.run(300);
-      const island = [victim(fleet, true), "ingress-1"];
-      fleet.cutOff(island);
-      await changeOutside(fleet, island, 2);
-      await fleet.run(applyMs);
+      const island = [controlTarget(fleet, true), "ingress-1"];
+      fleet.partition(island);
+      await putFromMajority(fleet, island, 2);
+      await fleet.run(CONFIGURATION_APPLY_MS);
       wake(fleet, "ingress-1");
       expect(fleet.ingress("ingress-1") ? serves(fleet, "ingress-1") : false).toBe(false);
-      expect(await servedOld(fleet, ["ingress-1"], 2, 8000)).toEqual([]);
+      expect(await findStaleServing(fleet, ["ingress-1"], 2, 8000)).toEqual([]);
       fleet.close();
     }
   });
@@ -169,8 +169,8 @@
   };
   expect(await fleet.until(() => fleet.leader() !== undefined, 5000)).toBeDefined();
   expect(await fleet.until(() => fleet.names("store").every(vouches), 5000)).toBeDefined();
-  const control = victim(fleet, false);
-  fleet.cutOff([control, "store-1", "store-2"]);
+  const control = controlTarget(fleet, false);
+  fleet.partition([control, "store-1", "store-2"]);
   fleet.kill("store-1");
   fleet.restart("store-1", { seeds: [fleet.settings.get(control)!.address] });
   for (let at = 0; at < 200; at += 1) {
@@ -183,10 +183,10 @@
 });
 
 test("an ingress that starts beside an agent which runs on asks for itself", async () => {
-  const fleet = await started(61, 1);
-  fleet.add("ingress-1", "agent-1");
+  const fleet = await startFleet(61, 1);
+  fleet.addMachine("ingress-1", "agent-1");
   Object.assign(fleet.settings.get("agent-1")!, { program: "agent" });
-  fleet.add("ingress-1", "ingress-2");
+  fleet.addMachine("ingress-1", "ingress-2");
   fleet.kill("agent-1");
   fleet.kill("ingress-2");
   fleet.start("agent-1");
@@ -195,13 +195,13 @@
   beside.agent = fleet.settings.get("agent-1")!.address;
   fleet.start("ingress-2");
   expect(await fleet.until(() => serves(fleet, "ingress-2"), 5000)).toBeDefined();
-  const island = [victim(fleet, false), "agent-1", "ingress-2"];
-  fleet.cutOff(island);
-  await changeOutside(fleet, island, 2);
-  await fleet.run(applyMs);
+  const island = [controlTarget(fleet, false), "agent-1", "ingress-2"];
+  fleet.partition(island);
+  await putFromMajority(fleet, island, 2);
+  await fleet.run(CONFIGURATION_APPLY_MS);
   fleet.kill("ingress-2");
   fleet.start("ingress-2");
-  expect(await servedOld(fleet, ["ingress-2"], 2, 10_000)).toEqual([]);
+  expect(await findStaleServing(fleet, ["ingress-2"], 2, 10_000)).toEqual([]);
   fleet.world.heal();
   expect(await fleet.until(() => servesVersion(fleet, "ingress-2", 2), 5000)).toBeLessThan(3000);
   expect(fleet.close()).toEqual([]);
@@ -211,8 +211,8 @@
  * Cuts, heals, starts, freezes and changes at random. Whoever serves has what was acknowledged before it started or
  * thawed, and never goes back. More by PETRELBEAM_CUT_WALKS.
  */
-async function walk(seed: number): Promise<string[]> {
-  const fleet = await started(seed, 3);
+async function runRandomWalk(seed: number): Promise<string[]> {
+  const fleet = await startFleet(seed, 3);
   const random = (count: number): number => Math.floor(fleet.operator.env.random() * count);
   const owed = new Map(fleet.names("ingress").map((name) => [name, 1]));
   const reached = new Map(fleet.names("ingress").map((name) => [name, 1]));
@@ -228,7 +228,7 @@
       case 0:
         inside = ingress;
         fleet.world.partitionsReset = random(2) === 0;
-        fleet.cutOff([control, inside], (["in", "out", "both"] as const)[random(3)]);
+        fleet.partition([control, inside], (["in", "out", "both"] as const)[random(3)]);
         break;
       case 1:
         fleet.world.heal();
@@ -274,5 +274,5 @@
 test("random walks of cuts, starts and freezes: nothing older is served than was acknowledged before", async () => {
   const walks = Number(process.env.PETRELBEAM_CUT_WALKS ?? 2);
   // the seventh finds the fault that this file was written for
-  for (let seed = 7; seed < 7 + walks; seed += 1) expect([seed, await walk(seed)]).toEqual([seed, []]);
+  for (let seed = 7; seed < 7 + walks; seed += 1) expect([seed, await runRandomWalk(seed)]).toEqual([seed, []]);
 }, 3_600_000);
--- a/test/drainOrders.test.ts
+++ b/test/drainOrders.test.ts
@@ -2,7 +2,7 @@
 import { Command } from "../src/controlState/command";
 import { ControlRequest } from "../src/node/controlRequest";
 import { Rpc } from "../src/rpc/rpc";
-import { Answer, ControlFleet } from "./controlFleet";
+import { OperatorResponse, ControlFleet } from "./controlFleet";
 
 const configuration = (version: number, path = "/x"): Record<string, unknown> => ({
   version,
@@ -12,8 +12,13 @@
 describe("drain orders", () => {
   const at = (fleet: ControlFleet, name: string): string => fleet.settings.get(name)!.http;
   const drained = (fleet: ControlFleet): string[] => fleet.control(fleet.leader()!)!.group.state.drained;
-  const order = (fleet: ControlFleet, method: string, name = "control-1", changeId?: string): Promise<Answer> =>
-    fleet.ask(
+  const order = (
+    fleet: ControlFleet,
+    method: string,
+    name = "control-1",
+    changeId?: string,
+  ): Promise<OperatorResponse> =>
+    fleet.send(
       method,
       "/v1/districts/north/drain",
       undefined,
@@ -104,7 +109,7 @@
       const other = fleet.names("control").find((name) => name !== leader)!;
       expect(
         (
-          await fleet.ask(
+          await fleet.send(
             "PUT",
             "/v1/manifest",
             configuration(round + 1),
--- a/test/golden/goldenFleet.ts
+++ b/test/golden/goldenFleet.ts
@@ -7,7 +7,7 @@
 import { EventStandIn } from "../../src/tools/eventStandIn";
 import { EndpointSettings, StandInEndpoint } from "../../src/tools/standInEndpoint";
 import { Rpc } from "../../src/rpc/rpc";
-import { Answer, ControlFleet } from "../controlFleet";
+import { OperatorResponse, ControlFleet } from "../controlFleet";
 import { Exchange } from "./exchange";
 
 type CallOptions = { body?: unknown; headers?: Record<string, string>; at?: string; address?: string; label?: string };
@@ -41,7 +41,7 @@
   /** Sends a request to a process and keeps the exchange. @example await golden.call("GET", "/livez", { at: "store-1" }) */
   call = async (method: string, target: string, options: CallOptions = {}): Promise<Exchange> => {
     const address = options.address ?? this.http(options.at ?? "control-1");
-    const answer = await this.fleet.ask(method, target, options.body, options.headers ?? {}, address);
+    const answer = await this.fleet.send(method, target, options.body, options.headers ?? {}, address);
     const label = options.label ?? (options.at ?? "control-1").split("-")[0];
     const exchange: Exchange = { request: `${method} ${target} ${label}`, ...answer };
     this.exchanges.push(exchange);
@@ -50,9 +50,9 @@
   /** Repeats a call that is not kept until it succeeds. @example await golden.waitFor("GET", "/readyz", { at: "ingress-1" }) */
   async waitFor(method: string, target: string, options: CallOptions = {}): Promise<void> {
     const address = options.address ?? this.http(options.at ?? "control-1");
-    let last: Answer | undefined;
+    let last: OperatorResponse | undefined;
     for (let attempt = 0; attempt < 60; attempt += 1) {
-      const answer = await this.fleet.ask(method, target, options.body, options.headers ?? {}, address);
+      const answer = await this.fleet.send(method, target, options.body, options.headers ?? {}, address);
       if (answer.status >= 200 && answer.status < 300) return;
       last = answer;
       await this.fleet.run(250);
--- a/test/golden/productRun.ts
+++ b/test/golden/productRun.ts
@@ -179,7 +179,7 @@
 async function loseStores({ fleet, call }: GoldenFleet): Promise<void> {
   fleet.kill("store-3", true);
   await call("POST", "/v1/lots", { at: "ingress-1", body: { id: "lot-6", binding: "confirm", items: [1, 2] } });
-  fleet.restart("store-3", { empty: true });
+  fleet.restart("store-3", { withEmptyDisk: true });
   await fleet.run(5000);
   const stores = ["store-1", "store-2", "store-3"];
   for (const name of stores) fleet.kill(name, true);
--- a/test/operatorRaceCampaign.ts
+++ b/test/operatorRaceCampaign.ts
@@ -326,9 +326,13 @@
     else if (kind === "cut" || kind === "deaf") world.heal();
     else if (kind === "replace") {
       fleet.settings.delete(name);
-      fleet.add(fleet.names("control")[0], `control-${10 + (this.added += 1)}`);
-    } else fleet.restart(name, { empty: kind.startsWith("wipe"), moved: kind === "power" && this.random() < 0.3 });
-    fleet.reseed(Math.floor(this.random() * 9));
+      fleet.addMachine(fleet.names("control")[0], `control-${10 + (this.added += 1)}`);
+    } else
+      fleet.restart(name, {
+        withEmptyDisk: kind.startsWith("wipe"),
+        atNewAddress: kind === "power" && this.random() < 0.3,
+      });
+    fleet.updateSeeds(Math.floor(this.random() * 9));
     window.to = world.now;
     await fleet.run(bounds.syncMs);
     this.lostNodes.delete(name);
@@ -347,9 +351,9 @@
     const wiped = new Set<string>();
     while (wiped.size < this.losses) wiped.add(this.pick(fleet.names("control")));
     const from = fleet.world.now;
-    for (const name of [...fleet.settings.keys()]) fleet.restart(name, { empty: wiped.has(name) });
+    for (const name of [...fleet.settings.keys()]) fleet.restart(name, { withEmptyDisk: wiped.has(name) });
     this.log(`back, ${[...wiped].join(" and ")} empty`);
-    const back = await fleet.until(async () => (await fleet.ask("GET", "/v1/manifest")).status === 200, 15_000, 50);
+    const back = await fleet.until(async () => (await fleet.send("GET", "/v1/manifest")).status === 200, 15_000, 50);
     return back === undefined ? Infinity : fleet.world.now - from;
   }
   private checkFinalRead(read: ConfigurationBody | undefined): void {
@@ -392,7 +396,7 @@
     const backAfterMs = await this.loseAllPower();
     if (backAfterMs > bounds.backMs) this.violations.push(`the manifest came back after ${backAfterMs.toFixed(0)} ms`);
     const readAt = fleet.world.now;
-    const read = await fleet.ask("GET", "/v1/manifest");
+    const read = await fleet.send("GET", "/v1/manifest");
     const body = read.status === 200 ? (read.body as ConfigurationBody) : undefined;
     this.checkFinalRead(body);
     if (body) this.recordRead(body, readAt);
--- a/test/replicaRecoveryTrial.ts
+++ b/test/replicaRecoveryTrial.ts
@@ -81,8 +81,8 @@
     await fleet.run(trial.downMs);
     if (trial.kind === "replaced") {
       fleet.settings.delete(victim);
-      fleet.add(fleet.names("store")[0], `${victim}-successor`);
-    } else fleet.restart(victim, { empty: trial.kind === "wiped" });
+      fleet.addMachine(fleet.names("store")[0], `${victim}-successor`);
+    } else fleet.restart(victim, { withEmptyDisk: trial.kind === "wiped" });
     if (trial.allPower) for (const name of others) fleet.restart(name);
     const times: RecoveryTimes = { leftOutMs: undefined, completeMs: undefined };
     const from = fleet.world.now;
--- a/test/storeRetirement.test.ts
+++ b/test/storeRetirement.test.ts
@@ -1,14 +1,14 @@
 import { Constants } from "../src/common/constants";
-import { Answer, ControlFleet } from "./controlFleet";
+import { OperatorResponse, ControlFleet } from "./controlFleet";
 import { ReplicaRecovery } from "./replicaRecoveryTrial";
 
 const { hasAllReplicas, intactReplicas, store, views } = ReplicaRecovery;
 const entryState = async (fleet: ControlFleet, name: string): Promise<string> =>
-  (await fleet.ask("GET", `/v1/stores/${name}/retirement`)).body.fate;
+  (await fleet.send("GET", `/v1/stores/${name}/retirement`)).body.fate;
 
 describe("retirement orders", () => {
-  const retire = (fleet: ControlFleet, name: string, method = "POST"): Promise<Answer> =>
-    fleet.ask(method, `/v1/stores/${name}/retirement`);
+  const retire = (fleet: ControlFleet, name: string, method = "POST"): Promise<OperatorResponse> =>
+    fleet.send(method, `/v1/stores/${name}/retirement`);
   const complete = async (fleet: ControlFleet, name: string): Promise<boolean> =>
     (await retire(fleet, name, "GET")).body.fate === "finished";
   const storesKnown = (fleet: ControlFleet): string[] =>
@@ -41,7 +41,7 @@
     fleet.kill("store-2", true);
     // the wall clocks are put back by an hour: the newest order is told by the log
     for (const process of fleet.world.processes.values()) process.skewMs -= 3_600_000;
-    fleet.restart("store-2", { empty: true, moved: true });
+    fleet.restart("store-2", { withEmptyDisk: true, atNewAddress: true });
     await fleet.run(8000);
     expect((await retire(fleet, "store-2", "GET")).status).toBe(404);
     expect((await retire(fleet, "store-2")).status).toBe(200);
@@ -56,7 +56,7 @@
   test("a complete retirement is incomplete once a replica elsewhere is down, and complete again when it is replaced", async () => {
     const fleet = new ControlFleet(41, { controls: 4, stores: 5 });
     expect(await fleet.until(() => hasAllReplicas(fleet), 12_000, 50)).toBeDefined();
-    expect((await fleet.ask("POST", "/v1/stores/store-1/retirement")).status).toBe(200);
+    expect((await fleet.send("POST", "/v1/stores/store-1/retirement")).status).toBe(200);
     expect(
       await fleet.until(async () => (await entryState(fleet, "store-1")) === "finished", 20_000, 50),
     ).toBeDefined();
@@ -70,7 +70,7 @@
     // its machine may go now, and another lose its disk right after: nothing is lost
     fleet.kill("store-1", true);
     fleet.kill("store-3", true);
-    fleet.restart("store-3", { empty: true });
+    fleet.restart("store-3", { withEmptyDisk: true });
     expect(await fleet.until(() => hasAllReplicas(fleet), 20_000, 50)).toBeDefined();
     expect(fleet.close()).toEqual([]);
   });
@@ -78,7 +78,7 @@
     for (let seed = 1; seed <= 6; seed += 1) {
       const fleet = new ControlFleet(seed, { controls: 3, stores: 5 });
       expect(await fleet.until(() => hasAllReplicas(fleet), 12_000, 50)).toBeDefined();
-      expect((await fleet.ask("POST", "/v1/stores/store-1/retirement")).status).toBe(200);
+      expect((await fleet.send("POST", "/v1/stores/store-1/retirement")).status).toBe(200);
       const retired = store(fleet, "store-1")!.node.self.id;
       const replicasLeft = (): number => views(fleet).filter((view) => view.members.includes(retired)).length;
       expect(await fleet.until(() => replicasLeft() <= 1, 20_000, 5)).toBeDefined();
--- a/test/voterManagement.test.ts
+++ b/test/voterManagement.test.ts
@@ -7,8 +7,8 @@
   bindings: { a: { kind: "lookup", pool: "p", path } },
 });
 const put = async (fleet: ControlFleet, version: number, ifVersion: number): Promise<number> =>
-  (await fleet.ask("PUT", "/v1/manifest", configuration(version), { "if-match": String(ifVersion) })).status;
-const inForce = async (fleet: ControlFleet): Promise<number> => (await fleet.ask("GET", "/v1/manifest")).body.version;
+  (await fleet.send("PUT", "/v1/manifest", configuration(version), { "if-match": String(ifVersion) })).status;
+const inForce = async (fleet: ControlFleet): Promise<number> => (await fleet.send("GET", "/v1/manifest")).body.version;
 /** Voters by the leader's log, as ids, and the names of those that live. */
 const voters = (fleet: ControlFleet): { ids: string[]; living: string[] } => {
   const leader = fleet.leader();
@@ -62,7 +62,7 @@
     const group = fleet.control(leader)!.group;
     fleet.kill(down);
     fleet.kill(gone, true);
-    fleet.restart(gone, { empty: true });
+    fleet.restart(gone, { withEmptyDisk: true });
     await fleet.run(4000);
     // of the three voters one is left: nothing may be acknowledged, though two machines are up
     expect([503, 504]).toContain(await put(fleet, 2, 1));
@@ -87,12 +87,12 @@
     const [leader, gone] = [fleet.leader()!, living.find((name) => name !== fleet.leader())!];
     fleet.kill(standby);
     fleet.kill(gone, true);
-    fleet.restart(gone, { empty: true });
+    fleet.restart(gone, { withEmptyDisk: true });
     fleet.world.partition(leader, gone); // the others tell of it; the lead can't bring it the log
     await fleet.run(6000);
     expect(voters(fleet).ids).not.toContain(fleet.control(gone)!.node.self.id);
     expect(
-      (await fleet.ask("PUT", "/v1/manifest", configuration(2), { "if-match": "1" }, fleet.settings.get(leader)!.http))
+      (await fleet.send("PUT", "/v1/manifest", configuration(2), { "if-match": "1" }, fleet.settings.get(leader)!.http))
         .status,
     ).toBe(200);
     fleet.world.heal();
@@ -110,8 +110,8 @@
       const name = round % 2 === 0 ? fleet.leader()! : living.find((each) => each !== fleet.leader())!;
       fleet.kill(name, true);
       fleet.settings.delete(name);
-      fleet.reseed(round);
-      fleet.add(fleet.names("control")[0], `control-${10 + round}`);
+      fleet.updateSeeds(round);
+      fleet.addMachine(fleet.names("control")[0], `control-${10 + round}`);
       const took = await fleet.until(() => hasLiveVoters(fleet, 3), 8000);
       expect(took).toBeLessThan(5000);
       expect(await inForce(fleet)).toBe(version);
--- a/test/voterRecovery.test.ts
+++ b/test/voterRecovery.test.ts
@@ -2,14 +2,15 @@
 import { VoterRecovery, RecoveryTimes, VoterTrial } from "./voterRecoveryTrial";
 
 /** Trials for each size of group; `VOTER_SEEDS=500` plays the long campaign and prints its figures. */
-const seeds = +(process.env.VOTER_SEEDS ?? 12);
+const TRIAL_COUNT = +(process.env.VOTER_SEEDS ?? 12);
 /** Well inside `sync_time_s`: a machine counts as lost until that long after its return. */
-const limitMs = 3500;
+const RECOVERY_LIMIT_MS = 3500;
 
 describe.each([1, 2])("a voter that lost its disk, with %d losses tolerated", (losses) => {
   test("the group has all its voters again, caught up, before the next loss may come", async () => {
     const all: { trial: VoterTrial; times: RecoveryTimes }[] = [];
-    for (const trial of VoterRecovery.trials(seeds, losses)) all.push({ trial, times: await VoterRecovery.run(trial) });
+    for (const trial of VoterRecovery.trials(TRIAL_COUNT, losses))
+      all.push({ trial, times: await VoterRecovery.run(trial) });
     if (process.env.VOTER_SEEDS) {
       console.log(`${losses} losses: ${VoterRecovery.summary(all)}`);
       for (const kind of ["wiped", "replaced"] as const) {
@@ -22,7 +23,8 @@
       if (both.length > 0) console.log(`two at once: ${VoterRecovery.summary(both)}`);
     }
     const failed = all.filter(
-      ({ times }) => !(times.completeMs! <= limitMs) || times.nextLeaderMs === undefined || times.changeStatus !== 200,
+      ({ times }) =>
+        !(times.completeMs! <= RECOVERY_LIMIT_MS) || times.nextLeaderMs === undefined || times.changeStatus !== 200,
     );
     expect(failed).toEqual([]);
   }, 3_600_000);
@@ -47,7 +49,7 @@
       // two voters are left, so that nothing is committed without the leader's own disk
       fleet.disks.get(leader)!.syncMs = [7000, 0];
       fleet.kill(victim, true);
-      fleet.restart(victim, { empty: true });
+      fleet.restart(victim, { withEmptyDisk: true });
       let most = 0;
       await fleet.until(
         () => {
@@ -67,11 +69,11 @@
     for (const seed of [1, 2, 3, 4]) {
       const fleet = new ControlFleet(seed, { controls: 3 });
       await fleet.run(3000);
-      const [victim] = VoterRecovery.pick(fleet, "follower", 1);
+      const [victim] = VoterRecovery.selectVoters(fleet, "follower", 1);
       fleet.kill(victim, true);
       fleet.settings.delete(victim);
-      fleet.reseed();
-      fleet.add(fleet.names("control")[0], "successor");
+      fleet.updateSeeds();
+      fleet.addMachine(fleet.names("control")[0], "successor");
       const isVoter = (): boolean =>
         fleet
           .control(fleet.leader() ?? "")
@@ -80,7 +82,7 @@
       expect(await fleet.until(isVoter, 8000, 1)).toBeDefined();
       fleet.kill("successor", true);
       await fleet.run(1500);
-      const put = await fleet.ask("PUT", "/v1/manifest", { version: 1, bindings: {} }, { "if-match": "0" });
+      const put = await fleet.send("PUT", "/v1/manifest", { version: 1, bindings: {} }, { "if-match": "0" });
       expect([seed, put.status]).toEqual([seed, 200]);
       expect(fleet.close()).toEqual([]);
     }
--- a/test/voterRecoveryTrial.ts
+++ b/test/voterRecoveryTrial.ts
@@ -30,9 +30,9 @@
   changeStatus: number;
 };
 /** `sync_time_s` of the smaller site: a machine counts as lost until that long after its return. */
-const syncTimeMs = 4700;
-const limitMs = 12_000;
-const stepMs = 10;
+const SYNC_TIME_MS = 4700;
+const RECOVERY_LIMIT_MS = 12_000;
+const POLL_STEP_MS = 10;
 
 /**
  * Measures how long the control group is short of a voter after a machine returned without its disk.
@@ -71,16 +71,16 @@
     });
   },
   /** Kills and restarts the machines of the trial. @example const returned = await VoterRecovery.lose(fleet, trial, victims); */
-  async lose(fleet: ControlFleet, trial: VoterTrial, victims: string[]): Promise<void> {
+  async crashAndReturn(fleet: ControlFleet, trial: VoterTrial, victims: string[]): Promise<void> {
     const others = fleet.names("control").filter((name) => !victims.includes(name));
     const stopped = trial.allPower ? [...victims, ...others] : victims;
     for (const name of stopped) fleet.kill(name, true);
     await fleet.run(trial.downMs);
     victims.forEach((victim, at) => {
-      if (trial.kinds[at] === "wiped") return fleet.restart(victim, { empty: true });
+      if (trial.kinds[at] === "wiped") return fleet.restart(victim, { withEmptyDisk: true });
       fleet.settings.delete(victim);
-      fleet.reseed(trial.seed);
-      fleet.add(others[0], `${victim}-successor`);
+      fleet.updateSeeds(trial.seed);
+      fleet.addMachine(others[0], `${victim}-successor`);
     });
     if (trial.allPower) for (const name of others) fleet.restart(name);
   },
@@ -91,10 +91,11 @@
     if ((await fleet.until(() => VoterRecovery.hasAllVoters(fleet, wanted), 8000)) === undefined)
       throw new Error(`seed ${trial.seed}: not all voters before the loss`);
     // before its first change a group that is short of voters waits for them
-    if ((await VoterRecovery.change(fleet, 1)) !== 200) throw new Error(`seed ${trial.seed}: no first change`);
-    const victims = VoterRecovery.pick(fleet, trial.victim, trial.kinds.length);
+    if ((await VoterRecovery.putConfiguration(fleet, 1)) !== 200)
+      throw new Error(`seed ${trial.seed}: no first change`);
+    const victims = VoterRecovery.selectVoters(fleet, trial.victim, trial.kinds.length);
     const formerIds = victims.map((name) => fleet.control(name)!.node.self.id);
-    await VoterRecovery.lose(fleet, trial, victims);
+    await VoterRecovery.crashAndReturn(fleet, trial, victims);
     const times: RecoveryTimes = {
       detectedMs: undefined,
       removedMs: undefined,
@@ -115,25 +116,25 @@
         if (VoterRecovery.hasAllVoters(fleet, wanted)) times.completeMs = at;
         return times.completeMs !== undefined;
       },
-      limitMs,
-      stepMs,
+      RECOVERY_LIMIT_MS,
+      POLL_STEP_MS,
     );
-    await fleet.run(Math.max(0, from + syncTimeMs - fleet.world.now));
-    const next = VoterRecovery.pick(fleet, "lead", trial.losses);
+    await fleet.run(Math.max(0, from + SYNC_TIME_MS - fleet.world.now));
+    const next = VoterRecovery.selectVoters(fleet, "lead", trial.losses);
     for (const name of next) fleet.kill(name, true);
     times.nextLeaderMs = await fleet.until(() => fleet.leader() !== undefined, 5000, 50);
-    times.changeStatus = await VoterRecovery.change(fleet, 2);
+    times.changeStatus = await VoterRecovery.putConfiguration(fleet, 2);
     const errors = fleet.close();
     if (errors.length > 0) throw new Error(`seed ${trial.seed}: ${errors.join("; ")}`);
     return times;
   },
   /** An operator's change to this version; its status. @example await VoterRecovery.change(fleet, 1) // 200 */
-  async change(fleet: ControlFleet, version: number): Promise<number> {
+  async putConfiguration(fleet: ControlFleet, version: number): Promise<number> {
     const ifMatch = { "if-match": String(version - 1) };
-    return (await fleet.ask("PUT", "/v1/manifest", { version, bindings: {} }, ifMatch)).status;
+    return (await fleet.send("PUT", "/v1/manifest", { version, bindings: {} }, ifMatch)).status;
   },
   /** Names of voters, the leader first or left out. @example VoterRecovery.pick(fleet, "follower", 2) */
-  pick(fleet: ControlFleet, first: "lead" | "follower", count: number): string[] {
+  selectVoters(fleet: ControlFleet, first: "lead" | "follower", count: number): string[] {
     const leader = fleet.leader();
     if (leader === undefined) return [];
     const voters = fleet.control(leader)!.group.voters();
