--- a/src/control/calendarRunner.ts
+++ b/src/control/calendarRunner.ts
@@ -12,7 +12,7 @@
 import { Environment, EnvironmentTools } from "../runtime/env";
 import { StoreRetirement } from "./storeRetirement";
 
-/** Log events for the states that a transition can reach. */
+/** Numbers of the log events for the states that a transition can reach. */
 const STARTED_EVENT = 1501;
 const FINISHED_EVENT = 1502;
 const FAILED_EVENT = 1503;
@@ -23,15 +23,11 @@
 }
 
 /**
- * Runs planned operations that are due. Each step is a logged transition of the calendar entry from one state to the
- * next, so that an operation runs once and a new leader continues where the former one stopped.
- *
- * @example
- * const calendar = new CalendarRunner(env, node, group, storeRetirement);
- * calendar.start();
+ * Runs planned operations that are due. Each step commits a transition of the calendar entry to its next state through
+ * the consensus log, so that an operation runs once and a new leader continues where the former one stopped.
  */
 export class CalendarRunner {
-  /** Operations that this node ran to their end. */
+  /** Number of operations that this node has run to their end. */
   completedCount = 0;
   private readonly running = new Set<string>();
 
@@ -42,7 +38,6 @@
     private readonly storeRetirement: StoreRetirement,
   ) {}
 
-  /** @example calendar.start(); */
   start(): void {
     EnvironmentTools.keep(this.env, this.env.scope, "calendar", () => this.loop());
   }
@@ -92,7 +87,7 @@
     }
   }
 
-  /** A drain with an end lasts until then; one without ends its entry once the zone is idle. */
+  /** A drain with an end time lasts until then; the entry of a drain without one finishes once the zone is idle. */
   private *advanceDrain(entry: CalendarEntry, { district: zone, until }: DrainOperation): Task<void> {
     if (entry.fate === CalendarEntryState.scheduled) return yield* this.transition(entry, CalendarEntryState.started);
     if (until !== undefined) {
@@ -130,7 +125,10 @@
       yield* this.transition(entry, CalendarEntryState.finished, "no copy is left on the store");
   }
 
-  /** Proposes a transition. Its operation may fail as it is applied, so that the entry ends in another state. */
+  /**
+   * Proposes a transition. The operation may fail when it is applied; the entry then reaches the state "failed"
+   * instead.
+   */
   private *transition(entry: CalendarEntry, to: CalendarEntryState, detail = ""): Task<void> {
     this.env.point(61);
     const outcome = yield* this.group.propose(
--- a/src/control/changeProposals.ts
+++ b/src/control/changeProposals.ts
@@ -7,9 +7,9 @@
 import { Environment } from "../runtime/env";
 import { VoterManager } from "./voterManager";
 
-/** What an operator gets for an accepted change. */
+/** The response to an operator whose change was accepted. */
 export interface AcceptedChange {
-  /** Version of the document or calendar entry; the log index where there is none. */
+  /** Version of the document or calendar entry, or the log index if the change has no version. */
   version: number;
 }
 
@@ -23,9 +23,8 @@
   ) {}
 
   /**
-   * Proposes a change, or gives the outcome again that its id already has. Faults: "conflict" (another version),
-   * "invalid" (rejected), "busy" (try again), "unknown" (it may still be accepted).
-   * @example const accepted = yield* proposals.propose(command);
+   * Proposes a change, or returns the recorded outcome if one exists for the change id. Faults: "conflict" (the current
+   * version is another one), "invalid" (rejected), "busy" (try again), "unknown" (the change may still be accepted).
    */
   *propose(received: Command): Task<Result<AcceptedChange>> {
     const command = this.withLeaderTime(received);
@@ -38,19 +37,19 @@
         Constants.retryAfterMs,
       );
     const outcome = known ? Fault.ok(known) : yield* this.group.propose(command, Constants.proposeTimeoutMs);
-    if (outcome.ok) return this.response(command, outcome.value);
-    // an entry that was replaced rejects nothing: the same order may stand in the log under another index
+    if (outcome.ok) return this.toResponse(command, outcome.value);
+    // A replaced log entry is no rejection: the same order may be in the log under another index.
     if (outcome.fault.tag === "conflict")
       return Fault.fail("unknown", "change", this.node.self.id, outcome.fault.detail);
     return outcome;
   }
 
-  /** The age of an order is measured by one clock, the leader's. */
+  /** Stamps an order with the leader's time, so that one clock measures the age of all orders. */
   private withLeaderTime(command: Command): Command {
     return command.tag === "drain" || command.tag === "undrain" ? { ...command, at: this.env.wall() } : command;
   }
 
-  private response(command: Command, outcome: Outcome): Result<AcceptedChange> {
+  private toResponse(command: Command, outcome: Outcome): Result<AcceptedChange> {
     const { id } = this.node.self;
     switch (outcome.tag) {
       case "done":
--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -24,35 +24,32 @@
 import { ShardPlacement } from "./shardPlacement";
 import { VoterManager } from "./voterManager";
 
-/** Response to "control.status"; the names are those of the wire. */
+/** Response to "control.status". The field names are part of the protocol. */
 export interface ControlStatus {
   id: string;
   /** Role in the consensus group. */
   role: string;
-  /** Id of the leader that this node knows, or "". */
+  /** Id of the leader as far as this node knows, or "". */
   lead: string;
   voters: string[];
   /** Log index of the last applied entry. */
   applied: number;
-  /** Whether it leads and its lease stands. */
+  /** Whether this node leads and its lease is valid. */
   holds: boolean;
 }
 
 declare module "../rpc/methods" {
   interface RpcMethods {
-    /** State of a control process. Idempotent: it only reads. */
+    /** Returns the state of a control process. Idempotent: it only reads. */
     "control.status": RpcMethod<Record<string, never>, ControlStatus>;
-    /** Asks for a check of all shards now. Idempotent: it only wakes the leader. */
+    /** Requests an immediate check of all shards. Idempotent: it only wakes the leader. */
     "views.call": RpcMethod<Record<string, never>, true>;
   }
 }
 
 /**
  * The control process: a member of the consensus group, and the tasks that its leader runs (voter management, shard
- * placement, the calendar, delivery of decisions to the ledger). This module only puts the parts together.
- *
- * @example
- * const started = yield* ControlNode.start(env, settings);
+ * placement, the calendar, delivery of decisions to the ledger). This class only wires the parts together.
  */
 export class ControlNode {
   readonly group: ConsensusGroup;
@@ -90,8 +87,8 @@
 
   private createGroup(): ConsensusGroup {
     const { env, node } = this;
-    const slots = new CheckpointedLog(env, `${this.settings.data}/group`);
-    return new ConsensusGroup(env, node.rpc, node.self.id, slots, {
+    const log = new CheckpointedLog(env, `${this.settings.data}/group`);
+    return new ConsensusGroup(env, node.rpc, node.self.id, log, {
       addressOf: (id) => node.addressOf(id),
       otherNodes: () =>
         node.membership
@@ -102,15 +99,12 @@
     });
   }
 
-  /** Hands the applied state to gossip, which brings it to every node. */
+  /** Offers the applied state to gossip, which spreads it to every node. */
   private publish(state: ControlState, index: number): void {
     if (state.group) this.node.gossip.offerSnapshot(ControlSnapshot.of(state, index));
   }
 
-  /**
-   * Starts a control process; the fault says which part failed.
-   * @example yield* ControlNode.start(env, settings)
-   */
+  /** Starts a control process. A fault names the part that failed. */
   static *start(env: Environment, settings: Settings, adapters: ProtocolAdapters = {}): Task<Result<ControlNode>> {
     const node = yield* Node.start(env, settings, "control");
     if (!node.ok) return node;
@@ -126,7 +120,7 @@
     return served.ok ? Fault.ok(control) : served;
   }
 
-  /** Requests from other members. */
+  /** Registers the handlers for requests from other members. */
   private serveMembers(): void {
     const control = this;
     const { node } = this;
@@ -162,8 +156,8 @@
       ledgerSource: this.shardClient,
     });
     if (!served.ok) return served;
-    for (const surface of adapters.control?.(NodeContext.of(this.node)) ?? []) {
-      const opened = yield* env.serveHttp(surface.address, surface.serve);
+    for (const listener of adapters.control?.(NodeContext.of(this.node)) ?? []) {
+      const opened = yield* env.serveHttp(listener.address, listener.serve);
       if (!opened.ok) return opened;
     }
     return Fault.ok(true);
@@ -186,7 +180,7 @@
     };
   }
 
-  /** Values of `/metrics`, by name. @example control.metrics().is_lead */
+  /** Returns the values of `/metrics` by name. */
   metrics(): Record<string, number> {
     return {
       is_lead: this.group.hasLeaderLease() ? 1 : 0,
@@ -198,7 +192,7 @@
     };
   }
 
-  /** Shuts down; a leader transfers its leadership to another voter first. @example yield* control.stop(); */
+  /** Shuts down; a leader transfers its leadership to another voter first. */
   stop(): Task<void> {
     const control = this;
     return this.node.shutDown(function* () {
--- a/src/control/controlRequestHandler.ts
+++ b/src/control/controlRequestHandler.ts
@@ -10,7 +10,7 @@
 import { Leadership } from "./leadership";
 import { RetirementOrders } from "./retirementOrders";
 
-/** A part of the control state; null where there is none of that name or id. */
+/** Returns a part of the control state, or null if no part has that name or id. */
 function readState(state: ControlState, { what, id = "" }: ReadRequest): unknown {
   switch (what) {
     case "manifest":
@@ -29,9 +29,9 @@
   }
 }
 
-/** Serves "control.op": operators' reads and orders, from any node, to the leader of the consensus group. */
+/** Serves "control.op" at the leader of the consensus group: reads and orders of operators, forwarded by any node. */
 export class ControlRequestHandler {
-  /** Names this process's clock: a reading means nothing to another process, nor to this one's next start. */
+  /** Identifies this process's clock. Its readings have no meaning in another process or after a restart. */
   private readonly clockId: string;
 
   constructor(
@@ -45,14 +45,13 @@
     this.clockId = `${node.self.id}@${env.wall()}/${env.mono()}`;
   }
 
-  /** @example requestHandler.serve(); */
   serve(): void {
     this.node.rpc.handle("control.op", (body) => this.onRequest(body));
   }
 
   /**
-   * Only a leader with its lease responds. What it responds from memory alone holds only if the lease still stands
-   * afterwards; an outcome that went through the log is final whatever became of the lease.
+   * Responds only as a leader with a valid lease. A response from memory alone is valid only if the lease is still
+   * valid afterwards; an outcome that was committed through the log is final whether or not the lease has ended.
    */
   private *onRequest(body: unknown): Task<Result<unknown>> {
     if (!this.group.hasLeaderLease()) return this.leadership.notLeader();
@@ -79,7 +78,7 @@
     }
   }
 
-  /** An order is appended only while its caller waits for the response; its lateness is measured on our own clock. */
+  /** Returns a fault if the caller no longer waits for the response, as measured by this process's own clock. */
   private lateFault(deadline: OrderDeadline | undefined): Result<never> | undefined {
     if (!deadline) return undefined;
     const { id } = this.node.self;
--- a/src/control/groupBootstrap.ts
+++ b/src/control/groupBootstrap.ts
@@ -6,14 +6,14 @@
 import { Task } from "../runtime/csp";
 import { Environment, EnvironmentTools } from "../runtime/env";
 
-/** Response to "found.status": what a founder knows of a group. */
+/** Response to "found.status": what a bootstrap member (a "founder" in the settings) knows about a consensus group. */
 interface BootstrapStatus {
   id: string;
-  /** Whether the founder belongs to a group. */
+  /** Whether the bootstrap member belongs to a group. */
   founded: boolean;
-  /** Id of the group that it knows; "": none. */
+  /** Id of the group that it knows, or "". */
   group: string;
-  /** Addresses of the founders by its settings, sorted. */
+  /** Addresses of the bootstrap members according to its settings, sorted. */
   founders: string[];
 }
 
@@ -25,20 +25,20 @@
 
 declare module "../rpc/methods" {
   interface RpcMethods {
-    /** What a founder knows of a group. Idempotent: it only reads. */
+    /** Returns what a bootstrap member knows about a group. Idempotent: it only reads. */
     "found.status": RpcMethod<Record<string, never>, BootstrapStatus>;
     /**
-     * Makes a founder a member of a new group. Faults: "conflict" where it belongs to another group or knows one.
-     * Idempotent: the same group again changes nothing.
+     * Makes a bootstrap member a member of a new group. Faults: "conflict" if it belongs to another group or knows one.
+     * Idempotent: a repeated request for the same group changes nothing.
      */
     "found.commit": RpcMethod<BootstrapRequest, true>;
   }
 }
 
-/** A founder is given so long to respond, ms. */
+/** Time-out of a status request to a bootstrap member, ms. */
 const STATUS_TIMEOUT_MS = 500;
 const COMMIT_TIMEOUT_MS = 1000;
-/** A task that has ended sleeps in turns of this, ms. */
+/** Sleep interval of the task once the group exists, ms. The task must not return, because it would be restarted. */
 const IDLE_SLEEP_MS = 3_600_000;
 
 function isBootstrapRequest(body: unknown): body is BootstrapRequest {
@@ -48,19 +48,16 @@
 }
 
 /**
- * Bootstraps the consensus group: once, if every founder is empty and names the same founders, and no member in reach
- * knows a group. The founder with the first address proposes; the others wait for it.
- *
- * @example
- * const bootstrap = new GroupBootstrap(env, settings, node, group, 3);
- * bootstrap.serve();
+ * Bootstraps the consensus group once, if every bootstrap member has empty storage and lists the same bootstrap
+ * members, and if no reachable member knows a group. The bootstrap member with the first address proposes; the others
+ * wait for it.
  */
 export class GroupBootstrap {
-  /** Addresses of the founders, sorted. */
+  /** Addresses of the bootstrap members, sorted. */
   private readonly founders: string[];
   private lastReason = "";
 
-  /** @param voterCount voters that the group should have */
+  /** @param voterCount number of voters that the group should have */
   constructor(
     private readonly env: Environment,
     private readonly settings: Settings,
@@ -71,7 +68,7 @@
     this.founders = [...(settings.founders ?? [])].sort();
   }
 
-  /** Answers other founders. @example bootstrap.serve(); */
+  /** Registers the handlers for requests from other bootstrap members. */
   serve(): void {
     const bootstrap = this;
     this.node.rpc.handle("found.status", function* () {
@@ -97,7 +94,7 @@
     return yield* this.group.bootstrap(body.group, body.voters);
   }
 
-  /** Tries until this node belongs to a group. @example EnvironmentTools.keep(env, env.scope, "bootstrap", () => bootstrap.run()); */
+  /** Retries the bootstrap until this node belongs to a group. */
   *run(): Task<void> {
     while (!this.group.isBootstrapped()) {
       yield* EnvironmentTools.sleep(this.env, Constants.bootstrapRetryMs);
@@ -107,22 +104,24 @@
   }
 
   private *attempt(): Task<void> {
-    if (this.node.gossip.snapshot) return this.postpone("a group is known here; waiting to be taken in as standby");
+    if (this.node.gossip.snapshot) return this.logBlocker("a group is already known; waiting to be added as a standby");
     if (this.founders[0] !== this.settings.address) return;
-    const ids = yield* this.collectEmptyFounders();
+    const ids = yield* this.collectEmptyMembers();
     if (ids.length < this.founders.length) return;
-    const memberId = yield* this.memberWithGroup();
-    if (memberId !== undefined) return this.postpone(`member ${memberId} knows a group`);
+    const memberId = yield* this.findMemberWithGroup();
+    if (memberId !== undefined) return this.logBlocker(`member ${memberId} knows a group`);
     yield* this.bootstrap(ids);
   }
 
-  private postpone(reason: string): void {
+  private logBlocker(reason: string): void {
     if (reason !== this.lastReason) this.env.log(1302, { reason });
     this.lastReason = reason;
   }
 
-  /** Ids of the founders that are empty and agree; the own one included. */
-  private *collectEmptyFounders(): Task<string[]> {
+  /**
+   * Returns the ids of the bootstrap members that are empty and list the same bootstrap members, including this node.
+   */
+  private *collectEmptyMembers(): Task<string[]> {
     const ids: string[] = [];
     for (const address of this.founders) {
       if (address === this.settings.address) {
@@ -131,22 +130,22 @@
       }
       const status = yield* this.node.rpc.call(address, "found.status", {}, STATUS_TIMEOUT_MS);
       const obstacle = this.bootstrapBlocker(address, status);
-      if (obstacle !== undefined) this.postpone(obstacle);
+      if (obstacle !== undefined) this.logBlocker(obstacle);
       else if (status.ok) ids.push(status.value.id);
     }
     return ids;
   }
 
   private bootstrapBlocker(address: string, status: Result<BootstrapStatus>): string | undefined {
-    if (!status.ok) return `founder ${address} does not answer`;
+    if (!status.ok) return `bootstrap member ${address} does not respond`;
     const { founded, group, founders } = status.value;
-    if (founded || group) return `founder ${address} knows group ${group}`;
+    if (founded || group) return `bootstrap member ${address} knows group ${group}`;
     const isAgreed = JSON.stringify(founders) === JSON.stringify(this.founders);
-    return isAgreed ? undefined : `founder ${address} names other founders`;
+    return isAgreed ? undefined : `bootstrap member ${address} lists other bootstrap members`;
   }
 
-  /** Id of a live member that has a snapshot of some group's state. */
-  private *memberWithGroup(): Task<string | undefined> {
+  /** Returns the id of a live member that has a snapshot of any group's state. */
+  private *findMemberWithGroup(): Task<string | undefined> {
     let memberId: string | undefined;
     for (const { id, address } of this.node.membership.alive()) {
       if (id === this.node.self.id) continue;
--- a/src/control/groupRecoveryHandler.ts
+++ b/src/control/groupRecoveryHandler.ts
@@ -6,7 +6,7 @@
 
 /** Body of "control.recover", an operator's order. */
 interface RecoveryRequest {
-  /** Id of the group, so that the order cannot reach another one. */
+  /** Id of the group, so that the order cannot be applied to another one. */
   group: string;
   /** The voter to continue from. */
   voter: string;
@@ -14,19 +14,20 @@
   by: string;
 }
 
-/** What a recovered group continues from. */
+/** The group id and log position that the recovered group continues from. */
 interface RecoveryResult {
   /** New id of the group. */
   group: string;
-  /** Last log index that the voter had on disk. */
+  /** Last log index on the voter's disk. */
   upTo: number;
 }
 
 declare module "../rpc/methods" {
   interface RpcMethods {
     /**
-     * Recovers the group from the voter that is called. Faults: "conflict" while a majority lives, or where the group or
-     * the voter is another one. A repeated request is rejected once the voter leads; before, it raises term and index again.
+     * Recovers the group from the called voter. Faults: "conflict" while a majority is alive, or if the group or the
+     * voter does not match. A repeated request is rejected once the voter leads; before that it raises term and index
+     * again.
      */
     "control.recover": RpcMethod<RecoveryRequest, RecoveryResult>;
   }
@@ -48,23 +49,25 @@
     private readonly group: ConsensusGroup,
   ) {}
 
-  /** @example recovery.serve(); */
   serve(): void {
     this.node.rpc.handle("control.recover", (body) => this.onRecover(body));
   }
 
-  /** Rejected with "conflict" while a majority of the voters lives, since it continues by itself. */
+  /**
+   * Rejects the request with "conflict" while a majority of the voters is alive, since the group then continues by
+   * itself.
+   */
   private *onRecover(body: unknown): Task<Result<RecoveryResult>> {
     const { id } = this.node.self;
     if (!isRecoveryRequest(body)) return Fault.fail("invalid", "recover", id, "malformed request");
     const voters = this.group.voters();
-    const live = yield* this.liveVoters(voters);
+    const live = yield* this.countLiveVoters(voters);
     if (live > voters.length / 2)
       return Fault.fail("conflict", "recover", id, `${live} of ${voters.length} voters live: they go on by themselves`);
-    return yield* this.group.recover(body, yield* this.viewsOnStores());
+    return yield* this.group.recover(body, yield* this.readViewsFromStores());
   }
 
-  private *liveVoters(voters: string[]): Task<number> {
+  private *countLiveVoters(voters: string[]): Task<number> {
     let live = 0;
     for (const id of voters) {
       const isLive = yield* this.isLive(id);
@@ -78,13 +81,15 @@
     const state = this.node.membership.find(id)?.state;
     const response =
       address === undefined ? undefined : yield* this.node.rpc.call(address, "control.status", {}, VOTER_TIMEOUT_MS);
-    // another id at the same address: the voter has lost its disk
+    // Another id at the same address means that the voter has lost its disk.
     if (response?.ok) return response.value.id === id;
     return state === "alive" || state === "suspect";
   }
 
-  /** Views as the storage nodes have them on disk: the newest may have been known to the lost voters only. */
-  private *viewsOnStores(): Task<ShardView[]> {
+  /**
+   * Returns the views on the storage nodes' disks. Of the voters, only the lost ones may have known the newest views.
+   */
+  private *readViewsFromStores(): Task<ShardView[]> {
     const views: ShardView[] = [];
     for (const { address } of this.node.membership.alive("store")) {
       const status = yield* this.node.rpc.call<{ shards: { view: ShardView | null }[] }>(
--- a/src/control/leadership.ts
+++ b/src/control/leadership.ts
@@ -3,7 +3,7 @@
 import { Node } from "../node/node";
 import { ReadIndex } from "../node/readIndexConfirmation";
 
-/** What this node tells others about the leader of the consensus group. */
+/** Provides other nodes with information about the leader of the consensus group. */
 export class Leadership {
   constructor(
     private readonly node: Node,
@@ -11,8 +11,8 @@
   ) {}
 
   /**
-   * As the leader: the log index past which nothing that nodes get was committed when contact with a majority last began.
-   * @example leadership.readIndex()?.index
+   * Returns a read index if this node is the leader with a valid lease. When the contact with a majority last began, no
+   * entry past this index that changes the control snapshot had been committed.
    */
   readIndex(): ReadIndex | undefined {
     const { group } = this;
@@ -20,13 +20,13 @@
     return { group: group.groupId(), index: group.state.frameIndex ?? group.lastApplied, at: group.quorumContactAt() };
   }
 
-  /** Address of another node that leads, as far as this one knows. @example leadership.leaderAddress() */
+  /** Returns the address of another node that leads, as far as this node knows. */
   leaderAddress(): string | undefined {
     const { leaderId } = this.group;
     return leaderId === "" || leaderId === this.node.self.id ? undefined : this.node.addressOf(leaderId);
   }
 
-  /** The fault "notLead" with the leader's address as its detail, or "". @example return leadership.notLeader(); */
+  /** Returns the fault "notLead"; its detail is the leader's address, or "" if that is unknown. */
   notLeader(): Result<never> {
     const address = this.group.role === "leader" ? "" : (this.leaderAddress() ?? "");
     return Fault.fail("notLead", "control op", this.node.self.id, address);
--- a/src/control/ledgerDelivery.ts
+++ b/src/control/ledgerDelivery.ts
@@ -5,16 +5,16 @@
 import { Environment, EnvironmentTools } from "../runtime/env";
 import { ShardClient } from "../storage/shardClient";
 
-/** Pause between deliveries of the leader, ms. */
+/** Pause between two deliveries, ms. */
 const DELIVERY_INTERVAL_MS = 200;
-/** Most decisions delivered before the progress is logged. */
+/** Maximum number of decisions delivered before the progress is committed to the consensus log. */
 const MAX_BATCH = 50;
-/** A decision's put is retried for so long, ms. */
+/** Time for which the put of a decision is retried, ms. */
 const PUT_TIMEOUT_MS = 5000;
 
 /**
- * Delivers the decisions of the control group to the ledger, while this node leads the group. Each is keyed by its log
- * index, so that a repeated delivery adds nothing.
+ * Delivers the decisions of the control group to the ledger, while this node leads the group. The ledger
+ * deduplicates decisions by their log index, so that a repeated delivery adds nothing.
  */
 export class LedgerDelivery {
   constructor(
@@ -23,7 +23,6 @@
     private readonly shards: ShardClient,
   ) {}
 
-  /** @example EnvironmentTools.keep(env, env.scope, "ledger delivery", () => delivery.run()); */
   *run(): Task<void> {
     for (;;) {
       const isLeader = this.group.role === "leader";
@@ -35,7 +34,7 @@
     }
   }
 
-  /** Delivers in order up to the first failure, and logs how far it came. */
+  /** Delivers decisions in order up to the first failure, and commits the last delivered index to the consensus log. */
   private *deliver(decisions: Decision[]): Task<void> {
     let upTo = 0;
     for (const decision of decisions) {
--- a/src/control/memberCalls.ts
+++ b/src/control/memberCalls.ts
@@ -5,16 +5,16 @@
 
 /** A request to several members of a view. */
 export interface MemberRequest {
-  /** Ids of the members. */
+  /** Ids of the members to call. */
   members: string[];
   method: string;
   body: Record<string, unknown>;
   timeoutMs: number;
-  /** Whether a call ends early once its member no longer responds to status polls. */
+  /** Whether a call is cancelled once its member no longer responds to status polls. */
   cancelIfUnresponsive?: boolean;
 }
 
-/** Capacity of the channel on which calls report their end; more than a view has members. */
+/** Capacity of the channel on which calls report completion; it exceeds the number of members of any view. */
 const DONE_CHANNEL_CAPACITY = 16;
 
 /** Calls members of a view concurrently. */
@@ -26,9 +26,8 @@
   ) {}
 
   /**
-   * Responses of those that gave one, with the member's id. It waits for the members that responded to the last status
-   * poll, or for all where none did; a response of another member counts if it arrives in the meantime.
-   * @example const responses = yield* calls.callAll<SealResponse>({ members, method: "shard.seal", body, timeoutMs: 700 });
+   * Returns the successful responses with the ids of their members. It waits for the members that responded to the last
+   * status poll, or for all if none did; a response from another member is included if it arrives in the meantime.
    */
   *callAll<Response extends object>(request: MemberRequest): Task<(Response & { id: string })[]> {
     const { members, method, body, timeoutMs, cancelIfUnresponsive = false } = request;
--- a/src/control/rebalancing.ts
+++ b/src/control/rebalancing.ts
@@ -3,19 +3,19 @@
 import { Environment } from "../runtime/env";
 import { StoreSelection } from "./storeSelection";
 
-/** Shortest time between two moves of a replica, ms. */
+/** Minimum time between two replica moves, ms. */
 const MOVE_INTERVAL_MS = 2000;
-/** A replica moves only where the target holds so many fewer: any less would move the imbalance. */
+/** Minimum difference in replica counts for a move: a smaller one would only move the imbalance to the target. */
 const MIN_DIFFERENCE = 2;
 
-/** A replica that is to move to a storage node with fewer replicas. */
+/** A planned move of a replica to a storage node with fewer replicas. */
 export interface ReplicaMove {
   target: Member;
-  /** For the ledger. */
+  /** Reason that is recorded in the ledger. */
   reason: string;
 }
 
-/** Moves replicas to storage nodes that were added, one shard at a time. */
+/** Selects replicas to move to newly added storage nodes, one shard at a time. */
 export class Rebalancing {
   private lastMoveAt = -Infinity;
 
@@ -24,7 +24,7 @@
     private readonly selection: StoreSelection,
   ) {}
 
-  /** The move that the shard needs now, if any; the caller carries it out. @example rebalancing.nextMove(view) */
+  /** Returns the move that the shard needs now, if any; the caller carries it out. */
   nextMove(view: ShardView): ReplicaMove | undefined {
     const now = this.env.mono();
     if (now - this.lastMoveAt < MOVE_INTERVAL_MS) return undefined;
--- a/src/control/replicaJoin.ts
+++ b/src/control/replicaJoin.ts
@@ -7,12 +7,12 @@
 import { StoreStatuses } from "./storeStatuses";
 import { ViewChange } from "./viewChange";
 
-/** Response to "shard.fill"; "ok": the replica holds the shard's state. */
+/** Response to "shard.fill"; the tag is "ok" once the replica holds the shard's state. */
 interface FillResponse {
   tag: string;
 }
 
-/** Adds a replica to a shard: it copies the state from the leader, then joins by a view change. */
+/** Adds a replica to a shard: the replica copies the state from the leader, then joins by a view change. */
 export class ReplicaJoin {
   constructor(
     private readonly env: Environment,
@@ -23,8 +23,8 @@
   ) {}
 
   /**
-   * The state transfer may take longer than the call: it goes on by itself, and the next call asks whether it is done.
-   * @example yield* replicaJoin.run(3, member, "too few copies");
+   * Adds one replica. A state transfer that outlasts the call continues at the target; the next call checks whether it
+   * has ended.
    */
   *run(shard: number, target: Member, reason: string): Task<void> {
     const { epoch, lead: leader } = this.group.state.views[shard];
--- a/src/control/shardPlacement.ts
+++ b/src/control/shardPlacement.ts
@@ -13,19 +13,16 @@
 import { ViewChange } from "./viewChange";
 import { ViewChangeTrigger } from "./viewChangeTrigger";
 
-/** Replicas of a shard beyond those that may be lost at once. */
+/** Number of replicas of a shard beyond those that may be lost at once. */
 const SPARE_REPLICAS = 2;
 
 /**
- * Places the replicas of shards on storage nodes, while this node leads the control group: first views, view changes
- * after faults, further replicas where a shard has too few, moves off retiring nodes, and balance.
- *
- * @example
- * const placement = new ShardPlacement(env, node, group);
- * placement.start();
+ * Places the replicas of shards on storage nodes while this node leads the control group. It proposes first views,
+ * changes views after faults, adds replicas to shards that have too few, moves replicas off retiring nodes, and
+ * rebalances them.
  */
 export class ShardPlacement {
-  /** Replicas that a shard should have: two are left after as many are lost at once as the settings tolerate. */
+  /** Number of replicas per shard: two are left after as many are lost at once as the settings tolerate. */
   readonly replicationFactor: number;
   readonly retirement: StoreRetirement;
   private readonly statuses: StoreStatuses;
@@ -34,7 +31,7 @@
   private readonly viewChange: ViewChange;
   private readonly replicaJoin: ReplicaJoin;
   private readonly rebalancing: Rebalancing;
-  /** Shards of which a change is under way. */
+  /** Shards with a view change or a replica join in progress. */
   private readonly busy = new Set<number>();
   private readonly checkRequested = Csp.sliding<true>(1);
 
@@ -56,17 +53,16 @@
     this.retirement = new StoreRetirement(node, group, statuses, selection, this.replicationFactor);
   }
 
-  /** Views that this node committed. */
+  /** Returns the number of views that this node has committed. */
   get viewsChanged(): number {
     return this.viewChange.committedCount;
   }
 
-  /** @example placement.start(); */
   start(): void {
     EnvironmentTools.keep(this.env, this.env.scope, "shard placement", () => this.loop());
   }
 
-  /** Checks all shards now, not with the next poll; a storage node calls it when a replica has a fault. @example placement.requestCheck(); */
+  /** Checks all shards now instead of with the next poll. A storage node requests this when a replica has a fault. */
   requestCheck(): void {
     Csp.offer(this.checkRequested, true);
   }
@@ -85,7 +81,7 @@
     }
   }
 
-  /** Starts the change that the shard needs most, if any, unless one is under way. */
+  /** Starts the most urgent change of the shard, if it needs one and none is in progress. */
   private checkShard(shard: number): void {
     if (this.busy.has(shard)) return;
     const view = this.group.state.views[shard];
@@ -112,8 +108,8 @@
   }
 
   private checkFirstView(shard: number): void {
-    const isSettled = this.env.mono() - this.statuses.firstStoreAt > Constants.storeDiscoveryMs;
-    if (isSettled && this.selection.candidates(shard, []).length > 0)
+    const isDiscoveryOver = this.env.mono() - this.statuses.firstStoreAt > Constants.storeDiscoveryMs;
+    if (isDiscoveryOver && this.selection.candidates(shard, []).length > 0)
       this.startChange(shard, "first view of", () => this.proposeFirstView(shard));
   }
 
@@ -133,7 +129,7 @@
     this.selection.removeProposedView(shard);
   }
 
-  /** Brings the number of replicas to the replication factor, off retiring nodes, and balances them. */
+  /** Brings the number of replicas to the replication factor, moves replicas off retiring nodes, and rebalances. */
   private checkReplicas(view: ShardView): void {
     const { shard, members, lead: leader } = view;
     if (!this.statuses.isUp(leader) || this.statuses.replica(leader, shard)?.role !== "lead") return;
@@ -146,7 +142,7 @@
     this.rebalance(view);
   }
 
-  /** Starts to add a replica; false where no storage node can take it. */
+  /** Starts to add a replica. Returns false if no storage node can take it. */
   private addReplica({ shard, members }: ShardView, retiring: string[]): boolean {
     if (members.length < this.replicationFactor && !this.viewChange.isBlocked(shard))
       this.env.log(1402, { shard, members });
--- a/src/control/storeRetirement.ts
+++ b/src/control/storeRetirement.ts
@@ -7,14 +7,12 @@
 import { StoreSelection } from "./storeSelection";
 import { StoreStatuses } from "./storeStatuses";
 
-/** The storage node that a retirement is about: its id, and the name of its machine where the order named that. */
+/** The storage node to retire: its id, and the name of its machine if the order gave that. */
 export type RetiredStore = Pick<RetireOperation, "store" | "name">;
 
-/** Whether a storage node can retire, and whether its retirement is complete. */
+/** Checks whether a storage node can retire, and whether its retirement is complete. */
 export class StoreRetirement {
-  /**
-   * @param replicationFactor replicas that each shard needs on other machines
-   */
+  /** @param replicationFactor number of replicas that each shard needs on other machines */
   constructor(
     private readonly node: Node,
     private readonly group: ConsensusGroup,
@@ -24,9 +22,8 @@
   ) {}
 
   /**
-   * Whether the storage node can be removed together with its disk, by what the storage nodes report now: it holds no
-   * replica, and every shard has all its replicas intact on other machines.
-   * @example if (yield* retirement.confirmComplete(operation)) yield* finish();
+   * Returns whether the storage node can be removed together with its disk, according to what the storage nodes report
+   * now: the node holds no replica, and every shard has all its replicas intact on other machines.
    */
   *confirmComplete(retired: RetiredStore): Task<boolean> {
     yield* this.statuses.poll();
@@ -37,7 +34,7 @@
     return Object.values(this.group.state.views).every(
       (view) =>
         !view.members.some((id) => this.isOnRetiredMachine(id, retired)) &&
-        this.intactMachines(view) >= this.replicationFactor,
+        this.countIntactMachines(view) >= this.replicationFactor,
     );
   }
 
@@ -45,13 +42,16 @@
     return id === store || (name !== undefined && this.node.membership.find(id)?.name === name);
   }
 
-  /** Machines that hold an intact replica of the view. */
-  private intactMachines(view: ShardView): number {
+  /** Returns the number of machines that hold an intact replica of the view. */
+  private countIntactMachines(view: ShardView): number {
     const intact = view.members.filter((id) => this.isIntact(view, id));
     return new Set(intact.map((id) => this.node.addressOf(id))).size;
   }
 
-  /** A replica is intact if its node responds and stays, and it holds all that the view acknowledged on a working disk. */
+  /**
+   * A replica is intact if its node responds and will stay, and if its working disk holds everything that the view
+   * acknowledged.
+   */
   private isIntact(view: ShardView, id: string): boolean {
     const replica = this.statuses.replica(id, view.shard);
     const leaderReplica = this.statuses.replica(view.lead, view.shard);
@@ -68,7 +68,7 @@
     );
   }
 
-  /** Why the storage node cannot retire now; undefined if it can. @example retirement.obstacleTo("store-3") */
+  /** Returns why the storage node cannot retire now, or undefined if it can. */
   retirementBlocker(store: string): string | undefined {
     if (this.node.membership.find(store)?.program !== "store") return `no store ${store}`;
     const remaining = this.node.membership
@@ -79,8 +79,8 @@
   }
 
   /**
-   * Machines with a storage node that would remain without this one; those that are down for a moment count.
-   * @example retirement.machinesWithout(member)
+   * Returns the number of machines with a storage node that would remain without this one. Machines that are briefly
+   * down count.
    */
   countRemainingMachines(store: Member): number {
     const remaining = this.node.membership
--- a/src/control/storeSelection.ts
+++ b/src/control/storeSelection.ts
@@ -6,13 +6,16 @@
 import { Node } from "../node/node";
 import { StoreStatuses } from "./storeStatuses";
 
-/** Ranking of candidates: a zone that already holds a replica weighs more than any number of replicas. */
+/** Ranking cost of a zone that already holds a replica. It is meant to outweigh any number of replicas on a node. */
 const SHARED_ZONE_COST = 1000;
 const REPLICA_COST = 10;
 
-/** Chooses storage nodes for replicas, by zone, load and rendezvous hashing. */
+/** Selects storage nodes for replicas by zone, replica count and rendezvous hashing. */
 export class StoreSelection {
-  /** First views that are being proposed, by shard; they are proposed concurrently and have to take each other into account. */
+  /**
+   * First views that are being proposed, by shard. They are proposed concurrently, so each must take the others into
+   * account.
+   */
   private readonly proposedFirstViews = new Map<number, ShardView>();
 
   constructor(
@@ -21,12 +24,11 @@
     private readonly statuses: StoreStatuses,
   ) {}
 
-  /** Counts a first view as if it were in force, until it is removed. @example selection.addProposedView(view); */
+  /** Counts a proposed first view as if it were in force, until it is removed. */
   addProposedView(view: ShardView): void {
     this.proposedFirstViews.set(view.shard, view);
   }
 
-  /** @example selection.removeProposedView(3); */
   removeProposedView(shard: number): void {
     this.proposedFirstViews.delete(shard);
   }
@@ -37,20 +39,19 @@
     return [...Object.values(views), ...proposed];
   }
 
-  /** Replicas on a storage node. @example selection.replicaCount("store-17") */
+  /** Returns the number of replicas on a storage node. */
   replicaCount(id: string): number {
     return this.views().filter((view) => view.members.includes(id)).length;
   }
 
-  /** Shards that a storage node leads. @example selection.leaderCount("store-17") */
+  /** Returns the number of shards that a storage node leads. */
   leaderCount(id: string): number {
     return this.views().filter((view) => view.lead === id).length;
   }
 
   /**
-   * Whether a retirement names the storage node: by its id, or, while the retirement lasts, by the name of its machine,
-   * since a machine that lost its disk has a new id.
-   * @example selection.isRetiring("store-17")
+   * Returns whether a retirement applies to the storage node: by its id or, while the retirement lasts, by the name of
+   * its machine, since a machine that lost its disk has a new id.
    */
   isRetiring(id: string): boolean {
     const { retiring, calendar } = this.group.state;
@@ -64,7 +65,7 @@
     );
   }
 
-  /** Storage nodes that can take a further replica of the shard, best first. @example selection.candidates(3, view.members) */
+  /** Returns the storage nodes that can take another replica of the shard, best first. */
   candidates(shard: number, members: string[]): Member[] {
     const stores = this.node.membership.alive("store");
     const zones = new Set(members.map((id) => this.node.membership.find(id)?.district));
--- a/src/control/storeStatuses.ts
+++ b/src/control/storeStatuses.ts
@@ -15,17 +15,17 @@
   vouches: boolean;
 }
 
-/** The last status that a storage node reported. */
+/** The most recent status that a storage node reported. */
 export interface StoreStatus {
   replicas: ShardReplicaStatus[];
   isStopping: boolean;
   /** Whether its clock is within bounds and its configuration current, so that it may lead. */
   mayLead: boolean;
-  /** Arrival of the response, our monotonic clock, ms. */
+  /** Time of arrival of the response by this node's monotonic clock, ms. */
   receivedAt: number;
 }
 
-/** A poll gives up on a storage node after this, ms. */
+/** Time-out of a status request to a storage node, ms. */
 const STATUS_TIMEOUT_MS = 350;
 
 /**
@@ -37,9 +37,9 @@
  */
 export class StoreStatuses {
   private readonly byId = new Map<string, StoreStatus>();
-  /** When the last poll began that has ended, our monotonic clock, ms. */
+  /** Start time of the last completed poll by this node's monotonic clock, ms. */
   private lastPollAt = -Infinity;
-  /** When a poll first found a storage node; Infinity: none has. */
+  /** Time at which a poll first found a storage node, or Infinity if none has. */
   firstStoreAt = Infinity;
 
   constructor(
@@ -47,7 +47,10 @@
     private readonly node: Node,
   ) {}
 
-  /** Asks every live storage node, and waits a little for the slowest; a later response counts for the next poll. @example yield* statuses.poll(); */
+  /**
+   * Polls every live storage node, and waits at most `statusWaitMs` for the responses. A later response counts for the
+   * next poll.
+   */
   *poll(): Task<void> {
     const startedAt = this.env.mono();
     const stores = this.node.membership.alive("store");
@@ -61,7 +64,7 @@
           {},
           STATUS_TIMEOUT_MS,
         );
-        if (response.ok) statuses.store(id, response.value);
+        if (response.ok) statuses.recordStatus(id, response.value);
         Csp.offer(done, true);
       });
     const deadline = this.env.mono() + Constants.statusWaitMs;
@@ -71,33 +74,36 @@
     if (stores.length > 0 && this.firstStoreAt === Infinity) this.firstStoreAt = this.env.mono();
   }
 
-  private store(id: string, { shards: replicas, stopping: isStopping, vouches: mayLead }: StoreStatusResponse): void {
+  private recordStatus(
+    id: string,
+    { shards: replicas, stopping: isStopping, vouches: mayLead }: StoreStatusResponse,
+  ): void {
     this.byId.set(id, { replicas, isStopping, mayLead, receivedAt: this.env.mono() });
   }
 
-  /** Forgets everything: this node leads no more. @example statuses.clear(); */
+  /** Discards all statuses, because this node no longer leads. */
   clear(): void {
     this.byId.clear();
     this.firstStoreAt = Infinity;
   }
 
-  /** The last status of a storage node. @example statuses.find("store-17")?.isStopping */
+  /** Returns the last status of a storage node. */
   find(id: string): StoreStatus | undefined {
     return this.byId.get(id);
   }
 
-  /** The last status of a replica. @example statuses.replica("store-17", 3)?.epoch */
+  /** Returns the last status of a replica. */
   replica(id: string, shard: number): ShardReplicaStatus | undefined {
     return this.byId.get(id)?.replicas.find((replica) => replica.shard === shard);
   }
 
-  /** Time since the last status of a storage node, ms; 0 where there is none. @example statuses.silentMs("store-17") */
+  /** Returns the time since the last status of a storage node, ms; 0 if there is none. */
   silentMs(id: string): number {
     const now = this.env.mono();
     return now - (this.byId.get(id)?.receivedAt ?? now);
   }
 
-  /** Whether a storage node is a live member and reported lately. @example statuses.isUp("store-17") */
+  /** Returns whether a storage node is a live member and has reported recently. */
   isUp(id: string): boolean {
     const member = this.node.membership.find(id);
     const status = this.byId.get(id);
@@ -108,13 +114,14 @@
     );
   }
 
-  /** Whether a storage node has responded to the last poll, or since; only such nodes are waited for. */
+  /**
+   * Returns whether a storage node has responded since the start of the last poll. Callers wait only for such nodes.
+   */
   readonly isResponsive = (id: string): boolean => (this.byId.get(id)?.receivedAt ?? -Infinity) >= this.lastPollAt;
 
   /**
-   * Whether neither this node nor any other member of the view has received anything from the view's leader for three
-   * lease renewals.
-   * @example statuses.isLeaderSilent(view)
+   * Returns whether neither this node nor any other member of the view has received anything from the view's leader for
+   * three lease renewals.
    */
   isLeaderSilent(view: ShardView): boolean {
     if (this.silentMs(view.lead) < Constants.leaderSilentMs) return false;
--- a/src/control/viewChange.ts
+++ b/src/control/viewChange.ts
@@ -12,67 +12,67 @@
 type SealResponse =
   | {
       tag: "sealed";
-      /** Last entry of the replica's log. */
+      /** Sequence number of the last entry in the replica's log. */
       seq: number;
       /** Epoch of that entry. */
       lastEpoch: number;
-      /** First entry that the replica can still send to others. */
+      /** First log entry that the replica can still send to other replicas. */
       tailFrom: number;
-      /** What remains of the lease that the replica granted to its leader, ms. */
+      /** Remaining time of the lease that the replica granted to its leader, ms. */
       grantLeftMs: number;
     }
   | { tag: "stopped" };
 type SealedReplica = Extract<SealResponse, { tag: "sealed" }> & { id: string };
 
-/** Response to "shard.level": the members that have synced the log up to the sealed end. */
+/** Response to "shard.level": the ids of the members that have synced the log up to the sealed end. */
 interface LogSyncResponse {
   ids: string[];
 }
 
-/** A view change under way. */
+/** A view change in progress. */
 interface Reconfiguration {
   view: ShardView;
   /** Epoch of the next view. */
   epoch: number;
   reason: string;
-  /** Storage nodes that are to become members. */
+  /** Ids of the storage nodes that are to become members. */
   joiners: string[];
 }
 
-/** How long the parts of a view change took, ms; the names are those of the log event. */
+/** Durations of the stages of a view change, ms. The names are those of the log event. */
 interface StageDurations {
-  /** Longest silence of a member before the change. */
+  /** Longest time since the last status of any member before the change. */
   silentMs: number;
   sealMs: number;
   levelMs: number;
-  /** Time that the new leader waits for the former leader's lease to end. */
+  /** Time that the new leader waits until the former leader's lease has ended. */
   grantWaitMs: number;
 }
 
-/** A replica is given so long to install its view, ms; the view is in force without. */
+/** Time-out of the request to install a view, ms. The view is in force even if the request fails. */
 const INSTALL_TIMEOUT_MS = 800;
-/** Added to the rest of the former leader's lease, ms: clocks advance at slightly different rates. */
+/** Margin added to the former leader's remaining lease, ms, because clocks advance at slightly different rates. */
 const LEASE_MARGIN_MS = 50;
 
-/** Of logs that end at the same entry, the one that remembers most entries can bring up whichever member another could. */
-const byLogLength = (left: SealedReplica, right: SealedReplica): number =>
+/**
+ * Orders replicas by log end. Of logs that end at the same entry, the one that retains most entries can bring up every
+ * member that another could.
+ */
+const compareLogEnds = (left: SealedReplica, right: SealedReplica): number =>
   right.lastEpoch - left.lastEpoch || right.seq - left.seq || left.tailFrom - right.tailFrom;
 
 /**
- * Changes the view of a shard, as in virtual synchrony: the members of the old view are sealed, so that it acknowledges
- * nothing more; every member of the next one, joiners too, is brought to the sealed end and has synced it; only then is
- * the view committed. A node that cannot be brought there in time is left out.
- *
- * @example
- * const isDone = yield* viewChange.run(3, "members gone: store-17", []);
+ * Changes the view of a shard as in virtual synchrony. The members of the old view are sealed, so that the view
+ * acknowledges nothing more. Every member of the next view, joiners included, must then have synced the log up to the
+ * sealed end before the view is committed. A node that does not reach the sealed end in time is left out.
  */
 export class ViewChange {
-  /** Views that were committed. */
+  /** Number of views that were committed. */
   committedCount = 0;
-  /** Shards of which no member could be sealed. */
+  /** Shards for which no member could be sealed. */
   private readonly blocked = new Set<number>();
 
-  /** @param replicationFactor members that a view should have */
+  /** @param replicationFactor number of members that a view should have */
   constructor(
     private readonly env: Environment,
     private readonly node: Node,
@@ -83,17 +83,17 @@
     private readonly replicationFactor: number,
   ) {}
 
-  /** Whether the last view change of the shard found no member to seal. @example viewChange.isBlocked(3) */
+  /** Returns whether the last view change of the shard could seal no member. */
   isBlocked(shard: number): boolean {
     return this.blocked.has(shard);
   }
 
-  /** Proposes the first view of a shard. @example yield* viewChange.runFirst({ shard: 3, epoch: 1, members, lead }); */
+  /** Proposes the first view of a shard. */
   *runFirst(view: ShardView): Task<void> {
     yield* this.commit(view, "first view", 0, []);
   }
 
-  /** Changes a shard's view; false where that failed. @example yield* viewChange.run(3, "one copy too many", []) */
+  /** Changes the view of a shard. Returns false if that failed. */
   *run(shard: number, reason: string, joiners: string[]): Task<boolean> {
     const view = this.group.state.views[shard];
     const epoch = Math.max(view.epoch, this.group.state.epochFloor) + 1;
@@ -114,7 +114,7 @@
     this.env.point(36, { shard, joiners });
     const next = this.chooseMembers(view, syncedIds, joiners);
     const syncedAt = this.env.mono();
-    // a leader that was sealed has stopped; else its lease ends with the first member that does not renew it
+    // A sealed leader has stopped. Otherwise its lease ends with the first grant of a sealed member that runs out.
     const isLeaderSealed = responses.some((replica) => replica.id === view.lead);
     const leaseLeftMs = isLeaderSealed
       ? 0
@@ -141,10 +141,10 @@
     this.blocked.add(shard);
   }
 
-  /** The replica with the longest log brings the others to its end; gives the ids of those that are there. */
+  /** Makes the replica with the longest log bring the others to its end. Returns the ids of those that reached it. */
   private *syncLogs({ view, epoch, joiners }: Reconfiguration, sealed: SealedReplica[]): Task<string[] | undefined> {
-    const [longest, ...others] = sealed.sort(byLogLength);
-    // with their addresses: a storage node may not know a machine yet that was just added
+    const [longest, ...others] = sealed.sort(compareLogEnds);
+    // The request contains addresses, because a storage node may not know a newly added machine yet.
     const targets = [...others.map((replica) => replica.id), ...joiners].flatMap((id) => {
       const address = this.node.addressOf(id);
       return address ? [{ id, address }] : [];
@@ -182,7 +182,7 @@
     return isDone;
   }
 
-  /** Puts the view through the log, then has its members install it. */
+  /** Commits the view through the consensus log, then has its members install it. */
   private *commit(view: ShardView, reason: string, leaseWaitMs: number, joiners: string[]): Task<boolean> {
     const { shard, members } = view;
     const outcome = yield* this.group.propose({ tag: "view", view, reason }, Constants.proposeTimeoutMs);
@@ -198,9 +198,9 @@
     return true;
   }
 
-  /** Members and leader of the next view, out of the nodes that hold the log up to the sealed end. */
+  /** Chooses the members and the leader of the next view from the nodes that hold the log up to the sealed end. */
   private chooseMembers(view: ShardView, syncedIds: string[], joiners: string[]): Pick<ShardView, "members" | "lead"> {
-    // retiring and stopping nodes go, unless too few others would be left
+    // Retiring and stopping nodes are removed unless too few others would be left.
     const remaining = syncedIds.filter((id) => this.isRemaining(id));
     const members = remaining.length < Constants.minReplicasForJobs ? syncedIds : remaining;
     const leader = this.chooseLeader(view, members, joiners);
@@ -215,7 +215,7 @@
     return !this.selection.isRetiring(id) && !this.statuses.find(id)?.isStopping;
   }
 
-  /** The former leader if it is eligible; else the member that leads fewest shards, joiners last. */
+  /** Chooses the former leader if it is eligible, otherwise the member that leads fewest shards; joiners come last. */
   private chooseLeader(view: ShardView, members: string[], joiners: string[]): string {
     const remaining = members.filter((id) => this.isRemaining(id));
     const mayLead = remaining.filter((id) => this.statuses.find(id)?.mayLead !== false);
--- a/src/control/viewChangeTrigger.ts
+++ b/src/control/viewChangeTrigger.ts
@@ -6,12 +6,12 @@
 import { ShardReplicaStatus } from "../shard/shardReplica";
 import { StoreStatuses } from "./storeStatuses";
 
-/** A leader that does not lead is given so long before its shard gets a new view, ms. */
+/** Time after which a shard gets a new view because its designated leader does not act as leader, ms. */
 const IDLE_LEADER_MS = 1500;
 
-/** Decides whether a shard needs a new view because of a fault or a shutdown. */
+/** Decides whether a shard needs a new view because of a fault or a shutdown of a member. */
 export class ViewChangeTrigger {
-  /** Since when the leader of a shard has not led, our monotonic clock, ms. */
+  /** Time since which the designated leader of a shard has not led, by this node's monotonic clock, ms. */
   private readonly idleSince = new Map<number, number>();
 
   constructor(
@@ -21,7 +21,7 @@
     private readonly statuses: StoreStatuses,
   ) {}
 
-  /** Why the shard needs a new view, for the ledger; undefined if it needs none. @example trigger.reasonFor(view) */
+  /** Returns the reason for a new view of the shard, as recorded in the ledger, or undefined if it needs none. */
   reasonFor(view: ShardView): string | undefined {
     const { members, lead: leader } = view;
     const idle = this.idleLeaderReason(view);
@@ -44,13 +44,13 @@
     return member.state === "dead" || member.state === "left";
   }
 
-  /** The leader's replica, as far as it reports about this very view. */
+  /** Returns the status of the leader's replica, if its report is about this view. */
   private leaderReplica({ shard, epoch, lead: leader }: ShardView): ShardReplicaStatus | undefined {
     const replica = this.statuses.isUp(leader) ? this.statuses.replica(leader, shard) : undefined;
     return replica?.epoch === epoch ? replica : undefined;
   }
 
-  /** What the leader reports about its view: members that do not sync, or its own wish for another view. */
+  /** Returns a reason from the leader's report: members that do not sync, or its own request for another view. */
   private leaderReportReason(view: ShardView): string | undefined {
     const replica = this.leaderReplica(view);
     const failing = (replica?.failing ?? []).filter((id) => view.members.includes(id));
@@ -58,7 +58,10 @@
     return replica?.wantsView ? `lead asks: ${replica.wantsView}` : undefined;
   }
 
-  /** A member is sealed for a later epoch than the view's: a view change began and was not finished. */
+  /**
+   * Returns whether a member is sealed for a later epoch than that of the view, so that an earlier change was not
+   * finished.
+   */
   private wasViewChangeInterrupted({ shard, epoch, members }: ShardView): boolean {
     return members.some((id) => this.statuses.isUp(id) && (this.statuses.replica(id, shard)?.sealed ?? 0) > epoch);
   }
--- a/src/control/voterManager.ts
+++ b/src/control/voterManager.ts
@@ -5,11 +5,14 @@
 import { Environment, EnvironmentTools } from "../runtime/env";
 import { VoterSelection, VoterSituation } from "./voterSelection";
 
-/** Replaces lost voters of the consensus group by standbys, while this node leads it. */
+/** Replaces lost voters of the consensus group with standbys while this node leads the group. */
 export class VoterManager {
   private readonly startedAt: number;
 
-  /** @param voterCount voters that the group should have: a majority remains when as many are lost at once as the settings tolerate */
+  /**
+   * @param voterCount number of voters that the group should have, so that a majority remains when as many are lost at
+   *   once as the settings tolerate
+   */
   constructor(
     private readonly env: Environment,
     private readonly node: Node,
@@ -19,7 +22,6 @@
     this.startedAt = env.mono();
   }
 
-  /** @example EnvironmentTools.keep(env, env.scope, "voters", () => voterManager.run()); */
   *run(): Task<void> {
     for (;;) {
       yield* EnvironmentTools.sleep(this.env, Constants.leaderTaskPeriodMs);
@@ -32,9 +34,8 @@
   }
 
   /**
-   * Whether the group is to take no change yet: it was bootstrapped with too few voters, and has neither grown nor waited
-   * long enough for that.
-   * @example if (voterManager.isGrowing()) return busy;
+   * Returns whether changes must wait because the group was bootstrapped with too few voters and has neither grown nor
+   * waited `groupGrowMs` for that.
    */
   isGrowing(): boolean {
     const { manifest: configuration, policies, calendar, voters } = this.group.state;
@@ -64,14 +65,14 @@
     };
   }
 
-  /** Another member answers at the voter's address: the voter can neither acknowledge nor vote again. */
+  /** Returns whether another member uses the voter's address, so that the voter can never acknowledge or vote again. */
   private hasLostDisk(id: string): boolean {
     const member = this.node.membership.find(id);
     if (id === this.node.self.id || !member || (member.state !== "dead" && member.state !== "left")) return false;
     return this.node.membership.alive("control").some((other) => other.address === member.address);
   }
 
-  /** The voter has been silent, or has left, for so long that another should replace it. */
+  /** Returns whether the voter has been dead or gone for so long that another should replace it. */
   private isUnavailable(id: string): boolean {
     if (id === this.node.self.id) return false;
     const member = this.node.membership.find(id);
@@ -88,7 +89,9 @@
     }
   }
 
-  /** How long a node that this leader never received anything from had time to be discovered, ms. */
+  /**
+   * Returns the time in which an unknown node could have been discovered, ms; 0 until this leader has led long enough.
+   */
   private undiscoveredMs(): number {
     const now = this.env.mono();
     const hasLedLongEnough = now - this.group.leaderSince > Constants.voterUnknownLeaderMs;
--- a/src/controlState/acceptedChanges.ts
+++ b/src/controlState/acceptedChanges.ts
@@ -3,22 +3,22 @@
 
 /**
  * The accepted changes of one document, oldest first: the version that each was made against, and a digest of its id. A
- * change is accepted only against the current version, so the result of each entry is the base of the next.
+ * change is accepted only against the current version, so the version that each entry made is the base of the next.
  */
 export interface AcceptedChanges {
-  /** Versions that the changes were made against; they rise. */
+  /** Versions that the changes were made against, ascending. */
   bases: number[];
   /** Digests of the change ids, in the same order. */
   digests: string[];
 }
 
-/** What became of a change: accepted, lost against another one, or older than what is remembered. */
+/** Outcome of a change: accepted, superseded by another change, or older than the retained history. */
 export type AcceptedChangeVerdict = "accepted" | "lost" | "forgotten";
 
-/** 60 bits, so that two changes made against one version are not mistaken for each other. */
+/** The digest has 60 bits, so that two changes made against one version are not confused. */
 const digestOf = (changeId: string): string => Hash.text(changeId).slice(0, Constants.changeDigestLength);
 
-/** Index of a version among the bases, by binary search; -1 where it is not there. */
+/** Returns the index of a version among the bases by binary search, or -1 if it is absent. */
 function indexOf(bases: number[], version: number): number {
   let low = 0;
   let high = bases.length;
@@ -31,18 +31,17 @@
 }
 
 /**
- * Which change made each version of a document. A retry is recognized by it long after the outcomes by change id are
- * dropped, and changes that lost need no memory at all.
+ * Records which change made each version of a document. A retry is recognized by this long after the outcomes by change
+ * id are dropped, and rejected changes need not be stored at all.
  *
  * @example
  * AcceptedChanges.add(accepted, 7, "change-1f");
  * AcceptedChanges.verdict(accepted, 7, "change-1f"); // "accepted"
  */
 export const AcceptedChanges = {
-  /** @example const accepted = AcceptedChanges.empty(); */
   empty: (): AcceptedChanges => ({ bases: [], digests: [] }),
 
-  /** Remembers an accepted change, and drops the oldest past the limit. @example AcceptedChanges.add(accepted, 7, "change-1f"); */
+  /** Adds an accepted change, and drops the oldest changes beyond the limit. */
   add(accepted: AcceptedChanges, base: number, changeId: string): void {
     accepted.bases.push(base);
     accepted.digests.push(digestOf(changeId));
@@ -52,14 +51,14 @@
     accepted.digests.splice(0, surplus);
   },
 
-  /** What became of a change against a version that is no longer current. @example AcceptedChanges.verdict(accepted, 7, "change-2a") // "lost" */
+  /** Returns the outcome of a change against a version that is no longer current. */
   verdict(accepted: AcceptedChanges, base: number, changeId: string): AcceptedChangeVerdict {
     if (accepted.bases.length === 0 || base < accepted.bases[0]) return "forgotten";
     const index = indexOf(accepted.bases, base);
     return index >= 0 && accepted.digests[index] === digestOf(changeId) ? "accepted" : "lost";
   },
 
-  /** The version that an accepted change made. @example AcceptedChanges.result(accepted, 7, 9) */
+  /** Returns the version that an accepted change made. */
   result: (accepted: AcceptedChanges, base: number, current: number): number =>
     accepted.bases[indexOf(accepted.bases, base) + 1] ?? current,
 };
--- a/src/controlState/calendarCommands.ts
+++ b/src/controlState/calendarCommands.ts
@@ -16,11 +16,11 @@
 import { addRetiringStore, removeRetiringStore } from "./storeRetirements";
 import { addDrainedZone, removeDrainedZone } from "./zoneDrains";
 
-/** Why a transition ends in another state than the one asked for. */
+/** The reason why a transition ends in another state than the requested one. */
 interface Failure {
   failure: string;
 }
-/** Carries out a transition's effect on the state; gives the failure, if there is one. */
+/** Result of the effect of a transition: the failure, if there is one. */
 type Effect = Failure | undefined;
 
 const wrongState = (entry: CalendarEntry | undefined): Outcome => ({
@@ -28,7 +28,7 @@
   detail: `move is ${entry ? entry.fate : "not there"}`,
 });
 
-/** Schedules a planned operation, or replaces one that has not started. @example applySchedule(state, 7, command) */
+/** Schedules a planned operation, or replaces one that has not started. */
 export function applySchedule(state: ControlState, index: number, command: ScheduleCommand): Outcome {
   const { id, due, move } = command;
   const entry = state.calendar[id];
@@ -43,7 +43,7 @@
   });
 }
 
-/** Cancels a calendar entry that has not started. @example applyCancel(state, 7, command) */
+/** Cancels a calendar entry that has not started. */
 export function applyCancel(state: ControlState, index: number, command: CancelCommand): Outcome {
   const entry = state.calendar[command.id];
   if (!entry || (entry.fate !== CalendarEntryState.scheduled && !state.changes[command.changeId]))
@@ -95,8 +95,12 @@
   return undefined;
 }
 
-/** What a transition does to the rest of the state. */
-function carryOut(state: ControlState, { id, move: operation }: CalendarEntry, { to, at }: TransitionCommand): Effect {
+/** Applies the effect of a transition to the rest of the state. */
+function applyEffect(
+  state: ControlState,
+  { id, move: operation }: CalendarEntry,
+  { to, at }: TransitionCommand,
+): Effect {
   const isFinished = to === CalendarEntryState.finished;
   switch (operation.kind) {
     case "drain":
@@ -116,14 +120,13 @@
 }
 
 /**
- * Moves a calendar entry to its next state, with the effect of its operation; an operation that turns out impossible
- * ends as failed. Rejected where the entry is no longer in the state that the command starts from.
- * @example applyTransition(state, 9, { tag: "move", id: "m1", from: "pencilled", to: "started", detail: "", at });
+ * Moves a calendar entry to its next state and applies the effect of its operation; an operation that turns out to be
+ * impossible ends as failed. The command is rejected if the entry is no longer in the state that it starts from.
  */
 export function applyTransition(state: ControlState, index: number, command: TransitionCommand): Outcome {
   const entry = state.calendar[command.id];
   if (!entry || entry.fate !== command.from) return wrongState(entry);
-  const failure = carryOut(state, entry, command)?.failure;
+  const failure = applyEffect(state, entry, command)?.failure;
   const reached = failure === undefined ? command.to : CalendarEntryState.failed;
   const detail = failure ?? command.detail;
   const version = entry.version + 1;
--- a/src/controlState/calendarEntry.ts
+++ b/src/controlState/calendarEntry.ts
@@ -1,6 +1,6 @@
 import type { Configuration } from "./configuration";
 
-/** States of a calendar entry by their standard names; the values are what is stored and sent. */
+/** States of a calendar entry. The values are stored and sent. */
 export const CalendarEntryState = {
   scheduled: "pencilled",
   started: "started",
@@ -19,7 +19,7 @@
   overMs: number;
 }
 
-/** Returns to what was in force before the pool's last release. */
+/** Restores the release that was in force before the pool's last one. */
 export interface RollbackOperation {
   kind: "rollback";
   pool: string;
@@ -46,19 +46,19 @@
   kind: "retire";
   /** Id of the storage node. */
   store: string;
-  /** Name of its machine, where the order named that. */
+  /** Name of its machine, if the order gave that. */
   name?: string;
 }
 
 /** Replaces the configuration. */
 export interface ConfigurationOperation {
   kind: "manifest";
-  /** The version that the operation was planned against. */
+  /** Configuration version that the operation was planned against. */
   ifVersion: number;
   doc: Configuration;
 }
 
-/** What a calendar entry carries out when it is due. */
+/** The operation that a calendar entry carries out when it is due. */
 export type PlannedOperation =
   ReleaseOperation | RollbackOperation | DrainOperation | UndrainOperation | RetireOperation | ConfigurationOperation;
 
@@ -71,13 +71,13 @@
   version: number;
   /** State of the entry. */
   fate: CalendarEntryState;
-  /** Why it is in this state, for operators. */
+  /** Explanation of the state for operators. */
   detail?: string;
   /** The planned operation. */
   move: PlannedOperation;
 }
 
-/** Whether the entry has reached a state that it does not leave by itself. @example isEnded(entry) */
+/** Returns whether the entry has reached a state that it does not leave by itself. */
 export const isEnded = ({ fate: state }: CalendarEntry): boolean =>
   state === CalendarEntryState.finished ||
   state === CalendarEntryState.failed ||
--- a/src/controlState/calendarTable.ts
+++ b/src/controlState/calendarTable.ts
@@ -2,15 +2,12 @@
 import { type CalendarEntry, isEnded } from "./calendarEntry";
 import type { ControlState } from "./controlState";
 
-/** Stores a calendar entry; an existing entry keeps its position. @example putCalendarEntry(state, entry); */
+/** Stores a calendar entry; an existing entry keeps its position. */
 export function putCalendarEntry(state: ControlState, entry: CalendarEntry): void {
   state.calendar = { ...state.calendar, [entry.id]: entry };
 }
 
-/**
- * Stores a calendar entry, and drops the oldest ended entries past the limit.
- * @example putCalendarEntryAndTrim(state, { id, due, version: 1, fate: "started", move });
- */
+/** Stores a calendar entry, and drops the oldest ended entries beyond the limit. */
 export function putCalendarEntryAndTrim(state: ControlState, entry: CalendarEntry): void {
   const calendar = { ...state.calendar, [entry.id]: entry };
   const ended = Object.values(calendar).filter(isEnded);
--- a/src/controlState/command.ts
+++ b/src/controlState/command.ts
@@ -4,7 +4,7 @@
 import type { PolicyRule } from "./policy";
 import type { ShardView } from "./shardView";
 
-/** What every change by an operator carries. */
+/** Fields that every change by an operator has. */
 export interface Change {
   /** Identifies the change, so that a retry gets the first outcome. */
   changeId: string;
@@ -18,12 +18,12 @@
   ifVersion: number;
 }
 
-/** Changes nothing; a new leader commits it to learn what is committed. */
+/** Changes nothing. A new leader commits it to learn which entries are committed. */
 export interface NoopCommand {
   tag: "noop";
 }
 
-/** First entry of the log. */
+/** Creates the consensus group; the first entry of the log. */
 export interface BootstrapCommand {
   tag: "found";
   /** Id of the consensus group. */
@@ -40,15 +40,15 @@
 /** Replaces the configuration. */
 export interface ConfigurationCommand extends VersionedChange {
   tag: "manifest";
-  /** The operator's own number of the new version; absent: the next one. */
+  /** Version number that the operator assigns; absent: the next one. */
   version?: number;
   doc: Configuration;
 }
 
-/** Changes single routes or pools of the configuration. */
+/** Changes individual routes or pools of the configuration. */
 export interface PatchCommand extends VersionedChange {
   tag: "patch";
-  /** The operator's own number of the new version; absent: the next one. */
+  /** Version number that the operator assigns; absent: the next one. */
   version?: number;
   patch: ConfigurationPatch;
 }
@@ -81,9 +81,9 @@
   tag: "drain" | "undrain";
   /** The zone. */
   district: string;
-  /** When the leader took the order, by its wall clock, ms. */
+  /** Time at which the leader received the order, by its wall clock, ms. */
   at: number;
-  /** Whether the operator gave the change id; if not, a retry cannot be told from a new order by its id. */
+  /** Whether the operator provided the change id. If not, the id does not distinguish a retry from a new order. */
   identified?: boolean;
 }
 
@@ -92,9 +92,9 @@
   tag: "retire";
   /** Id of the storage node. */
   store: string;
-  /** What the operator called it: its id or the name of its machine. */
+  /** Name that the operator used: the id of the node or the name of its machine. */
   name: string;
-  /** When the leader took the order, by its wall clock, ms. */
+  /** Time at which the leader received the order, by its wall clock, ms. */
   at: number;
 }
 
@@ -106,7 +106,7 @@
   from: CalendarEntryState;
   to: CalendarEntryState;
   detail: string;
-  /** The leader's wall clock, ms. */
+  /** Time of the transition by the leader's wall clock, ms. */
   at: number;
 }
 
@@ -118,14 +118,14 @@
   reason: string;
 }
 
-/** Decisions up to a log index have been delivered to the ledger. */
+/** Records that the decisions up to a log index have been delivered to the ledger. */
 export interface DeliveredCommand {
   tag: "told";
-  /** Log index, included. */
+  /** Log index, inclusive. */
   upTo: number;
 }
 
-/** What the consensus log replicates. Tags and fields are stored in the log and sent between voters. */
+/** A command that the consensus log replicates. Tags and fields are stored in the log and sent between voters. */
 export type Command =
   | NoopCommand
   | BootstrapCommand
@@ -143,7 +143,7 @@
 
 /** Result of applying a command. */
 export type Outcome =
-  /** Accepted; `version` is that of the document or entry, or the log index where there is none. */
+  /** Accepted; `version` is that of the document or entry, or the log index if the command has no version. */
   | { tag: "done"; version: number }
   /** Made against another version than the current one. */
   | { tag: "conflict"; version: number }
--- a/src/controlState/compareAndSet.ts
+++ b/src/controlState/compareAndSet.ts
@@ -5,13 +5,12 @@
 import { ControlState, DocumentName } from "./controlState";
 import { recordOutcome } from "./decisions";
 
-/** Carries out a change: the new version, or why the change is rejected. */
+/** Applies a change, and returns the new version or the reason for a rejection. */
 type ApplyChange = () => number | string;
 
 /**
- * Compare-and-set with memory of outcomes, for everything that has a version. A change whose id is known gets its first
- * outcome again.
- * @example compareAndSet(state, 7, command, "move m1", entry.version, () => replaceEntry());
+ * Applies a change by compare-and-set to anything that has a version, and records the outcome. A change with a known id
+ * gets its first outcome again.
  */
 export function compareAndSet(
   state: ControlState,
@@ -24,7 +23,7 @@
   const earlier = state.changes[change.changeId];
   if (earlier) return earlier;
   const versions = `made against version ${change.ifVersion}, current is ${current}`;
-  // not rejected: the same change may be accepted once that version exists, and a rejection has to be final
+  // This is no rejection: rejections are final, but the same change may be accepted once that version exists.
   if (change.ifVersion > current) return { tag: "undecided", detail: versions };
   if (change.ifVersion !== current)
     return recordOutcome(state, index, change, subject, { tag: "conflict", version: current }, `refused: ${versions}`);
@@ -35,7 +34,9 @@
   return recordOutcome(state, index, change, subject, outcome, `accepted as version ${applied}`);
 }
 
-/** The outcome of a late retry whose first outcome is no longer remembered by its id; undefined where it is no such retry. */
+/**
+ * Returns the outcome of a late retry whose outcome by id is no longer retained, or undefined if the change is none.
+ */
 function outcomeOfLateRetry(
   state: ControlState,
   { changeId, ifVersion }: VersionedChange,
@@ -58,9 +59,8 @@
 }
 
 /**
- * Compare-and-set of a document. Which change made each version is remembered for long, so that a retry gets its first
- * outcome or none.
- * @example changeDocument(state, 7, command, "policies", () => replacePolicies(state, command.doc));
+ * Applies a change to a document by compare-and-set. The record of which change made each version is retained for long,
+ * so that a retry gets either its first outcome or no definite one.
  */
 export function changeDocument(
   state: ControlState,
@@ -70,8 +70,8 @@
   apply: ApplyChange,
 ): Outcome {
   const accepted = ControlState.acceptedChanges(state, document);
-  const ofLateRetry = outcomeOfLateRetry(state, change, document);
-  if (ofLateRetry) return ofLateRetry;
+  const lateRetryOutcome = outcomeOfLateRetry(state, change, document);
+  if (lateRetryOutcome) return lateRetryOutcome;
   const isRetry = state.changes[change.changeId] !== undefined;
   const outcome = compareAndSet(state, index, change, document, state[document].version, apply);
   if (!isRetry && outcome.tag === "done") AcceptedChanges.add(accepted, change.ifVersion, change.changeId);
@@ -79,8 +79,8 @@
 }
 
 /**
- * Puts a configuration in force under the operator's version, or the next one; gives the version, or why it is rejected.
- * @example replaceConfiguration(state, doc)
+ * Puts a configuration in force under the given version or the next one. Returns the version, or the reason for a
+ * rejection.
  */
 export function replaceConfiguration(
   state: ControlState,
--- a/src/controlState/configuration.ts
+++ b/src/controlState/configuration.ts
@@ -1,37 +1,37 @@
 /**
- * The configuration that operators change as one versioned document. Its fields are stored and sent as they are, under
- * names of the operators' interface; where such a name differs from the standard term, the comment gives the term.
+ * The configuration that operators change as one versioned document. Its field names are stored, sent, and part of the
+ * operator interface; where such a name differs from the standard term, the comment gives the term.
  */
 
-/** What a route carries: single requests, streams of events, or items of batch jobs. */
+/** Kind of requests that a route carries: single requests, streams of events, or items of batch jobs. */
 export type RouteKind = "lookup" | "stream" | "item";
 
 /** A share of a route's traffic. */
 export interface PoolWeight {
   /** Name of the endpoint pool. */
   pool: string;
-  /** Relative to the sum over the split; 0 or more. */
+  /** Weight relative to the sum over the split; 0 or more. */
   weight: number;
 }
 
-/** How requests of one kind reach endpoints. */
+/** Defines how requests of one kind are forwarded to endpoints. */
 export interface Route {
   kind: RouteKind;
   /** Name of the endpoint pool. */
   pool: string;
-  /** Path that is called at the endpoint. */
+  /** Request path at the endpoint. */
   path: string;
-  /** Whether a request is idempotent, so that it may be retried; where that is not known, false. */
+  /** Whether a request is idempotent, so that it may be retried; false if that is unknown. */
   safe: boolean;
   /** Deadline of a request, ms after its admission. */
   deadlineMs: number;
   /** Streams: whether an endpoint can resume exactly after a given chunk. */
   continues: "exact" | "no";
-  /** Leading bytes of a prompt that decide prefix affinity. */
+  /** Number of leading bytes of a prompt that determine prefix affinity. */
   prefixBytes: number;
-  /** Host header of a direct route. With `prefix`: method, path and body are forwarded unchanged. */
+  /** Host header of a direct route, which forwards method, path and body unchanged. Requires `prefix`. */
   host?: string;
-  /** Path prefix of a direct route, the longest match wins; it begins and ends with a slash. */
+  /** Path prefix of a direct route. It begins and ends with a slash; the longest match wins. */
   prefix?: string;
   /** Weighted pools, in place of `pool`. */
   split?: PoolWeight[];
@@ -39,42 +39,42 @@
   targetMs?: number;
   /** Priority at endpoints and in queues; the lower number goes first. */
   order?: number;
-  /** Most attempts for one request. */
+  /** Maximum number of attempts for one request. */
   rounds?: number;
   /** Longest gap between chunks that still meets the latency target, ms. */
   pieceGapMs?: number;
   /** Whether prompts share prefixes that are worth caching together. */
   affinity?: boolean;
-  /** Items: all results of a batch job are due so many ms after its submission. */
+  /** Items: time after the submission of a batch job at which all its results are due, ms. */
   completionMs?: number;
-  /** Items: an item may be abandoned so many ms after that. */
+  /** Items: time after `completionMs` at which an item may be abandoned, ms. */
   giveUpMs?: number;
-  /** Items: most queued tokens over all nodes; 0 or absent: no limit. */
+  /** Items: maximum number of queued tokens over all nodes; 0 or absent: no limit. */
   maxWaitingTokens?: number;
-  /** The operator's own form of this route, stored unchanged; only the control group keeps it. */
+  /** The operator's original form of this route, stored unchanged and only by the control group. */
   origin?: unknown;
 }
 
 /** Batching limits of an inference engine. */
 export interface EngineLimits {
-  /** Requests in a batch. */
+  /** Maximum number of requests in a batch. */
   slots: number;
-  /** Tokens that the KV cache holds. */
+  /** Capacity of the KV cache, tokens. */
   memoryTokens: number;
 }
 
-/** What operators set for a pool of endpoints. */
+/** Settings of a pool of endpoints. */
 export interface EndpointPool {
   /** Path of the health check. */
   probePath?: string;
-  /** Most connections that one endpoint accepts, from all nodes together. */
+  /** Maximum number of connections that one endpoint accepts from all nodes together. */
   connections?: number;
   /** Duration of slow start, ms. */
   warmMs?: number;
-  /** Most requests per second to an endpoint in slow start, from all nodes together; 0 or absent: no limit. */
+  /** Maximum rate of requests per second from all nodes to an endpoint in slow start; 0 or absent: no limit. */
   warmPerSecond?: number;
   engine?: EngineLimits;
-  /** The operator's own form of this pool, stored unchanged; only the control group keeps it. */
+  /** The operator's original form of this pool, stored unchanged and only by the control group. */
   origin?: unknown;
 }
 
@@ -95,7 +95,7 @@
   bigDeltaMs: number;
 }
 
-/** How long results and records are retained, ms; absent: without limit. */
+/** Retention times of results and records, ms; absent: without limit. */
 export interface Retention {
   /** Batch jobs. */
   lotsMs?: number;
@@ -104,14 +104,14 @@
   ledgerMs?: number;
 }
 
-/** The whole document. */
+/** The whole configuration document. */
 export interface Configuration {
   /** Routes by name. */
   bindings: Record<string, Route>;
   /** Endpoint pools by name; absent: routes may name any pool. */
   pools?: Record<string, EndpointPool>;
   limits?: Limits;
-  /** The rest of the operator's own form, stored unchanged; only the control group keeps it. */
+  /** The rest of the operator's original form, stored unchanged and only by the control group. */
   origin?: unknown;
   clock?: ClockBounds;
   retention?: Retention;
--- a/src/controlState/configurationOrigin.ts
+++ b/src/controlState/configurationOrigin.ts
@@ -7,7 +7,7 @@
 
 const copyWithoutOrigin = <T extends WithOrigin>({ origin: _origin, ...rest }: T): Omit<T, "origin"> => rest;
 
-/** Gives the same object for the same item, so that a comparison by identity finds what has not changed. */
+/** Returns the same object for the same item, so that a comparison by identity finds unchanged items. */
 function itemWithoutOrigin<T extends WithOrigin>(item: T): Omit<T, "origin"> {
   const known = items.get(item) as Omit<T, "origin"> | undefined;
   if (known) return known;
@@ -21,7 +21,8 @@
 }
 
 /**
- * The configuration without the operator's own form, as nodes get it. It gives the same object for the same configuration.
+ * Returns the configuration without the operator's original form, as nodes receive it. The same configuration always
+ * gives the same object.
  *
  * @example
  * withoutOrigin(doc).origin; // undefined
--- a/src/controlState/configurationPatch.ts
+++ b/src/controlState/configurationPatch.ts
@@ -1,38 +1,38 @@
 import type { Configuration, EndpointPool, Limits, Route } from "./configuration";
 
-/** Changes of a configuration by route and pool. */
+/** Changes individual routes and pools of a configuration. */
 export interface ConfigurationPatch {
-  /** Routes and pools that are added or replaced, by name. */
+  /** Routes and pools to add or replace, by name. */
   upsert: { bindings?: Record<string, Route>; pools?: Record<string, EndpointPool> };
-  /** Names of routes and pools that are removed. */
+  /** Names of routes and pools to remove. */
   remove: { bindings?: string[]; pools?: string[] };
-  /** Replaces the limits; absent: they stay. */
+  /** New limits; absent: the limits stay unchanged. */
   limits?: Limits;
 }
 
 type Named<T> = Record<string, T>;
 type ItemChanges<T> = { upsert: Named<T>; remove: string[] };
 
-/** A patch is made only where at most one item in so many has changed. */
+/** A patch is created only if at most one in this many items has changed. */
 const MIN_ITEMS_PER_CHANGE = 4;
 
-/** An upserted item keeps its position; a new one comes last. */
+/** Applies changes to items. A replaced item keeps its position; a new one comes last. */
 function patchItems<T>(items: Named<T>, upsert: Named<T> = {}, remove: string[] = []): Named<T> {
   const next = { ...items };
   for (const name of remove) delete next[name];
   return Object.assign(next, upsert);
 }
 
-/** The changes from one set of items to another; undefined where they would not give the same order. */
+/** Returns the changes from one set of items to another, or undefined if they would not reproduce the order. */
 function changesOf<T>(from: Named<T>, to: Named<T>): ItemChanges<T> | undefined {
   const remove = Object.keys(from).filter((name) => !Object.hasOwn(to, name));
   const upsert = Object.fromEntries(Object.entries(to).filter(([name, item]) => from[name] !== item));
   const order = Object.keys(patchItems(from, upsert, remove));
-  const sameOrder = Object.keys(to).every((name, position) => order[position] === name);
-  return sameOrder ? { upsert, remove } : undefined;
+  const isSameOrder = Object.keys(to).every((name, position) => order[position] === name);
+  return isSameOrder ? { upsert, remove } : undefined;
 }
 
-/** What a patch cannot change, as text that can be compared. */
+/** Returns the parts that a patch cannot change, as text for comparison. */
 function unpatchableText({ bindings: _bindings, pools: _pools, limits: _limits, ...rest }: Configuration): string {
   return JSON.stringify(rest);
 }
@@ -46,13 +46,13 @@
 }
 
 /**
- * Patches of a configuration.
+ * Creates and applies patches of a configuration.
  *
  * @example
  * const next = ConfigurationPatch.apply(current, { upsert: { bindings: { search } }, remove: {} });
  */
 export const ConfigurationPatch = {
-  /** The configuration after a patch. @example ConfigurationPatch.apply(doc, { upsert: {}, remove: { bindings: ["old"] } }) */
+  /** Returns the configuration with the patch applied. */
   apply(doc: Configuration, patch: ConfigurationPatch): Configuration {
     const pools =
       (doc.pools ?? patch.upsert.pools)
@@ -68,9 +68,8 @@
   },
 
   /**
-   * The patch that turns one configuration into another; undefined where too much has changed, or a patch cannot
-   * express it. Items are compared by identity, not by value.
-   * @example ConfigurationPatch.between(former, next)?.upsert.bindings
+   * Returns the patch that turns one configuration into another, or undefined if too much has changed or a patch cannot
+   * express the change. Items are compared by identity, not by value.
    */
   between(from: Configuration, to: Configuration): ConfigurationPatch | undefined {
     if (differsBeyondPatch(from, to)) return undefined;
--- a/src/controlState/configurationValidation.ts
+++ b/src/controlState/configurationValidation.ts
@@ -21,7 +21,7 @@
   return problems;
 }
 
-/** Two direct routes must not match the same host and path prefix. */
+/** Returns a problem for each direct route that has the same host and path prefix as another one. */
 function duplicateProblems(routes: Record<string, Route>): string[] {
   const problems: string[] = [];
   const nameByMatch = new Map<string, string>();
@@ -36,13 +36,13 @@
 }
 
 /**
- * What is wrong with a configuration as a whole, each problem with the path of the field; empty where it is valid. It is
- * checked before a change is proposed, and again where it is applied, since a patch may meet another base by then.
- *
- * @example
- * if (configurationProblems(doc).length > 0) return reject();
+ * Returns the problems of a configuration as a whole, each with the path of its field; a valid configuration has none.
+ * The check runs before a change is proposed and again when the change is applied, since the base of a patch may have
+ * changed by then.
  */
 export function configurationProblems(doc: Configuration): string[] {
-  const ofRoutes = Object.entries(doc.bindings).flatMap(([name, route]) => routeProblems(name, route, doc.pools));
-  return [...ofRoutes, ...duplicateProblems(doc.bindings)];
+  const allRouteProblems = Object.entries(doc.bindings).flatMap(([name, route]) =>
+    routeProblems(name, route, doc.pools),
+  );
+  return [...allRouteProblems, ...duplicateProblems(doc.bindings)];
 }
--- a/src/controlState/controlSnapshot.ts
+++ b/src/controlState/controlSnapshot.ts
@@ -1,21 +1,17 @@
 import { withoutOrigin } from "./configurationOrigin";
 import type { ControlState } from "./controlState";
 
-/** What every node gets of the control state. */
+/** The parts of the control state that every node receives. */
 export interface ControlSnapshot extends Pick<
   ControlState,
   "group" | "voters" | "manifest" | "policies" | "views" | "drained" | "retiring" | "releases"
 > {
-  /** Log index of the last entry that changed any of it. */
+  /** Log index of the last entry that changed any of these parts. */
   index: number;
 }
 
-/**
- * @example
- * const snapshot = ControlSnapshot.of(state, 12);
- */
 export const ControlSnapshot = {
-  /** The parts of a state that a snapshot holds, for a comparison by identity. @example ControlSnapshot.parts(state)[0] */
+  /** Returns the parts of a state that a snapshot contains, for comparison by identity. */
   parts: (state: ControlState): unknown[] => [
     state.group,
     state.voters,
@@ -27,7 +23,7 @@
     state.releases,
   ],
 
-  /** The snapshot of a state up to a log index. @example ControlSnapshot.of(state, 12).index */
+  /** Returns the snapshot of a state up to a log index. */
   of: (state: ControlState, index: number): ControlSnapshot => ({
     group: state.group,
     index: state.frameIndex ?? index,
--- a/src/controlState/controlState.ts
+++ b/src/controlState/controlState.ts
@@ -8,39 +8,40 @@
 
 /** A document that is replaced as a whole, by compare-and-set on its version. */
 export interface Versioned<T> {
-  /** 0 before the first change; it only rises. */
+  /** Version number, which only increases; 0 before the first change. */
   version: number;
   doc: T;
 }
 
-/** The documents that are changed by compare-and-set, as the state names them. */
+/** Documents that are changed by compare-and-set, by their field names in the state. */
 export type DocumentName = "manifest" | "policies";
 
-/** A decision of the control group, on its way to the ledger. */
+/** A decision of the control group that is to be delivered to the ledger. */
 export interface Decision {
-  /** Log index of the entry that made it; the ledger takes each index once. */
+  /** Log index of the entry that made the decision; the ledger accepts each index once. */
   index: number;
-  /** What it is about, such as "manifest" or "shard 3". */
+  /** Subject of the decision, such as "manifest" or "shard 3". */
   subject: string;
   decision: string;
   cause: string;
 }
 
 /**
- * The state that the consensus log replicates. It is stored in snapshots and sent to voters as it is, under the names of
- * the first version. Parts that nodes get are replaced, never changed in place, so that identity shows what has changed.
+ * The state that the consensus log replicates. Its field names are part of stored snapshots and of messages between
+ * voters. Parts that nodes receive are replaced, never changed in place, so that a comparison by identity shows
+ * changes.
  */
 export interface ControlState {
-  /** Id of the consensus group; "" before it is founded. */
+  /** Id of the consensus group; "" before the bootstrap. */
   group: string;
-  /** Ids of the voters, by the last committed entry that names them. */
+  /** Ids of the voters according to the last committed entry that lists them. */
   voters: string[];
   /** The configuration. */
   manifest: Versioned<Configuration>;
   policies: Versioned<PolicyRule[]>;
   /** Calendar entries by id, in the order of the log. */
   calendar: Record<string, CalendarEntry>;
-  /** Views in force, by shard. */
+  /** Current views, by shard. */
   views: Record<string, ShardView>;
   /** Drained zones. */
   drained: string[];
@@ -48,23 +49,24 @@
   retiring: string[];
   /** Current release, by pool. */
   releases: Record<string, Release>;
-  /** Outcomes of the last changes, by change id. */
+  /** Outcomes of the most recent changes, by change id. */
   changes: Record<string, Outcome>;
   /** Ids of those changes, oldest first. */
   changeOrder: string[];
-  /** Absent in a state that an older version stored. */
+  /** Accepted changes, by document; absent in a state that an older version stored. */
   accepted?: Record<DocumentName, AcceptedChanges>;
-  /** Decisions that have not been delivered to the ledger. */
+  /** Decisions that have not been delivered to the ledger yet. */
   untold: Decision[];
-  /** Views of a recovered group get epochs above this, and so above all that the former group can have given. */
+  /**
+   * Views of a recovered group get epochs above this, and so above all epochs that the former group can have assigned.
+   */
   epochFloor: number;
-  /** Log index of the last entry that changed what nodes get; absent in a state that an older version stored. */
+  /** Log index of the last entry that changed the control snapshot; absent in a state that an older version stored. */
   frameIndex?: number;
 }
 
-/** @example const state = ControlState.empty(); */
 export const ControlState = {
-  /** The state before the first log entry. @example ControlState.empty().manifest.version // 0 */
+  /** Returns the state before the first log entry. */
   empty: (): ControlState => ({
     group: "",
     voters: [],
@@ -81,7 +83,7 @@
     epochFloor: 0,
   }),
 
-  /** The accepted changes of a document. @example ControlState.acceptedChanges(state, "policies") */
+  /** Returns the accepted changes of a document. */
   acceptedChanges(state: ControlState, document: DocumentName): AcceptedChanges {
     state.accepted ??= { manifest: AcceptedChanges.empty(), policies: AcceptedChanges.empty() };
     return state.accepted[document];
--- a/src/controlState/controlStateMachine.ts
+++ b/src/controlState/controlStateMachine.ts
@@ -89,9 +89,8 @@
  */
 export const ControlStateMachine = {
   /**
-   * Applies a committed entry to the state in place. A command that cannot be applied changes nothing but the memory of
-   * outcomes; the outcome says why.
-   * @example ControlStateMachine.apply(state, 7, command).tag === "done"
+   * Applies a committed entry to the state in place. A command that cannot be applied changes only the recorded
+   * outcomes and queued decisions; its outcome gives the reason.
    */
   apply(state: ControlState, index: number, command: Command): Outcome {
     const before = ControlSnapshot.parts(state);
--- a/src/controlState/decisions.ts
+++ b/src/controlState/decisions.ts
@@ -2,7 +2,7 @@
 import type { Change, Outcome } from "./command";
 import type { ControlState } from "./controlState";
 
-/** Queues a decision for the ledger. @example recordDecision(state, 7, "shard 3", "view 2: a, b", "member failed"); */
+/** Queues a decision for the ledger. */
 export function recordDecision(
   state: ControlState,
   index: number,
@@ -14,8 +14,7 @@
 }
 
 /**
- * Remembers the outcome of a change by its id, so that a retry gets the same one, and queues the decision for the ledger.
- * @example return recordOutcome(state, 7, command, "manifest", { tag: "done", version: 4 }, "accepted as version 4");
+ * Records the outcome of a change by its id, so that a retry gets the same one, and queues the decision for the ledger.
  */
 export function recordOutcome(
   state: ControlState,
--- a/src/controlState/groupRecovery.ts
+++ b/src/controlState/groupRecovery.ts
@@ -3,31 +3,28 @@
 import { recordDecision } from "./decisions";
 import type { ShardView } from "./shardView";
 
-/** How a group's id ends that was recovered n times: "+n". */
+/** Suffix "+n" of the id of a group that was recovered n times. */
 const GENERATION = /\+(\d+)$/;
 
 const withoutGeneration = (group: string): string => group.replace(GENERATION, "");
 
 /**
- * Recovery of the consensus group from one voter, after the others are lost for good. Each recovery gives the group an id
- * of the next generation.
+ * Recovers the consensus group from one voter after the others are permanently lost. Each recovery gives the group an
+ * id of the next generation.
  *
  * @example
  * GroupRecovery.supersedes("group-a+1", "group-a"); // true
  */
 export const GroupRecovery = {
-  /** How often a group was recovered. @example GroupRecovery.generation("group-a+2") // 2 */
+  /** Returns how often a group was recovered. @example GroupRecovery.generation("group-a+2") // 2 */
   generation: (group: string): number => Number(GENERATION.exec(group)?.[1] ?? 0),
 
-  /** Whether a group is what another became by a recovery. @example GroupRecovery.supersedes("group-a+1", "group-a") // true */
+  /** Returns whether a group is the result of a recovery of another group. */
   supersedes: (group: string, former: string): boolean =>
     withoutGeneration(group) === withoutGeneration(former) &&
     GroupRecovery.generation(group) > GroupRecovery.generation(former),
 
-  /**
-   * The state that a single voter continues from, with the newer shard views that storage nodes know.
-   * @example GroupRecovery.recoveredState(state, 1_000_007, "c1", views, "ann")
-   */
+  /** Returns the state that a single voter continues from, including newer shard views that storage nodes know. */
   recoveredState(former: ControlState, index: number, voter: string, views: ShardView[], by: string): ControlState {
     const state = structuredClone(former);
     const generation = GroupRecovery.generation(state.group) + 1;
--- a/src/controlState/policy.ts
+++ b/src/controlState/policy.ts
@@ -1,6 +1,6 @@
 import type { RouteKind } from "./configuration";
 
-/** Which requests a policy rule applies to; an absent field matches all. */
+/** Condition for the requests that a policy rule applies to; an absent field matches all. */
 export interface PolicyMatch {
   /** Name of a route. */
   binding?: string;
@@ -8,20 +8,20 @@
   caller?: string;
 }
 
-/** Where requests may be placed, by zone. */
+/** Restricts the zones in which requests may be placed. */
 export interface ZonePreference {
-  /** Only these zones. */
+  /** Zones that may be used; absent: all. */
   districts?: string[];
-  /** None of these zones. */
+  /** Zones that must not be used. */
   avoid?: string[];
 }
 
-/** One rule of the policies document; the first rule that matches a request applies. */
+/** A rule of the policies document. The first rule that matches a request applies. */
 export interface PolicyRule {
   match: PolicyMatch;
   /** Priority; the lower number goes first. */
   order?: number;
   land?: ZonePreference;
-  /** Most concurrent requests at one ingress. */
+  /** Maximum number of concurrent requests at one ingress. */
   limit?: number;
 }
--- a/src/controlState/shardView.ts
+++ b/src/controlState/shardView.ts
@@ -2,7 +2,7 @@
 export interface ShardView {
   /** Number of the shard. */
   shard: number;
-  /** Rises with each view of the shard. */
+  /** Number of the view, which increases with each view of the shard. */
   epoch: number;
   /** Ids of the storage nodes that hold a replica; a put is acknowledged once all of them have synced it. */
   members: string[];
--- a/src/controlState/storeRetirements.ts
+++ b/src/controlState/storeRetirements.ts
@@ -4,19 +4,17 @@
 import type { ControlState } from "./controlState";
 import { recordOutcome } from "./decisions";
 
-/** @example addRetiringStore(state, "store-17"); */
 export function addRetiringStore(state: ControlState, store: string): void {
   if (!state.retiring.includes(store)) state.retiring = [...state.retiring, store];
 }
 
-/** @example removeRetiringStore(state, "store-17"); */
 export function removeRetiringStore(state: ControlState, store: string): void {
   state.retiring = state.retiring.filter((retiring) => retiring !== store);
 }
 
 /**
- * Starts the retirement of a storage node. It is idempotent: a node that is retiring already goes on as it is.
- * @example applyRetire(state, 7, { tag: "retire", changeId: "c1", store: "store-17", name: "machine-4", by: "ann", at });
+ * Starts the retirement of a storage node. It is idempotent: the retirement of a node that is already retiring
+ * continues unchanged.
  */
 export function applyRetire(state: ControlState, index: number, command: RetireCommand): Outcome {
   const { store, name } = command;
--- a/src/controlState/zoneDrains.ts
+++ b/src/controlState/zoneDrains.ts
@@ -5,7 +5,7 @@
 import type { ControlState } from "./controlState";
 import { recordOutcome } from "./decisions";
 
-/** When an order of this kind was last accepted for the zone, by the wall clock of the leader that took it, ms. */
+/** Returns when an order of this kind was last accepted for the zone, by the wall clock of the accepting leader, ms. */
 function lastAcceptedAt(state: ControlState, kind: DrainCommand["tag"], zone: string): number | undefined {
   const times = Object.values(state.calendar)
     .filter(({ id, move }) => move.kind === kind && move.district === zone && id.startsWith(`${kind}-${zone}-`))
@@ -14,10 +14,10 @@
 }
 
 /**
- * Whether an order without an id may be a late retry of one that was accepted and has been reversed since. The caller of
- * a retry gives up before the interval ends; the caller of a new order still sends then.
+ * Returns whether an order without an id may be a late retry of an order that was accepted and then reversed. The
+ * caller of a retry gives up before the interval ends, whereas the caller of a new order still retries after it.
  */
-function maybeLateRetry(state: ControlState, command: DrainCommand): boolean {
+function mayBeLateRetry(state: ControlState, command: DrainCommand): boolean {
   if (command.identified) return false;
   const acceptedAt = lastAcceptedAt(state, command.tag, command.district);
   if (acceptedAt === undefined) return false;
@@ -25,7 +25,7 @@
   return ageMs >= 0 && ageMs < Constants.orderRetryMs;
 }
 
-/** Ends the calendar entries of drains that an undrain reverses. */
+/** Finishes the calendar entries of drains that an undrain reverses. */
 function finishDrains(state: ControlState, zone: string, undrainId: string): void {
   for (const entry of Object.values(state.calendar)) {
     const { fate: entryState, move } = entry;
@@ -39,19 +39,17 @@
   }
 }
 
-/** @example addDrainedZone(state, "north"); */
 export function addDrainedZone(state: ControlState, zone: string): void {
   if (!state.drained.includes(zone)) state.drained = [...state.drained, zone];
 }
 
-/** @example removeDrainedZone(state, "north"); */
 export function removeDrainedZone(state: ControlState, zone: string): void {
   state.drained = state.drained.filter((drained) => drained !== zone);
 }
 
 /**
- * Drains a zone or ends its drain, in force with this entry. It is idempotent: a zone that is already so stays as it is.
- * @example applyDrain(state, 7, { tag: "drain", changeId: "c1", district: "north", by: "ann", at: 1_700_000_000_000 });
+ * Drains a zone or ends its drain, effective with this log entry. It is idempotent: a zone that is already in that
+ * state is left unchanged.
  */
 export function applyDrain(state: ControlState, index: number, command: DrainCommand): Outcome {
   const { tag, district: zone } = command;
@@ -59,7 +57,7 @@
   if (earlier) return earlier;
   const isDrain = tag === "drain";
   if (state.drained.includes(zone) === isDrain) return { tag: "done", version: index };
-  if (maybeLateRetry(state, command))
+  if (mayBeLateRetry(state, command))
     return { tag: "undecided", detail: `the same ${tag} was taken a moment ago, and taken back since` };
   const id = `${tag}-${zone}-${index}`;
   if (isDrain) addDrainedZone(state, zone);
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -9,21 +9,21 @@
 import { IngressNode } from "../ingress/ingressNode";
 import { StorageNode } from "../storage/storageNode";
 
-/** A program that runs. */
+/** A running program. */
 export interface RunningDaemon {
   /** Shuts the program down gracefully. */
   stop(): Task<void>;
 }
 
 /**
- * Starts the program that the settings name, in any environment.
+ * Starts the program that the settings name, in a real or a simulated environment.
  *
  * @example
  * const running = yield* Daemon.start(env, settings);
  * if (running.ok) yield* running.value.stop();
  */
 export const Daemon = {
-  /** The faults are those of the program's start; "invalid" for an unknown program. */
+  /** Starts the program. Faults: those of the program's start, and "invalid" for an unknown program. */
   *start(env: Environment, settings: Settings, adapters: ProtocolAdapters = {}): Task<Result<RunningDaemon>> {
     switch (settings.program) {
       case "agent":
--- a/test/controlFleet.ts
+++ b/test/controlFleet.ts
@@ -21,14 +21,7 @@
 };
 const zones = ["north", "east", "south", "west"];
 
-/**
- * Control members and stores alone, in virtual time, for what needs neither callers nor replicas.
- *
- * @example
- * const fleet = new ControlFleet(7, { controls: 4, stores: 4 });
- * await fleet.run(3000);
- * await fleet.ask("PUT", "/v1/manifest", { bindings: {} }, { "if-match": "0" });
- */
+/** Control members and stores alone, in virtual time, for what needs neither callers nor replicas. */
 export class ControlFleet {
   readonly world: SimWorld;
   readonly settings = new Map<string, Settings>();
@@ -84,12 +77,9 @@
   private place(): { address: string; http: string } {
     return { address: `127.0.0.1:${(this.nextPort += 1)}`, http: `127.0.0.1:${(this.nextPort += 1)}` };
   }
-  /** @example fleet.names("control") */
   names = (program: string): string[] =>
     [...this.settings].filter(([, settings]) => settings.program === program).map(([name]) => name);
-  /** @example await fleet.run(3000); */
   run = (ms: number): Promise<void> => this.world.run(ms);
-  /** @example fleet.start("control-1"); */
   start(name: string): void {
     const settings = this.settings.get(name)!;
     const disk = this.disks.get(name) ?? new SimDisk(this.world);
@@ -102,13 +92,12 @@
       else fleet.errors.push(`${name}: ${started.fault.detail}`);
     });
   }
-  /** @example fleet.kill("control-1", true); */
   kill(name: string, powerLost = false): void {
     this.errors.push(...(this.world.processes.get(name)?.errors ?? []));
     this.world.kill(name, powerLost);
     this.running.delete(name);
   }
-  /** SIGTERM, to its end. @example await fleet.terminate("control-1"); */
+  /** SIGTERM, to its end. */
   async terminate(name: string): Promise<void> {
     const running = this.running.get(name)!;
     await this.world.finish(
@@ -121,7 +110,7 @@
     );
     this.kill(name);
   }
-  /** Started again, after a first start of all: it founds nothing. @example fleet.restart("control-1", { empty: true, moved: true }); */
+  /** Started again, after a first start of all: it founds nothing. */
   restart(name: string, how: { withEmptyDisk?: boolean; atNewAddress?: boolean; seeds?: string[] } = {}): void {
     const settings = this.settings.get(name)!;
     if (how.withEmptyDisk) this.disks.get(name)?.wipe();
@@ -134,7 +123,7 @@
     });
     this.start(name);
   }
-  /** A machine like another, empty, at a new address. @example fleet.add("control-1", "control-5", "north"); */
+  /** A machine like another, empty, at a new address. */
   addMachine(like: string, name: string, zone?: string): void {
     const settings = this.settings.get(like)!;
     const founders = settings.program === "control" ? { founders: [] } : {};
@@ -148,13 +137,13 @@
     });
     this.start(name);
   }
-  /** Settings files name living machines, three of them from the given one on, as the operator's list has them. @example fleet.reseed(); */
+  /** Settings files name living machines, three of them from the given one on, as the operator's list has them. */
   updateSeeds(start = 0): void {
     const addresses = this.names("control").map((name) => this.settings.get(name)!.address);
     const seeds = [0, 1, 2].map((at) => addresses[(start + at) % addresses.length]);
     for (const settings of this.settings.values()) settings.seeds?.splice(0, settings.seeds.length, ...seeds);
   }
-  /** Cuts machines off from all others, and leaves the operator a way to both sides. @example fleet.cutOff(["control-1"], "in"); */
+  /** Cuts machines off from all others, and leaves the operator a way to both sides. */
   partition(island: string[], way: "in" | "out" | "both" = "both"): void {
     for (const inside of island)
       for (const outside of [...this.settings.keys()].filter((name) => !island.includes(name))) {
@@ -163,19 +152,16 @@
       }
     if (this.world.partitionsReset) this.world.resetPartitioned();
   }
-  /** @example fleet.ingress("ingress-1")?.readiness.unreadyReason() */
   ingress = (name: string): IngressNode | undefined => this.running.get(name) as unknown as IngressNode | undefined;
-  /** @example fleet.control("control-1")?.group.hasLeaderLease() */
   control = (name: string): ControlNode | undefined => this.running.get(name) as unknown as ControlNode | undefined;
-  /** @example fleet.lead() // "control-2", or undefined */
   leader = (): string | undefined => this.names("control").find((name) => this.control(name)?.group.hasLeaderLease());
-  /** Virtual time until something holds, or undefined. @example await fleet.until(() => fleet.lead() !== undefined, 3000) */
+  /** Virtual time until something holds, or undefined. */
   async until(holds: () => boolean | Promise<boolean>, withinMs: number, stepMs = 20): Promise<number | undefined> {
     for (const from = this.world.now; this.world.now - from <= withinMs; await this.run(stepMs))
       if (await holds()) return this.world.now - from;
     return undefined;
   }
-  /** Asks one address as an operator or a replica would; status 0: no answer. @example await fleet.ask("GET", "/v1/manifest") */
+  /** Asks one address as an operator or a replica would; status 0: no answer. */
   async send(
     method: string,
     path: string,
@@ -203,7 +189,7 @@
     );
     return answered ?? { status: 0, body: "no answer", headers: {} };
   }
-  /** Ends all; what went wrong inside. @example expect(fleet.close()).toEqual([]); */
+  /** Ends all; what went wrong inside. */
   close(): string[] {
     for (const name of [...this.world.processes.keys()]) this.kill(name);
     return this.errors;
--- a/test/voterRecoveryTrial.ts
+++ b/test/voterRecoveryTrial.ts
@@ -34,14 +34,9 @@
 const RECOVERY_LIMIT_MS = 12_000;
 const POLL_STEP_MS = 10;
 
-/**
- * Measures how long the control group is short of a voter after a machine returned without its disk.
- *
- * @example
- * const times = await VoterRecovery.run(trial);
- */
+/** Measures how long the control group is short of a voter after a machine returned without its disk. */
 export const VoterRecovery = {
-  /** Whether the group has all its voters, live and caught up. @example VoterRecovery.hasAllVoters(fleet, 3) */
+  /** Whether the group has all its voters, live and caught up. */
   hasAllVoters(fleet: ControlFleet, wanted: number): boolean {
     const leader = fleet.leader();
     if (!leader) return false;
@@ -53,7 +48,7 @@
       live.some(({ node, group: own }) => node.self.id === id && own.lastApplied >= group.commitIndex),
     );
   },
-  /** A fixed mix of all losses. @example VoterRecovery.trials(500, 1) */
+  /** A fixed mix of all losses. */
   trials(seeds: number, losses: number): VoterTrial[] {
     const downTimes = [0, 60, 300, 1000, 2500, 6000];
     return Array.from({ length: seeds }, (_, at): VoterTrial => {
@@ -70,7 +65,7 @@
       };
     });
   },
-  /** Kills and restarts the machines of the trial. @example const returned = await VoterRecovery.lose(fleet, trial, victims); */
+  /** Kills and restarts the machines of the trial. */
   async crashAndReturn(fleet: ControlFleet, trial: VoterTrial, victims: string[]): Promise<void> {
     const others = fleet.names("control").filter((name) => !victims.includes(name));
     const stopped = trial.allPower ? [...victims, ...others] : victims;
@@ -133,7 +128,7 @@
     const ifMatch = { "if-match": String(version - 1) };
     return (await fleet.send("PUT", "/v1/manifest", { version, bindings: {} }, ifMatch)).status;
   },
-  /** Names of voters, the leader first or left out. @example VoterRecovery.pick(fleet, "follower", 2) */
+  /** Names of voters, the leader first or left out. */
   selectVoters(fleet: ControlFleet, first: "lead" | "follower", count: number): string[] {
     const leader = fleet.leader();
     if (leader === undefined) return [];
@@ -143,7 +138,7 @@
       .filter((name) => name !== leader && voters.includes(fleet.control(name)?.node.self.id ?? ""));
     return (first === "lead" ? [leader, ...followers] : followers).slice(0, count);
   },
-  /** One line: median and slowest of each stage. @example VoterRecovery.summary(all) */
+  /** One line: median and slowest of each stage. */
   summary(all: { trial: VoterTrial; times: RecoveryTimes }[]): string {
     const stage = (pick: (times: RecoveryTimes) => number | undefined): string => {
       const sorted = all.map(({ times }) => pick(times) ?? Infinity).sort((left, right) => left - right);
