--- a/test/configurationPatch.test.ts
+++ b/test/configurationPatch.test.ts
@@ -13,7 +13,7 @@
     prefixBytes: 0,
     ...more,
   });
-  test("a patch keeps the position of an item, and the result is validated as a whole", () => {
+  test("a patch keeps the position of an item, the result is validated as a whole, and nodes get it without the operator's form", () => {
     const doc = {
       bindings: { a: route({ origin: { its: "form" } }), b: route({ host: "h", prefix: "/b/" }) },
       pools: { p: { origin: 1 }, q: {} },
@@ -25,15 +25,17 @@
     });
     expect(Object.keys(next.bindings)).toEqual(["a", "b", "c"]);
     expect([next.bindings.a.pool, next.origin, configurationProblems(next)]).toEqual(["q", { rest: 1 }, []]);
-    const faults = (upsert: Record<string, unknown>, remove = {}): string[] =>
+    const problemsAfter = (upsert: Record<string, unknown>, remove = {}): string[] =>
       configurationProblems(ConfigurationPatch.apply(doc, { upsert: { bindings: upsert as any }, remove }));
-    expect(faults({}, { pools: ["p"] })).toHaveLength(2);
-    expect(faults({ z: route({ host: "H", prefix: "/b/" }) })).toEqual([
+    expect(problemsAfter({}, { pools: ["p"] })).toHaveLength(2);
+    expect(problemsAfter({ z: route({ host: "H", prefix: "/b/" }) })).toEqual([
       expect.stringContaining("host and prefix are those of b"),
     ]);
-    expect(faults({ z: route({ split: [{ pool: "p", weight: 0 }] }) })).toEqual([expect.stringContaining("weights")]);
+    expect(problemsAfter({ z: route({ split: [{ pool: "p", weight: 0 }] }) })).toEqual([
+      expect.stringContaining("weights"),
+    ]);
     expect(
-      faults({
+      problemsAfter({
         z: route({
           split: [
             { pool: "p", weight: 1 },
@@ -42,15 +44,15 @@
         }),
       }),
     ).toEqual([expect.stringContaining("nobody")]);
-    expect(faults({ z: route({ deadlineMs: 0 }) })).toEqual([expect.stringContaining("deadline")]);
-    expect(faults({ z: route({ host: "h" }) })).toEqual([expect.stringContaining("go together")]);
-    // a manifest that names no pools at all is as well as it always was
+    expect(problemsAfter({ z: route({ deadlineMs: 0 }) })).toEqual([expect.stringContaining("deadline")]);
+    expect(problemsAfter({ z: route({ host: "h" }) })).toEqual([expect.stringContaining("go together")]);
+    // A configuration without pools may name any pool.
     expect(configurationProblems({ bindings: { a: route({ pool: "anything" }) } })).toEqual([]);
-    const bare = withoutOrigin(doc);
-    expect([JSON.stringify(bare).includes("origin"), Object.keys(bare.bindings), withoutOrigin(doc) === bare]).toEqual([
-      false,
-      ["a", "b"],
-      true,
-    ]);
+    const stripped = withoutOrigin(doc);
+    expect([
+      JSON.stringify(stripped).includes("origin"),
+      Object.keys(stripped.bindings),
+      withoutOrigin(doc) === stripped,
+    ]).toEqual([false, ["a", "b"], true]);
   });
 });
--- a/test/controlFleet.ts
+++ b/test/controlFleet.ts
@@ -9,7 +9,7 @@
 import { SimProcess, SimWorld } from "../src/simulation/simWorld";
 
 export type OperatorResponse = { status: number; body: any; headers: Record<string, string> };
-type Options = {
+type ControlFleetOptions = {
   controls?: number;
   stores?: number;
   agents?: number;
@@ -19,9 +19,12 @@
   adaptersFor?: (settings: Settings) => ProtocolAdapters;
   log?: (line: string) => void;
 };
-const zones = ["north", "east", "south", "west"];
+const ZONES = ["north", "east", "south", "west"];
 
-/** Control members and stores alone, in virtual time, for what needs neither callers nor replicas. */
+/**
+ * A simulated cluster in virtual time for tests of the control group: control processes, and on request storage nodes,
+ * agents and ingresses, without callers or endpoints.
+ */
 export class ControlFleet {
   readonly world: SimWorld;
   readonly settings = new Map<string, Settings>();
@@ -33,23 +36,23 @@
 
   constructor(
     seed: number,
-    private readonly options: Options = {},
+    private readonly options: ControlFleetOptions = {},
   ) {
     this.world = new SimWorld(seed, options.log);
-    const controls = Array.from({ length: options.controls ?? 4 }, () => this.place());
+    const controls = Array.from({ length: options.controls ?? 4 }, () => this.allocateAddresses());
     const founders = controls.slice(0, options.founders ?? controls.length).map((each) => each.address);
     const seeds = controls.slice(0, 3).map((each) => each.address);
     const common = { cluster: "test", seeds, losses: options.losses ?? 1 };
-    controls.forEach((place, at) => {
+    controls.forEach((addresses, at) => {
       const name = `control-${at + 1}`;
       this.settings.set(name, {
         program: "control",
         ...common,
-        ...place,
+        ...addresses,
         name,
-        district: zones[at % 4],
+        district: ZONES[at % 4],
         data: `data/${name}`,
-        founders: founders.includes(place.address) ? founders : [],
+        founders: founders.includes(addresses.address) ? founders : [],
       });
     });
     for (let at = 0; at < (options.stores ?? 0); at += 1) {
@@ -57,24 +60,36 @@
       this.settings.set(name, {
         program: "store",
         ...common,
-        ...this.place(),
+        ...this.allocateAddresses(),
         name,
-        district: zones[at % 4],
+        district: ZONES[at % 4],
         data: `data/${name}`,
       });
     }
     for (let at = 0; at < (options.agents ?? 0); at += 1) {
       const name = `agent-${at + 1}`;
-      this.settings.set(name, { program: "agent", ...common, ...this.place(), name, district: zones[at % 4] });
+      this.settings.set(name, {
+        program: "agent",
+        ...common,
+        ...this.allocateAddresses(),
+        name,
+        district: ZONES[at % 4],
+      });
     }
     for (let at = 0; at < (options.ingresses ?? 0); at += 1) {
       const name = `ingress-${at + 1}`;
-      this.settings.set(name, { program: "ingress", ...common, ...this.place(), name, district: zones[at % 4] });
+      this.settings.set(name, {
+        program: "ingress",
+        ...common,
+        ...this.allocateAddresses(),
+        name,
+        district: ZONES[at % 4],
+      });
     }
     this.operator = this.world.start("operator", new SimDisk(this.world));
     for (const name of this.settings.keys()) this.start(name);
   }
-  private place(): { address: string; http: string } {
+  private allocateAddresses(): { address: string; http: string } {
     return { address: `127.0.0.1:${(this.nextPort += 1)}`, http: `127.0.0.1:${(this.nextPort += 1)}` };
   }
   names = (program: string): string[] =>
@@ -97,7 +112,7 @@
     this.world.kill(name, powerLost);
     this.running.delete(name);
   }
-  /** SIGTERM, to its end. */
+  /** Shuts a process down as after SIGTERM, and waits until it has stopped. */
   async terminate(name: string): Promise<void> {
     const running = this.running.get(name)!;
     await this.world.finish(
@@ -110,7 +125,7 @@
     );
     this.kill(name);
   }
-  /** Started again, after a first start of all: it founds nothing. */
+  /** Starts a process again. A restarted control process takes part in no bootstrap. */
   restart(name: string, how: { withEmptyDisk?: boolean; atNewAddress?: boolean; seeds?: string[] } = {}): void {
     const settings = this.settings.get(name)!;
     if (how.withEmptyDisk) this.disks.get(name)?.wipe();
@@ -118,50 +133,50 @@
     this.settings.set(name, {
       ...settings,
       ...founders,
-      ...(how.atNewAddress ? this.place() : {}),
+      ...(how.atNewAddress ? this.allocateAddresses() : {}),
       ...(how.seeds ? { seeds: how.seeds } : {}),
     });
     this.start(name);
   }
-  /** A machine like another, empty, at a new address. */
-  addMachine(like: string, name: string, zone?: string): void {
-    const settings = this.settings.get(like)!;
+  /** Adds a machine with an empty disk and a new address; its other settings are those of an existing one. */
+  addMachine(template: string, name: string, zone?: string): void {
+    const settings = this.settings.get(template)!;
     const founders = settings.program === "control" ? { founders: [] } : {};
     this.settings.set(name, {
       ...settings,
       ...founders,
-      ...this.place(),
+      ...this.allocateAddresses(),
       name,
       data: `data/${name}`,
       ...(zone ? { district: zone } : {}),
     });
     this.start(name);
   }
-  /** Settings files name living machines, three of them from the given one on, as the operator's list has them. */
+  /** Replaces the seeds in all settings with three existing control machines, starting at the given position. */
   updateSeeds(start = 0): void {
     const addresses = this.names("control").map((name) => this.settings.get(name)!.address);
     const seeds = [0, 1, 2].map((at) => addresses[(start + at) % addresses.length]);
     for (const settings of this.settings.values()) settings.seeds?.splice(0, settings.seeds.length, ...seeds);
   }
-  /** Cuts machines off from all others, and leaves the operator a way to both sides. */
-  partition(island: string[], way: "in" | "out" | "both" = "both"): void {
-    for (const inside of island)
-      for (const outside of [...this.settings.keys()].filter((name) => !island.includes(name))) {
-        if (way !== "in") this.world.partition(inside, outside);
-        if (way !== "out") this.world.partition(outside, inside);
+  /** Partitions machines from all others in one or both directions. The operator still reaches both sides. */
+  partition(isolated: string[], direction: "in" | "out" | "both" = "both"): void {
+    for (const inside of isolated)
+      for (const outside of [...this.settings.keys()].filter((name) => !isolated.includes(name))) {
+        if (direction !== "in") this.world.partition(inside, outside);
+        if (direction !== "out") this.world.partition(outside, inside);
       }
     if (this.world.partitionsReset) this.world.resetPartitioned();
   }
   ingress = (name: string): IngressNode | undefined => this.running.get(name) as unknown as IngressNode | undefined;
   control = (name: string): ControlNode | undefined => this.running.get(name) as unknown as ControlNode | undefined;
   leader = (): string | undefined => this.names("control").find((name) => this.control(name)?.group.hasLeaderLease());
-  /** Virtual time until something holds, or undefined. */
-  async until(holds: () => boolean | Promise<boolean>, withinMs: number, stepMs = 20): Promise<number | undefined> {
+  /** Returns the virtual time until the condition holds, ms, or undefined if it does not hold in time. */
+  async until(condition: () => boolean | Promise<boolean>, withinMs: number, stepMs = 20): Promise<number | undefined> {
     for (const from = this.world.now; this.world.now - from <= withinMs; await this.run(stepMs))
-      if (await holds()) return this.world.now - from;
+      if (await condition()) return this.world.now - from;
     return undefined;
   }
-  /** Asks one address as an operator or a replica would; status 0: no answer. */
+  /** Sends an HTTP request to one address, by default that of a running control process. Status 0 means no response. */
   async send(
     method: string,
     path: string,
@@ -170,26 +185,26 @@
     address?: string,
   ): Promise<OperatorResponse> {
     const { env } = this.operator;
-    const up = this.names("control").find((name) => this.running.has(name));
-    const to = address ?? (up ? this.settings.get(up)!.http : "127.0.0.1:1");
+    const running = this.names("control").find((name) => this.running.has(name));
+    const target = address ?? (running ? this.settings.get(running)!.http : "127.0.0.1:1");
     const text = body === undefined || typeof body === "string" ? body : JSON.stringify(body);
-    const answered = await this.world.finish(
+    const result = await this.world.finish(
       this.operator,
       function* () {
-        const response = yield* env.http(to, { method, path, body: text, headers, timeoutMs: 8000 });
+        const response = yield* env.http(target, { method, path, body: text, headers, timeoutMs: 8000 });
         if (!response.ok) return { status: 0, body: response.fault, headers: {} };
-        const got = (yield* EnvironmentTools.bodyOf(env, response.value, 32_000_000, 8000)) ?? "";
+        const bodyText = (yield* EnvironmentTools.bodyOf(env, response.value, 32_000_000, 8000)) ?? "";
         return {
           status: response.value.status,
           headers: response.value.headers,
-          body: got.startsWith("{") ? JSON.parse(got) : got,
+          body: bodyText.startsWith("{") ? JSON.parse(bodyText) : bodyText,
         };
       },
       9000,
     );
-    return answered ?? { status: 0, body: "no answer", headers: {} };
+    return result ?? { status: 0, body: "no response", headers: {} };
   }
-  /** Ends all; what went wrong inside. */
+  /** Kills all processes, and returns the errors of failed starts and tasks. */
   close(): string[] {
     for (const name of [...this.world.processes.keys()]) this.kill(name);
     return this.errors;
--- a/test/controlGroupRestart.test.ts
+++ b/test/controlGroupRestart.test.ts
@@ -10,7 +10,7 @@
 const inForce = async (fleet: ControlFleet): Promise<number> => (await fleet.send("GET", "/v1/manifest")).body.version;
 
 describe("restart of the whole control group", () => {
-  test("after a power loss and at other addresses a leader is elected within two seconds, and acknowledged changes stay", async () => {
+  test("after a power loss and a change of all addresses a leader is elected within two seconds, and acknowledged changes remain in force", async () => {
     for (const seed of [1, 2, 3, 4, 5, 6]) {
       const fleet = new ControlFleet(seed, { controls: 4 });
       await fleet.run(3000);
@@ -27,7 +27,7 @@
       expect(fleet.close()).toEqual([]);
     }
   });
-  test("voters that have all just started do not wait for a lease to end, unless one of them may still lead", async () => {
+  test("voters that have all just started do not wait for a lease to expire, unless a voter that did not restart may still lead", async () => {
     for (const seed of [1, 2, 3, 4]) {
       const fleet = new ControlFleet(seed, { controls: 3 });
       await fleet.run(3000);
@@ -37,18 +37,19 @@
       for (const name of fleet.names("control")) fleet.restart(name);
       expect(await fleet.until(() => fleet.leader() !== undefined, 5000)).toBeLessThan(Constants.electionTimeoutMinMs);
       expect(await inForce(fleet)).toBe(5);
-      // the leader freezes with its lease and the two others restart: they cannot know that it leads nothing
+      // The leader freezes while it holds a lease and the other two restart. They must wait until that lease may have
+      // expired.
       const leader = fleet.leader()!;
       const others = fleet.names("control").filter((name) => name !== leader);
       fleet.world.processes.get(leader)!.freeze();
       for (const name of others) fleet.kill(name);
       for (const name of others) fleet.restart(name);
-      const next = (): boolean => others.some((name) => fleet.control(name)?.group.hasLeaderLease() ?? false);
-      expect(await fleet.until(next, 6000)).toBeGreaterThanOrEqual(Constants.electionTimeoutMinMs);
+      const hasNewLeader = (): boolean => others.some((name) => fleet.control(name)?.group.hasLeaderLease() ?? false);
+      expect(await fleet.until(hasNewLeader, 6000)).toBeGreaterThanOrEqual(Constants.electionTimeoutMinMs);
       expect(fleet.close()).toEqual([]);
     }
   });
-  test("a new leader answers nothing before all acknowledged changes are applied", async () => {
+  test("a new leader holds no lease, and so answers nothing, before all acknowledged changes are applied", async () => {
     for (let seed = 1; seed <= 8; seed += 1) {
       const fleet = new ControlFleet(seed, { controls: 4 });
       await fleet.run(3000);
--- a/test/controlShutdown.test.ts
+++ b/test/controlShutdown.test.ts
@@ -2,8 +2,8 @@
 import { ControlFleet } from "./controlFleet";
 
 describe("shutdown of a control node", () => {
-  test("a leader transfers its leadership: the group is without a leader for less than a quarter of a second", async () => {
-    const without: number[] = [];
+  test("a leader that shuts down transfers its leadership, so that the group has no leader for less than 250 ms", async () => {
+    const withoutLeaderMs: number[] = [];
     for (const seed of [1, 2, 3, 4, 5, 6]) {
       const fleet = new ControlFleet(seed, { controls: 4 });
       await fleet.run(3000);
@@ -21,14 +21,14 @@
         4000,
         5,
       );
-      without.push(steps * 5);
+      withoutLeaderMs.push(steps * 5);
       expect(fleet.leader()).not.toBe(leader);
       expect(fleet.close()).toEqual([]);
     }
-    if (process.env.VOTER_SEEDS) console.log(`without a lead after SIGTERM, ms: ${without.join(", ")}`);
-    expect(without.filter((ms) => ms >= 250)).toEqual([]);
+    if (process.env.VOTER_SEEDS) console.log(`time without a leader after SIGTERM, ms: ${withoutLeaderMs.join(", ")}`);
+    expect(withoutLeaderMs.filter((ms) => ms >= 250)).toEqual([]);
   });
-  test("a rolling restart on their disks replaces no voter, and changes are accepted throughout", async () => {
+  test("a rolling restart with intact disks replaces no voter, and changes are accepted throughout", async () => {
     for (const seed of [1, 2, 3]) {
       const fleet = new ControlFleet(seed, { controls: 4 });
       await fleet.run(3000);
--- a/test/controlStateMachine.test.ts
+++ b/test/controlStateMachine.test.ts
@@ -4,14 +4,14 @@
 import { ControlState } from "../src/controlState/controlState";
 import { ControlStateMachine } from "../src/controlState/controlStateMachine";
 
-const founded = (): ControlState => {
+const bootstrappedState = (): ControlState => {
   const state = ControlState.empty();
   ControlStateMachine.apply(state, 1, { tag: "found", group: "g", voters: ["a"] });
   return state;
 };
 
 describe("control state machine", () => {
-  test("the snapshot for nodes gets a new index only where it changed", () => {
+  test("the control snapshot gets a new index only when its content changes, and a retried change gets its first outcome", () => {
     const state = ControlState.empty();
     ControlStateMachine.apply(state, 1, { tag: "found", group: "g", voters: ["a"] });
     ControlStateMachine.apply(state, 2, { tag: "noop" });
@@ -31,7 +31,8 @@
     expect(ControlStateMachine.apply(state, 7, { ...change, changeId: "e", ifVersion: 4 })).toMatchObject({
       tag: "refused",
     });
-    // against a version still to come: not refused, for it may be taken once that version is there
+    // A change against a version that does not exist yet is not rejected, since it may be accepted once that version
+    // exists.
     expect(ControlStateMachine.apply(state, 8, { ...change, changeId: "f", ifVersion: 6, version: 7 })).toEqual({
       tag: "undecided",
       detail: "made against version 6, current is 4",
@@ -46,8 +47,8 @@
       version: 7,
     });
   });
-  test("the age of an accepted order is measured by the leader's clock, and a clock set back delays nothing", () => {
-    const state = founded();
+  test("the age of an accepted order is measured by the leader's clock, and a clock that is set back does not delay an order", () => {
+    const state = bootstrappedState();
     const drain = (index: number, tag: "drain" | "undrain", atMs: number): unknown =>
       ControlStateMachine.apply(state, index, { tag, changeId: `c${index}`, district: "north", by: "ann", at: atMs })
         .tag;
@@ -70,34 +71,34 @@
     doc: { bindings: {} },
     by: "ann",
   });
-  test("the accepted change of a version is known long after outcomes by id are dropped, also after a snapshot", () => {
-    let state = founded();
+  test("the accepted change of a version is known long after outcomes by id are dropped, even after the state is restored from a snapshot", () => {
+    let state = bootstrappedState();
     let index = 1;
     const apply = (command: Command): Outcome => ControlStateMachine.apply(state, (index += 1), command);
-    const grow = (upTo: number): void => {
+    const changeUpTo = (upTo: number): void => {
       for (let base = state.manifest.version; base < upTo; base += 1) {
         expect(apply(change(base, `winner-${base}`)).tag).toBe("done");
         if (base % 5 === 0) expect(apply(change(base, `loser-${base}`)).tag).toBe("conflict");
       }
     };
-    grow(Constants.changeOutcomesRetained + 500);
+    changeUpTo(Constants.changeOutcomesRetained + 500);
     state = JSON.parse(JSON.stringify(state)) as ControlState;
     for (const base of [0, 5, 100, 2400]) {
       expect([base, apply(change(base, `winner-${base}`))]).toEqual([base, { tag: "done", version: base + 1 }]);
       expect([base, apply(change(base, `loser-${base}`)).tag]).toEqual([base, "conflict"]);
     }
-    // past what is remembered there is no clear answer, and never a wrong one
-    grow(Constants.acceptedChangesRetained + 10);
+    // Beyond the retained history the outcome is undecided, never wrong.
+    changeUpTo(Constants.acceptedChangesRetained + 10);
     for (const name of ["winner-3", "loser-5"]) expect(apply(change(3, name)).tag).toBe("undecided");
     expect(apply(change(10, "winner-10"))).toEqual({ tag: "done", version: 11 });
     expect(apply(change(10, "loser-10")).tag).toBe("conflict");
     expect(JSON.stringify(state.accepted).length).toBeLessThan(30 * Constants.acceptedChangesRetained);
   });
-  test("a calendar entry that replaces the configuration wins its version, and another change against that version loses", () => {
-    const state = founded();
+  test("a calendar entry that replaces the configuration is the accepted change of its version, and another change against that version is a conflict", () => {
+    const state = bootstrappedState();
     const move = { kind: "manifest", ifVersion: 0, doc: { bindings: {} } } as const;
-    const pencil = { tag: "pencil", changeId: "p", ifVersion: 0, id: "m", due: 5, move, by: "ann" } as const;
-    ControlStateMachine.apply(state, 2, pencil);
+    const schedule = { tag: "pencil", changeId: "p", ifVersion: 0, id: "m", due: 5, move, by: "ann" } as const;
+    ControlStateMachine.apply(state, 2, schedule);
     ControlStateMachine.apply(state, 3, { tag: "move", id: "m", from: "pencilled", to: "finished", detail: "", at: 5 });
     expect(state.manifest.version).toBe(1);
     expect(ControlStateMachine.apply(state, 4, change(0, "c")).tag).toBe("conflict");
--- a/test/drainOrders.test.ts
+++ b/test/drainOrders.test.ts
@@ -10,7 +10,7 @@
 });
 
 describe("drain orders", () => {
-  const at = (fleet: ControlFleet, name: string): string => fleet.settings.get(name)!.http;
+  const httpAddress = (fleet: ControlFleet, name: string): string => fleet.settings.get(name)!.http;
   const drained = (fleet: ControlFleet): string[] => fleet.control(fleet.leader()!)!.group.state.drained;
   const order = (
     fleet: ControlFleet,
@@ -23,32 +23,32 @@
       "/v1/districts/north/drain",
       undefined,
       changeId ? { "x-change-id": changeId } : {},
-      at(fleet, name),
+      httpAddress(fleet, name),
     );
-  test("a late retry of a drain that was undone drains nothing, and a new drain is accepted while its caller still retries", async () => {
+  test("a late retry of a drain that was reversed drains nothing, and a new drain is accepted while its caller still retries", async () => {
     const fleet = new ControlFleet(3, { controls: 4 });
     await fleet.run(3000);
     expect((await order(fleet, "POST")).status).toBe(200);
-    const takenAt = fleet.world.now;
+    const acceptedAt = fleet.world.now;
     await fleet.run(500);
     expect((await order(fleet, "DELETE", "control-2")).status).toBe(200);
     for (const name of fleet.names("control")) {
       expect((await order(fleet, "POST", name)).status).toBe(503);
       expect(drained(fleet)).toEqual([]);
     }
-    // the undrain is still the newest order, and is acknowledged again
+    // The undrain is still the newest order, so a retry of it is acknowledged again.
     expect((await order(fleet, "DELETE", "control-3")).status).toBe(200);
     const from = fleet.world.now;
     expect(await fleet.until(async () => (await order(fleet, "POST")).status === 200, 10_000, 100)).toBeDefined();
-    expect(fleet.world.now - takenAt).toBeGreaterThanOrEqual(Constants.orderRetryMs);
+    expect(fleet.world.now - acceptedAt).toBeGreaterThanOrEqual(Constants.orderRetryMs);
     expect(fleet.world.now - from).toBeLessThan(Constants.orderRetryMs);
     expect(drained(fleet)).toEqual(["north"]);
-    // and an undrain sent again after that drain gives nothing back
+    // A retry of the undrain after that drain does not reverse it.
     expect((await order(fleet, "DELETE")).status).toBe(503);
     expect(drained(fleet)).toEqual(["north"]);
     expect(fleet.close()).toEqual([]);
   });
-  test("a retry of an order with an id gets the first outcome, and another order is accepted at once", async () => {
+  test("a retry of an order with an id gets the first outcome, and an order with another id is accepted at once", async () => {
     const fleet = new ControlFleet(4, { controls: 4 });
     await fleet.run(3000);
     expect((await order(fleet, "POST", "control-1", "one")).status).toBe(200);
@@ -59,7 +59,7 @@
     expect(drained(fleet)).toEqual(["north"]);
     expect(fleet.close()).toEqual([]);
   });
-  test("an order that a frozen node reads after its caller has left is not carried out", async () => {
+  test("an order that a frozen node reads only after its caller has given up is not carried out", async () => {
     for (const seed of [1, 2, 3, 4, 5, 6]) {
       const fleet = new ControlFleet(seed, { controls: 4 });
       await fleet.run(3000);
@@ -69,7 +69,8 @@
       const { env } = fleet.operator;
       const lost = await fleet.world.finish(
         fleet.operator,
-        () => env.http(at(fleet, name), { method: "POST", path: "/v1/districts/north/drain", timeoutMs: 1000 }),
+        () =>
+          env.http(httpAddress(fleet, name), { method: "POST", path: "/v1/districts/north/drain", timeoutMs: 1000 }),
         2000,
       );
       expect(lost?.ok).toBe(false);
@@ -80,28 +81,28 @@
       expect(fleet.close()).toEqual([]);
     }
   });
-  test("the leader appends no order after its caller's deadline, and rejects a deadline by another process's clock", async () => {
+  test("the leader appends no order after its caller's deadline, and rejects a deadline given by another process's clock", async () => {
     const fleet = new ControlFleet(5, { controls: 4 });
     await fleet.run(3000);
     const [rpc, leader] = [new Rpc(fleet.operator.env, "test", "asker"), fleet.leader()!];
-    const ask = (body: ControlRequest): Promise<any> =>
+    const call = (body: ControlRequest): Promise<any> =>
       fleet.world.finish(
         fleet.operator,
         () => rpc.call(fleet.settings.get(leader)!.address, "control.op", body, 2000),
         3000,
       );
     const command: Command = { tag: "drain", changeId: "c", district: "north", by: "ann", at: 0 };
-    const { clockId, now } = (await ask({ op: "clock" })).value;
+    const { clockId, now } = (await call({ op: "clock" })).value;
     await fleet.run(1000);
-    const late = await ask({ op: "change", command, deadline: { clockId, at: now + 900 } });
+    const late = await call({ op: "change", command, deadline: { clockId, at: now + 900 } });
     expect(late).toMatchObject({ ok: false, fault: { tag: "late" } });
-    const foreign = await ask({ op: "change", command, deadline: { clockId: "another", at: now + 90_000 } });
+    const foreign = await call({ op: "change", command, deadline: { clockId: "another", at: now + 90_000 } });
     expect(foreign).toMatchObject({ ok: false, fault: { tag: "late" } });
     expect(drained(fleet)).toEqual([]);
-    expect(await ask({ op: "change", command, deadline: { clockId, at: now + 9000 } })).toMatchObject({ ok: true });
+    expect(await call({ op: "change", command, deadline: { clockId, at: now + 9000 } })).toMatchObject({ ok: true });
     expect(fleet.close()).toEqual([]);
   });
-  test("a leader that restarts at the same address takes orders from nodes that knew its former clock", async () => {
+  test("a leader that restarts at the same address accepts orders from nodes that knew its former clock", async () => {
     const fleet = new ControlFleet(6, { controls: 4 });
     await fleet.run(3000);
     for (let round = 0; round < 3; round += 1) {
@@ -114,7 +115,7 @@
             "/v1/manifest",
             configuration(round + 1),
             { "if-match": String(round) },
-            at(fleet, other),
+            httpAddress(fleet, other),
           )
         ).status,
       ).toBe(200);
--- a/test/voterManagement.test.ts
+++ b/test/voterManagement.test.ts
@@ -9,23 +9,23 @@
 const put = async (fleet: ControlFleet, version: number, ifVersion: number): Promise<number> =>
   (await fleet.send("PUT", "/v1/manifest", configuration(version), { "if-match": String(ifVersion) })).status;
 const inForce = async (fleet: ControlFleet): Promise<number> => (await fleet.send("GET", "/v1/manifest")).body.version;
-/** Voters by the leader's log, as ids, and the names of those that live. */
-const voters = (fleet: ControlFleet): { ids: string[]; living: string[] } => {
+/** Returns the ids of the voters by the leader's log, and the names of those that are running. */
+const voters = (fleet: ControlFleet): { ids: string[]; running: string[] } => {
   const leader = fleet.leader();
   const ids = leader ? fleet.control(leader)!.group.voters() : [];
   return {
     ids,
-    living: fleet
+    running: fleet
       .names("control")
       .filter((name) => ids.includes(fleet.control(name)?.node.self.id ?? ""))
       .sort(),
   };
 };
 const hasLiveVoters = (fleet: ControlFleet, count: number): boolean =>
-  voters(fleet).ids.length === count && voters(fleet).living.length === count;
+  voters(fleet).ids.length === count && voters(fleet).running.length === count;
 
 describe("voters of the control group", () => {
-  test("a node that is stopped and started again with its disk is a live member at once", async () => {
+  test("a node that is stopped and restarted with its disk is a live member again within 1.5 s", async () => {
     const fleet = new ControlFleet(3, { controls: 4 });
     await fleet.run(3000);
     await fleet.terminate("control-2");
@@ -36,44 +36,44 @@
       expect([name, fleet.control(name)!.node.membership.alive("control").length]).toEqual([name, 4]);
     expect(fleet.close()).toEqual([]);
   });
-  test("a group bootstrapped with three voters that needs five grows before it takes its first change", async () => {
+  test("a group that is bootstrapped with three voters but needs five grows before it accepts its first change", async () => {
     const fleet = new ControlFleet(4, { controls: 7, founders: 3, losses: 2 });
     await fleet.until(() => fleet.leader() !== undefined, 4000);
     expect(await fleet.until(async () => (await put(fleet, 3, 0)) === 200, 8000, 20)).toBeDefined();
     expect(hasLiveVoters(fleet, 5)).toBe(true);
     expect(fleet.close()).toEqual([]);
   });
-  test("a group that cannot grow takes changes after a while, and logs that it is short of voters", async () => {
+  test("a group that cannot grow accepts changes after the waiting time, and logs that it has too few voters", async () => {
     const lines: string[] = [];
     const fleet = new ControlFleet(4, { controls: 3, founders: 3, losses: 2, log: (line) => lines.push(line) });
     await fleet.until(() => fleet.leader() !== undefined, 4000);
-    const took = await fleet.until(async () => (await put(fleet, 3, 0)) === 200, 8000, 50);
-    expect(took).toBeGreaterThan(Constants.groupGrowMs / 2);
-    expect(took).toBeLessThan(Constants.groupGrowMs + 1000);
+    const elapsedMs = await fleet.until(async () => (await put(fleet, 3, 0)) === 200, 8000, 50);
+    expect(elapsedMs).toBeGreaterThan(Constants.groupGrowMs / 2);
+    expect(elapsedMs).toBeLessThan(Constants.groupGrowMs + 1000);
     expect(lines.some((line) => line.includes("1309"))).toBe(true);
     expect(fleet.close()).toEqual([]);
   });
-  test("a node without its disk at a voter's address neither acknowledges nor votes in the voter's name", async () => {
+  test("a node that lost its disk neither acknowledges nor votes in the name of the voter that had its address", async () => {
     const fleet = new ControlFleet(6, { controls: 3 });
     await fleet.run(3000);
     expect(await put(fleet, 1, 0)).toBe(200);
-    const [leader, gone, down] = [fleet.leader()!, ...fleet.names("control").filter((name) => name !== fleet.leader())];
-    const [former, address] = [fleet.control(gone)!.node.self.id, fleet.settings.get(gone)!.address];
+    const [leader, lost, down] = [fleet.leader()!, ...fleet.names("control").filter((name) => name !== fleet.leader())];
+    const [former, address] = [fleet.control(lost)!.node.self.id, fleet.settings.get(lost)!.address];
     const group = fleet.control(leader)!.group;
     fleet.kill(down);
-    fleet.kill(gone, true);
-    fleet.restart(gone, { withEmptyDisk: true });
+    fleet.kill(lost, true);
+    fleet.restart(lost, { withEmptyDisk: true });
     await fleet.run(4000);
-    // of the three voters one is left: nothing may be acknowledged, though two machines are up
+    // Only one of the three voters is left, so nothing may be acknowledged although two machines are up.
     expect([503, 504]).toContain(await put(fleet, 2, 1));
-    const asker = new Rpc(fleet.operator.env, "test", "asker");
+    const rpc = new Rpc(fleet.operator.env, "test", "asker");
     const vote = { to: former, group: group.groupId(), term: 99, candidate: "asker", lastIndex: 10_000, lastTerm: 98 };
-    for (const verb of ["group.vote", "group.preVote"])
-      expect(await fleet.world.finish(fleet.operator, () => asker.call(address, verb, vote, 500), 1000)).toMatchObject({
+    for (const method of ["group.vote", "group.preVote"])
+      expect(await fleet.world.finish(fleet.operator, () => rpc.call(address, method, vote, 500), 1000)).toMatchObject({
         ok: false,
         fault: { tag: "refused" },
       });
-    // the other comes back, and a majority of those that hold the log with it
+    // With the other voter back, a majority of the voters that hold the log is available again.
     fleet.restart(down);
     expect(await fleet.until(async () => (await put(fleet, 2, 1)) === 200, 8000, 100)).toBeDefined();
     expect(fleet.close()).toEqual([]);
@@ -82,15 +82,16 @@
     const fleet = new ControlFleet(7, { controls: 4 });
     await fleet.run(3000);
     expect(await put(fleet, 1, 0)).toBe(200);
-    const { living } = voters(fleet);
-    const standby = fleet.names("control").find((name) => !living.includes(name))!;
-    const [leader, gone] = [fleet.leader()!, living.find((name) => name !== fleet.leader())!];
+    const { running } = voters(fleet);
+    const standby = fleet.names("control").find((name) => !running.includes(name))!;
+    const [leader, lost] = [fleet.leader()!, running.find((name) => name !== fleet.leader())!];
     fleet.kill(standby);
-    fleet.kill(gone, true);
-    fleet.restart(gone, { withEmptyDisk: true });
-    fleet.world.partition(leader, gone); // the others tell of it; the lead can't bring it the log
+    fleet.kill(lost, true);
+    fleet.restart(lost, { withEmptyDisk: true });
+    // The other nodes spread its membership by gossip, but the leader cannot send it the log.
+    fleet.world.partition(leader, lost);
     await fleet.run(6000);
-    expect(voters(fleet).ids).not.toContain(fleet.control(gone)!.node.self.id);
+    expect(voters(fleet).ids).not.toContain(fleet.control(lost)!.node.self.id);
     expect(
       (await fleet.send("PUT", "/v1/manifest", configuration(2), { "if-match": "1" }, fleet.settings.get(leader)!.http))
         .status,
@@ -99,21 +100,21 @@
     expect(await fleet.until(() => hasLiveVoters(fleet, 3), 5000)).toBeDefined();
     expect(fleet.close()).toEqual([]);
   });
-  test("voters are replaced one after the other by empty nodes elsewhere, and each change stays", async () => {
+  test("voters are replaced one after the other by empty nodes at other addresses, and every acknowledged change remains in force", async () => {
     const fleet = new ControlFleet(8, { controls: 4 });
     await fleet.run(3000);
     let version = 0;
     for (let round = 0; round < 6; round += 1) {
       expect(await put(fleet, version + 2, version)).toBe(200);
       version += 2;
-      const { living } = voters(fleet);
-      const name = round % 2 === 0 ? fleet.leader()! : living.find((each) => each !== fleet.leader())!;
+      const { running } = voters(fleet);
+      const name = round % 2 === 0 ? fleet.leader()! : running.find((each) => each !== fleet.leader())!;
       fleet.kill(name, true);
       fleet.settings.delete(name);
       fleet.updateSeeds(round);
       fleet.addMachine(fleet.names("control")[0], `control-${10 + round}`);
-      const took = await fleet.until(() => hasLiveVoters(fleet, 3), 8000);
-      expect(took).toBeLessThan(5000);
+      const elapsedMs = await fleet.until(() => hasLiveVoters(fleet, 3), 8000);
+      expect(elapsedMs).toBeLessThan(5000);
       expect(await inForce(fleet)).toBe(version);
     }
     expect(fleet.close()).toEqual([]);
