--- a/src/cli/modelCommand.ts
+++ b/src/cli/modelCommand.ts
@@ -1,7 +1,7 @@
 import * as fs from "fs";
 import type { Sade } from "sade";
 import { Action, parseActions } from "../model/actions";
-import { Failure, ModelCampaign } from "../model/campaign";
+import { FailingWalk, ModelCampaign } from "../model/campaign";
 import { Walk } from "../model/walk";
 import { exitWithUsageError, printLine } from "./output";
 
@@ -38,7 +38,7 @@
 }
 const secondsSince = (startedAt: number): string => ((Date.now() - startedAt) / 1000).toFixed(0);
 
-function printFailure({ seed, voters, violation, actions, shrinks }: Failure): void {
+function printFailure({ seed, voters, violation, actions, shrinks }: FailingWalk): void {
   printLine(`walk of seed ${seed} broke ${violation}`);
   printLine(
     `shortened ${shrinks} times; play it again: petrelbeam model --voters ${voters} --seed ${seed} --actions FILE`,
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -2,7 +2,7 @@
 import { ControlNode } from "../control/controlNode";
 import { Fault, Result } from "../common/fault";
 import { Settings } from "../common/settings";
-import { ownHeaderNames } from "../forwarding/headerNames";
+import { defaultHeaderNames } from "../forwarding/headerNames";
 import { ProtocolAdapters } from "../adapters/protocolAdapters";
 import { Task } from "../runtime/csp";
 import { Environment } from "../runtime/env";
@@ -31,7 +31,7 @@
       case "ingress":
         return yield* IngressNode.start(env, settings, adapters);
       case "store":
-        return yield* StorageNode.start(env, settings, adapters.names ?? ownHeaderNames);
+        return yield* StorageNode.start(env, settings, adapters.names ?? defaultHeaderNames);
       case "control":
         return yield* ControlNode.start(env, settings, adapters);
       default: {
--- a/src/forwarding/endpointHttp.ts
+++ b/src/forwarding/endpointHttp.ts
@@ -4,7 +4,7 @@
 import { Task } from "../runtime/csp";
 import { Environment, EnvironmentTools, HttpResponse } from "../runtime/env";
 import { EndpointStream } from "./endpointStream";
-import { promisesNotExecuted } from "./notExecutedStatus";
+import { impliesNotExecuted } from "./notExecutedStatus";
 
 /** A JSON request as one endpoint gets it. */
 export interface ForwardedRequest {
@@ -101,7 +101,7 @@
     if (body === undefined)
       return Fault.fail("broken", "read replica", endpoint.id, "reply broken, too long or too slow");
     const { status } = response;
-    if (status >= 500 || promisesNotExecuted(status))
+    if (status >= 500 || impliesNotExecuted(status))
       return Fault.fail("broken", "deliver", endpoint.id, `replica replied ${status}`);
     if (!isJson(body)) return Fault.fail("invalid", "read replica", endpoint.id, "reply is not JSON");
     return Fault.ok({ status, body });
--- a/src/forwarding/headerNames.ts
+++ b/src/forwarding/headerNames.ts
@@ -27,7 +27,7 @@
  * @example
  * const requestId = exchange.headers[ownHeaderNames.requestId];
  */
-export const ownHeaderNames: HeaderNames = {
+export const defaultHeaderNames: HeaderNames = {
   requestId: "x-request-id",
   remainingMs: "x-deadline-ms",
   targetInstance: "x-target-instance",
--- a/src/forwarding/notExecutedStatus.ts
+++ b/src/forwarding/notExecutedStatus.ts
@@ -5,5 +5,5 @@
  * @example
  * promisesNotExecuted(429) // true
  */
-export const promisesNotExecuted = (status: number): boolean =>
+export const impliesNotExecuted = (status: number): boolean =>
   status === 408 || status === 421 || status === 429 || status === 503;
--- a/src/ingress/agentLink.ts
+++ b/src/ingress/agentLink.ts
@@ -23,13 +23,13 @@
   /** Starts to follow the cluster; `onChange` is called after each change of the snapshot. */
   start(onChange: () => void): void;
   /** The process was frozen: what it knew before no longer counts. */
-  processThawed(): void;
+  processResumed(): void;
   /** Publishes a gossip fact that expires after leaseMs. */
   publish(key: string, value: unknown, leaseMs: number): void;
   /** The same node as the operators' HTTP surface needs it. */
-  context(): NodeContext;
+  nodeContext(): NodeContext;
   /** The node will stop: no new duties. */
   prepareStop(): void;
   /** Leaves the cluster, as the last step of a stop. */
-  depart(): Task<void>;
+  leaveCluster(): Task<void>;
 }
--- a/src/ingress/batchJobHost.ts
+++ b/src/ingress/batchJobContext.ts
@@ -4,7 +4,7 @@
 import { ShardClient } from "../storage/shardClient";
 
 /** What calls for batch jobs need of the process that makes them. */
-export interface BatchJobHost {
+export interface BatchJobContext {
   readonly env: Environment;
   readonly rpc: Rpc;
   readonly shardClient: ShardClient;
--- a/src/ingress/batchJobReader.ts
+++ b/src/ingress/batchJobReader.ts
@@ -10,7 +10,7 @@
   JobResultsResponse,
   JobStatusResponse,
 } from "../storage/messages/batchJobMessages";
-import { BatchJobHost } from "./batchJobHost";
+import { BatchJobContext } from "./batchJobContext";
 import { callJobLeader } from "./jobLeaderCall";
 
 /** Pause before the replicas are called again, in ms. */
@@ -31,7 +31,7 @@
  * const page = yield* new BatchJobReader(host).list("job-17", 0, 1000);
  */
 export class BatchJobReader implements JobReader {
-  constructor(private readonly host: BatchJobHost) {}
+  constructor(private readonly host: BatchJobContext) {}
 
   list(id: string, from: number, waitMs: number): Task<Result<JobResultPage>> {
     // lists are long: a replica in our zone comes first, the leader next
--- a/src/ingress/batchSubmission.ts
+++ b/src/ingress/batchSubmission.ts
@@ -9,7 +9,7 @@
 import { Task } from "../runtime/csp";
 import { Cause, ItemRequest, BatchJobSpec, PutOutcome } from "../shard/shardTypes";
 import type { EndJobResponse, SubmitJobResponse } from "../storage/messages/batchJobMessages";
-import { BatchJobHost } from "./batchJobHost";
+import { BatchJobContext } from "./batchJobContext";
 import { callJobLeader } from "./jobLeaderCall";
 
 /** Priority of a job where neither policy nor route gives one. */
@@ -37,7 +37,7 @@
  * const submitted = yield* new BatchSubmission(host).submit("job-17", "audit", route, items, 3000);
  */
 export class BatchSubmission implements JobSubmission {
-  constructor(private readonly host: BatchJobHost) {}
+  constructor(private readonly host: BatchJobContext) {}
 
   *submit(
     id: string,
--- a/src/ingress/endpointAttempt.ts
+++ b/src/ingress/endpointAttempt.ts
@@ -3,7 +3,7 @@
 import { Route } from "../controlState/configuration";
 import { DirectHttp, DirectResponse } from "../forwarding/directHttp";
 import { EventStreamReader } from "../forwarding/eventStreamReader";
-import { promisesNotExecuted } from "../forwarding/notExecutedStatus";
+import { impliesNotExecuted } from "../forwarding/notExecutedStatus";
 import type { Endpoint } from "../node/clusterSnapshot";
 import { Task } from "../runtime/csp";
 import { HttpRequest } from "../runtime/env";
@@ -100,7 +100,7 @@
     if (!body && this.callerDisconnected()) return { tag: "callerDisconnected" };
     if (!body) return failed("read reply", this.endpoint, "reply was cut, too long or too slow");
     const mustNotReachCaller =
-      responseOpen || promisesNotExecuted(opened.status) || (opened.status >= 500 && route.safe);
+      responseOpen || impliesNotExecuted(opened.status) || (opened.status >= 500 && route.safe);
     if (mustNotReachCaller) return failed("read reply", this.endpoint, `replica replied ${opened.status}`);
     const headers = { ...opened.headers, ...this.responses.closeHeader() };
     const isEndCertain = !this.endsWithConnection(opened) || !exchange.sendUntilClose;
--- a/src/ingress/inProcessAgent.ts
+++ b/src/ingress/inProcessAgent.ts
@@ -48,7 +48,7 @@
     node.membership.onChange(changed);
   }
 
-  processThawed(): void {
+  processResumed(): void {
     // the agent watches the clock itself
   }
 
@@ -56,7 +56,7 @@
     this.node.gossip.publish(key, value, leaseMs, true);
   }
 
-  context(): NodeContext {
+  nodeContext(): NodeContext {
     return NodeContext.of(this.node);
   }
 
@@ -64,7 +64,7 @@
     this.node.stopping = true;
   }
 
-  depart(): Task<void> {
+  leaveCluster(): Task<void> {
     return this.node.shutDown(function* () {
       /* nothing is left to finish */
     });
--- a/src/ingress/ingressCounters.ts
+++ b/src/ingress/ingressCounters.ts
@@ -13,7 +13,7 @@
   /** Streams resumed by their callers. */
   resumes = 0;
   /** Ledger notes that were dropped. */
-  lostNotes = 0;
+  droppedNotes = 0;
   /** Times that the cluster snapshot went stale. */
   staleSnapshots = 0;
 
@@ -26,7 +26,7 @@
       busies: this.rejections,
       failures: this.failures,
       resumes: this.resumes,
-      notes_lost: this.lostNotes,
+      notes_lost: this.droppedNotes,
       stale: this.staleSnapshots,
     };
   }
--- a/src/ingress/ingressNode.ts
+++ b/src/ingress/ingressNode.ts
@@ -6,7 +6,7 @@
 import { Constants } from "../common/constants";
 import { Fault, Result } from "../common/fault";
 import { Settings } from "../common/settings";
-import { HeaderNames, ownHeaderNames } from "../forwarding/headerNames";
+import { HeaderNames, defaultHeaderNames } from "../forwarding/headerNames";
 import type { ClusterSnapshot } from "../node/clusterSnapshot";
 import { Node } from "../node/node";
 import { AdmissionQueue } from "../routing/admissionQueue";
@@ -89,7 +89,7 @@
   static *start(env: Environment, settings: Settings, adapters: ProtocolAdapters = {}): Task<Result<IngressNode>> {
     const link = yield* IngressNode.link(env, settings);
     if (!link.ok) return link;
-    const ingress = new IngressNode(env, settings, link.value, adapters.names ?? ownHeaderNames);
+    const ingress = new IngressNode(env, settings, link.value, adapters.names ?? defaultHeaderNames);
     ingress.startTasks();
     for (const surface of [ingress.ownSurface(), ...(adapters.ingress?.(ingress) ?? [])]) {
       const served = yield* ingress.serve(surface);
@@ -118,7 +118,7 @@
     const snapshot = this.snapshot();
     return {
       ...this.counters.metrics(),
-      slab_used: this.requestTable.used,
+      slab_used: this.requestTable.usedSlots,
       late_replies: this.requestTable.lateOutcomes,
       in_flight: this.inFlight,
       frame_index: snapshot.control?.index ?? 0,
@@ -141,7 +141,7 @@
     const routes: HttpRoute[] = [
       ...CallerRoutes.of(this),
       ...WarmUpRequests.routes(this.headerNames),
-      ...OperatorHttp.routes(this.link.context(), {
+      ...OperatorHttp.routes(this.link.nodeContext(), {
         unreadyReason: () => this.readiness.unreadyReason(),
         metrics: () => this.metrics(),
         ledgerSource: this.shardClient,
@@ -190,6 +190,6 @@
     while (this.env.mono() < startedAt + Constants.stopGraceMs && this.inFlight > 0)
       yield* EnvironmentTools.sleep(this.env, drainPollMs);
     yield* EnvironmentTools.sleep(this.env, Constants.ledgerFlushMs + lastNotesMs);
-    yield* this.link.depart();
+    yield* this.link.leaveCluster();
   }
 }
--- a/src/ingress/ingressReadiness.ts
+++ b/src/ingress/ingressReadiness.ts
@@ -58,7 +58,7 @@
       const now = this.env.mono();
       if (now - lastCheckAt > Constants.clockJumpMs + Constants.clockWatchMs) {
         this.env.log(1005, { forMs: Math.round(now - lastCheckAt) });
-        this.link.processThawed();
+        this.link.processResumed();
       }
       const isStale = this.link.isStale();
       if (isStale && !wasStale) {
--- a/src/ingress/ledgerNotes.ts
+++ b/src/ingress/ledgerNotes.ts
@@ -37,7 +37,7 @@
   add(subject: string, decision: string, cause: Cause): void {
     if (this.pending.length >= Constants.ledgerBatch) {
       this.pending.shift();
-      this.counters.lostNotes += 1;
+      this.counters.droppedNotes += 1;
     }
     this.pending.push({ subject, decision, cause });
   }
@@ -56,6 +56,6 @@
     const shard = this.shardClient.shardOf(this.selfId);
     const putId = `notes-${this.selfId}-${this.batchCount}`;
     const put = yield* this.shardClient.put(shard, putId, [{ op: "note", entries }], {}, putTimeoutMs);
-    if (!put.ok) this.counters.lostNotes += entries.length;
+    if (!put.ok) this.counters.droppedNotes += entries.length;
   }
 }
--- a/src/ingress/lookupForwarder.ts
+++ b/src/ingress/lookupForwarder.ts
@@ -148,7 +148,7 @@
       caller: request.caller,
       kind: request.route.kind,
       prefix: "",
-      workClass: "live",
+      trafficClass: "live",
       exclude,
     };
   }
--- a/src/ingress/pendingDirectRequest.ts
+++ b/src/ingress/pendingDirectRequest.ts
@@ -100,7 +100,7 @@
     caller: "",
     kind: route.kind,
     prefix: affinityPrefix(prompt, route.targetMs ?? Constants.liveWaitMs),
-    workClass: "live",
+    trafficClass: "live",
     exclude,
   };
 }
--- a/src/ingress/remoteAgent.ts
+++ b/src/ingress/remoteAgent.ts
@@ -71,7 +71,7 @@
     EnvironmentTools.keep(this.env, this.env.scope, "feed", () => this.feedLoop(onChange));
   }
 
-  processThawed(): void {
+  processResumed(): void {
     this.latestAskedAt = -Infinity;
     this.confirmation.invalidate();
   }
@@ -83,7 +83,7 @@
     );
   }
 
-  context(): NodeContext {
+  nodeContext(): NodeContext {
     const { env, rpc, id, address } = this;
     return {
       env,
@@ -100,7 +100,7 @@
     // the agent is stopped by itself
   }
 
-  *depart(): Task<void> {
+  *leaveCluster(): Task<void> {
     this.env.log(1003);
   }
 
--- a/src/ingress/requestTable.ts
+++ b/src/ingress/requestTable.ts
@@ -27,7 +27,7 @@
   private readonly slots: Slot<T>[] = [];
   private firstFree = -1;
   /** Slots in use. */
-  used = 0;
+  usedSlots = 0;
   /** Outcomes that came after their request had ended. */
   lateOutcomes = 0;
   constructor(private readonly size: number) {}
@@ -39,7 +39,7 @@
     const slot = this.slots[index];
     slot.generation += 1;
     slot.continuation = continuation;
-    this.used += 1;
+    this.usedSlots += 1;
     return { index, generation: slot.generation };
   }
 
@@ -81,7 +81,7 @@
     slot.continuation = undefined;
     slot.nextFree = this.firstFree;
     this.firstFree = handle.index;
-    this.used -= 1;
+    this.usedSlots -= 1;
     return continuation;
   }
 }
--- a/src/model/campaign.ts
+++ b/src/model/campaign.ts
@@ -5,7 +5,7 @@
 import { SPARE_MACHINES, Walk, WalkReport } from "./walk";
 
 /** A walk that broke an invariant, with the fewest actions that still break one. */
-export interface Failure {
+export interface FailingWalk {
   seed: number;
   voters: 3 | 5;
   violation: string;
@@ -16,7 +16,7 @@
 
 export interface CampaignReport {
   walks: number;
-  failures: Failure[];
+  failures: FailingWalk[];
   /** Sums over all walks that broke no invariant. */
   totals: WalkReport;
 }
@@ -33,7 +33,7 @@
   /** Called after each walk with the number of walks so far. */
   onProgress?: (walks: number) => void;
   /** Called with each failing walk as soon as it is shortened. */
-  onFailure?: (failure: Failure) => void;
+  onFailure?: (failure: FailingWalk) => void;
   stopAtFailure?: boolean;
 }
 
@@ -73,7 +73,7 @@
   },
 
   /** Plays the walk of one seed, and shortens it if it fails. Adds its figures to `totals`. */
-  async runWalk(options: CampaignOptions, seed: number, totals: WalkReport): Promise<Failure | undefined> {
+  async runWalk(options: CampaignOptions, seed: number, totals: WalkReport): Promise<FailingWalk | undefined> {
     const fc = await import("fast-check"); // loaded here only: nothing else of the program needs it
     const { voters, faults } = options;
     const attemptLimit = 1 + (options.shrinkLimit ?? DEFAULT_SHRINK_LIMIT);
--- a/src/routing/admissionQueue.ts
+++ b/src/routing/admissionQueue.ts
@@ -39,12 +39,14 @@
   ) {}
 
   /** The number of requests queued for a pool. */
-  waiting = (pool: string): number => this.queues.get(pool)?.length ?? 0;
+  queueLength = (pool: string): number => this.queues.get(pool)?.length ?? 0;
 
   /** After how many ms a rejected caller should retry: longer with the queue, with jitter of a fifth. */
   retryAfterMs = (pool: string): number =>
     Math.round(
-      Constants.retryAfterMs * (1 + this.waiting(pool) / queueLengthThatDoublesPause) * (0.8 + 0.4 * this.env.random()),
+      Constants.retryAfterMs *
+        (1 + this.queueLength(pool) / queueLengthThatDoublesPause) *
+        (0.8 + 0.4 * this.env.random()),
     );
 
   /**
--- a/src/routing/endpointSelector.ts
+++ b/src/routing/endpointSelector.ts
@@ -69,16 +69,16 @@
     const senderCount = Math.max(1, senderIds.length);
     const pool = criteria.snapshot.control?.manifest.doc.pools?.[criteria.pool];
     const warmPerSecond = pool?.warmPerSecond ?? 0;
-    const capacityShare = criteria.workClass === "batch" ? 1 - Constants.reservedShare : 1;
+    const capacityShare = criteria.trafficClass === "batch" ? 1 - Constants.reservedShare : 1;
     return eligible.filter((endpoint) => {
       if (criteria.exclude.has(endpoint.key)) return false;
-      const state = this.states.of(endpoint);
+      const state = this.states.getOrCreate(endpoint);
       if (this.outlierEjection.isEjected(state, now)) return false;
-      if (!this.slowStart.allowsWarmUp(endpoint, warmPerSecond, senderIds, criteria.snapshot.clockTrusted, now))
+      if (!this.slowStart.allowsWarmUpRequest(endpoint, warmPerSecond, senderIds, criteria.snapshot.clockTrusted, now))
         return false;
       if (pool?.connections && state.inFlight >= RequestSenders.connectionShare(pool.connections, senderCount))
         return false;
-      if (!this.slowStart.allowsStart(endpoint, senderCount, now)) return false;
+      if (!this.slowStart.allowsRequest(endpoint, senderCount, now)) return false;
       const limit = Math.max(1, Math.floor(endpoint.capacity * capacityShare * this.slowStart.weight(endpoint)));
       return this.states.load(endpoint) < limit;
     });
@@ -101,7 +101,7 @@
 
   /** A request was sent to the endpoint; requestEnded must follow. */
   requestStarted(endpoint: Endpoint): void {
-    const state = this.states.of(endpoint);
+    const state = this.states.getOrCreate(endpoint);
     state.inFlight += 1;
     state.startedSinceAnnouncement += 1;
     state.lastStartAt = this.env.mono();
--- a/src/routing/endpointStates.ts
+++ b/src/routing/endpointStates.ts
@@ -43,7 +43,7 @@
   constructor(private readonly env: Environment) {}
 
   /** The state of an endpoint as it is announced now; created on first use. */
-  of(endpoint: Endpoint): EndpointState {
+  getOrCreate(endpoint: Endpoint): EndpointState {
     let state = this.states.get(endpoint.key);
     if (!state) {
       state = newState();
@@ -62,7 +62,7 @@
 
   /** Best estimate of the requests at the endpoint now: its announced load and what was sent since, or our own in flight. */
   load(endpoint: Endpoint): number {
-    const state = this.of(endpoint);
+    const state = this.getOrCreate(endpoint);
     return Math.max(endpoint.active + endpoint.waiting + state.startedSinceAnnouncement, state.inFlight);
   }
 
--- a/src/routing/selectionCriteria.ts
+++ b/src/routing/selectionCriteria.ts
@@ -1,7 +1,7 @@
 import { ClusterSnapshot } from "../node/clusterSnapshot";
 
 /** Live requests may use an endpoint's whole capacity, batch items leave the reserved share of it free. */
-export type WorkClass = "live" | "batch";
+export type TrafficClass = "live" | "batch";
 
 /** What decides which endpoints may run a request at all. */
 export interface PoolCriteria {
@@ -21,7 +21,7 @@
 export interface SelectionCriteria extends PoolCriteria {
   /** Requests with the same prefix prefer the same endpoint; empty for no affinity. */
   prefix: string;
-  workClass: WorkClass;
+  trafficClass: TrafficClass;
   /** Keys of endpoints that this request has already failed at. */
   exclude: Set<string>;
 }
--- a/src/routing/slowStart.ts
+++ b/src/routing/slowStart.ts
@@ -39,7 +39,7 @@
   }
 
   /** Whether this node may send the endpoint one more warm-up request now; perSecond is the pool's rate for all senders. */
-  allowsWarmUp(
+  allowsWarmUpRequest(
     endpoint: Endpoint,
     perSecond: number,
     senderIds: string[],
@@ -54,14 +54,14 @@
     // below one request a second each, only as many senders take part as the rate allows
     const takesPart = share >= 1 || Hash.rendezvous(endpoint.key, senderIds).indexOf(this.self) < Math.floor(perSecond);
     if (!takesPart) return false;
-    return now - this.states.of(endpoint).lastWarmUpStartAt >= Math.min(interval, maxWarmUpIntervalMs);
+    return now - this.states.getOrCreate(endpoint).lastWarmUpStartAt >= Math.min(interval, maxWarmUpIntervalMs);
   }
 
   /** Whether a young endpoint may get one more request now; all senders together keep its rate small. */
-  allowsStart(endpoint: Endpoint, senderCount: number, now: number): boolean {
+  allowsRequest(endpoint: Endpoint, senderCount: number, now: number): boolean {
     const weight = this.weight(endpoint);
     if (weight >= 1) return true;
     const intervalMs = (1000 * senderCount) / (endpoint.capacity * weight * Constants.slowStartPerSecond);
-    return now - this.states.of(endpoint).lastStartAt >= intervalMs;
+    return now - this.states.getOrCreate(endpoint).lastStartAt >= intervalMs;
   }
 }
--- a/src/shard/messages/stateTransferMessages.ts
+++ b/src/shard/messages/stateTransferMessages.ts
@@ -4,14 +4,14 @@
 import { SEGMENT_KINDS, SegmentChecksum, SegmentCounts, SegmentKind, SegmentPart } from "../segments/segmentTypes";
 
 /** Asks whether a log that ends at a position can be extended by entries that the other replica has in memory. */
-export interface GoesOnRequest {
+export interface CanExtendRequest {
   shard: number;
   /** Position and epoch of the last entry; none for an empty log. */
   seq?: number;
   lastEpoch?: number;
 }
 
-export interface GoesOnResponse {
+export interface CanExtendResponse {
   goesOn: boolean;
 }
 
@@ -27,7 +27,7 @@
 }
 
 /** Reads a chunk of a segment's file. */
-export interface SegmentPartRequest {
+export interface SegmentChunkRequest {
   shard: number;
   kind: SegmentKind;
   number: number;
@@ -36,7 +36,7 @@
   from: number;
 }
 
-export interface SegmentPartResponse {
+export interface SegmentChunkResponse {
   /** In base64. */
   data: string;
   /** Size of the file, bytes. */
@@ -58,11 +58,11 @@
 declare module "../../rpc/methods" {
   interface RpcMethods {
     /** No faults. A read. */
-    "shard.goesOn": RpcMethod<GoesOnRequest, GoesOnResponse>;
+    "shard.goesOn": RpcMethod<CanExtendRequest, CanExtendResponse>;
     /** No faults. A read. */
     "shard.segments": RpcMethod<SegmentsRequest, SegmentsResponse>;
     /** Faults: notFound, disk. A read. */
-    "shard.segmentPart": RpcMethod<SegmentPartRequest, SegmentPartResponse>;
+    "shard.segmentPart": RpcMethod<SegmentChunkRequest, SegmentChunkResponse>;
     /** Faults: notLead. A read. */
     "shard.openState": RpcMethod<OpenStateRequest, OpenStateResponse>;
   }
@@ -71,7 +71,7 @@
 const isSegmentKind = (value: unknown): value is SegmentKind => (SEGMENT_KINDS as readonly unknown[]).includes(value);
 const isSegmentPart = (value: unknown): value is SegmentPart => value === "seg" || value === "idx";
 
-export const isGoesOnRequest = (body: unknown): body is GoesOnRequest =>
+export const isCanExtendRequest = (body: unknown): body is CanExtendRequest =>
   isObject(body) &&
   isShardIndex(body.shard) &&
   isOptional(body.seq, isInteger) &&
@@ -79,7 +79,7 @@
 
 export const isSegmentsRequest = (body: unknown): body is SegmentsRequest => isObject(body) && isShardIndex(body.shard);
 
-export const isSegmentPartRequest = (body: unknown): body is SegmentPartRequest =>
+export const isSegmentChunkRequest = (body: unknown): body is SegmentChunkRequest =>
   isObject(body) &&
   isShardIndex(body.shard) &&
   isSegmentKind(body.kind) &&
--- a/src/shard/messages/viewChangeMessages.ts
+++ b/src/shard/messages/viewChangeMessages.ts
@@ -57,14 +57,14 @@
     };
 
 /** Brings other members of the next view to the end of the longest sealed log. */
-export interface LevelRequest {
+export interface LogSyncRequest {
   shard: number;
   /** The epoch of the next view. */
   epoch: number;
   targets: { id: string; address: string }[];
 }
 
-export interface LevelResponse {
+export interface LogSyncResponse {
   /** Members whose log ends there and is synced, the replica itself included. */
   ids: string[];
 }
@@ -78,14 +78,14 @@
 }
 
 /** Makes a replica copy the shard from another one. */
-export interface FillRequest {
+export interface StateTransferRequest {
   shard: number;
   /** Address of the other replica's node. */
   from: string;
 }
 
 /** "underWay": an earlier request is still being carried out. */
-export interface FillResponse {
+export interface StateTransferResponse {
   tag: "ok" | "underWay";
 }
 
@@ -94,25 +94,25 @@
     /** Faults: notFound, conflict (sealed for a later epoch), disk. Idempotent: a repeat for the same epoch responds alike. */
     "shard.seal": RpcMethod<SealRequest, SealResponse>;
     /** Faults: conflict (not sealed for this epoch), disk. Idempotent: entries that are there are not written again. */
-    "shard.level": RpcMethod<LevelRequest, LevelResponse>;
+    "shard.level": RpcMethod<LogSyncRequest, LogSyncResponse>;
     /** Faults: conflict (a newer epoch is known), notFound, disk. Idempotent by the view's epoch. */
     "shard.install": RpcMethod<InstallRequest, true>;
     /** Faults: disk, conflict, timeout and those of the source. Idempotent: files that are there are not copied again. */
-    "shard.fill": RpcMethod<FillRequest, FillResponse>;
+    "shard.fill": RpcMethod<StateTransferRequest, StateTransferResponse>;
   }
 }
 
-const isTarget = (value: unknown): value is LevelRequest["targets"][number] =>
+const isTarget = (value: unknown): value is LogSyncRequest["targets"][number] =>
   isObject(value) && isText(value.id) && isText(value.address);
 
 export const isSealRequest = (body: unknown): body is SealRequest =>
   isObject(body) && isShardIndex(body.shard) && isCount(body.epoch);
 
-export const isLevelRequest = (body: unknown): body is LevelRequest =>
+export const isLogSyncRequest = (body: unknown): body is LogSyncRequest =>
   isObject(body) && isShardIndex(body.shard) && isCount(body.epoch) && isListOf(body.targets, isTarget);
 
 export const isInstallRequest = (body: unknown): body is InstallRequest =>
   isObject(body) && isShardIndex(body.shard) && isView(body.view) && isNumber(body.waitMs);
 
-export const isFillRequest = (body: unknown): body is FillRequest =>
+export const isStateTransferRequest = (body: unknown): body is StateTransferRequest =>
   isObject(body) && isShardIndex(body.shard) && isText(body.from);
--- a/src/shard/replica/sealedLogSync.ts
+++ b/src/shard/replica/sealedLogSync.ts
@@ -1,6 +1,6 @@
 import { Constants } from "../../common/constants";
 import { Fault, Result } from "../../common/fault";
-import type { LevelRequest, LevelResponse } from "../messages/viewChangeMessages";
+import type { LogSyncRequest, LogSyncResponse } from "../messages/viewChangeMessages";
 import { Csp, Task } from "../../runtime/csp";
 import type { CatchUpRequest, CatchUpResponse } from "../messages/replicationMessages";
 import type { Leadership } from "./leadership";
@@ -20,7 +20,7 @@
   ) {}
 
   /** Handles "shard.level" at the replica with the longest sealed log. @example yield* sealedLogSync.onLevel(request) */
-  *onLevel({ epoch, targets }: LevelRequest): Task<Result<LevelResponse>> {
+  *onLogSync({ epoch, targets }: LogSyncRequest): Task<Result<LogSyncResponse>> {
     const { state } = this;
     const { env, selfId, shard } = state.context;
     const fault = this.faultFor(epoch);
--- a/src/shard/replica/stateTransfer.ts
+++ b/src/shard/replica/stateTransfer.ts
@@ -1,9 +1,9 @@
 import { Fault, Result } from "../../common/fault";
-import type { FillRequest, FillResponse } from "../messages/viewChangeMessages";
+import type { StateTransferRequest, StateTransferResponse } from "../messages/viewChangeMessages";
 import { Csp, Task } from "../../runtime/csp";
 import type {
-  GoesOnRequest,
-  GoesOnResponse,
+  CanExtendRequest,
+  CanExtendResponse,
   OpenStateRequest,
   OpenStateResponse,
   SegmentsResponse,
@@ -40,7 +40,7 @@
   ) {}
 
   /** Handles "shard.fill" at the replica that copies. @example yield* stateTransfer.onFill({ shard: 3, from: "10.0.0.5:7000" }) */
-  *onFill({ from }: FillRequest): Task<Result<FillResponse>> {
+  *onTransfer({ from }: StateTransferRequest): Task<Result<StateTransferResponse>> {
     if (this.state.isDiskBroken) return Fault.fail("disk", "fill", this.state.context.selfId, "disk failed");
     if (this.isUnderWay) return Fault.ok({ tag: "underWay" });
     this.isUnderWay = true;
@@ -50,7 +50,7 @@
       this.isUnderWay = false;
     }
   }
-  private *copyFrom(from: string): Task<Result<FillResponse>> {
+  private *copyFrom(from: string): Task<Result<StateTransferResponse>> {
     const { state } = this;
     const { rpc, selfId, shard } = state.context;
     const end = { shard, seq: state.log.lastSeq, lastEpoch: state.log.lastEpoch };
@@ -72,10 +72,10 @@
   private hasAllSegments(snapshot: ReplicaSnapshot, fetched: SegmentCounts): boolean {
     return SEGMENT_KINDS.every((kind) => writtenSegments(snapshot, kind) <= fetched[kind]);
   }
-  private *takeOver(epoch: number, received: ReplicaSnapshot): Task<Result<FillResponse>> {
+  private *takeOver(epoch: number, received: ReplicaSnapshot): Task<Result<StateTransferResponse>> {
     return yield* this.state.locked(() => this.replaceState(epoch, received));
   }
-  private *replaceState(epoch: number, received: ReplicaSnapshot): Task<Result<FillResponse>> {
+  private *replaceState(epoch: number, received: ReplicaSnapshot): Task<Result<StateTransferResponse>> {
     const { state } = this;
     const { env, selfId, shard } = state.context;
     if (state.isDiskBroken) return Fault.fail("disk", "fill", selfId, "disk failed");
@@ -94,7 +94,7 @@
   }
 
   /** Handles "shard.goesOn" at the leader. @example yield* stateTransfer.onGoesOn(request) */
-  *onGoesOn({ seq = 0, lastEpoch = 0 }: GoesOnRequest): Task<Result<GoesOnResponse>> {
+  *onCanExtend({ seq = 0, lastEpoch = 0 }: CanExtendRequest): Task<Result<CanExtendResponse>> {
     return Fault.ok({ goesOn: this.state.log.canExtend({ seq, lastEpoch }) });
   }
   /** Handles "shard.segments" at the replica that is copied. @example yield* stateTransfer.onSegments() */
--- a/src/shard/segments/segmentStore.ts
+++ b/src/shard/segments/segmentStore.ts
@@ -175,7 +175,7 @@
   }
 
   /** Number of the first segment of a kind with something from a time on. @example segments.endOfOlderThan("lots", now - retentionMs) */
-  endOfOlderThan(kind: SegmentKind, time: number): number {
+  firstSegmentSince(kind: SegmentKind, time: number): number {
     let number = this.trimmedCounts[kind];
     while (number < this.indexes[kind].length && this.indexes[kind][number].to < time) number += 1;
     return number;
--- a/src/shard/shardMethods.ts
+++ b/src/shard/shardMethods.ts
@@ -3,12 +3,17 @@
 import { isDigestRequest, isRepairRequest, isRepairSegmentsRequest } from "./messages/repairMessages";
 import { isCatchUpRequest, isReplicateRequest } from "./messages/replicationMessages";
 import {
-  isGoesOnRequest,
+  isCanExtendRequest,
   isOpenStateRequest,
-  isSegmentPartRequest,
+  isSegmentChunkRequest,
   isSegmentsRequest,
 } from "./messages/stateTransferMessages";
-import { isFillRequest, isInstallRequest, isLevelRequest, isSealRequest } from "./messages/viewChangeMessages";
+import {
+  isStateTransferRequest,
+  isInstallRequest,
+  isLogSyncRequest,
+  isSealRequest,
+} from "./messages/viewChangeMessages";
 import type { ShardReplica } from "./shardReplica";
 
 /**
@@ -23,15 +28,19 @@
   handlers.forShard("shard.replicate", isReplicateRequest, (replica, request) => replica.follower.onReplicate(request));
   handlers.forShard("shard.seal", isSealRequest, (replica, request) => replica.viewChange.onSeal(request));
   handlers.forShard("shard.install", isInstallRequest, (replica, request) => replica.viewChange.onInstall(request));
-  handlers.forShard("shard.level", isLevelRequest, (replica, request) => replica.sealedLogSync.onLevel(request));
+  handlers.forShard("shard.level", isLogSyncRequest, (replica, request) => replica.sealedLogSync.onLogSync(request));
   handlers.forShard("shard.catchUp", isCatchUpRequest, (replica, request) => replica.sealedLogSync.onCatchUp(request));
-  handlers.forShard("shard.fill", isFillRequest, (replica, request) => replica.stateTransfer.onFill(request));
-  handlers.forShard("shard.goesOn", isGoesOnRequest, (replica, request) => replica.stateTransfer.onGoesOn(request));
+  handlers.forShard("shard.fill", isStateTransferRequest, (replica, request) =>
+    replica.stateTransfer.onTransfer(request),
+  );
+  handlers.forShard("shard.goesOn", isCanExtendRequest, (replica, request) =>
+    replica.stateTransfer.onCanExtend(request),
+  );
   handlers.forShard("shard.openState", isOpenStateRequest, (replica, request) =>
     replica.stateTransfer.onOpenState(request),
   );
   handlers.forShard("shard.segments", isSegmentsRequest, (replica) => replica.stateTransfer.onSegments());
-  handlers.forShard("shard.segmentPart", isSegmentPartRequest, (replica, { kind, number, part, from }) =>
+  handlers.forShard("shard.segmentPart", isSegmentChunkRequest, (replica, { kind, number, part, from }) =>
     replica.segments.readChunk(kind, number, part, from),
   );
   handlers.forShard("shard.digest", isDigestRequest, (replica, request) => replica.antiEntropy.onDigest(request));
--- a/src/shard/shardReplica.ts
+++ b/src/shard/shardReplica.ts
@@ -143,7 +143,7 @@
     return this.state.appliedEpoch;
   }
   /** Whether the disk is nearly full: nothing new is accepted. */
-  set diskLow(isLow: boolean) {
+  set isDiskLow(isLow: boolean) {
     this.state.isDiskLow = isLow;
   }
 
--- a/src/storage/batchJobs/itemEndpointChoice.ts
+++ b/src/storage/batchJobs/itemEndpointChoice.ts
@@ -77,7 +77,7 @@
       caller: "",
       kind: ITEM_KIND,
       prefix: this.prefixOf(job, item),
-      workClass: "batch" as const,
+      trafficClass: "batch" as const,
     };
     const inZone = this.excludingOtherZones(endpoints, exclude);
     return (
--- a/src/storage/retention.ts
+++ b/src/storage/retention.ts
@@ -34,7 +34,7 @@
       const maxAgeMs = configuration?.doc.retention?.[setting];
       if (maxAgeMs === undefined) continue;
       const before = this.env.wall() - maxAgeMs;
-      const below = replica.segments.endOfOlderThan(kind, before);
+      const below = replica.segments.firstSegmentSince(kind, before);
       const trimmed = replica.data.trimmedCounts[kind];
       if (below <= trimmed) continue;
       const newest = new Date(before).toISOString();
--- a/src/storage/selectionCriteria.ts
+++ b/src/storage/selectionCriteria.ts
@@ -23,7 +23,16 @@
 ): SelectionCriteria {
   const { route, routeName, caller, body } = request;
   const prefix = route.kind === "stream" ? body.slice(0, route.prefixBytes) : "";
-  return { snapshot, pool: route.pool, route: routeName, caller, kind: route.kind, prefix, workClass: "live", exclude };
+  return {
+    snapshot,
+    pool: route.pool,
+    route: routeName,
+    caller,
+    kind: route.kind,
+    prefix,
+    trafficClass: "live",
+    exclude,
+  };
 }
 
 /** Criteria of a batch item that runs under a claim. */
@@ -34,7 +43,7 @@
   caller: "",
   kind: ITEM_KIND,
   prefix: "",
-  workClass: "batch",
+  trafficClass: "batch",
   exclude: new Set<string>(),
 });
 
--- a/src/storage/shardMaintenance.ts
+++ b/src/storage/shardMaintenance.ts
@@ -58,7 +58,7 @@
       const isLow = free.ok && free.value < Constants.diskReserveBytes;
       checks += 1;
       for (const replica of this.replicas.values()) {
-        replica.diskLow = isLow;
+        replica.isDiskLow = isLow;
         if (checks % Constants.diskRetrySeconds === 0)
           Csp.go(this.env.scope, "try disk again", () => replica.retryDisk());
       }
--- a/src/storage/storageNode.ts
+++ b/src/storage/storageNode.ts
@@ -1,4 +1,4 @@
-import { HeaderNames, ownHeaderNames } from "../forwarding/headerNames";
+import { HeaderNames, defaultHeaderNames } from "../forwarding/headerNames";
 import { OperatorHttp } from "../adapters/operatorHttp";
 import { Constants } from "../common/constants";
 import { Fault, Result } from "../common/fault";
@@ -68,7 +68,11 @@
    * Starts a storage node on the replicas in its data folder. Faults: those of the node's start, and "disk".
    * @example yield* StorageNode.start(env, settings)
    */
-  static *start(env: Environment, settings: Settings, names: HeaderNames = ownHeaderNames): Task<Result<StorageNode>> {
+  static *start(
+    env: Environment,
+    settings: Settings,
+    names: HeaderNames = defaultHeaderNames,
+  ): Task<Result<StorageNode>> {
     const started = yield* Node.start(env, settings, "store");
     if (!started.ok) return started;
     const storage = new StorageNode(env, settings, started.value, names);
--- a/src/tools/eventStandIn.ts
+++ b/src/tools/eventStandIn.ts
@@ -1,6 +1,6 @@
 import { Csp, Task } from "../runtime/csp";
 import { Environment, EnvironmentTools, HttpExchange } from "../runtime/env";
-import { HeaderNames, ownHeaderNames } from "../forwarding/headerNames";
+import { HeaderNames, defaultHeaderNames } from "../forwarding/headerNames";
 
 export type EndpointRun = {
   id: string;
@@ -42,7 +42,7 @@
     readonly address: string,
     readonly instance: string,
     private readonly size: { events: number; eventMs: number; slots: number },
-    private readonly names: HeaderNames = ownHeaderNames,
+    private readonly names: HeaderNames = defaultHeaderNames,
   ) {}
   static eventOf = eventOf;
   /** The whole text of a request. @example EventStandIn.textOf("i1", 3) */
--- a/src/tools/scale/choiceScale.ts
+++ b/src/tools/scale/choiceScale.ts
@@ -41,7 +41,7 @@
         caller: "",
         kind: "stream",
         prefix: prefix ? `prompt-${round}-${chosen}` : "",
-        workClass: "live",
+        trafficClass: "live",
         exclude: new Set(),
       };
       if (!endpointSelector.choose(criteria)) throw new Error("no replica was chosen");
--- a/src/tools/shardDay/joiner.ts
+++ b/src/tools/shardDay/joiner.ts
@@ -13,7 +13,7 @@
   const replica = shardReplica(env, new Rpc(env, "day", "s2"), "s2", folder);
   const startedAt = performance.now();
   for (;;) {
-    const response = yield* replica.stateTransfer.onFill({ shard: replica.shard, from: sourceAddress });
+    const response = yield* replica.stateTransfer.onTransfer({ shard: replica.shard, from: sourceAddress });
     if (response.ok) break;
     if (response.fault.tag !== "timeout") throw new Error(JSON.stringify(response.fault));
   }
--- a/test/batchJobDays.test.ts
+++ b/test/batchJobDays.test.ts
@@ -1,6 +1,6 @@
 import { Csp, Task } from "../src/runtime/csp";
 import { EnvironmentTools } from "../src/runtime/env";
-import type { BatchJobHost } from "../src/ingress/batchJobHost";
+import type { BatchJobContext } from "../src/ingress/batchJobContext";
 import { BatchJobReader } from "../src/ingress/batchJobReader";
 import { BatchSubmission } from "../src/ingress/batchSubmission";
 import { EventStandIn } from "../src/tools/eventStandIn";
@@ -81,7 +81,7 @@
   private observe(seen: JobObservation): void {
     this.seen.push(seen);
   }
-  private host = (): BatchJobHost => pick(this.fleet, this.fleet.hosts);
+  private host = (): BatchJobContext => pick(this.fleet, this.fleet.hosts);
   runs = (): ObservedRun[] =>
     this.fleet.endpoints.flatMap(({ runs }) => runs.map((run) => ({ ...run, requestedAt: run.at })));
   /** Tokens of the items without a complete run at any endpoint. */
@@ -162,7 +162,7 @@
         yield* this.readItemBody(host, job, Math.floor(this.fleet.world.random() * count));
     }
   }
-  *read(host: BatchJobHost, job: string, from: number, waitMs: number): Task<number> {
+  *read(host: BatchJobContext, job: string, from: number, waitMs: number): Task<number> {
     const listed = yield* new BatchJobReader(host).list(job, from, waitMs);
     const at = host.env.wall();
     if (!listed.ok) {
@@ -172,7 +172,7 @@
     this.observe({ tag: "listed", at, job, from, total: listed.value.total, results: listed.value.results });
     return from + listed.value.results.length;
   }
-  private *readItemBody(host: BatchJobHost, job: string, at: number): Task<void> {
+  private *readItemBody(host: BatchJobContext, job: string, at: number): Task<void> {
     const item = `${job}-i${at}`;
     const found = yield* new BatchJobReader(host).itemBody(job, item);
     if (found.ok || found.fault.tag === "notFound")
--- a/test/batchJobFleet.ts
+++ b/test/batchJobFleet.ts
@@ -8,7 +8,7 @@
 import { Csp, Task } from "../src/runtime/csp";
 import { EnvironmentTools } from "../src/runtime/env";
 import type { SubmittedItem } from "../src/adapters/caller/callerOperations";
-import type { BatchJobHost } from "../src/ingress/batchJobHost";
+import type { BatchJobContext } from "../src/ingress/batchJobContext";
 import { BatchJobReader } from "../src/ingress/batchJobReader";
 import { BatchSubmission } from "../src/ingress/batchSubmission";
 import { SimDisk } from "../src/simulation/simDisk";
@@ -37,7 +37,7 @@
   private readonly departed = new Set<string>();
   private version = 0;
   caller!: SimProcess;
-  readonly hosts: BatchJobHost[] = [];
+  readonly hosts: BatchJobContext[] = [];
   readonly nodes: Node[] = [];
   static readonly route: Route = {
     kind: "item",
@@ -133,7 +133,7 @@
       snapshot: () => node.snapshot(),
     });
   }
-  get host(): BatchJobHost {
+  get host(): BatchJobContext {
     return this.hosts[0];
   }
   get node(): Node {
@@ -198,7 +198,7 @@
     this.version = changed.value.version;
   }
   /** Runs a call in the first submitting process; undefined if it takes too long. @example await fleet.call((host) => new BatchJobReader(host).list("L1", 0, 0)) */
-  call<T>(body: (host: BatchJobHost) => Task<T>, withinMs = 20_000): Promise<T | undefined> {
+  call<T>(body: (host: BatchJobContext) => Task<T>, withinMs = 20_000): Promise<T | undefined> {
     return this.world.finish(this.caller, () => body(this.host), withinMs);
   }
   items = (job: string, count: number, tokens = 100): SubmittedItem[] =>
--- a/test/controlHistory.test.ts
+++ b/test/controlHistory.test.ts
@@ -77,7 +77,7 @@
       const violations: Record<number, string[]> = {};
       for (let seed = first; seed < first + count; seed += 1) {
         const result = await OperatorRaceCampaign.run(seed, { controls, losses, faults, orders: true });
-        if (result.violations.length > 0) violations[seed] = [...result.violations, ...result.acts];
+        if (result.violations.length > 0) violations[seed] = [...result.violations, ...result.injectedFaults];
         expect(result.acknowledged).toBeGreaterThan(10);
       }
       expect(violations).toEqual({});
--- a/test/direct.test.ts
+++ b/test/direct.test.ts
@@ -1,5 +1,5 @@
 import { EndpointHttp } from "../src/forwarding/endpointHttp";
-import { HeaderNames, ownHeaderNames } from "../src/forwarding/headerNames";
+import { HeaderNames, defaultHeaderNames } from "../src/forwarding/headerNames";
 import { Route } from "../src/controlState/configuration";
 import { ControlSnapshot } from "../src/controlState/controlSnapshot";
 import { ControlState } from "../src/controlState/controlState";
@@ -65,7 +65,7 @@
   constructor(
     routes: Record<string, Route>,
     behaviours: Behaviour[],
-    names: HeaderNames = ownHeaderNames,
+    names: HeaderNames = defaultHeaderNames,
     clockTrusted = true,
   ) {
     const process = this.world.start("ingress", new SimDisk(this.world));
@@ -240,7 +240,7 @@
   expect(bench.seen.filter((seen) => seen.headers["x-target-instance"] === "i0").length).toBeLessThanOrEqual(2);
 });
 
-const signed: HeaderNames = { ...ownHeaderNames, endpointSignature: "x-signature" };
+const signed: HeaderNames = { ...defaultHeaderNames, endpointSignature: "x-signature" };
 const failing = (status: number, more: Record<string, string> = {}): Behaviour =>
   function* (incoming) {
     incoming.send(status, { ...echo(incoming), "x-signature": "s1", ...more }, "no");
@@ -416,7 +416,7 @@
 
 test("a clock that is not trusted keeps batch jobs out, which are stamped, but not requests that are only forwarded", async () => {
   const routes = { a: route({}), jobs: route({ kind: "item", prefix: "/jobs/" }) };
-  const bench = new Bench(routes, [whole], ownHeaderNames, false);
+  const bench = new Bench(routes, [whole], defaultHeaderNames, false);
   expect((await bench.ask("/desk/1")).status).toBe(200);
   const job = await bench.ask("/jobs/1");
   expect(job.status).toBe(503);
--- a/test/golden/goldenFleet.ts
+++ b/test/golden/goldenFleet.ts
@@ -1,5 +1,5 @@
 import { Csp, Task } from "../../src/runtime/csp";
-import { HeaderNames, ownHeaderNames } from "../../src/forwarding/headerNames";
+import { HeaderNames, defaultHeaderNames } from "../../src/forwarding/headerNames";
 import { Result } from "../../src/common/fault";
 import { Disk } from "../../src/runtime/env";
 import { SimDisk } from "../../src/simulation/simDisk";
@@ -119,7 +119,7 @@
     Csp.go(process.scope, "main", () => replica.start());
   }
   /** A replica that takes requests as they are; it is announced by whoever starts it. @example golden.startEventReplica("e1", 9001) */
-  startEventReplica(id: string, port: number, names: HeaderNames = ownHeaderNames): void {
+  startEventReplica(id: string, port: number, names: HeaderNames = defaultHeaderNames): void {
     const address = `127.0.0.1:${port}`;
     const process = this.startProcess(`replica-${id}`);
     const replica = new EventStandIn(process.env, address, id, { events: 3, eventMs: 20, slots: 8 }, names);
--- a/test/operatorRaceCampaign.ts
+++ b/test/operatorRaceCampaign.ts
@@ -35,7 +35,7 @@
   /** Changes that were acknowledged. */
   acknowledged: number;
   /** Faults that were injected, with their times. */
-  acts: string[];
+  injectedFaults: string[];
   /** Longest time to an acknowledgement without a fault, ms. */
   slowestAckMs: number;
   /** Time from the last restart until the configuration could be read, ms. */
@@ -413,7 +413,7 @@
     return {
       violations: this.violations,
       acknowledged,
-      acts: this.acts,
+      injectedFaults: this.acts,
       slowestAckMs: Math.max(0, ...calm),
       backAfterMs,
     };
--- a/test/operatorRaces.test.ts
+++ b/test/operatorRaces.test.ts
@@ -38,9 +38,9 @@
     async (controls, losses, from) => {
       for (let seed = from + 1; seed <= from + seeds; seed += 1) {
         const result = await OperatorRaceCampaign.run(seed, { controls, losses, faults: 4 });
-        expect({ seed, acts: result.acts, violations: result.violations }).toEqual({
+        expect({ seed, acts: result.injectedFaults, violations: result.violations }).toEqual({
           seed,
-          acts: result.acts,
+          acts: result.injectedFaults,
           violations: [],
         });
         expect(result.acknowledged).toBeGreaterThan(10);
--- a/test/prefixAffinity.test.ts
+++ b/test/prefixAffinity.test.ts
@@ -1,4 +1,4 @@
-import { ownHeaderNames } from "../src/forwarding/headerNames";
+import { defaultHeaderNames } from "../src/forwarding/headerNames";
 import type { Route } from "../src/controlState/configuration";
 import { ControlSnapshot } from "../src/controlState/controlSnapshot";
 import { ControlState } from "../src/controlState/controlState";
@@ -33,7 +33,7 @@
   ({
     method: "POST",
     target: "/ask/1",
-    headers: { [ownHeaderNames.promptParts]: promptParts },
+    headers: { [defaultHeaderNames.promptParts]: promptParts },
   }) as unknown as HttpExchange;
 
 /** Requests per endpoint, where each request comes to one of many senders that don't see each other's requests. */
@@ -54,7 +54,7 @@
   const counts = new Map<string, number>();
   for (let request = 0; request < requestCount; request += 1) {
     const exchange = exchangeWith(promptParts(request));
-    const pending = readDirectRequest(env, ownHeaderNames, exchange, { name: "ask", route }, Buffer.alloc(0), 0, 1);
+    const pending = readDirectRequest(env, defaultHeaderNames, exchange, { name: "ask", route }, Buffer.alloc(0), 0, 1);
     if (!pending.ok) throw new Error("the request was refused");
     const chosen = selectors[request % senderCount].choose(selectionCriteria(pending.value, snapshot, new Set()))!;
     counts.set(chosen.key, (counts.get(chosen.key) ?? 0) + 1);
--- a/test/replicaSockets.test.ts
+++ b/test/replicaSockets.test.ts
@@ -1,5 +1,5 @@
 import * as net from "net";
-import { ownHeaderNames } from "../src/forwarding/headerNames";
+import { defaultHeaderNames } from "../src/forwarding/headerNames";
 import { Route } from "../src/controlState/configuration";
 import { ControlSnapshot } from "../src/controlState/controlSnapshot";
 import { ControlState } from "../src/controlState/controlState";
@@ -101,7 +101,7 @@
   const context: DirectContext = {
     env,
     id: "i",
-    headerNames: ownHeaderNames,
+    headerNames: defaultHeaderNames,
     snapshot: () => snapshot,
     readiness: { stopping: false, rejectReason: () => undefined, clockReason: () => undefined },
     admission: { bodyLimitBytes: () => 100_000, countLive: (_routeName, task) => task() },
--- a/test/shardMessages.test.ts
+++ b/test/shardMessages.test.ts
@@ -1,7 +1,7 @@
 import { isRepairRequest } from "../src/shard/messages/repairMessages";
 import { isCatchUpRequest, isReplicateRequest } from "../src/shard/messages/replicationMessages";
-import { isGoesOnRequest, isSegmentPartRequest } from "../src/shard/messages/stateTransferMessages";
-import { isInstallRequest, isLevelRequest, isSealRequest } from "../src/shard/messages/viewChangeMessages";
+import { isCanExtendRequest, isSegmentChunkRequest } from "../src/shard/messages/stateTransferMessages";
+import { isInstallRequest, isLogSyncRequest, isSealRequest } from "../src/shard/messages/viewChangeMessages";
 
 const view = { shard: 1, epoch: 2, members: ["s1", "s2"], lead: "s1" };
 const replicate = {
@@ -20,10 +20,10 @@
   ["shard.replicate", isReplicateRequest, replicate],
   ["shard.catchUp without a known epoch", isCatchUpRequest, catchUp],
   ["shard.seal", isSealRequest, { shard: 1, epoch: 3 }],
-  ["shard.level", isLevelRequest, { shard: 1, epoch: 3, targets: [{ id: "s2", address: "10.0.0.2:7000" }] }],
+  ["shard.level", isLogSyncRequest, { shard: 1, epoch: 3, targets: [{ id: "s2", address: "10.0.0.2:7000" }] }],
   ["shard.install", isInstallRequest, { shard: 1, view, waitMs: 0 }],
-  ["shard.goesOn of an empty log", isGoesOnRequest, { shard: 1 }],
-  ["shard.segmentPart", isSegmentPartRequest, { shard: 1, kind: "lots", number: 0, part: "seg", from: 0 }],
+  ["shard.goesOn of an empty log", isCanExtendRequest, { shard: 1 }],
+  ["shard.segmentPart", isSegmentChunkRequest, { shard: 1, kind: "lots", number: 0, part: "seg", from: 0 }],
   ["shard.mend", isRepairRequest, { shard: 1, epoch: 2, seq: 4, works: [], lots: [] }],
 ])(
   "a %s request is accepted; without its shard, or with one that doesn't exist, it is malformed",
