--- a/test/configurationPatch.test.ts
+++ b/test/configurationPatch.test.ts
@@ -13,7 +13,7 @@
     prefixBytes: 0,
     ...more,
   });
-  test("a patch keeps the position of an item, the result is validated as a whole, and nodes get it without the operator's form", () => {
+  test("a patch keeps the position of an item, the result is validated as a whole, and nodes get it without the operator's original form", () => {
     const doc = {
       bindings: { a: route({ origin: { its: "form" } }), b: route({ host: "h", prefix: "/b/" }) },
       pools: { p: { origin: 1 }, q: {} },
--- a/test/cutOff.test.ts
+++ b/test/cutOff.test.ts
@@ -53,17 +53,23 @@
 const thaw = (fleet: ControlFleet, name: string): void => fleet.world.processes.get(name)!.wake();
 
 describe("processes that are partitioned from the majority of the control group", () => {
-  const cases: { seed: number; direction: PartitionDirection; resets: boolean; isLeader: boolean; cutMs: number }[] = [
-    { seed: 1, direction: "both", resets: false, isLeader: false, cutMs: 20_000 },
-    { seed: 2, direction: "both", resets: true, isLeader: true, cutMs: 20_000 },
-    { seed: 3, direction: "in", resets: false, isLeader: true, cutMs: 20_000 },
-    { seed: 4, direction: "out", resets: true, isLeader: true, cutMs: 60_000 },
-    { seed: 5, direction: "out", resets: false, isLeader: false, cutMs: 20_000 },
-    { seed: 6, direction: "in", resets: true, isLeader: false, cutMs: 20_000 },
+  const cases: {
+    seed: number;
+    direction: PartitionDirection;
+    resets: boolean;
+    isLeader: boolean;
+    partitionMs: number;
+  }[] = [
+    { seed: 1, direction: "both", resets: false, isLeader: false, partitionMs: 20_000 },
+    { seed: 2, direction: "both", resets: true, isLeader: true, partitionMs: 20_000 },
+    { seed: 3, direction: "in", resets: false, isLeader: true, partitionMs: 20_000 },
+    { seed: 4, direction: "out", resets: true, isLeader: true, partitionMs: 60_000 },
+    { seed: 5, direction: "out", resets: false, isLeader: false, partitionMs: 20_000 },
+    { seed: 6, direction: "in", resets: true, isLeader: false, partitionMs: 20_000 },
   ];
   test.each(cases)(
     "an ingress that starts or thaws there serves nothing, one that keeps running continues to serve, and all get the newest version after the partition heals: %j",
-    async ({ seed, direction, resets, isLeader, cutMs }) => {
+    async ({ seed, direction, resets, isLeader, partitionMs }) => {
       const fleet = await startFleet(seed);
       fleet.world.partitionsReset = resets;
       const control = controlTarget(fleet, isLeader);
@@ -77,14 +83,13 @@
       const seeds = [control, ...fleet.names("control").filter((name) => name !== control)].slice(0, 3);
       fleet.kill("ingress-1");
       fleet.restart("ingress-1", { seeds: seeds.map((name) => fleet.settings.get(name)!.address) });
-      const early = await findStaleServing(fleet, ["ingress-1", "ingress-2", "ingress-4"], 2, cutMs / 2);
-      // The partitioned control node restarts too, with its disk. An ingress that starts beside it must learn nothing
-      // newer.
+      const early = await findStaleServing(fleet, ["ingress-1", "ingress-2", "ingress-4"], 2, partitionMs / 2);
+      // The partitioned control node restarts too, with its disk. An ingress that starts beside it gets no newer version.
       fleet.kill(control);
       fleet.restart(control);
       fleet.kill("ingress-1");
       fleet.restart("ingress-1");
-      const late = await findStaleServing(fleet, ["ingress-1", "ingress-2", "ingress-4"], 2, cutMs / 2);
+      const late = await findStaleServing(fleet, ["ingress-1", "ingress-2", "ingress-4"], 2, partitionMs / 2);
       expect([...early, ...late]).toEqual([]);
       // The caller is not part of the partition, and is rejected at once instead of having to wait.
       const rejected = await fleet.send("POST", "/v1/requests/only-in-1", "q", {}, httpAddress(fleet, "ingress-1"));
