--- a/test/cutOff.test.ts
+++ b/test/cutOff.test.ts
@@ -1,7 +1,7 @@
 import { StorageNode } from "../src/storage/storageNode";
 import { ControlFleet } from "./controlFleet";
 
-type PartitionDirection = "in" | "out" | "both";
+type Direction = "in" | "out" | "both";
 /** Time after which a newly acknowledged version must be in force, ms: `config_apply_ms`. */
 const CONFIGURATION_APPLY_MS = 2000;
 const route = { kind: "lookup", pool: "p", path: "/x" };
@@ -53,13 +53,7 @@
 const thaw = (fleet: ControlFleet, name: string): void => fleet.world.processes.get(name)!.wake();
 
 describe("processes that are partitioned from the majority of the control group", () => {
-  const cases: {
-    seed: number;
-    direction: PartitionDirection;
-    resets: boolean;
-    isLeader: boolean;
-    partitionMs: number;
-  }[] = [
+  const cases: { seed: number; direction: Direction; resets: boolean; isLeader: boolean; partitionMs: number }[] = [
     { seed: 1, direction: "both", resets: false, isLeader: false, partitionMs: 20_000 },
     { seed: 2, direction: "both", resets: true, isLeader: true, partitionMs: 20_000 },
     { seed: 3, direction: "in", resets: false, isLeader: true, partitionMs: 20_000 },
