--- a/src/consensus/messageValidation.ts
+++ b/src/consensus/messageValidation.ts
@@ -1,16 +1,16 @@
 /**
- * Checks of messages from other processes, before any field is used. Field names are those on the wire
+ * Validates messages from other processes before any of their fields is used. Field names are those of the wire format
  * (wireMessages.ts).
  */
 
-/** What can be wrong with a message. The texts are sent back as fault details and logged. */
+/** Defects of a message. The texts are sent back as fault details and logged. */
 export const MessageDefect = {
   append: "malformed append",
   appendResponse: "malformed response to an append",
   voteRequest: "malformed request for a vote",
   voteResponse: "malformed response to a request for a vote",
   entry: "malformed entry",
-  entriesNoList: "entries are no list",
+  entriesNotArray: "entries are no list",
   entriesOutOfOrder: "entries out of order",
   termsOutOfOrder: "terms out of order",
   snapshotWithoutPosition: "snapshot without its place",
@@ -24,52 +24,54 @@
 } as const;
 export type MessageDefect = (typeof MessageDefect)[keyof typeof MessageDefect];
 
-type Fields = Record<string, unknown>;
+type UnknownFields = Record<string, unknown>;
 
-const isObject = (value: unknown): value is Fields => typeof value === "object" && value !== null;
-const isIndex = (value: unknown): value is number => Number.isSafeInteger(value) && (value as number) >= 0;
-const isName = (value: unknown): value is string => typeof value === "string" && value !== "";
+const isObject = (value: unknown): value is UnknownFields => typeof value === "object" && value !== null;
+const isNonNegativeInteger = (value: unknown): value is number => Number.isSafeInteger(value) && (value as number) >= 0;
+const isNonEmptyString = (value: unknown): value is string => typeof value === "string" && value !== "";
 
-/** Parts that the state in a snapshot always has, besides group and voters. */
+/** Fields that the state in a snapshot always has, besides group and voters. */
 const REQUIRED_STATE_PARTS = ["manifest", "policies", "calendar", "views", "releases", "changes"];
 
 function snapshotDefect(snapshot: unknown, groupId: unknown): MessageDefect | undefined {
-  if (!isObject(snapshot) || !isIndex(snapshot.index) || !isIndex(snapshot.term))
+  if (!isObject(snapshot) || !isNonNegativeInteger(snapshot.index) || !isNonNegativeInteger(snapshot.term))
     return MessageDefect.snapshotWithoutPosition;
   const { state } = snapshot;
-  if (!isObject(state) || !Array.isArray(state.voters) || !state.voters.every(isName))
+  if (!isObject(state) || !Array.isArray(state.voters) || !state.voters.every(isNonEmptyString))
     return MessageDefect.snapshotWithoutVoters;
   if (state.voters.length === 0) return MessageDefect.snapshotWithoutVoters;
   if (state.group !== groupId) return MessageDefect.snapshotOfOtherGroup;
   return REQUIRED_STATE_PARTS.every((part) => isObject(state[part])) ? undefined : MessageDefect.snapshotIncomplete;
 }
 
-/** Indexes must follow each other; terms must not fall, nor exceed the leader's. */
+/** Checks that indexes are consecutive and that terms neither decrease nor exceed the leader's term. */
 function entriesDefect(entries: unknown, prevLogIndex: number, leaderTerm: number): MessageDefect | undefined {
-  if (!Array.isArray(entries)) return MessageDefect.entriesNoList;
+  if (!Array.isArray(entries)) return MessageDefect.entriesNotArray;
   let previousTerm = 0;
   for (const [position, entry] of (entries as unknown[]).entries()) {
-    if (!isObject(entry) || !isObject(entry.command) || !isName(entry.command.tag)) return MessageDefect.entry;
+    if (!isObject(entry) || !isObject(entry.command) || !isNonEmptyString(entry.command.tag))
+      return MessageDefect.entry;
     if (entry.index !== prevLogIndex + 1 + position) return MessageDefect.entriesOutOfOrder;
-    if (!isIndex(entry.term) || entry.term < previousTerm || entry.term > leaderTerm)
+    if (!isNonNegativeInteger(entry.term) || entry.term < previousTerm || entry.term > leaderTerm)
       return MessageDefect.termsOutOfOrder;
     previousTerm = entry.term;
   }
   return undefined;
 }
 
-/**
- * Why a message is malformed; undefined if it isn't.
- *
- * @example
- * MessageValidation.appendEntriesDefect({}) // "malformed append"
- */
+/** Each function returns the defect of a message; undefined if the message is well-formed. */
 export const MessageValidation = {
-  /** Checks an AppendEntries request. The chunk in it is checked by ChunkReceiver. */
+  /** Checks an AppendEntries request. ChunkReceiver checks the chunk in it. */
   appendEntriesDefect(body: unknown): MessageDefect | undefined {
-    if (!isObject(body) || !isName(body.group) || !isName(body.lead)) return MessageDefect.append;
+    if (!isObject(body) || !isNonEmptyString(body.group) || !isNonEmptyString(body.lead)) return MessageDefect.append;
     const { term, prevIndex, prevTerm, commit } = body;
-    if (!isIndex(term) || !isIndex(prevIndex) || !isIndex(prevTerm) || !isIndex(commit)) return MessageDefect.append;
+    if (
+      !isNonNegativeInteger(term) ||
+      !isNonNegativeInteger(prevIndex) ||
+      !isNonNegativeInteger(prevTerm) ||
+      !isNonNegativeInteger(commit)
+    )
+      return MessageDefect.append;
     const defect = body.whole === undefined ? undefined : snapshotDefect(body.whole, body.group);
     return defect ?? entriesDefect(body.entries, prevIndex, term);
   },
@@ -78,9 +80,9 @@
   requestVoteDefect(body: unknown): MessageDefect | undefined {
     const isWellFormed =
       isObject(body) &&
-      isName(body.group) &&
-      isName(body.candidate) &&
-      [body.term, body.lastIndex, body.lastTerm].every(isIndex);
+      isNonEmptyString(body.group) &&
+      isNonEmptyString(body.candidate) &&
+      [body.term, body.lastIndex, body.lastTerm].every(isNonNegativeInteger);
     return isWellFormed ? undefined : MessageDefect.voteRequest;
   },
 
@@ -88,24 +90,25 @@
   appendEntriesResponseDefect(body: unknown): MessageDefect | undefined {
     const isWellFormed =
       isObject(body) &&
-      isIndex(body.term) &&
-      (body.matched === true ? isIndex(body.match) : isIndex(body.last)) &&
-      (body.received === undefined || isIndex(body.received));
+      isNonNegativeInteger(body.term) &&
+      (body.matched === true ? isNonNegativeInteger(body.match) : isNonNegativeInteger(body.last)) &&
+      (body.received === undefined || isNonNegativeInteger(body.received));
     return isWellFormed ? undefined : MessageDefect.appendResponse;
   },
 
   /** Checks a response to a request for a vote or a pre-vote. */
   requestVoteResponseDefect(body: unknown): MessageDefect | undefined {
-    const isWellFormed = isObject(body) && isIndex(body.term) && typeof body.granted === "boolean";
+    const isWellFormed = isObject(body) && isNonNegativeInteger(body.term) && typeof body.granted === "boolean";
     return isWellFormed ? undefined : MessageDefect.voteResponse;
   },
 
-  /** Checks a chunk of a payload; `maxBytes` bounds the payload that it is of. */
+  /** Checks a chunk of a payload; `maxBytes` is the maximum size of the whole packed payload. */
   chunkDefect(body: unknown, maxBytes: number): MessageDefect | undefined {
     if (!isObject(body)) return MessageDefect.chunk;
     const { transferId, totalBytes, offset, data, checksum } = body;
     if (typeof transferId !== "string" || typeof data !== "string") return MessageDefect.chunk;
-    if (!isIndex(totalBytes) || !isIndex(offset) || !isIndex(checksum)) return MessageDefect.chunk;
+    if (!isNonNegativeInteger(totalBytes) || !isNonNegativeInteger(offset) || !isNonNegativeInteger(checksum))
+      return MessageDefect.chunk;
     return totalBytes === 0 || totalBytes > maxBytes ? MessageDefect.payloadSize : undefined;
   },
 };
--- a/src/model/actionRunner.ts
+++ b/src/model/actionRunner.ts
@@ -6,7 +6,10 @@
   return base === "stale" ? Math.max(0, current - 1) : current + 1;
 }
 
-/** Carries out the actions of a walk on a group. Several proposals of one action are made in the same instant. */
+/**
+ * Executes the actions of a walk on a group. Several changes or retries of one action are proposed at the same virtual
+ * time.
+ */
 export class ActionRunner {
   constructor(private readonly group: GroupUnderTest) {}
 
@@ -31,12 +34,12 @@
       case "pass":
         return await this.group.pass(action.ms);
       default:
-        return this.disturbMachine(action);
+        return this.injectMachineFault(action);
     }
   }
 
-  private machineAt(number: number): Machine {
-    return this.group.machines[number % this.group.machines.length];
+  private machineAt(machineNumber: number): Machine {
+    return this.group.machines[machineNumber % this.group.machines.length];
   }
   private targetOf(target: Target): Machine | undefined {
     if (target === "leaseholder") return this.group.leaseHolder() ?? this.group.leaders()[0];
@@ -75,26 +78,30 @@
     }
   }
   /**
-   * Voters with one more or one less, made from the newest that the leader has in its log. As in the control node, only a
-   * standby that is caught up is added: one without a log could neither acknowledge nor vote after a loss of all power.
+   * Proposes a membership with one voter added or removed, based on the newest membership in the machine's log. As in
+   * the control node, only a caught-up standby is added, because a voter without a log can neither acknowledge entries
+   * nor vote after a power loss of all machines.
    */
-  private changeOneVoter(machine: Machine, isAdded: boolean, pick: number): void {
+  private changeOneVoter(machine: Machine, isAddition: boolean, pick: number): void {
     const leader = machine.incarnation.group;
     const voters = leader.voters();
-    const candidates = isAdded ? this.idsBeside(voters).filter((id) => leader.isCaughtUp(id)) : voters;
+    const candidates = isAddition ? this.idsExcluding(voters).filter((id) => leader.isCaughtUp(id)) : voters;
     if (candidates.length === 0) return;
     const chosen = candidates[pick % candidates.length];
-    this.group.proposeVoters(machine, isAdded ? [...voters, chosen] : voters.filter((id) => id !== chosen));
+    this.group.proposeVoters(machine, isAddition ? [...voters, chosen] : voters.filter((id) => id !== chosen));
   }
-  /** Two voters exchanged or left out by one entry: a majority of the former need not meet one of the next. */
+  /**
+   * Proposes to change two voters by one entry: one voter is replaced, or two are removed. A majority of the old
+   * membership need not overlap a majority of the new one.
+   */
   private changeTwoVoters(machine: Machine, pick: number): void {
     const voters = machine.incarnation.group.voters();
-    const standbys = this.idsBeside(voters);
+    const standbys = this.idsExcluding(voters);
     const remaining = voters.filter((_id, position) => position !== pick % voters.length);
-    const next = standbys.length > 0 ? [...remaining, standbys[pick % standbys.length]] : remaining.slice(1);
-    this.group.proposeVoters(machine, next);
+    const nextVoters = standbys.length > 0 ? [...remaining, standbys[pick % standbys.length]] : remaining.slice(1);
+    this.group.proposeVoters(machine, nextVoters);
   }
-  private idsBeside(voters: string[]): string[] {
+  private idsExcluding(voters: string[]): string[] {
     return this.group.machines.map(({ incarnation }) => incarnation.id).filter((id) => !voters.includes(id));
   }
 
@@ -129,7 +136,7 @@
     }
   }
 
-  private disturbMachine(action: MachineAction): void {
+  private injectMachineFault(action: MachineAction): void {
     const { group } = this;
     switch (action.tag) {
       case "freeze":
