--- a/src/controlState/controlStateMachine.ts
+++ b/src/controlState/controlStateMachine.ts
@@ -1,5 +1,5 @@
 import { applyCancel, applySchedule, applyTransition } from "./calendarCommands";
-import type { Command, FoundCommand, Outcome, PoliciesCommand, ShardViewCommand, VotersCommand } from "./command";
+import type { Command, BootstrapCommand, Outcome, PoliciesCommand, ShardViewCommand, VotersCommand } from "./command";
 import { changeDocument, replaceConfiguration } from "./compareAndSet";
 import { ConfigurationPatch } from "./configurationPatch";
 import { ControlSnapshot } from "./controlSnapshot";
@@ -10,7 +10,7 @@
 
 const CONTROL_GROUP = "control group";
 
-function applyFound(state: ControlState, index: number, { group, voters }: FoundCommand): Outcome {
+function applyBootstrap(state: ControlState, index: number, { group, voters }: BootstrapCommand): Outcome {
   state.group = group;
   state.voters = voters;
   const decision = `founded with voters ${voters.join(", ")}`;
@@ -46,7 +46,7 @@
     case "noop":
       return { tag: "done", version: index };
     case "found":
-      return applyFound(state, index, command);
+      return applyBootstrap(state, index, command);
     case "voters":
       return applyVoters(state, index, command);
     case "manifest":
@@ -89,9 +89,8 @@
  */
 export const ControlStateMachine = {
   /**
-   * Applies a committed entry to the state in place. A command that cannot be applied changes nothing but the memory of
-   * outcomes; the outcome says why.
-   * @example ControlStateMachine.apply(state, 7, command).tag === "done"
+   * Applies a committed entry to the state in place. A command that cannot be applied changes only the recorded
+   * outcomes and queued decisions; its outcome gives the reason.
    */
   apply(state: ControlState, index: number, command: Command): Outcome {
     const before = ControlSnapshot.parts(state);
