--- a/src/storage/liveRequests/liveRequestExecution.ts
+++ b/src/storage/liveRequests/liveRequestExecution.ts
@@ -22,7 +22,7 @@
  * then the request is refused.
  */
 export const remainingWaitMs = (env: Environment, spec: LiveRequestSpec): number =>
-  Constants.liveWaitMs - (env.wall() - Stamp.parse(spec.life)!.time);
+  Constants.admissionWaitMaxMs - (env.wall() - Stamp.parse(spec.life)!.time);
 
 /**
  * Executes live requests from their claim to their close, in as many attempts as are safe. A request that was forwarded
--- a/src/storage/liveRequests/liveRequestForwarder.ts
+++ b/src/storage/liveRequests/liveRequestForwarder.ts
@@ -120,7 +120,7 @@
   ): Task<AttemptOutcome | undefined> {
     const { spec, shard, attempt, chunks } = request;
     const deadline = this.env.mono() + remainingMs;
-    let chunkTimeoutMs: number = Constants.firstPieceMs;
+    let chunkTimeoutMs: number = Constants.firstChunkTimeoutMs;
     for (;;) {
       const received = yield* stream.next(Math.min(chunkTimeoutMs, deadline - this.env.mono()));
       if (!received.ok) {
@@ -142,7 +142,7 @@
         return { tag: "takenOver" };
       }
       chunks.push(...received.value);
-      chunkTimeoutMs = Constants.pieceGapMs;
+      chunkTimeoutMs = Constants.chunkTimeoutMs;
     }
   }
 }
--- a/src/storage/storageNode.ts
+++ b/src/storage/storageNode.ts
@@ -202,7 +202,7 @@
   stop(): Task<void> {
     const storage = this;
     return this.node.shutDown(function* () {
-      const deadline = storage.env.mono() + Constants.stopGraceMs;
+      const deadline = storage.env.mono() + Constants.shutdownGraceMs;
       while (storage.env.mono() < deadline && storage.hasUnfinishedWork())
         yield* EnvironmentTools.sleep(storage.env, STOP_CHECK_PERIOD_MS);
     });
