--- a/src/storage/batchJobs/itemScheduler.ts
+++ b/src/storage/batchJobs/itemScheduler.ts
@@ -18,28 +18,25 @@
 import { OpenJob, progressOf } from "./openJob";
 import { OpenJobs } from "./openJobs";
 
-/** Without items to start, a pass comes after this long at the latest, ms. */
-const IDLE_PASS_MS = 1000;
-/** A backoff is drawn from this range of multiples, so that retries don't come all at once. */
-const BACKOFF_JITTER = { least: 0.7, spread: 0.6 };
+/** Maximum time between two passes while no item waits, ms. */
+const IDLE_PERIOD_MS = 1000;
+/** A backoff is multiplied by a random factor from `min` to `min + range`, so that retries are spread over time. */
+const BACKOFF_JITTER_FACTOR = { min: 0.7, range: 0.6 };
 
 interface SchedulableJob {
   open: OpenJob;
   job: BatchJob;
-  /** Until its results are due, ms. */
+  /** Time until the job's results are due, ms; negative once they are late. */
   dueInMs: number;
 }
 
 /**
- * Starts the items of batch jobs whose items are whole requests. Jobs share the capacity that live requests leave, by
- * their priority and then the one due soonest first.
- *
- * @example
- * scheduler.start();
+ * Starts the items of batch jobs whose items are whole requests. The jobs share the capacity that live requests leave,
+ * in the order of their priority; among jobs of the same priority the one that is due soonest comes first.
  */
 export class ItemScheduler {
   private readonly endpointUsage = new EndpointUsage();
-  private readonly choice: ItemEndpointChoice;
+  private readonly endpointChoice: ItemEndpointChoice;
 
   constructor(
     private readonly env: Environment,
@@ -53,27 +50,27 @@
     private readonly counters: ItemCounters,
     names: HeaderNames,
   ) {
-    this.choice = new ItemEndpointChoice(env, node.self.district, endpointSelector, this.endpointUsage, names);
+    this.endpointChoice = new ItemEndpointChoice(env, node.self.district, endpointSelector, this.endpointUsage, names);
   }
 
   start(): void {
-    EnvironmentTools.runSupervised(this.env, this.env.scope, "items of lots", () => this.scheduleLoop());
+    EnvironmentTools.runSupervised(this.env, this.env.scope, "item scheduler", () => this.scheduleLoop());
   }
 
-  /** Items that run now. */
+  /** Number of items that run now. */
   runningCount = (): number => this.endpointUsage.total();
 
   private *scheduleLoop(): Task<void> {
-    for (let searchedAt = this.env.monotonicMs(); ;) {
+    for (let lastSearchAt = this.env.monotonicMs(); ;) {
       const hasWaiting = this.openJobs.all().some((open) => open.ready.length + open.delayed.length > 0);
       yield* EnvironmentTools.takeWithin(
         this.env,
         this.openJobs.changed,
-        hasWaiting ? Constants.jobSchedulingPeriodMs : IDLE_PASS_MS,
+        hasWaiting ? Constants.jobSchedulingPeriodMs : IDLE_PERIOD_MS,
       );
-      if (this.env.monotonicMs() - searchedAt > Constants.abandonedClaimSearchMs) {
-        searchedAt = this.env.monotonicMs();
-        // a job may have been accepted by a put that took longer than its request waited
+      if (this.env.monotonicMs() - lastSearchAt > Constants.abandonedClaimSearchMs) {
+        lastSearchAt = this.env.monotonicMs();
+        // A job may have been accepted by a put that completed only after its caller had stopped waiting.
         for (const replica of this.replicas.values()) if (replica.holdsLease()) this.openJobs.addJobsOf(replica);
       }
       if (this.openJobs.size === 0 || this.node.stopping || !this.node.mayHoldLeases()) continue;
@@ -91,49 +88,49 @@
       endpoints: new Map(),
       fullPools: new Set(),
     };
-    for (const each of schedulable) {
-      const route = routeOf(snapshot, each.job);
-      if (!route) this.giveUp(each.open, "its binding was taken out of the manifest");
-      else if (this.env.wallClockMs() > giveUpAt(each.job, route))
-        this.giveUp(each.open, "not done in the time that its binding gives");
+    for (const entry of schedulable) {
+      const route = routeOf(snapshot, entry.job);
+      if (!route) this.abandonWaitingItems(entry.open, "its binding was taken out of the manifest");
+      else if (this.env.wallClockMs() > giveUpAt(entry.job, route))
+        this.abandonWaitingItems(entry.open, "not done in the time that its binding gives");
       else {
-        makeDelayedReady(each.open, now);
-        this.startItems(each, route, pass);
+        requeueDelayedItems(entry.open, now);
+        this.startItems(entry, route, pass);
       }
     }
   }
 
-  /** Jobs whose items may start, in the order in which they are served. */
+  /** Jobs whose items may start, in the order in which they are scheduled. Jobs that may not continue are aborted. */
   private schedulableJobs(): SchedulableJob[] {
     const jobs: SchedulableJob[] = [];
     for (const open of this.openJobs.all()) {
-      const job = this.openJobs.find(open);
+      const job = this.openJobs.findSchedulable(open);
       if (!this.openJobs.mayContinue(open)) this.openJobs.abort(open);
       else if (job) jobs.push({ open, job, dueInMs: dueInMs(job, this.env.wallClockMs()) });
     }
-    // results that are late already have lost most of their value: they come last
-    const lateness = ({ dueInMs: remainingMs }: SchedulableJob): number => (remainingMs > 0 ? 0 : 1);
+    // Results that are already late have lost most of their value, so their jobs come last.
+    const overdueRank = ({ dueInMs: remainingMs }: SchedulableJob): number => (remainingMs > 0 ? 0 : 1);
     return jobs.sort(
       (left, right) =>
-        left.job.order - right.job.order || lateness(left) - lateness(right) || left.dueInMs - right.dueInMs,
+        left.job.order - right.job.order || overdueRank(left) - overdueRank(right) || left.dueInMs - right.dueInMs,
     );
   }
 
-  private giveUp(open: OpenJob, why: string): void {
+  private abandonWaitingItems(open: OpenJob, why: string): void {
     for (const item of [...open.ready.splice(0), ...open.delayed.splice(0)])
       this.results.add(open, { item, state: "abandoned", result: "" }, why);
   }
 
-  /** Starts items of a job until none is ready or a pool is full. */
+  /** Starts items of a job until none is ready or the pool of the next one is full. */
   private startItems({ open, job, dueInMs: remainingMs }: SchedulableJob, route: Route, pass: SchedulingPass): void {
     const isUrgent = remainingMs < Constants.jobUrgentMs;
     for (let count = open.ready.length; count > 0; count -= 1) {
-      const pool = this.choice.poolOf(route);
-      if (!this.choice.hasCapacity(pass, pool, job.binding, isUrgent)) return;
+      const pool = this.endpointChoice.poolOf(route);
+      if (!this.endpointChoice.hasCapacity(pass, pool, job.binding, isUrgent)) return;
       const item = open.ready.shift()!;
-      if (job.items[item].state !== "waiting") continue; // it has a result from another leader
+      if (job.items[item].state !== "waiting") continue; // The item has a result from another leader.
       const avoid = open.progress.get(item)?.avoid;
-      const endpoint = this.choice.choose(pass, pool, job, item, isUrgent, avoid);
+      const endpoint = this.endpointChoice.choose(pass, pool, job, item, isUrgent, avoid);
       if (!endpoint) {
         open.ready.unshift(item);
         pass.fullPools.add(pool);
@@ -187,14 +184,14 @@
         open.running.delete(item);
         return;
       default: {
-        const never: never = outcome;
-        return never;
+        const unreachable: never = outcome;
+        return unreachable;
       }
     }
   }
 
   private retryLater(open: OpenJob, item: number, endpoint: Endpoint, backoffMs: number): void {
-    const jitter = BACKOFF_JITTER.least + BACKOFF_JITTER.spread * this.env.random();
+    const jitter = BACKOFF_JITTER_FACTOR.min + BACKOFF_JITTER_FACTOR.range * this.env.random();
     Object.assign(progressOf(open, item), {
       notBefore: this.env.monotonicMs() + backoffMs * jitter,
       avoid: endpoint.key,
@@ -204,8 +201,8 @@
   }
 }
 
-/** Items whose backoff has ended come before all others of their job. */
-function makeDelayedReady(open: OpenJob, now: number): void {
+/** Moves items whose backoff has ended to the front of the job's queue. */
+function requeueDelayedItems(open: OpenJob, now: number): void {
   const due = open.delayed.filter((item) => open.progress.get(item)!.notBefore <= now);
   if (due.length === 0) return;
   open.delayed = open.delayed.filter((item) => !due.includes(item));
