--- a/src/simulation/diskAudit.ts
+++ b/src/simulation/diskAudit.ts
@@ -9,7 +9,7 @@
 /** What the audit reads from the fleet. */
 export interface AuditedFleet {
   /** Wall time, in ms since 1970. */
-  wall(): number;
+  wallMs(): number;
   readonly disks: ReadonlyMap<string, SimDisk>;
   /** Name of the process with a member's disk, by member id. A member whose disk was wiped is absent. */
   readonly storeNameById: ReadonlyMap<string, string>;
@@ -55,7 +55,7 @@
         if (!name || !acknowledged) continue;
         history.add({
           tag: "onDisk",
-          at: this.fleet.wall(),
+          at: this.fleet.wallMs(),
           shard: view.shard,
           epoch: view.epoch,
           member: name,
--- a/src/simulation/scenarios/combinedScenarios.ts
+++ b/src/simulation/scenarios/combinedScenarios.ts
@@ -63,13 +63,13 @@
         fleet.startedEndpoints
           .filter((each) => each.settings.pool === pool && (each.settings.version === "v2") === (version === "v2"))
           .reduce((sum, each) => sum + each.runs.filter((run) => run.at > from).length, 0);
-      const releasedAt = fleet.wall() - 2000;
+      const releasedAt = fleet.wallMs() - 2000;
       if (runCount("v2", releasedAt) === 0 || runCount("v1", releasedAt) > 0)
         throw new Error("after the release, the old version still got requests or the new version got none");
       const rollbackState = await fleet.runPlannedOperation({ kind: "rollback", pool }, 6000);
       if (!rollbackState.startsWith("finished")) throw new Error(`rollback: ${rollbackState}`);
       await fleet.run(4000);
-      const rolledBackAt = fleet.wall() - 2000;
+      const rolledBackAt = fleet.wallMs() - 2000;
       if (runCount("v1", rolledBackAt) === 0 || runCount("v2", rolledBackAt) > 0)
         throw new Error("after the rollback, the new version still got requests or the old version got none");
       const secondState = await fleet.runPlannedOperation({ kind: "rollback", pool }, 6000);
--- a/src/simulation/scenarios/endpointScenarios.ts
+++ b/src/simulation/scenarios/endpointScenarios.ts
@@ -30,9 +30,9 @@
     run: async (fleet) => {
       await fleet.run(3000);
       fleet.callers.load = 16;
-      const from = fleet.wall();
+      const from = fleet.wallMs();
       await fleet.run(7000);
-      const to = fleet.wall();
+      const to = fleet.wallMs();
       fleet.callers.load = 1;
       await fleet.run(9000);
       const rejectionMs = fleet.history
--- a/src/simulation/simEnvironment.ts
+++ b/src/simulation/simEnvironment.ts
@@ -75,7 +75,7 @@
           : Fault.fail("internal", "serve http", address, "address in use");
       },
       stopServing: () => host.http.stopServing(process),
-      httpRequest: (address, out) => host.http.request(process, address, out),
+      httpRequest: (address, outgoing) => host.http.request(process, address, outgoing),
       faultPoint: (number, context) => host.reachFaultPoint(process, number, context),
       log: (event, fields) => this.log(process, event, fields),
     };
--- a/src/simulation/simFleet.ts
+++ b/src/simulation/simFleet.ts
@@ -94,7 +94,7 @@
   }
   /** Process names of the storage nodes, by member id. A member whose disk was wiped is absent. */
   readonly storeNameById = new Map<string, string>();
-  wall = (): number => WALL_CLOCK_START_MS + this.world.now;
+  wallMs = (): number => WALL_CLOCK_START_MS + this.world.now;
   run = (ms: number): Promise<void> => this.world.run(ms);
   names = (program: string): string[] =>
     this.plan.processes.filter((each) => each.settings.program === program).map((each) => each.name);
@@ -111,7 +111,7 @@
     const caller = this.world.start("callers", new SimDisk(this.world));
     this.callers = new Callers(caller.env, this.deployment.mix, this.plan.ingressHttp, this.history);
     this.callers.start(load);
-    this.settledAt = this.wall();
+    this.settledAt = this.wallMs();
     this.startObserving();
     await this.run(2000);
   }
@@ -157,7 +157,7 @@
         if (response?.status !== 200) continue;
         const { manifest } = response.body as { manifest: ConfigurationBody };
         const mark = markersOf(manifest.doc);
-        this.history.add({ tag: "inForce", at: this.wall(), node: address, version: manifest.version, mark });
+        this.history.add({ tag: "inForce", at: this.wallMs(), node: address, version: manifest.version, mark });
       }
       yield* EnvironmentTools.sleep(this.operator.process.env, SAMPLE_PERIOD_MS);
     }
@@ -181,7 +181,6 @@
     }
   }
 
-  // ---------- nodes and views ----------
   /** The storage node of a process, if it runs. */
   private storageNode = (name: string): StorageNode | undefined =>
     this.names("store").includes(name) ? (this.daemons.get(name) as StorageNode | undefined) : undefined;
@@ -254,7 +253,6 @@
   /** Like changeConfiguration, with both requests to one node. */
   changeConfigurationAt = (address: string): Promise<ChangeOutcome> => this.operator.changeConfigurationAt(address);
 
-  // ---------- processes ----------
   private planOf(name: string): ProcessPlan {
     const found = this.plan.processes.find((each) => each.name === name);
     if (!found) throw new Error(`no process ${name}`);
@@ -266,7 +264,7 @@
     this.disks.set(name, disk);
     const process = this.world.start(name, disk);
     const fleet = this;
-    this.unreachable.close(plan.settings.http, this.wall() + RECONNECT_MS);
+    this.unreachable.close(plan.settings.http, this.wallMs() + RECONNECT_MS);
     Csp.go(process.scope, "main", function* () {
       const started = yield* Daemon.start(process.env, plan.settings);
       if (started.ok) {
@@ -288,7 +286,7 @@
     this.collectErrors(name);
     this.world.kill(name, powerLost);
     this.daemons.delete(name);
-    this.unreachable.open(this.httpOf(name), this.wall());
+    this.unreachable.open(this.httpOf(name), this.wallMs());
   }
   /** Starts a machine again. @example fleet.restart("store-1", { withEmptyDisk: true, atNewAddress: true }); */
   restart(name: string, how: RestartOptions = {}): void {
@@ -343,57 +341,56 @@
       TERMINATION_TIMEOUT_MS,
     );
     const unanswered = "inFlight" in running ? Number((running as { inFlight: unknown }).inFlight) || 0 : 0;
-    this.history.add({ tag: "stopped", at: this.wall(), process: name, unanswered });
+    this.history.add({ tag: "stopped", at: this.wallMs(), process: name, unanswered });
     this.collectErrors(name);
     this.world.kill(name);
     this.daemons.delete(name);
-    this.unreachable.open(this.httpOf(name), this.wall() - TERMINATION_TIMEOUT_MS);
+    this.unreachable.open(this.httpOf(name), this.wallMs() - TERMINATION_TIMEOUT_MS);
     return hasEnded === true;
   }
   freeze(name: string): void {
     this.actions.push(`freeze ${name}`);
-    this.unreachable.open(this.httpOf(name), this.wall());
+    this.unreachable.open(this.httpOf(name), this.wallMs());
     this.world.processes.get(name)!.freeze();
   }
   resume(name: string): void {
-    this.unreachable.closeOldest(this.httpOf(name), this.wall() + RESUME_RECONNECT_MS);
+    this.unreachable.closeOldest(this.httpOf(name), this.wallMs() + RESUME_RECONNECT_MS);
     this.world.processes.get(name)!.resume();
     this.recordRestored(`${name} woke`);
   }
   private recordRestored(what: string): void {
-    this.history.add({ tag: "restored", at: this.wall(), what });
+    this.history.add({ tag: "restored", at: this.wallMs(), what });
   }
   /** Partitions a set of processes from all others. */
   partition(names: string[], direction: "in" | "out" | "both" = "both"): void {
     this.actions.push(`partition ${names.join(" ")} ${direction}`);
-    for (const name of names) this.unreachable.open(this.httpOf(name), this.wall());
+    for (const name of names) this.unreachable.open(this.httpOf(name), this.wallMs());
     this.world.isolate(names, direction);
   }
   /** Drops all messages from the senders to a process. */
   blockIncoming(name: string, senders: string[]): void {
     this.actions.push(`${name} receives nothing from ${senders.join(" ")}`);
-    this.unreachable.open(this.httpOf(name), this.wall());
+    this.unreachable.open(this.httpOf(name), this.wallMs());
     for (const sender of senders) this.world.partition(sender, name);
   }
   heal(): void {
     this.world.heal();
     this.recordRestored("cuts healed");
-    this.unreachable.closeAll(this.wall() + RECONNECT_MS);
+    this.unreachable.closeAll(this.wallMs() + RECONNECT_MS);
   }
   /** HTTP address of a process. */
   httpOf = (name: string): string => this.plan.processes.find((each) => each.name === name)?.settings.http ?? name;
   /** Records a fault in the history. After a heavy one the checker expects the service to return within a time limit. */
   recordFault(fault: string, isHeavy: boolean): void {
-    this.history.add({ tag: "fault", at: this.wall(), fault, heavy: isHeavy });
+    this.history.add({ tag: "fault", at: this.wallMs(), fault, heavy: isHeavy });
   }
 
-  // ---------- endpoints ----------
   startEndpoint(settings: EndpointSettings): void {
     const process = this.world.start(`replica-${settings.id}`, new SimDisk(this.world));
     const endpoint = new StandInEndpoint(process.env, settings);
     this.endpoints.set(settings.id, { process, endpoint });
     this.startedEndpoints.push(endpoint);
-    this.history.add({ tag: "replicaStarted", at: this.wall(), replica: settings.id, capacity: settings.capacity });
+    this.history.add({ tag: "replicaStarted", at: this.wallMs(), replica: settings.id, capacity: settings.capacity });
     Csp.go(process.scope, "main", () => endpoint.start());
   }
   killEndpoint(id: string): void {
@@ -405,14 +402,13 @@
     this.actions.push(`replace endpoint ${id}`);
     const { process, endpoint } = this.endpoints.get(id)!;
     if (await this.world.runTask(process, () => endpoint.deregister(), 3000))
-      this.history.add({ tag: "goodbye", at: this.wall(), replica: id });
+      this.history.add({ tag: "goodbye", at: this.wallMs(), replica: id });
     await this.run(4000);
     this.world.kill(`replica-${id}`);
     await this.run(300);
     this.startEndpoint({ ...endpoint.settings, version });
   }
 
-  // ---------- operator ----------
   /** Sends a request of an operator, by default to a random running node. */
   send = (
     method: string,
@@ -475,11 +471,11 @@
     const response = await this.send("GET", "/v1/manifest");
     const configuration = response?.status === 200 ? (response.body as ConfigurationBody) : undefined;
     const mark = configuration ? markersOf(configuration.doc) : "";
-    this.history.add({ tag: "dayEnd", at: this.wall(), version: configuration?.version ?? 0, mark });
-    this.history.add({ tag: "ledger", at: this.wall(), ingress: "the follower", stamps: this.ledgerStampsRead });
+    this.history.add({ tag: "dayEnd", at: this.wallMs(), version: configuration?.version ?? 0, mark });
+    this.history.add({ tag: "ledger", at: this.wallMs(), ingress: "the follower", stamps: this.ledgerStampsRead });
     for (const address of this.plan.ingressHttp.slice(0, 2)) {
       const stamps = await this.operator.readLedger(address, FINAL_LEDGER_PAGE_SIZE, FINAL_LEDGER_MAX_PAGES);
-      this.history.add({ tag: "ledger", at: this.wall(), ingress: address, stamps });
+      this.history.add({ tag: "ledger", at: this.wallMs(), ingress: address, stamps });
     }
   }
   private checkHistory(): Violation[] {
--- a/src/simulation/simNetwork.ts
+++ b/src/simulation/simNetwork.ts
@@ -120,8 +120,8 @@
       },
     };
     this.linkPairs.add(pair);
-    const linkEnd = (member: string, incoming: Chan<Buffer>, send: PipeSend, outgoing: Chan<Buffer>): Link => ({
-      remoteAddress: member,
+    const linkEnd = (remoteAddress: string, incoming: Chan<Buffer>, send: PipeSend, outgoing: Chan<Buffer>): Link => ({
+      remoteAddress,
       incoming,
       send: (frame) => {
         if (incoming.isClosed()) return false;
--- a/src/simulation/simOperator.ts
+++ b/src/simulation/simOperator.ts
@@ -41,7 +41,7 @@
   readonly plan: Plan;
   readonly seed: number;
   /** Wall time, in ms since 1970. */
-  wall(): number;
+  wallMs(): number;
 }
 /** A request of an operator to a node. */
 export interface OperatorRequest {
@@ -76,7 +76,7 @@
   readonly plan: Plan;
   readonly seed: number;
   /** Wall time, in ms since 1970. */
-  wall(): number;
+  wallMs(): number;
 }
 
 /**
@@ -145,7 +145,7 @@
     const response = await this.send("PUT", "/v1/manifest", doc, headers, address);
     const version = response?.status === 200 ? (response.body as ChangeBody).version : 0;
     const outcome = response?.status === 200 ? "acknowledged" : response?.status === 412 ? "refused" : "unknown";
-    this.history.add({ tag: "change", at: this.fleet.wall(), what: "manifest", changeId, outcome, version, mark });
+    this.history.add({ tag: "change", at: this.fleet.wallMs(), what: "manifest", changeId, outcome, version, mark });
     return { outcome, version };
   }
   /** Schedules a planned operation for now and waits until it ends, at most `withinMs`. Returns its last known state. */
@@ -153,7 +153,7 @@
     const id = `move-${this.nextNumber()}`;
     const status = await this.submitOperation(id, operation);
     if (status !== 200) return `not accepted: ${status}`;
-    const acknowledgedAt = this.fleet.wall();
+    const acknowledgedAt = this.fleet.wallMs();
     const zone = String(operation.district);
     if (operation.kind === "drain") this.history.add({ tag: "drained", at: acknowledgedAt, district: zone });
     const state = await this.pollState(id, withinMs);
