--- a/src/simulation/diskAudit.ts
+++ b/src/simulation/diskAudit.ts
@@ -4,7 +4,7 @@
 import { History, LogPosition } from "../tools/history";
 import { SimDisk } from "./simDisk";
 
-const SLOT_COUNT = 2;
+const CHECKPOINT_FILE_COUNT = 2;
 
 /** What the audit reads from the fleet. */
 export interface AuditedFleet {
@@ -67,7 +67,11 @@
 
   private lastEntryOnDisk(name: string, shard: number): LogPosition {
     const files = this.fleet.disks.get(name)!.under(`data/${name}/shard-${shard}`);
-    const { state, records } = CheckpointedLog.inspect((file) => files.get(file), [...files.keys()], SLOT_COUNT);
+    const { state, records } = CheckpointedLog.inspect(
+      (file) => files.get(file),
+      [...files.keys()],
+      CHECKPOINT_FILE_COUNT,
+    );
     for (const record of records.reverse()) {
       const { tag, entry } = JSON.parse(record.toString("utf8")) as LogRecord;
       if (tag === "entry" && entry) return { epoch: entry.epoch, seq: entry.seq };
--- a/src/simulation/simDisk.ts
+++ b/src/simulation/simDisk.ts
@@ -53,12 +53,12 @@
   }
   private randomLoss(): PowerLoss {
     const draw = this.world.random();
-    const pick = (outcomes: number): number => {
+    const pickOutcome = (outcomes: number): number => {
       if (draw < CORRELATED_LOSS_SHARE) return 0;
       if (draw < 2 * CORRELATED_LOSS_SHARE) return outcomes - 1;
       return Math.min(outcomes - 1, Math.floor(this.world.random() * outcomes));
     };
-    return { pickOutcome: pick, pickTearOffset: (bytes) => Math.floor(this.world.random() * bytes) };
+    return { pickOutcome, pickTearOffset: (bytes) => Math.floor(this.world.random() * bytes) };
   }
   /** Replaces the disk by an empty one without faults. */
   wipe(): void {
