--- a/src/simulation/scenarios/endpointScenarios.ts
+++ b/src/simulation/scenarios/endpointScenarios.ts
@@ -58,7 +58,7 @@
     name: "replicas-crash",
     description: "a third of the endpoints crash and restart",
     run: async (fleet) => {
-      const crashed = fleet.plan.replicas.filter((_endpoint, index) => index % 3 === 0);
+      const crashed = fleet.plan.endpoints.filter((_endpoint, index) => index % 3 === 0);
       fleet.recordFault("replicas crash", true);
       for (const endpoint of crashed) fleet.killEndpoint(endpoint.id);
       await fleet.run(7000);
@@ -89,7 +89,7 @@
     description: "endpoints are replaced one by one under double load, and each deregisters first",
     run: async (fleet) => {
       fleet.callers.load = 2;
-      for (const endpoint of fleet.plan.replicas.slice(0, 5)) await fleet.replaceEndpoint(endpoint.id, "v2");
+      for (const endpoint of fleet.plan.endpoints.slice(0, 5)) await fleet.replaceEndpoint(endpoint.id, "v2");
       await fleet.run(3000);
     },
   },
--- a/src/simulation/simOperator.ts
+++ b/src/simulation/simOperator.ts
@@ -2,7 +2,7 @@
 import { EnvironmentTools } from "../runtime/env";
 import { History } from "../tools/history";
 import { CalendarEntryBody, ChangeBody, LedgerEntryBody } from "../cli/operator/responses";
-import { Plan } from "../tools/deployment";
+import { DeploymentPlan } from "../tools/deployment";
 import { SimProcess, SimWorld } from "./simWorld";
 
 const RESPONSE_LIMIT_BYTES = 32_000_000;
@@ -38,7 +38,7 @@
 /** What an operator needs from the fleet. */
 export interface OperatedFleet {
   readonly world: SimWorld;
-  readonly plan: Plan;
+  readonly plan: DeploymentPlan;
   readonly seed: number;
   /** Wall time, in ms since 1970. */
   wallMs(): number;
@@ -73,7 +73,7 @@
 /** What an operator needs from the fleet. */
 export interface OperatedFleet {
   readonly world: SimWorld;
-  readonly plan: Plan;
+  readonly plan: DeploymentPlan;
   readonly seed: number;
   /** Wall time, in ms since 1970. */
   wallMs(): number;
