--- a/scripts/guardMutations/mutations.js
+++ b/scripts/guardMutations/mutations.js
@@ -69,7 +69,7 @@
       {
         file: "storage/liveRequests/liveRequestExecution.js",
         find: "(0, exports.remainingWaitMs)(this.env, request.spec)",
-        replacement: "constants_1.Constants.liveWaitMs",
+        replacement: "constants_1.Constants.admissionWaitMaxMs",
       },
     ],
   },
@@ -193,8 +193,8 @@
     edits: [
       {
         file: "common/constants/node.js",
-        find: "frameStaleMs: 1500",
-        replacement: "frameStaleMs: 60000",
+        find: "contactTimeoutMs: 1500",
+        replacement: "contactTimeoutMs: 60000",
       },
     ],
   },
@@ -268,8 +268,8 @@
     edits: [
       {
         file: "common/constants/membership.js",
-        find: "suspicionMs: 1500",
-        replacement: "suspicionMs: 30000",
+        find: "suspicionTimeoutMs: 1500",
+        replacement: "suspicionTimeoutMs: 30000",
       },
       {
         file: "control/viewChangeTrigger.js",
