--- a/src/membership/antiEntropy.ts
+++ b/src/membership/antiEntropy.ts
@@ -10,13 +10,13 @@
 import { SnapshotTransfer } from "./snapshotTransfer";
 
 /**
- * Repairs what pushes have missed: two members compare digests, and each gets what it lacks of facts, members and the
- * control snapshot. One checksum shows whether anything differs, checksums by bucket show where, and only the facts of
- * those buckets are compared. (Anti-entropy as in Demers et al., "Epidemic algorithms for replicated database
- * maintenance", 1987.)
+ * Anti-entropy (Demers et al., "Epidemic algorithms for replicated database maintenance", 1987) repairs the losses of
+ * pushes: two members compare digests, and each gets the facts, members and control snapshot that it lacks. One total
+ * checksum shows whether anything differs, checksums by bucket show where, and only entries of those buckets are
+ * compared.
  */
 export class AntiEntropy {
-  /** When digests were last exchanged with anybody, by either side, monotonic ms. */
+  /** Time of the last exchange of digests, initiated by either side, monotonic ms. */
   lastExchangeAt = -Infinity;
 
   constructor(
@@ -27,7 +27,7 @@
     private readonly transfer: SnapshotTransfer,
   ) {}
 
-  /** Sets the handlers of requests by other members. */
+  /** Registers the handlers of requests from other members. */
   serve(): void {
     const { membership, facts, transfer } = this;
     this.rpc.handle("news.digest", (digest, sender) => this.onDigest(digest, sender));
@@ -44,7 +44,7 @@
     this.rpc.handle("frame.fetch", (request) => transfer.onFetch(request));
   }
 
-  /** Exchanges digests with the member at the address and repairs both sides; false if it didn't respond. */
+  /** Exchanges digests with the member at the address and repairs both sides; returns false if it did not respond. */
   *exchangeWith(address: string): Task<boolean> {
     const startedAt = this.env.mono();
     const response = yield* this.rpc.call(address, "news.digest", this.digest(), Constants.digestTimeoutMs);
@@ -73,7 +73,7 @@
     const address = this.membership.find(sender)?.address;
     if (address && digest.frameIndex > this.transfer.index) {
       const { transfer } = this;
-      Csp.go(this.env.scope, "fetch", () => transfer.fetchIfNewer(address, digest.frameIndex));
+      Csp.go(this.env.scope, "fetch control snapshot", () => transfer.fetchIfNewer(address, digest.frameIndex));
     }
     const { bucketChecksums } = this.facts;
     const memberChecksums = this.membership.bucketChecksums();
@@ -85,7 +85,7 @@
     });
   }
 
-  /** Datagrams pass on a change of membership only a few times: what was lost of it is found here. */
+  /** A change of membership is piggybacked only a limited number of times; this repairs the losses. */
   private *repairMembers(address: string, theirChecksums: number[]): Task<void> {
     const buckets = differingBuckets(this.membership.bucketChecksums(), theirChecksums);
     const request = { buckets, standing: this.membership.versions(buckets) };
--- a/src/membership/clockSkew.ts
+++ b/src/membership/clockSkew.ts
@@ -1,7 +1,7 @@
 import { Constants } from "../common/constants";
 import { Environment } from "../runtime/env";
 
-/** How far our wall clock is ahead of the others', ms, and by how much that may be wrong. */
+/** Offset by which this process's wall clock is ahead of the other members', and the error bound of the offset, ms. */
 export interface ClockSkew {
   readonly offset: number;
   readonly error: number;
@@ -11,26 +11,26 @@
   readonly memberId: string;
 }
 
-/** The skew is estimated from samples of so many other members at least. */
-const FEWEST_MEMBERS = 2;
+/** The skew is estimated only from samples of at least this many other members. */
+const MIN_MEMBERS = 2;
 
 /**
- * Estimates the skew of our wall clock against the other members' from the round trips of pings (as in Cristian,
- * "Probabilistic clock synchronization", 1989), and decides whether our clock may be trusted.
+ * Estimates the skew of this process's wall clock against the other members' from the round trips of pings (as in
+ * Cristian, "Probabilistic clock synchronization", 1989), and decides whether the clock may be trusted.
  */
 export class ClockSkewEstimator {
   /** Oldest first. */
   private samples: ClockSample[] = [];
-  /** The clock has jumped: it isn't trusted until there are new samples. */
+  /** Whether the clock has jumped; it is then not trusted until there are enough new samples. */
   private needsSamples = false;
   private wasTrusted = true;
 
   constructor(private readonly env: Environment) {}
 
   /**
-   * A round trip to a member.
-   * @param sentAt our clock as the ping was sent, ms
-   * @param theirTime the other's clock in between, ms
+   * Adds a sample from a round trip to a member.
+   * @param sentAt this process's clock when it sent the ping, ms
+   * @param theirTime the member's clock when it acknowledged the ping, ms
    */
   addRoundTrip(memberId: string, sentAt: number, theirTime: number): void {
     const now = this.env.wall();
@@ -40,17 +40,20 @@
     if (this.samples.length > Constants.clockSamplesMax) this.samples.shift();
   }
 
-  /** The median over the newest sample of each member; undefined with too few members. */
+  /** Returns the median of the newest samples of each member; undefined with too few members. */
   estimate(): ClockSkew | undefined {
     const newest = [...new Map(this.samples.map((sample) => [sample.memberId, sample])).values()];
-    if (newest.length < FEWEST_MEMBERS) return undefined;
+    if (newest.length < MIN_MEMBERS) return undefined;
     const sorted = newest.sort((left, right) => left.offset - right.offset);
     const middle = sorted[Math.floor(sorted.length / 2)];
     const other = sorted.length % 2 === 0 ? sorted[sorted.length / 2 - 1] : middle;
     return { offset: (middle.offset + other.offset) / 2, error: Math.max(middle.error, other.error) };
   }
 
-  /** Discards all samples, after a jump of the wall clock. */
+  /**
+   * Discards all samples; called after the wall clock has jumped.
+   * @param needsSamples whether the clock is distrusted until there are enough new samples
+   */
   discard(needsSamples: boolean): void {
     this.samples = [];
     this.needsSamples = needsSamples;
--- a/src/membership/factStore.ts
+++ b/src/membership/factStore.ts
@@ -3,26 +3,26 @@
 import { Environment } from "../runtime/env";
 import { FactMessage, FactRenewal, FactVersion } from "./gossipMessages";
 
-/** One fact of the cluster under its key, with the version that this member knows. */
+/** A fact about the cluster that is spread by gossip, in the version that this member knows. */
 export interface GossipFact {
   readonly key: string;
   /** Id of the member that published this version. */
   readonly owner: string;
-  /** Wall clock ms of its publication, but always above the version before. */
+  /** Wall clock of its publication, ms, but always greater than the previous version. */
   readonly version: number;
   readonly value: unknown;
-  /** A tombstone: the fact is removed for good, and `value` is its last one. */
+  /** Whether this is a tombstone: the fact is removed permanently, and `value` is its last value. */
   readonly removed: boolean;
 }
 
-/** A fact with what is needed to pass it on as a change to its base version. */
+/** A fact with the fields that are needed to pass it on as a patch to its base version. */
 interface StoredFact extends GossipFact {
   /** Version at which the value was published in full. */
   readonly baseVersion: number;
   readonly baseValue: unknown;
   /** Fields that differ from the base value. */
   readonly patch: Record<string, unknown>;
-  /** When it was published, monotonic ms of this process. */
+  /** Time of publication on this process's monotonic clock, ms. */
   readonly publishedAt: number;
   readonly leaseMs: number;
   readonly checksum: number;
@@ -34,11 +34,11 @@
 /** How the next push carries a fact: in full, or as a patch to its base version. */
 type PushForm = "full" | "renewal";
 
-/** Called by the store. */
+/** Callbacks of the store. */
 export interface FactStoreListener {
-  /** A new version of a fact was applied. */
+  /** Called after a new version of a fact was applied. */
   applied(): void;
-  /** The lease of a fact has run out. */
+  /** Called when the lease of a fact has expired. */
   expired(): void;
 }
 
@@ -47,7 +47,7 @@
 const isObject = (value: unknown): value is Record<string, unknown> =>
   typeof value === "object" && value !== null && !Array.isArray(value);
 
-/** Fields in which the value differs from its base; undefined if the value in full is about as short. */
+/** Returns the fields that differ from the base value; undefined if the full value is about as short. */
 function changedFields(base: unknown, value: unknown): Record<string, unknown> | undefined {
   if (!isObject(base) || !isObject(value)) return undefined;
   const names = Object.keys(value);
@@ -59,14 +59,14 @@
   return Object.fromEntries(changed.map((name) => [name, value[name]]));
 }
 
-/** What two members compare: equal if both can apply the same renewals. */
+/** Checksum by which two members compare a fact; it is equal if both can apply the same renewals. */
 const checksumOf = (fact: FactUpdate): number => Hash.number(`${fact.key}|${fact.removed ? "gone" : fact.baseVersion}`);
 
 const bucketOf = (key: string): number => Hash.number(key) % Constants.gossipBuckets;
 
 const versionOf = (fact: StoredFact): FactVersion => [fact.baseVersion, fact.version, fact.removed ? 1 : 0];
 
-/** Versions of one base need no repair: the next renewal does that. */
+/** Versions with the same base need no repair, because the next renewal brings them up to date. */
 function needsRepair([baseVersion, , removed]: FactVersion, [otherBase, , otherRemoved]: FactVersion): boolean {
   return removed !== otherRemoved || (removed === 0 && baseVersion !== otherBase);
 }
@@ -77,16 +77,17 @@
 }
 
 /**
- * The facts that this member knows: a map from key to the newest version, with leases and tombstones. Of two versions
- * the greater wins, a tombstone over both. Checksums by bucket show which facts differ from another member's.
+ * The facts that this member knows: a map from key to the newest version, with leases and tombstones. The greater of
+ * two versions wins, and a tombstone wins over any version. A checksum per bucket shows where the facts of two members
+ * differ.
  */
 export class FactStore {
   private readonly facts = new Map<string, StoredFact>();
-  /** Keys in order; undefined after a fact has come or gone. */
+  /** Sorted keys; undefined after a fact was added or deleted. */
   private sortedKeys: string[] | undefined;
-  /** Facts applied since the last push. */
+  /** Keys of the facts applied since the last push. */
   private readonly unsent = new Map<string, PushForm>();
-  /** One for each bucket, over the checksums of its facts. */
+  /** One checksum per bucket, combined from the checksums of its facts. */
   readonly bucketChecksums: number[] = Array<number>(Constants.gossipBuckets).fill(0);
 
   constructor(
@@ -99,25 +100,25 @@
     return this.facts.get(key);
   }
 
-  /** Time since the publication of the version that is known, ms; Infinity for an unknown key. */
+  /** Time since the known version was published, ms; Infinity for an unknown key. */
   ageMs(key: string): number {
     const known = this.facts.get(key);
     return known ? this.env.mono() - known.publishedAt : Infinity;
   }
 
-  /** Facts whose lease runs, in order of their keys. */
+  /** Facts with an unexpired lease, in the order of their keys. */
   live(prefix: string): GossipFact[] {
     const now = this.env.mono();
-    const found: GossipFact[] = [];
+    const liveFacts: GossipFact[] = [];
     for (const key of (this.sortedKeys ??= [...this.facts.keys()].sort())) {
       if (!key.startsWith(prefix)) continue;
       const fact = this.facts.get(key)!;
-      if (!fact.removed && now - fact.publishedAt < fact.leaseMs) found.push(fact);
+      if (!fact.removed && now - fact.publishedAt < fact.leaseMs) liveFacts.push(fact);
     }
-    return found;
+    return liveFacts;
   }
 
-  /** Publishes a version of our own: as a patch to its base where it may be, in full otherwise. */
+  /** Publishes a version of this member's own, as a patch to the base version if possible, otherwise in full. */
   publish(key: string, value: unknown, leaseMs: number, inFull: boolean): void {
     const known = this.facts.get(key);
     const version = this.nextVersion(known);
@@ -125,14 +126,14 @@
     const renewable =
       known && !known.removed && !inFull && known.leaseMs === leaseMs && now - known.publishedAt < leaseMs;
     const patch = renewable ? changedFields(known.baseValue, value) : undefined;
-    const layers =
+    const versionFields =
       known && patch
         ? { baseVersion: known.baseVersion, baseValue: known.baseValue, patch }
         : { baseVersion: version, baseValue: value, patch: {} };
-    this.apply({ key, owner: this.ownId, version, removed: false, ...layers, leaseMs });
+    this.apply({ key, owner: this.ownId, version, removed: false, ...versionFields, leaseMs });
   }
 
-  /** Puts a tombstone in place of the fact; `value` is what it shows from now on. */
+  /** Replaces the fact by a tombstone with this value. */
   remove(key: string, value: unknown = this.facts.get(key)?.value ?? null): void {
     const version = this.nextVersion(this.facts.get(key));
     this.apply({
@@ -147,7 +148,7 @@
     });
   }
 
-  /** Applies another member's fact; false if it is no newer than ours. */
+  /** Applies a fact from another member; returns false if it is not newer than the known version. */
   applyMessage(message: FactMessage): boolean {
     const update: FactUpdate = {
       key: message.key,
@@ -162,7 +163,7 @@
     return this.apply(update, message.ageMs);
   }
 
-  /** Applies a patch if its base version is the one known here; otherwise digests find and repair the difference. */
+  /** Applies a patch if its base version is the known one; otherwise anti-entropy repairs the difference. */
   applyRenewal([key, owner, version, baseVersion, patch, ageMs]: FactRenewal): void {
     const known = this.facts.get(key);
     if (!known || known.removed || known.baseVersion !== baseVersion) return;
@@ -170,19 +171,19 @@
     this.apply({ key, owner, version, removed: false, baseVersion, baseValue, patch, leaseMs }, ageMs);
   }
 
-  /** Reports leases that have run out, and forgets what is older than a tombstone must be remembered. */
+  /** Reports expired leases, and deletes facts and tombstones that are older than the retention of tombstones. */
   expire(): void {
     const now = this.env.mono();
     for (const fact of this.facts.values()) {
       const ageMs = now - fact.publishedAt;
       if (ageMs <= (fact.removed ? Constants.tombstoneRetentionMs : fact.leaseMs)) continue;
       if (fact.removed) {
-        this.forget(fact);
+        this.deleteFact(fact);
         continue;
       }
       if (fact.key.startsWith(ENDPOINT_PREFIX)) this.env.log(1203, { replica: fact.key });
-      // Remembered past its lease, so that an older version of it elsewhere isn't taken for a new fact.
-      if (ageMs > Constants.tombstoneRetentionMs) this.forget(fact);
+      // An expired fact is retained, so that an older version from another member is not accepted as a new fact.
+      if (ageMs > Constants.tombstoneRetentionMs) this.deleteFact(fact);
       this.listener.expired();
     }
   }
@@ -191,7 +192,7 @@
     return this.unsent.size > 0;
   }
 
-  /** Facts applied since the last call. */
+  /** Returns the facts applied since the last call. */
   takeUnsent(): { facts: FactMessage[]; renewed: FactRenewal[] } {
     const taken = { facts: [] as FactMessage[], renewed: [] as FactRenewal[] };
     for (const [key, form] of this.unsent) {
@@ -203,12 +204,12 @@
     return taken;
   }
 
-  /** The facts of these keys, tombstones among them, as messages. */
+  /** Returns the facts and tombstones of these keys as messages. */
   messages(keys: readonly string[]): FactMessage[] {
     return keys.flatMap((key) => this.facts.get(key) ?? []).map((fact) => this.messageOf(fact));
   }
 
-  /** Facts of other members' that should have been renewed by now though their lease runs, with their versions. */
+  /** Returns the known versions of facts that are overdue for renewal although their lease has not expired. */
   staleVersions(): Record<string, number> {
     const now = this.env.mono();
     const stale: Record<string, number> = {};
@@ -223,7 +224,7 @@
     return stale;
   }
 
-  /** Renewals of facts for which a newer version than the given one is known. */
+  /** Returns renewals of the facts that are known in a newer version than the given one. */
   renewalsSince(versions: Record<string, number>): FactRenewal[] {
     return Object.keys(versions)
       .flatMap((key) => this.facts.get(key) ?? [])
@@ -231,14 +232,14 @@
       .map((fact) => this.renewalOf(fact));
   }
 
-  /** Versions of all facts in some buckets. */
+  /** Returns the versions of all facts in these buckets. */
   versions(buckets: readonly number[]): Record<string, FactVersion> {
     return Object.fromEntries(
       this.inBuckets(buckets).map((fact): [string, FactVersion] => [fact.key, versionOf(fact)]),
     );
   }
 
-  /** What another member lacks of the facts in some buckets, and keys of what is newer there. */
+  /** Compares the facts in these buckets: returns those that the other member lacks, and keys of those newer there. */
   diff(buckets: readonly number[], theirs: Record<string, FactVersion>): { facts: FactMessage[]; want: string[] } {
     const ours = new Map(this.inBuckets(buckets).map((fact) => [fact.key, fact]));
     const supersedes = (left: FactVersion, right: FactVersion): boolean =>
@@ -274,14 +275,14 @@
   }
 
   private static isApplicable(update: FactUpdate, ageMs: number, known: StoredFact | undefined): boolean {
-    // By that age the others have forgotten an unknown fact, as we have: it must not come back.
+    // Every member may have deleted a fact of this age, also its tombstone, so it must not be restored.
     if (!known) return !(ageMs > Constants.tombstoneRetentionMs);
     if (known.removed !== update.removed) return update.removed;
     if (update.version !== known.version) return update.version > known.version;
     return update.owner > known.owner;
   }
 
-  private forget(fact: StoredFact): void {
+  private deleteFact(fact: StoredFact): void {
     this.bucketChecksums[bucketOf(fact.key)] ^= fact.checksum;
     this.sortedKeys = undefined;
     this.facts.delete(fact.key);
--- a/src/membership/failureDetector.ts
+++ b/src/membership/failureDetector.ts
@@ -7,32 +7,32 @@
 import { MemberList } from "./memberList";
 import { Ack, IndirectAck, Ping, PingRequest, SwimMessage } from "./swimMessages";
 
-/** Sends a message to an address, as a datagram. */
+/** Sends a message to an address as a datagram. */
 export type SendMessage = (address: string, message: SwimMessage) => void;
 
-/** Probes come after the usual period less or more a tenth, so that members don't fall into step. */
+/** The probe period varies by 10% in both directions, so that members do not probe in lockstep. */
 const PERIOD_JITTER_LOW = 0.9;
 const PERIOD_JITTER_SPREAD = 0.2;
 const SHORTEST_PERIOD_MS = 20;
 
 /**
  * The failure detector of SWIM (Das, Gupta, Motivala, "SWIM: scalable weakly-consistent infection-style process group
- * membership protocol", 2002): each period one member is pinged, in random order; if it doesn't acknowledge, others ping
- * it too; if nobody gets an acknowledgement it becomes suspect, and dead unless it refutes that in time. Changes of
- * membership are piggybacked on all datagrams.
+ * membership protocol", 2002): each period one member is pinged, in random order; if it doesn't acknowledge, others
+ * ping it too; if nobody gets an acknowledgement it becomes suspect, and then dead unless it refutes the suspicion in
+ * time. Changes of membership are piggybacked on all datagrams.
  */
 export class FailureDetector {
-  /** Who waits for an acknowledgement, by sequence number. */
+  /** Channels of the probes that wait for an acknowledgement, by sequence number. */
   private readonly pendingAcks = new Map<number, Chan<true>>();
   private lastSequence = 0;
-  /** Ids that are still to be probed in this pass. */
+  /** Ids of the members that are still to be probed in this pass over the list. */
   private remaining: string[] = [];
-  /** Pings sent. */
+  /** Number of pings sent. */
   probeCount = 0;
-  /** Probes without a verdict because this process itself was late. */
+  /** Number of probes without a result because this process's own timers fired late. */
   inconclusiveProbeCount = 0;
 
-  /** @param periodMs turns a usual period into the one that applies now */
+  /** @param periodMs converts a usual period into the one that applies now, which is shorter after the start */
   constructor(
     private readonly env: Environment,
     private readonly self: Member,
@@ -42,14 +42,14 @@
     private readonly periodMs: (usualMs: number) => number,
   ) {}
 
-  /** Probes one member a period, for ever. */
+  /** Probes one member per period; never ends. */
   *probeLoop(): Task<void> {
     for (;;) {
       const startedAt = this.env.mono();
       yield* this.probeNext();
       this.members.expire();
       const spentMs = this.env.mono() - startedAt;
-      // After a freeze our own suspicions mean nothing.
+      // Suspicions of a process that was frozen prove nothing, so every suspect gets its full time to refute again.
       if (spentMs > Constants.clockJumpMs + Constants.probePeriodMs) this.members.restartSuspicions();
       const jitter = PERIOD_JITTER_LOW + PERIOD_JITTER_SPREAD * this.env.random();
       const pauseMs = this.periodMs(Constants.probePeriodMs) * jitter - spentMs;
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Pings an address; true if it was acknowledged in time. */
+  /** Pings an address; returns true if the ping was acknowledged in time. */
   *ping(target: { address: string; id?: string }, timeoutMs: number, wantsMembers = false): Task<boolean> {
     const sequence = this.nextSequence();
     const acknowledged = this.expectAck(sequence);
@@ -76,7 +76,7 @@
     return response === true;
   }
 
-  /** Handles a message of another member; its updates have been merged before. */
+  /** Handles a message from another member. The caller has already merged its updates. */
   onMessage(message: SwimMessage): void {
     switch (message.type) {
       case "ping":
@@ -96,7 +96,7 @@
     const { address } = ping.sender;
     const known = this.members.find(ping.sender.id);
     const updates = this.members.takeUpdates();
-    if (known && known.state !== "alive") updates.push(known); // so that it learns of the suspicion and refutes it
+    if (known && known.state !== "alive") updates.push(known); // lets the sender refute the suspicion
     this.send(address, {
       type: "ack",
       sequence: ping.sequence,
@@ -108,7 +108,7 @@
     if (ping.wantsMembers) this.sendMembers(address);
   }
 
-  /** All active members, in as many datagrams as that takes. */
+  /** Sends all active members, in as many datagrams as needed. */
   private sendMembers(address: string): void {
     const members = this.members.alive();
     for (let first = 0; first < members.length; first += Constants.piggybackMaxUpdates) {
@@ -125,10 +125,11 @@
   private onPingRequest(request: PingRequest): void {
     const detector = this;
     const { sequence, target } = request;
-    const asker = request.sender.address;
+    const requesterAddress = request.sender.address;
     Csp.go(this.env.scope, "indirect probe", function* () {
       const isAlive = yield* detector.ping(target, Constants.indirectTimeoutMs / 2);
-      if (isAlive) detector.send(asker, { type: "indirectAck", sequence, sender: detector.self, updates: [] });
+      if (isAlive)
+        detector.send(requesterAddress, { type: "indirectAck", sequence, sender: detector.self, updates: [] });
     });
   }
 
@@ -143,20 +144,20 @@
     const startedAt = this.env.mono();
     const isAlive = (yield* this.ping(target, Constants.probeTimeoutMs)) || (yield* this.probeIndirectly(target));
     if (isAlive) return this.members.resendSuspicion(target.id);
-    // A process whose own timers fire late wasn't able to receive an acknowledgement either.
+    // If this process's own timers fired late, it could not have received an acknowledgement in time either.
     const allowedMs = Constants.probeTimeoutMs + Constants.indirectTimeoutMs + Constants.maxTimerDelayMs;
     if (this.env.mono() - startedAt > allowedMs) this.inconclusiveProbeCount += 1;
     else this.members.suspect(target);
   }
 
-  /** Lets a few random members ping the target; true if one of them got an acknowledgement. */
+  /** Asks a few random members to ping the target; returns true if one of them got an acknowledgement. */
   private *probeIndirectly(target: Member): Task<boolean> {
     const sequence = this.nextSequence();
     const acknowledged = this.expectAck(sequence);
     const helpers = this.members
       .alive()
       .filter((member) => member.id !== target.id && member.id !== this.self.id && member.state === "alive");
-    for (let asked = 0; asked < Constants.indirectProbes && helpers.length > 0; asked += 1) {
+    for (let requestCount = 0; requestCount < Constants.indirectProbes && helpers.length > 0; requestCount += 1) {
       const [helper] = helpers.splice(Math.floor(this.env.random() * helpers.length), 1);
       this.send(helper.address, { type: "pingRequest", sequence, sender: this.self, target, updates: [] });
     }
@@ -165,7 +166,10 @@
     return response === true;
   }
 
-  /** The next member in random order, each once before any comes again; undefined if that one is dead by now. */
+  /**
+   * Returns the member to probe next; undefined if it has died since the pass began. A pass covers every member once,
+   * in random order.
+   */
   private nextTarget(): Member | undefined {
     if (this.remaining.length === 0) {
       const others = this.members.alive().filter((member) => member.id !== this.self.id);
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -11,13 +11,14 @@
 import { Membership } from "./membership";
 import { SnapshotTransfer } from "./snapshotTransfer";
 
-/** Periods between digests differ by up to this share, so that members don't fall into step. */
+/** The pause between digests varies by 20% in both directions, so that members do not send them in lockstep. */
 const DIGEST_JITTER_LOW = 0.8;
 const DIGEST_JITTER_SPREAD = 0.4;
 
 /**
- * Spreads facts and the control snapshot through the cluster: changes are pushed to a few members, which push them on;
- * anti-entropy repairs what that misses. Of the control snapshot only the index is pushed, and who has less fetches it.
+ * Spreads facts and the control snapshot through the cluster. Changes are pushed to a few members, which push them on,
+ * and anti-entropy repairs lost pushes. Only the index of the control snapshot is pushed; a member with a lower index
+ * fetches the snapshot.
  *
  * @example
  * const gossip = new Gossip(env, rpc, membership);
@@ -29,9 +30,9 @@
   private readonly transfer: SnapshotTransfer;
   private readonly antiEntropy: AntiEntropy;
   private readonly peers: GossipPeers;
-  /** There is something to push. */
+  /** Signals that there are changes to push. */
   private readonly pushDue: Chan<true> = Csp.sliding(1);
-  /** The push must not wait for more. */
+  /** Signals that the push must not wait for further changes. */
   private readonly pushUrgent: Chan<true> = Csp.sliding(1);
   private readonly listeners: (() => void)[] = [];
 
@@ -61,29 +62,30 @@
     return this.transfer.snapshot;
   }
 
-  /** When digests were last exchanged with anybody, by either side, monotonic ms. */
+  /** Time of the last exchange of digests, initiated by either side, monotonic ms. */
   get lastExchangeAt(): number {
     return this.antiEntropy.lastExchangeAt;
   }
 
-  /** @example gossip.start(); */
+  /** Registers the RPC handlers and starts the push and digest tasks. */
   start(): void {
     this.rpc.handle("news.push", (push, sender) => this.onPush(push, sender));
     this.antiEntropy.serve();
-    EnvironmentTools.keep(this.env, this.env.scope, "news push", () => this.pushLoop());
-    EnvironmentTools.keep(this.env, this.env.scope, "news digest", () => this.digestLoop());
+    EnvironmentTools.keep(this.env, this.env.scope, "gossip push", () => this.pushLoop());
+    EnvironmentTools.keep(this.env, this.env.scope, "gossip digest", () => this.digestLoop());
   }
 
-  /** Calls the listener after every change of a fact or of the snapshot. @example gossip.onChange(() => rebuild()); */
+  /** Calls the listener after every change of a fact or of the snapshot. */
   onChange(listener: () => void): void {
     this.listeners.push(listener);
   }
 
   /**
-   * Publishes a fact. One that is not urgent goes out as a patch to its base, within `Constants.gossipFlushMs`, and the
-   * next publication makes up for a lost one; an urgent one goes out in full at once, and digests repair losses.
+   * Publishes a fact. A fact that is not urgent is sent as a patch to its base within `Constants.gossipFlushMs`; if the
+   * patch is lost, the next publication replaces it. An urgent fact is sent in full at once, and anti-entropy repairs
+   * losses.
    *
-   * @param leaseMs others disregard the fact after this time without a newer version
+   * @param leaseMs others ignore the fact if it is not renewed within this time
    * @example gossip.publish("load/n1", { live: 3 }, 5000, false);
    */
   publish(key: string, value: unknown, leaseMs: number, urgent: boolean): void {
@@ -91,16 +93,15 @@
     if (urgent) Csp.offer(this.pushUrgent, true);
   }
 
-  /** Removes a fact for good: a tombstone takes its place. @example gossip.remove("replica/r1/x"); */
+  /** Removes a fact permanently by replacing it with a tombstone. */
   remove(key: string, value?: unknown): void {
     this.facts.remove(key, value);
     Csp.offer(this.pushUrgent, true);
   }
 
   /**
-   * Removes facts, and returns once another member has the tombstones, or after `Constants.goodbyeToldMs`: they should
-   * outlive this process.
-   * @example yield* gossip.removeAndReplicate([key]);
+   * Removes facts, and returns once another member has acknowledged the tombstones or after
+   * `Constants.withdrawalAckTimeoutMs`, so that the tombstones outlive this process.
    */
   *removeAndReplicate(keys: string[], value?: unknown): Task<void> {
     for (const key of keys) this.remove(key, value);
@@ -117,37 +118,37 @@
     yield* EnvironmentTools.takeWithin(this.env, acknowledged, Constants.withdrawalAckTimeoutMs);
   }
 
-  /** Facts whose lease runs, by key prefix. @example gossip.live("replica/") */
+  /** Facts with an unexpired lease, by key prefix. @example gossip.live("replica/") */
   live(prefix: string): GossipFact[] {
     return this.facts.live(prefix);
   }
 
-  /** A fact as it is known, also expired or removed. @example gossip.find("replica/r1/x")?.value */
+  /** The known version of a fact, even if it is expired or removed. */
   find(key: string): GossipFact | undefined {
     return this.facts.find(key);
   }
 
-  /** Whether there is a tombstone. @example gossip.isRemoved("replica/r1/x") */
+  /** Whether the fact has a tombstone. */
   isRemoved(key: string): boolean {
     return this.facts.find(key)?.removed ?? false;
   }
 
-  /** Time since the fact's newest version was published, ms; Infinity if there is none. @example gossip.ageMs(key) */
+  /** Time since the fact's newest known version was published, ms; Infinity for an unknown key. */
   ageMs(key: string): number {
     return this.facts.ageMs(key);
   }
 
-  /** Takes in a newer control snapshot; false for one that is not. @example gossip.offerSnapshot(snapshot); */
+  /** Replaces the control snapshot by a newer one; returns false if it is not newer. */
   offerSnapshot(snapshot: ControlSnapshot, steps?: ConfigurationStep[]): boolean {
     return this.transfer.offer(snapshot, steps);
   }
 
-  /** Fetches the snapshot of a member with a higher index. @example yield* gossip.fetchSnapshotIfNewer(address, 17) */
+  /** Fetches a member's control snapshot if its index is higher. */
   fetchSnapshotIfNewer(address: string, index: number): Task<void> {
     return this.transfer.fetchIfNewer(address, index);
   }
 
-  /** Compares and repairs with one member; false if none responded. @example yield* gossip.exchangeDigests() */
+  /** Runs anti-entropy with one member; returns false if no member responded. */
   *exchangeDigests(): Task<boolean> {
     const [address] = this.peers.next(1);
     if (!address) return false;
--- a/src/membership/gossipMessages.ts
+++ b/src/membership/gossipMessages.ts
@@ -3,16 +3,19 @@
 import { Member } from "./member";
 
 /**
- * Messages of gossip. Facts and digests go out many times a second, so they keep the field names of the wire in memory
- * too; here stands what those mean.
+ * Messages of gossip. Facts and digests are sent many times a second, so they are not converted: the field names in
+ * memory are those of the wire format.
  */
 
-/** A fact with all that it consists of. It carries its age, so that passing it on never makes it younger. */
+/** A complete fact. The message contains the age of the fact, so that forwarding never makes the fact younger. */
 export interface FactMessage {
   readonly key: string;
   /** Id of the member that published this version. */
   readonly owner: string;
-  /** Wall clock ms of its publication, but always above the version before; of two equal ones the greater owner wins. */
+  /**
+   * Wall clock of its publication, ms, but always greater than the previous version. Of two equal versions, the one
+   * with the greater owner wins.
+   */
   readonly version: number;
   /** Whether this is a tombstone. */
   readonly gone: boolean;
@@ -20,15 +23,15 @@
   readonly base: number;
   /** The value at the base version. */
   readonly whole: unknown;
-  /** Fields of the value that differ from those of `whole`. */
+  /** Fields of the value that differ from `whole`. */
   readonly patch: Record<string, unknown>;
-  /** For how long the fact counts after its publication, ms. */
+  /** Lease of the fact, counted from its publication, ms. */
   readonly grantMs: number;
-  /** Time since its publication as far as the sender knows, ms. */
+  /** Time since its publication by the sender's knowledge, ms. */
   readonly ageMs: number;
 }
 
-/** A newer version of a fact whose base version the receiver should have: only the patch goes along. */
+/** A newer version of a fact, sent as a patch only, because the receiver should know the base version. */
 export type FactRenewal = [
   key: string,
   owner: string,
@@ -38,86 +41,86 @@
   ageMs: number,
 ];
 
-/** New facts, and the index of the sender's control snapshot, so that the receiver can fetch a newer one. */
+/** New facts, and the index of the sender's control snapshot, so that the receiver can fetch it if it is newer. */
 export interface Push {
   readonly facts: FactMessage[];
   readonly renewed: FactRenewal[];
   readonly frameIndex: number;
-  /** Id of the control group that the snapshot comes from. */
+  /** Id of the control group of the snapshot. */
   readonly group?: string;
 }
 
-/** What a member has of a fact; `gone` is 1 for a tombstone. */
+/** Version of a fact as a member knows it; `gone` is 1 for a tombstone. */
 export type FactVersion = [base: number, version: number, gone: number];
 
-/** The state of one member in short. */
+/** Summary of a member's state. */
 export interface Digest {
   /** Checksum over all facts. */
   readonly sum: number;
-  /** Checksum over the members that are alive. */
+  /** Checksum over the active members. */
   readonly memberSum: number;
-  /** Facts that were not renewed for long, with the versions that the sender has. */
+  /** Keys of facts that are overdue for renewal, with the sender's versions. */
   readonly stale: Record<string, number>;
   readonly frameIndex: number;
   readonly group?: string;
 }
 
-/** The answer to a digest; checksums by bucket come only if the total differs. */
+/** Response to a digest; it contains checksums by bucket only if the total checksum differs. */
 export interface DigestResponse {
-  /** Newer versions of facts that the sender called stale. */
+  /** Newer versions of the facts that the digest lists as stale. */
   readonly renewed: FactRenewal[];
   readonly frameIndex: number;
   readonly sums?: number[];
   readonly memberSums?: number[];
 }
 
-/** The versions that the sender has in the buckets whose checksums differ. */
+/** The sender's versions of facts in the buckets whose checksums differ. */
 export interface FactDiffRequest {
   readonly buckets: number[];
   readonly standing: Record<string, FactVersion>;
 }
 
-/** Facts that the asker lacks, and keys of those that it should send. */
+/** Facts that the requester lacks, and keys of those that it should send. */
 export interface FactDiffResponse {
   readonly facts: FactMessage[];
   readonly want: string[];
 }
 
-/** Incarnation and state of a member, the latter as a rank that rises from alive (0) over suspect and dead to left. */
+/** Incarnation and state of a member; the state is a rank: alive (0), suspect, dead, left. */
 export type MemberVersion = [incarnation: number, rank: number];
 
-/** The members that the sender knows in the buckets whose checksums differ. */
+/** The sender's versions of members in the buckets whose checksums differ. */
 export interface MemberDiffRequest {
   readonly buckets: number[];
   readonly standing: Record<string, MemberVersion>;
 }
 
-/** Members that the asker lacks, and ids of those that it should send. */
+/** Members that the requester lacks, and ids of those that it should send. */
 export interface MemberDiffResponse {
   readonly updates: Member[];
   readonly want: string[];
 }
 
-/** The change from one version of the configuration to a later one, item by item. */
+/** A change from one version of the configuration to a later one. */
 export interface ConfigurationStep {
   readonly from: number;
   readonly to: number;
   readonly patch: ConfigurationPatch;
 }
 
-/** What the asker has of the control snapshot. */
+/** Asks for a control snapshot that is newer than the requester's. */
 export interface SnapshotRequest {
-  /** Index of its snapshot, 0 for none. */
+  /** Index of the requester's snapshot; 0 for none. */
   readonly have: number;
-  /** Its control group; empty or left out for none. */
+  /** Id of the control group of that snapshot; empty or omitted for none. */
   readonly group?: string;
-  /** Version of its configuration; -1 or left out for none. */
+  /** Version of the requester's configuration; -1 or omitted for none. */
   readonly manifest?: number;
 }
 
 /**
- * A control snapshot. Its configuration, by far the largest part, is left out where the asker has the same version, and
- * replaced by steps where these are shorter.
+ * A control snapshot. Its configuration, by far the largest part, is omitted if the requester has the same version, and
+ * replaced by steps if these are shorter.
  */
 export type SnapshotResponse = Omit<ControlSnapshot, "manifest"> & {
   readonly manifest?: ControlSnapshot["manifest"];
@@ -126,17 +129,17 @@
 
 declare module "../rpc/methods" {
   interface RpcMethods {
-    /** Spreads facts. No faults of its own. Idempotent: a fact is applied by its version, the greater wins. */
+    /** Spreads facts. Has no faults of its own. Idempotent: the greater version of a fact wins. */
     "news.push": RpcMethod<Push, true>;
-    /** Compares two members' states. No faults of its own. Idempotent: it changes no facts. */
+    /** Compares the states of two members. Has no faults of its own. Idempotent: it changes no facts. */
     "news.digest": RpcMethod<Digest, DigestResponse>;
-    /** Finds facts that differ. No faults of its own. Idempotent: it only reads. */
+    /** Finds facts that differ. Has no faults of its own. Idempotent: it only reads. */
     "news.differ": RpcMethod<FactDiffRequest, FactDiffResponse>;
-    /** Finds members that differ. No faults of its own. Idempotent: it only reads. */
+    /** Finds members that differ. Has no faults of its own. Idempotent: it only reads. */
     "members.differ": RpcMethod<MemberDiffRequest, MemberDiffResponse>;
-    /** Passes on members. No faults of its own. Idempotent: incarnation and state decide, the greater wins. */
+    /** Sends member records. Has no faults of its own. Idempotent: the greater incarnation or rank wins. */
     "members.told": RpcMethod<{ readonly updates: Member[] }, true>;
-    /** Fetches a control snapshot, null if the asker's is as new. No faults of its own. Idempotent: it only reads. */
+    /** Fetches a newer control snapshot; null if there is none. Has no faults of its own. Idempotent: it only reads. */
     "frame.fetch": RpcMethod<SnapshotRequest, SnapshotResponse | null>;
   }
 }
--- a/src/membership/gossipPeers.ts
+++ b/src/membership/gossipPeers.ts
@@ -3,9 +3,9 @@
 import { Environment } from "../runtime/env";
 import { Membership } from "./membership";
 
-/** Chooses whom to gossip with: each peer once before any comes again, in random order. */
+/** Chooses the members to gossip with. A pass covers every peer once, in random order. */
 export class GossipPeers {
-  /** Addresses that are still to come in this pass. */
+  /** Addresses of the peers that are left in this pass. */
   private remaining: string[] = [];
 
   constructor(
@@ -13,7 +13,7 @@
     private readonly membership: Membership,
   ) {}
 
-  /** Addresses of up to so many different peers. */
+  /** Returns the addresses of up to `count` different peers. */
   next(count: number): string[] {
     const peers = this.peers();
     const chosen: string[] = [];
@@ -26,8 +26,9 @@
   }
 
   /**
-   * All others, or in a large cluster a few, so that connections don't grow with it: those at fixed distances along the
-   * ring of ids, near and far, so that each member is chosen by as many as it chooses.
+   * Returns the peers of this member: all other members, or only some in a large cluster, so that the number of
+   * connections does not grow with the cluster. These are at fixed near and far distances along the ring of ids, so
+   * that every member is a peer of as many members as it has peers.
    */
   private peers(): string[] {
     const ring = this.membership.alive();
@@ -39,7 +40,7 @@
     return GossipPeers.distances(otherCount).map((distance) => ring[(ownIndex + distance) % ring.length].address);
   }
 
-  /** Distances that grow geometrically from 1 to the farthest, each once. */
+  /** Returns different distances that grow geometrically from 1 to the farthest. */
   private static distances(farthest: number): number[] {
     const distances = new Set<number>();
     for (let nth = 1; nth <= Constants.gossipPeersMax; nth += 1) {
--- a/src/membership/memberList.ts
+++ b/src/membership/memberList.ts
@@ -6,9 +6,9 @@
 
 interface MemberRecord {
   member: Member;
-  /** When the record changed last, monotonic ms. */
+  /** Time of the record's last change, monotonic ms. */
   changedAt: number;
-  /** How often the record was piggybacked on a datagram since then. */
+  /** Number of datagrams that have carried the record since then. */
   sentCount: number;
 }
 
@@ -16,19 +16,19 @@
 
 const bucketOf = (id: string): number => Hash.number(id) % Constants.memberBuckets;
 
-/** Whether a version overrides another: by the greater incarnation, then by the state of the higher rank. */
+/** A version overrides another by a greater incarnation, or by a higher rank within the same incarnation. */
 const overrides = ([incarnation, rank]: MemberVersion, [otherIncarnation, otherRank]: MemberVersion): boolean =>
   incarnation > otherIncarnation || (incarnation === otherIncarnation && rank > otherRank);
 
 const versionOf = (member: Member): MemberVersion => [member.incarnation, rankOf(member.state)];
 
-/** The members of the cluster as this one knows them, and the rules by which a newer record replaces an older. */
+/** The members of the cluster as this member knows them, and the rules by which records override one another. */
 export class MemberList {
   private readonly records = new Map<string, MemberRecord>();
   private readonly listeners: ((changed?: Member) => void)[] = [];
-  /** Active members by id; undefined after a change. */
+  /** Active members in the order of their ids; undefined after a change. */
   private active: Member[] | undefined;
-  /** Checksums over the active members, one for each bucket of ids; undefined after a change. */
+  /** One checksum per bucket of ids, over the active members; undefined after a change. */
   private checksums: number[] | undefined;
 
   constructor(
@@ -38,12 +38,12 @@
     this.records.set(self.id, { member: self, changedAt: env.mono(), sentCount: 0 });
   }
 
-  /** Calls the listener after every change, with the member that it is about. */
+  /** Calls the listener with the changed member after every change. */
   onChange(listener: (changed?: Member) => void): void {
     this.listeners.push(listener);
   }
 
-  /** Members that are alive or suspected, in order of their ids. */
+  /** Members that are alive or suspected, in the order of their ids. */
   alive(program?: Program): Member[] {
     this.active ??= this.all()
       .filter((member) => member.state === "alive" || member.state === "suspect")
@@ -51,7 +51,7 @@
     return program ? this.active.filter((member) => member.program === program) : this.active.slice();
   }
 
-  /** All that are remembered, the dead among them. */
+  /** All known members, including those that are dead or have left. */
   all(): Member[] {
     return [...this.records.values()].map((record) => record.member);
   }
@@ -70,7 +70,7 @@
     return record ? this.env.mono() - record.changedAt : Infinity;
   }
 
-  /** One checksum for each bucket of ids: equal if two members know the same incarnations as active. */
+  /** One checksum per bucket of ids; it is equal at two members that know the same incarnations as active. */
   bucketChecksums(): number[] {
     if (this.checksums) return this.checksums;
     const checksums = Array<number>(Constants.memberBuckets).fill(0);
@@ -80,13 +80,13 @@
     return checksums;
   }
 
-  /** Versions of the members in some buckets, the dead among them. */
+  /** Versions of all known members in these buckets, in any state. */
   versions(buckets: readonly number[]): Record<string, MemberVersion> {
     const inBuckets = this.all().filter((member) => buckets.includes(bucketOf(member.id)));
     return Object.fromEntries(inBuckets.map((member): [string, MemberVersion] => [member.id, versionOf(member)]));
   }
 
-  /** What another member lacks of those in some buckets, and ids of what is newer there. */
+  /** Compares the members in these buckets: returns those that the other side lacks, and ids of those newer there. */
   diff(buckets: readonly number[], theirs: Record<string, MemberVersion>): MemberDiffResponse {
     const ours = this.versions(buckets);
     const lacks = (known: Record<string, MemberVersion>, id: string, version: MemberVersion): boolean =>
@@ -97,8 +97,8 @@
   }
 
   /**
-   * Takes in a record of another member's; an older one changes nothing.
-   * @param isFirstHand whether it comes from the member that it is about
+   * Merges a record from another member; an older one changes nothing.
+   * @param isFirstHand whether the record comes from the member that it describes
    */
   merge(update: Member, isFirstHand: boolean): void {
     if (!isMember(update)) return;
@@ -115,20 +115,20 @@
     this.changed(this.self.id);
   }
 
-  /** The accused incarnation becomes suspect, unless the member has refuted that or is not alive. */
-  suspect(accused: Member): void {
-    const record = this.records.get(accused.id);
-    if (record?.member.state !== "alive" || record.member.incarnation !== accused.incarnation) return;
+  /** Marks a member as suspect, unless it is not alive or has a different incarnation by now. */
+  suspect(target: Member): void {
+    const record = this.records.get(target.id);
+    if (record?.member.state !== "alive" || record.member.incarnation !== target.incarnation) return;
     this.setState(record, "suspect");
   }
 
-  /** Passes a suspicion on once more, so that its subject learns of it and refutes. */
+  /** Piggybacks a suspicion again, so that the suspect learns of it and can refute it. */
   resendSuspicion(id: string): void {
     const record = this.records.get(id);
     if (record?.member.state === "suspect") record.sentCount = 0;
   }
 
-  /** Suspects become dead after their time, and the dead are forgotten after theirs. */
+  /** Marks suspects as dead after the suspicion time-out, and deletes inactive members after their retention. */
   expire(): void {
     for (const [id, record] of this.records) {
       const ageMs = this.env.mono() - record.changedAt;
@@ -137,13 +137,13 @@
     }
   }
 
-  /** Starts the time of every suspicion anew. */
+  /** Restarts the time-out of every suspicion. */
   restartSuspicions(): void {
     for (const record of this.records.values())
       if (record.member.state === "suspect") record.changedAt = this.env.mono();
   }
 
-  /** Records to piggyback on the next datagram: those that were sent least, each a limited number of times. */
+  /** Returns the records to piggyback on the next datagram: those sent least often, each a limited number of times. */
   takeUpdates(): Member[] {
     const due = [...this.records.values()]
       .filter((record) => record.sentCount < Constants.piggybackTransmissions)
@@ -153,20 +153,20 @@
     return due.map((record) => record.member);
   }
 
-  /** A rumour that we aren't alive is overridden by a higher incarnation. */
-  private refute(rumour: Member): void {
-    if (rumour.state === "alive" || this.self.state !== "alive" || rumour.incarnation < this.self.incarnation) return;
-    this.self.incarnation = rumour.incarnation + 1;
+  /** Refutes a record that says that this member is not alive, by a higher incarnation. */
+  private refute(claim: Member): void {
+    if (claim.state === "alive" || this.self.state !== "alive" || claim.incarnation < this.self.incarnation) return;
+    this.self.incarnation = claim.incarnation + 1;
     this.changed(this.self.id);
   }
 
   private mergeKnown(record: MemberRecord, update: Member, isFirstHand: boolean): void {
     const known = record.member;
-    // A member that left comes back only by its own start under a higher incarnation, not by late rumours.
+    // A member that left becomes active only by a restart with a higher incarnation, not by delayed records.
     if (known.state === "left" && update.state !== "alive") return;
     if (!overrides(versionOf(update), versionOf(known))) {
-      const isDefence = isFirstHand && update.state === "alive" && update.incarnation >= known.incarnation;
-      if (isDefence) this.resendSuspicion(update.id);
+      const isRefutation = isFirstHand && update.state === "alive" && update.incarnation >= known.incarnation;
+      if (isRefutation) this.resendSuspicion(update.id);
       return;
     }
     if (known.state !== update.state) this.logState(update);
@@ -189,7 +189,7 @@
     this.changed(member.id);
   }
 
-  /** A machine that lost its data comes back as a new member at the old address: the old one is dead. */
+  /** A machine that lost its data returns as a new member at the old address, so the old member is dead. */
   private replaceAt(address: string): void {
     for (const record of this.records.values()) {
       const { member } = record;
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -8,14 +8,14 @@
 import { MemberList } from "./memberList";
 import { SwimCodec, SwimMessage } from "./swimMessages";
 
-/** Of datagrams that are dropped, one in so many is logged. */
+/** One in this many dropped datagrams is logged. */
 const LOGGED_DROP_INTERVAL = 100;
-/** A member that knows so many others has joined. */
+/** A member that knows at least this many others counts as joined. */
 const JOINED_WITH_OTHERS = 2;
 
 /**
- * The members of the cluster: the list of them, the failure detector that keeps it up to date over UDP, and the contact
- * to seeds. The failure detector's round trips also sample the others' clocks.
+ * Membership of the cluster: the list of members, the failure detector that keeps it up to date over UDP, and the
+ * joining through seeds. The failure detector's round trips also give samples of the other members' clocks.
  *
  * @example
  * const membership = new Membership(env, "kiln", self, () => ["127.0.0.1:7001"], self.address);
@@ -28,11 +28,11 @@
   private readonly skewEstimator: ClockSkewEstimator;
   private readonly startedAt: number;
   private socket!: DatagramSocket;
-  /** Datagrams that were malformed, unknown or another cluster's. */
+  /** Number of datagrams that were malformed, of an unknown type or from another cluster. */
   droppedDatagramCount = 0;
 
   /**
-   * @param seeds addresses of members that are contacted to join
+   * @param seeds returns the addresses of members that are contacted to join
    * @param bind address of the UDP socket
    */
   constructor(
@@ -55,7 +55,7 @@
     );
   }
 
-  /** Binds the socket and starts to probe; false if the socket can't be had. @example yield* membership.start(); */
+  /** Binds the socket and starts the failure detector; returns false if the socket cannot be bound. */
   *start(): Task<boolean> {
     const bound = yield* this.env.datagrams(this.bind);
     if (!bound.ok) {
@@ -70,89 +70,86 @@
     return true;
   }
 
-  /** Pings sent. */
+  /** Number of pings sent. */
   get probeCount(): number {
     return this.detector.probeCount;
   }
-  /** Probes without a verdict because this process itself was late. */
+  /** Number of probes without a result because this process's own timers fired late. */
   get inconclusiveProbeCount(): number {
     return this.detector.inconclusiveProbeCount;
   }
 
-  /**
-   * Calls the listener after every change, with the member that it is about.
-   * @example membership.onChange((changed) => rebuild(changed));
-   */
+  /** Calls the listener with the changed member after every change. */
   onChange(listener: (changed?: Member) => void): void {
     this.members.onChange(listener);
   }
 
-  /** Members that are alive or suspected, by id. @example membership.alive("store") */
+  /** Members that are alive or suspected, in the order of their ids. */
   alive(program?: Program): Member[] {
     return this.members.alive(program);
   }
 
-  /** All that are remembered, the dead among them. @example membership.all() */
+  /** All known members, including those that are dead or have left. */
   all(): Member[] {
     return this.members.all();
   }
 
-  /** A member in whatever state. @example membership.find("node-17")?.address */
+  /** The member with this id, in any state. */
   find(id: string): Member | undefined {
     return this.members.find(id);
   }
 
-  /** The members of these ids that are known. @example membership.membersById(["agent-7"]) */
+  /** The known members among these ids. */
   membersById(ids: readonly string[]): Member[] {
     return this.members.byId(ids);
   }
 
-  /** Time since the member's record changed, ms; Infinity for an unknown id. @example membership.stateAgeMs("n-17") */
+  /** Time since the member's record changed, ms; Infinity for an unknown id. */
   stateAgeMs(id: string): number {
     return this.members.stateAgeMs(id);
   }
 
-  /** One checksum for each bucket of ids, over the active members. @example membership.bucketChecksums()[3] */
+  /** One checksum per bucket of ids, over the active members. */
   bucketChecksums(): number[] {
     return this.members.bucketChecksums();
   }
 
-  /** Versions of the members in some buckets, the dead among them. @example membership.versions([3]) */
+  /** Versions of all known members in these buckets, in any state. */
   versions(buckets: readonly number[]): Record<string, MemberVersion> {
     return this.members.versions(buckets);
   }
 
-  /** What another member lacks of those in some buckets, and what we lack. @example membership.diff([3], theirs).want */
+  /** Compares the members in these buckets: returns those that the other side lacks, and ids of those newer there. */
   diff(buckets: readonly number[], theirs: Record<string, MemberVersion>): MemberDiffResponse {
     return this.members.diff(buckets, theirs);
   }
 
-  /** Takes in members as another member knows them. @example membership.merge(updates); */
+  /** Merges member records that come from another member. */
   merge(updates: readonly Member[]): void {
     for (const update of updates) this.members.merge(update, false);
   }
 
-  /** Skew of our clock against the others'; undefined with too few samples. @example membership.clockSkew() */
+  /** Skew of this process's clock against the other members'; undefined with too few samples. */
   clockSkew(): ClockSkew | undefined {
     return this.skewEstimator.estimate();
   }
 
-  /** Discards what is known of the skew, after a jump of the wall clock. @example membership.discardClockSamples(); */
+  /** Discards the samples of the clock skew; called after the wall clock has jumped. */
   discardClockSamples(): void {
     this.skewEstimator.discard(this.hasJoined());
   }
 
-  /** Whether our clock is within `deltaMs` of the others'. @example if (!membership.isClockTrusted(25)) return busy; */
+  /** Whether this process's clock is within `deltaMs` of the other members' clocks. */
   isClockTrusted(deltaMs: number): boolean {
     return this.skewEstimator.isTrusted(deltaMs);
   }
 
-  /** A period, shortened while this member has only just started. @example membership.periodMs(500) */
+  /** Returns the period to use now: the usual one, or a shorter one just after the start of this process. */
   periodMs(usualMs: number): number {
     return this.hasJustStarted() ? usualMs * Constants.startupPeriodFactor : usualMs;
   }
 
-  /** Announces that this member leaves, to all. @example membership.leave(); */
+  /** Announces to all members that this member leaves. */
   leave(): void {
     this.members.leave();
     for (const member of this.alive())
@@ -196,8 +193,8 @@
   }
 
   /**
-   * Contacts a random seed or dead member now and then, so that a healed partition is noticed. Active members needn't be
-   * contacted: what differs between them is found by digests.
+   * Periodically contacts a random seed or dead member, so that a healed partition is noticed. Active members need not
+   * be contacted, because anti-entropy finds the differences between them.
    */
   private *joinLoop(): Task<void> {
     for (;;) {
@@ -212,11 +209,11 @@
   }
 
   private joinCandidates(): string[] {
-    const reached = this.hasJustStarted() ? [this.self] : this.alive();
-    const reachedAddresses = new Set(reached.map((member) => member.address));
+    const reachable = this.hasJustStarted() ? [this.self] : this.alive();
+    const reachableAddresses = new Set(reachable.map((member) => member.address));
     const dead = this.all().filter((member) => member.state === "dead");
     return [...this.seeds(), ...dead.map((member) => member.address)].filter(
-      (address) => !reachedAddresses.has(address),
+      (address) => !reachableAddresses.has(address),
     );
   }
 }
--- a/src/membership/snapshotTransfer.ts
+++ b/src/membership/snapshotTransfer.ts
@@ -11,16 +11,17 @@
 type VersionedConfiguration = ControlSnapshot["manifest"];
 
 /**
- * The newest control snapshot that this member knows, and its way to others. Gossip carries only its index; a member
- * that has less fetches it, with the configuration in full, as steps from its own version, or left out if unchanged.
+ * Keeps the newest control snapshot that this member knows, and transfers it between members. Gossip carries only the
+ * index of the snapshot; a member with a lower index fetches the snapshot. The response contains the configuration in
+ * full, as steps from the requester's version, or not at all if it is unchanged.
  */
 export class SnapshotTransfer {
-  /** The last changes of the configuration, oldest first; each starts where the one before ends. */
+  /** The latest changes of the configuration, oldest first; each starts at the version at which the one before ends. */
   private steps: ConfigurationStep[] = [];
   private isFetching = false;
   private current: ControlSnapshot | undefined;
 
-  /** @param onReplaced called after a newer snapshot was taken in */
+  /** @param onReplaced called after a newer snapshot has replaced the current one */
   constructor(
     private readonly env: Environment,
     private readonly rpc: Rpc,
@@ -31,12 +32,15 @@
     return this.current;
   }
 
-  /** Index of the snapshot, 0 for none. */
+  /** Log index of the snapshot; 0 if there is none. */
   get index(): number {
     return this.current?.index ?? 0;
   }
 
-  /** Takes in a newer snapshot; false for one that is not. `steps` are the changes of the configuration since ours. */
+  /**
+   * Replaces the current snapshot by a newer one; returns false if it is not newer.
+   * @param steps changes of the configuration since the current snapshot
+   */
   offer(snapshot: ControlSnapshot, steps?: ConfigurationStep[]): boolean {
     const known = this.current;
     if (known && !SnapshotTransfer.isNewer(snapshot, known)) return false;
@@ -47,7 +51,7 @@
     return true;
   }
 
-  /** Fetches the snapshot of a member whose index is higher, unless another fetch is under way. */
+  /** Fetches a member's snapshot if its index is higher and no other fetch is in progress. */
   *fetchIfNewer(address: string, index: number): Task<void> {
     if (index <= this.index || this.isFetching) return;
     this.isFetching = true;
@@ -101,7 +105,7 @@
     this.steps.splice(0, this.steps.length - Constants.configurationStepsRetained);
   }
 
-  /** The steps from this version to the newest; none if they aren't remembered. */
+  /** Returns the steps from this version to the newest; empty if they are no longer retained. */
   private stepsFrom(version: number | undefined): ConfigurationStep[] {
     const first = this.steps.findIndex((step) => step.from === version);
     return first < 0 ? [] : this.steps.slice(first);
--- a/src/membership/swimMessages.ts
+++ b/src/membership/swimMessages.ts
@@ -1,20 +1,20 @@
 import { Envelope, EnvelopeCodec } from "../rpc/envelopeCodec";
 import { Member } from "./member";
 
-/** What all datagrams of the failure detector carry. */
+/** Fields of all datagrams of the failure detector. */
 interface SwimMessageBase {
-  /** The member that sends, as it knows itself. */
+  /** The sender's record of itself. */
   readonly sender: Member;
-  /** Changes of membership, piggybacked. */
+  /** Piggybacked changes of membership. */
   readonly updates: Member[];
 }
 
-/** Asks a member to acknowledge that it is alive. */
+/** Asks a member for an acknowledgement. */
 export interface Ping extends SwimMessageBase {
   readonly type: "ping";
-  /** Pairs the acknowledgement with it; 0 if none is wanted. */
+  /** Matches the acknowledgement with the ping; 0 if no acknowledgement is wanted. */
   readonly sequence: number;
-  /** Id of the member that should respond; undefined where only the address is known. */
+  /** Id of the member that should respond; undefined if only its address is known. */
   readonly targetId?: string;
   /** The sender's wall clock, ms. */
   readonly sentAt: number;
@@ -28,7 +28,7 @@
   readonly sequence: number;
   /** The sender's wall clock, ms. */
   readonly sentAt: number;
-  /** `sentAt` of the ping: the receiver's own clock as it sent that. */
+  /** `sentAt` of the ping, which is the wall clock of the ping's sender, ms. */
   readonly pingSentAt: number;
 }
 
@@ -39,13 +39,13 @@
   readonly target: Member;
 }
 
-/** Tells who sent a ping request that the target is alive. With sequence 0 it only carries members to a joiner. */
+/** Tells the sender of a ping request that the target is alive. With sequence 0 it only sends members to a joiner. */
 export interface IndirectAck extends SwimMessageBase {
   readonly type: "indirectAck";
   readonly sequence: number;
 }
 
-/** A datagram with a tag that this version doesn't know; its updates count all the same. */
+/** A datagram with a tag that this version does not know; its updates are merged nevertheless. */
 export interface UnknownMessage extends SwimMessageBase {
   readonly type: "unknown";
 }
@@ -53,7 +53,7 @@
 /** Messages of the failure detector, named as in SWIM (Das, Gupta, Motivala, 2002). */
 export type SwimMessage = Ping | Ack | PingRequest | IndirectAck;
 
-/** The same under the names of the wire. */
+/** The same messages in the wire format. */
 type WireMessage =
   | { tag: "ping"; n: number; to?: string; from: Member; wall: number; updates: Member[]; join?: boolean }
   | { tag: "ack"; n: number; from: Member; wall: number; echo: number; updates: Member[] }
@@ -106,13 +106,13 @@
   }
 }
 
-/** Whether the envelope carries what all messages have; the fields of each kind aren't checked. */
+/** Checks the fields that all messages have; the fields of each type are not checked. */
 function hasMessage(envelope: Envelope): envelope is Envelope & { readonly body: WireMessage } {
   const body = envelope.body as Partial<WireMessage> | null | undefined;
   return envelope.kind === "datagram" && Boolean(body?.from) && Array.isArray(body?.updates);
 }
 
-/** Messages of the failure detector as datagrams. */
+/** Encodes and decodes messages of the failure detector as datagrams. */
 export const SwimCodec = {
   encode(message: SwimMessage, cluster: string): Buffer {
     const body = toWire(message);
@@ -125,7 +125,7 @@
       body,
     });
   },
-  /** Undefined for malformed data and for another cluster's. */
+  /** Returns undefined for malformed data and for messages of another cluster. */
   decode(data: Buffer, cluster: string): SwimMessage | UnknownMessage | undefined {
     const envelope = EnvelopeCodec.decode(data, cluster);
     return envelope && hasMessage(envelope) ? fromWire(envelope.body) : undefined;
--- a/src/node/clockWatch.ts
+++ b/src/node/clockWatch.ts
@@ -2,23 +2,23 @@
 import { Task } from "../runtime/csp";
 import { Environment, EnvironmentTools } from "../runtime/env";
 
-/** Called by the clock watch. */
+/** Callbacks of the clock watch. */
 export interface ClockWatchListener {
-  /** The clocks are being checked, at this monotonic time. */
+  /** Called at each check. @param now monotonic time, ms */
   checking(now: number): void;
-  /** The most that the wall clock may move against the monotonic clock between two checks, ms. */
+  /** Returns the largest allowed step of the wall clock against the monotonic clock between two checks, ms. */
   maxWallStepMs(): number;
-  /** The wall clock has moved by more. */
+  /** Called when the wall clock has moved by more than that. */
   wallClockStepped(): void;
-  /** The process didn't run for so long. */
+  /** Called when the process did not run for `forMs` milliseconds. */
   frozen(forMs: number): void;
-  /** The machine was suspended, with its monotonic clock stopped: only the wall clock shows it. */
+  /** Called when the machine was suspended; its monotonic clock was stopped, so only the wall clock shows it. */
   suspended(): void;
 }
 
-/** Compares the clocks now and then, to notice that the process was frozen or that the wall clock was set. */
+/** Compares the clocks periodically, to detect that the process was frozen or that the wall clock was set. */
 export class ClockWatch {
-  /** When the clocks were checked last, monotonic ms. */
+  /** Time of the last check, monotonic ms. */
   private checkedAt: number;
 
   constructor(
@@ -33,7 +33,7 @@
     return now - this.checkedAt > Constants.clockJumpMs + Constants.clockCheckPeriodMs;
   }
 
-  /** Checks for ever. */
+  /** Checks the clocks periodically; never ends. */
   *run(): Task<void> {
     let lastOffset = this.env.wall() - this.checkedAt;
     for (;;) {
--- a/src/node/clusterSnapshot.ts
+++ b/src/node/clusterSnapshot.ts
@@ -2,14 +2,14 @@
 import { Member } from "../membership/member";
 
 /**
- * A process that serves requests, as it announced itself. It is passed on by gossip under these field names, so they
- * stay as they are.
+ * A process that serves requests, as it announced itself. The field names are part of the wire format, because gossip
+ * spreads endpoints as facts.
  */
 export interface Endpoint {
   /** Key of the gossip fact, `replica/<id>/<instance>`. */
   key: string;
   id: string;
-  /** Tells restarts of the same id apart. */
+  /** Distinguishes restarts of the same endpoint. */
   instance: string;
   /** Host and port of its HTTP server. */
   address: string;
@@ -19,36 +19,39 @@
   district: string;
   /** Version of the software or model that it serves. */
   version: string;
-  /** Requests that it processes at a time. */
+  /** Number of requests that it can process at a time. */
   capacity: number;
-  /** Requests in process, by its own count. */
+  /** Number of requests that it is processing, by its own count. */
   active: number;
-  /** Requests in its own queue. */
+  /** Number of requests in its own queue. */
   waiting: number;
-  /** When this instance announced itself first, wall clock ms. */
+  /** Time of the first announcement of this instance, wall clock ms. */
   bornAt: number;
-  /** Unheard of for more than two announcements: used only if there is no other. */
+  /** Whether more than two announcements are overdue; the endpoint is then used only if there is no other. */
   quiet?: boolean;
-  /** Until then it is warming up, wall clock ms. */
+  /** End of warming up, wall clock ms. */
   warmAt?: number;
   /** Sequence number of the last announcement that was applied. */
   sequence?: number;
 }
 
-/** Everything that a process bases its decisions on: immutable, and replaced as a whole. */
+/** The state of the cluster on which a process bases its decisions; it is immutable and replaced as a whole. */
 export interface ClusterSnapshot {
-  /** Rises with every change in this process. */
+  /** Increases with every change in this process. */
   revision: number;
-  /** Configuration and control state; undefined until the first has arrived. */
+  /** Configuration and control state; undefined until the first control snapshot has arrived. */
   control: ControlSnapshot | undefined;
-  /** Members that are alive or suspected, by id. */
+  /** Members that are alive or suspected, in the order of their ids. */
   members: Member[];
-  /** The newest instance of every endpoint whose lease runs. */
+  /** The newest instance of every endpoint with an unexpired lease. */
   endpoints: Endpoint[];
-  /** True for pools where some node recently had to queue live requests. */
+  /** True for each pool for which some node recently had to queue live requests. */
   overloadedPools: Record<string, boolean>;
-  /** Digests were exchanged lately, and the control leader confirmed the configuration since the last start or freeze. */
+  /**
+   * Whether digests were exchanged recently, and the control leader has confirmed the configuration since the last
+   * start or freeze.
+   */
   isCurrent: boolean;
-  /** Whether the clock is within its bound of the other members' clocks. */
+  /** Whether this process's clock is close enough to the other members' clocks. */
   clockTrusted: boolean;
 }
--- a/src/node/clusterSnapshotCache.ts
+++ b/src/node/clusterSnapshotCache.ts
@@ -4,16 +4,16 @@
 import { Environment } from "../runtime/env";
 import { ClusterSnapshot, Endpoint } from "./clusterSnapshot";
 
-/** A snapshot is built anew after this time also without a known change: leases run out by time alone. */
+/** A cached snapshot is rebuilt after this time even without a change, because leases expire with time alone. */
 const MAX_AGE_MS = 250;
 
-/** What the snapshot says of the node itself. */
+/** State of the node itself that a snapshot contains. */
 export interface NodeHealth {
   isCurrent(): boolean;
   isClockTrusted(): boolean;
 }
 
-/** The newest instance of each endpoint; an address belongs to the instance that took it last. */
+/** Returns the newest instance of each endpoint; an address belongs to the newest instance that uses it. */
 function newestInstances(endpoints: Endpoint[]): Endpoint[] {
   return newestBy(
     newestBy(endpoints, (endpoint) => endpoint.id),
@@ -28,7 +28,7 @@
   return [...newest.values()];
 }
 
-/** Builds the cluster snapshot from gossip and membership, and keeps it until something changes. */
+/** Builds the cluster snapshot from gossip and membership, and caches it until something changes. */
 export class ClusterSnapshotCache {
   private cached: ClusterSnapshot | undefined;
   private builtAt = -Infinity;
@@ -41,12 +41,12 @@
     private readonly health: NodeHealth,
   ) {}
 
-  /** The next call of `get` builds a new snapshot. */
+  /** Makes the next call of `get` build a new snapshot. */
   invalidate(): void {
     this.cached = undefined;
   }
 
-  /** The same object until something has changed. */
+  /** Returns the same object until something has changed. */
   get(): ClusterSnapshot {
     const now = this.env.mono();
     const clockTrusted = this.health.isClockTrusted();
--- a/src/node/controlClient.ts
+++ b/src/node/controlClient.ts
@@ -6,12 +6,12 @@
 import { ControlRequest } from "./controlRequest";
 import { OrderDeadline, OrderDeadlines } from "./orderDeadline";
 
-/** What to do after a failed attempt. */
+/** Action after a failed attempt. */
 type NextStep =
   | { readonly kind: "retry"; readonly mayHaveRun: boolean }
-  /** At once, at this member: it is the leader or knows more. */
+  /** Retry at once at this member, which is the leader or knows more. */
   | { readonly kind: "redirect"; readonly address: string }
-  /** The deadline was counted by the clock of a process that is no longer there. */
+  /** The deadline refers to the clock of a process that is no longer the leader. */
   | { readonly kind: "readClockAgain" }
   | { readonly kind: "giveUp" };
 
@@ -37,16 +37,16 @@
 }
 
 /**
- * Sends requests to the control leader: finds it among the control members, follows redirects, and repeats what failed
- * within the caller's time. An order carries a change id, so a repeated one is applied once, and a deadline by the leader's
- * clock, so that it isn't carried out after its caller has stopped waiting.
+ * Sends requests to the control leader: finds it among the control members, follows redirects, and retries failed
+ * attempts until the caller's time-out. An order contains a change id, so that it is applied only once in spite of
+ * retries, and a deadline on the leader's clock, so that it is not carried out after its caller has stopped waiting.
  *
  * @example
  * const control = new ControlClient(env, rpc, () => addressesOfControlMembers);
  * const configuration = yield* control.request({ op: "read", what: "manifest" }, 4000);
  */
 export class ControlClient {
-  /** Where the leader responded last; empty if it isn't known. */
+  /** Address at which the leader responded last; empty if it is not known. */
   private leaderAddress = "";
   private readonly deadlines: OrderDeadlines;
 
@@ -59,10 +59,10 @@
   }
 
   /**
-   * Sends one request. Faults: "unknown" for an order that may have been carried out, "busy" where no leader was found,
-   * else what the leader gives.
+   * Sends one request. Faults: "unknown" if an order may have been carried out, "busy" if no leader was found,
+   * otherwise the fault from the leader.
    *
-   * @param timeoutMs for all attempts together
+   * @param timeoutMs time-out of all attempts together
    */
   *request<Response = unknown>(request: ControlRequest, timeoutMs: number): Task<Result<Response>> {
     const deadline = this.env.mono() + timeoutMs;
@@ -108,11 +108,11 @@
     );
   }
 
-  /** One attempt, given up at the deadline even while a connection is still being made. */
+  /** Makes one attempt, and abandons it at the deadline even while a connection is still being made. */
   private *attempt<Response>(address: string, request: ControlRequest, deadline: number): Task<Result<Response>> {
     const client = this;
     const response = Csp.chan<Result<Response>>(1);
-    Csp.go(this.env.scope, "ask control", function* () {
+    Csp.go(this.env.scope, "control request", function* () {
       Csp.offer(response, yield* client.send<Response>(address, request, deadline));
     });
     const inTime = yield* EnvironmentTools.takeWithin(this.env, response, Math.max(0, deadline - this.env.mono()));
@@ -130,7 +130,7 @@
     return yield* this.call<Response>(address, { ...request, deadline: leaderDeadline.value }, timeoutMs());
   }
 
-  /** The type of the response depends on the request; the caller of `request` states it. */
+  /** The type of the response depends on the request; the caller of `request` specifies it. */
   private call<Response>(address: string, request: ControlRequest, timeoutMs: number): Task<Result<Response>> {
     return this.rpc.call(address, "control.op", request, timeoutMs) as Task<Result<Response>>;
   }
--- a/src/node/controlRequest.ts
+++ b/src/node/controlRequest.ts
@@ -11,9 +11,9 @@
 /** Reads a part of the control state. */
 export interface ReadRequest {
   op: "read";
-  /** Which part: "manifest", "policies", "calendar", "change", "views" or "retirement"; any other reads as null. */
+  /** "manifest", "policies", "calendar", "change", "views" or "retirement"; the response to any other is null. */
   what: string;
-  /** Of the calendar entry, change or storage node. */
+  /** Id of the calendar entry, change or storage node. */
   id?: string;
   deadline?: OrderDeadline;
 }
@@ -28,24 +28,24 @@
 /** Starts the retirement of a storage node. */
 export interface RetireRequest {
   op: "retire";
-  /** Identifies the order, so that a retry gets the first outcome. */
+  /** Identifies the order, so that a retry gets the outcome of the first attempt. */
   changeId: string;
   /** Id of the storage node, or the name of its machine. */
   store: string;
-  /** The operator, for the ledger. */
+  /** Name of the operator, for the ledger. */
   by: string;
   deadline?: OrderDeadline;
 }
 
-/** Body of the remote method "control.op", which only the leader of the consensus group serves. */
+/** Request of the remote method "control.op", which only the leader of the consensus group serves. */
 export type ControlRequest = ClockRequest | ReadRequest | ChangeRequest | RetireRequest;
 
 declare module "../rpc/methods" {
   interface RpcMethods {
     /**
-     * Reads the control state or changes it; the response depends on the request. Faults: "notLead" with the address of
-     * the leader as its detail, "late" past the request's deadline, "conflict", "invalid", "notFound", "busy", "unknown".
-     * Idempotent: a change is known by its id, and is not carried out past its deadline.
+     * Reads or changes the control state; the response depends on the request. Faults: "notLead" with the address of
+     * the leader as its detail, "late" after the request's deadline, "conflict", "invalid", "notFound", "busy",
+     * "unknown". Idempotent: a change is identified by its id, and is not carried out after its deadline.
      */
     "control.op": RpcMethod<ControlRequest, unknown>;
   }
@@ -53,20 +53,19 @@
 
 type Fields = Record<string, unknown>;
 const isObject = (value: unknown): value is Fields => typeof value === "object" && value !== null;
-const areTexts = (values: unknown[]): values is string[] => values.every((value) => typeof value === "string");
+const areStrings = (values: unknown[]): values is string[] => values.every((value) => typeof value === "string");
 
 const isDeadline = (value: unknown): value is OrderDeadline =>
   isObject(value) && typeof value.clockId === "string" && typeof value.at === "number";
 
-/** A command is checked for its tag only: the state machine rejects what it cannot apply, the same on every voter. */
+/**
+ * Checks only the tag of a command; the state machine rejects commands that it cannot apply, equally on every voter.
+ */
 const isCommand = (value: unknown): value is Command => isObject(value) && typeof value.tag === "string";
 
-/** Requests as they arrive from other processes. */
+/** Checks requests from other processes. */
 export const ControlRequest = {
-  /**
-   * Checks a body on arrival; the fault "invalid" says what is wrong.
-   * @example ControlRequest.parse({ op: "read", what: "calendar" }, "control-1")
-   */
+  /** Checks the body of a received request; the detail of the fault "invalid" says what is wrong. */
   parse(body: unknown, member: string): Result<ControlRequest> {
     const invalid = (detail: string): Result<never> => Fault.fail("invalid", "control op", member, detail);
     if (!isObject(body)) return invalid("no object");
@@ -85,9 +84,9 @@
         if (!isCommand(body.command)) return invalid("malformed command");
         return Fault.ok({ op: "change", command: body.command, ...deadline });
       case "retire": {
-        const texts = [body.changeId, body.store, body.by];
-        if (!areTexts(texts)) return invalid("malformed retirement");
-        const [changeId, store, by] = texts;
+        const strings = [body.changeId, body.store, body.by];
+        if (!areStrings(strings)) return invalid("malformed retirement");
+        const [changeId, store, by] = strings;
         return Fault.ok({ op: "retire", changeId, store, by, ...deadline });
       }
       default:
--- a/src/node/endpointAnnouncements.ts
+++ b/src/node/endpointAnnouncements.ts
@@ -4,34 +4,34 @@
 import { Endpoint } from "./clusterSnapshot";
 import { Node } from "./node";
 
-/** What an endpoint says of itself, again and again; each time it renews its lease. */
+/** Periodic announcement by which an endpoint describes itself and renews its lease. */
 export type Announcement = Omit<Endpoint, "key" | "bornAt" | "instance" | "warmAt"> & {
-  /** Tells restarts apart; an endpoint that has no names for them leaves it out. */
+  /** Distinguishes restarts of the endpoint; omitted by an endpoint that does not name them. */
   instance?: string;
-  /** It takes no new requests from now on. This withdraws it, and may be repeated. */
+  /** Whether the endpoint accepts no new requests from now on. This withdraws it, and may be repeated. */
   leaving?: boolean;
-  /** For how much longer it is warming up, ms. */
+  /** Remaining time of warming up, ms. */
   warmLeftMs?: number;
-  /** Rises with every announcement, so that a late one is recognized. */
+  /** Increases with every announcement, so that a delayed one is recognized. */
   sequence?: number;
 };
 
 /** The response to an announcement. */
 export interface AnnouncementResult {
   readonly instance?: string;
-  /** The instance is withdrawn for good. */
+  /** The instance is withdrawn permanently. */
   readonly gone?: true;
-  /** A later announcement was applied before. */
+  /** A later announcement has already been applied. */
   readonly late?: true;
 }
 
 declare module "../rpc/methods" {
   interface RpcMethods {
-    /** See `EndpointAnnouncements.announce`. Faults: conflict. Idempotent: by sequence, and tombstones outlive it. */
+    /** See `EndpointAnnouncements.announce`. Faults: conflict. Idempotent by the sequence number and tombstones. */
     "agent.announce": RpcMethod<Announcement, AnnouncementResult>;
-    /** See `EndpointAnnouncements.withdraw`. No faults of its own. Idempotent: a tombstone stays one. */
+    /** See `EndpointAnnouncements.withdraw`. Has no faults of its own. Idempotent: a tombstone is permanent. */
     "agent.goodbye": RpcMethod<{ readonly id: string }, true>;
-    /** Publishes an urgent fact for an ingress. No faults of its own. Idempotent: facts are applied by version. */
+    /** Publishes an urgent fact for an ingress. Has no faults of its own. Idempotent: facts are applied by version. */
     "agent.tell": RpcMethod<{ readonly key: string; readonly value: unknown; readonly grantMs: number }, true>;
   }
 }
@@ -41,7 +41,7 @@
 const keyOf = (id: string, instance: string): string => `replica/${id}/${instance}`;
 const FIRST_INSTANCE = "0";
 
-/** An instance that was withdrawn stays so; a repeated or late announcement of it is acknowledged. */
+/** Responds to an announcement of a withdrawn instance: acknowledges a repeated or delayed one, rejects a new one. */
 function announceWithdrawn(
   announcement: Announcement,
   key: string,
@@ -55,16 +55,16 @@
 const isLater = (announcement: Announcement, before: EndpointFact | undefined): boolean =>
   before?.sequence === undefined || announcement.sequence === undefined || announcement.sequence >= before.sequence;
 
-/** Whether the end of warming up has moved by more than delays on the way explain. */
-const warmUpMoved = (value: EndpointFact, before: EndpointFact | undefined): boolean =>
+/** Whether the end of warming up has changed by more than network delays explain. */
+const warmUpEndChanged = (value: EndpointFact, before: EndpointFact | undefined): boolean =>
   Math.abs((value.warmAt ?? 0) - (before?.warmAt ?? 0)) > Constants.warmUpToleranceMs;
 
-const sameButTimes = (value: EndpointFact, before: EndpointFact): boolean =>
+const equalsExceptTimes = (value: EndpointFact, before: EndpointFact): boolean =>
   JSON.stringify({ ...before, warmAt: 0, sequence: 0 }) === JSON.stringify({ ...value, warmAt: 0, sequence: 0 });
 
 /**
- * The instance that an announcement is about. An endpoint without names for its restarts continues its newest one; some
- * time after that was withdrawn it has been restarted, and gets a new one.
+ * Returns the instance that an announcement refers to. An endpoint that does not name its restarts continues its newest
+ * instance; if that was withdrawn some time ago, the endpoint has been restarted and gets a new instance.
  */
 function instanceOf({ gossip, env }: Node, announcement: Announcement): string {
   const latest = gossip.live(`replica/${announcement.id}/`)[0]?.value as EndpointFact | undefined;
@@ -86,9 +86,9 @@
   return { ...announced, instance, bornAt: before?.bornAt ?? now, ...warmAt };
 }
 
-/** Endpoints announce themselves at any node, which publishes them by gossip; that needs no control leader. */
+/** Endpoints announce themselves to any node, which publishes them by gossip; this does not need a control leader. */
 export const EndpointAnnouncements = {
-  /** Publishes or renews an endpoint. Faults: conflict for an instance that was withdrawn. */
+  /** Publishes an endpoint or renews its lease. Faults: conflict if the instance was withdrawn. */
   *announce(node: Node, announcement: Announcement): Task<Result<AnnouncementResult>> {
     const { gossip, env } = node;
     const instance = instanceOf(node, announcement);
@@ -104,14 +104,16 @@
       return Fault.ok({ instance, gone: true as const });
     }
     if (!before) env.log(1201, { replica: key, pool: announcement.pool });
-    const warmUpChanged = warmUpMoved(value, before);
-    const isUnchanged = before && !warmUpChanged && sameButTimes(value, before);
+    const isWarmUpChanged = warmUpEndChanged(value, before);
+    const isUnchanged = before && !isWarmUpChanged && equalsExceptTimes(value, before);
     if (isUnchanged && gossip.ageMs(key) < Constants.endpointRenewPeriodMs) return Fault.ok({ instance });
-    gossip.publish(key, value, Constants.endpointLeaseMs, !before || warmUpChanged);
+    gossip.publish(key, value, Constants.endpointLeaseMs, !before || isWarmUpChanged);
     return Fault.ok({ instance });
   },
 
-  /** Removes all instances of an endpoint; returns once another member knows. */
+  /**
+   * Removes all instances of an endpoint; returns once another member has acknowledged the removal or after a time-out.
+   */
   *withdraw(node: Node, id: string): Task<Result<true>> {
     const facts = node.gossip.live(`replica/${id}/`);
     const keys = facts.length > 0 ? facts.map((fact) => fact.key) : [keyOf(id, FIRST_INSTANCE)];
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -14,17 +14,18 @@
 import { ClusterSnapshotCache } from "./clusterSnapshotCache";
 import { ReadIndex, ReadIndexConfirmation } from "./readIndexConfirmation";
 
-/** After a freeze digests are exchanged with so many members: one alone may have been frozen as well. */
+/** Number of members to exchange digests with after a freeze; a single one may have been frozen as well. */
 const EXCHANGES_AFTER_FREEZE = 2;
+/** Pause after a failed exchange of digests. */
 const EXCHANGE_RETRY_MS = 50;
-/** A node without requests in flight waits so long before it leaves, so that others learn that it is unready. */
+/** Delay before a node without requests in flight leaves, so that others learn that it is unready. */
 const IDLE_DRAIN_MS = 300;
-/** After it has announced that it leaves, so long until it ends, so that the datagrams get out. */
+/** Delay between the announcement that a node leaves and its end, so that the datagrams are sent. */
 const LEAVE_GRACE_MS = 100;
-/** One in so many requests for a read index goes to any member, not to a control member. */
+/** One in this many requests for a read index goes to any member instead of a control member. */
 const ANY_MEMBER_INTERVAL = 3;
 
-/** The id of the node: from its data folder, or a new one. */
+/** Returns the id of the node: the one in its data folder, or a new one. */
 function* openIdentity(env: Environment, settings: Settings, program: Program): Task<Result<string>> {
   const newId = EnvironmentTools.id(env, program);
   if (!settings.data) return Fault.ok(newId);
@@ -33,7 +34,7 @@
 }
 
 /**
- * What all members of a cluster have in common: identity, RPC, membership, gossip, and the cluster snapshot on which they
+ * Common part of all members of a cluster: identity, RPC, membership, gossip, and the cluster snapshot on which they
  * base their decisions.
  *
  * @example
@@ -41,22 +42,22 @@
  * if (started.ok) started.value.snapshot().members;
  */
 export class Node {
-  /** Shutting down: takes no new work. */
+  /** Whether the node is shutting down; it then accepts no new requests. */
   stopping = false;
-  /** How often the process was frozen. */
+  /** Number of times that the process was frozen. */
   freezeCount = 0;
-  /** Whether the control leader has confirmed the configuration since the start or the last freeze. */
+  /** Confirmation of the configuration by the control leader since the start or the last freeze. */
   readonly confirmation: ReadIndexConfirmation;
-  /** Set by a control member: its own read index while it is the leader. */
+  /** Returns the node's own read index if it is the control leader; set by a control member. */
   readIndex: () => ReadIndex | undefined = () => undefined;
-  /** Set by a control member: the address of the leader that it knows. */
+  /** Returns the address of the control leader if it is known; set by a control member. */
   leaderAddress: () => string | undefined = () => undefined;
   private readonly snapshots: ClusterSnapshotCache;
   private readonly clockWatch: ClockWatch;
   private readonly freezeListeners: (() => void)[] = [];
-  /** False from a freeze until digests were exchanged. */
+  /** False from a freeze until digests have been exchanged. */
   private isSynchronized = true;
-  /** When unused connections were closed last, monotonic ms. */
+  /** Time at which unused connections were closed last, monotonic ms. */
   private connectionsCheckedAt: number;
 
   private constructor(
@@ -72,7 +73,7 @@
       checking: (now) => this.closeUnusedConnections(now),
       maxWallStepMs: () => this.clockBounds().deltaMs,
       wallClockStepped: () => membership.discardClockSamples(),
-      frozen: (forMs) => this.onThaw(forMs),
+      frozen: (forMs) => this.onFreezeEnd(forMs),
       suspended: () => this.confirmation.invalidate(),
     });
     this.confirmation = new ReadIndexConfirmation(env, rpc, {
@@ -87,7 +88,7 @@
     });
   }
 
-  /** Starts a node: opens its data folder, listens, and joins the cluster. @example yield* Node.start(env, settings, "agent") */
+  /** Starts a node: opens its data folder, listens, and joins the cluster. */
   static *start(env: Environment, settings: Settings, program: Program): Task<Result<Node>> {
     const opened = yield* openIdentity(env, settings, program);
     if (!opened.ok) return opened;
@@ -118,8 +119,8 @@
   }
 
   /**
-   * Graceful shutdown, on SIGTERM: becomes unready, lets `finish` complete what is in flight, and leaves the cluster.
-   * @example yield* node.shutDown();
+   * Shuts down gracefully, on SIGTERM: becomes unready, waits until `finish` has completed the requests in flight, and
+   * leaves the cluster.
    */
   *shutDown(finish: () => Task<void> = () => EnvironmentTools.sleep(this.env, IDLE_DRAIN_MS)): Task<void> {
     this.env.log(1002);
@@ -130,36 +131,33 @@
     this.env.log(1003);
   }
 
-  /** Calls the listener after each freeze. @example node.onFreeze(() => replica.stopLeader("frozen")); */
+  /** Calls the listener after each freeze. */
   onFreeze(listener: () => void): void {
     this.freezeListeners.push(listener);
   }
 
-  /** The bounds on clocks and delays that are in force. @example Stamp.delay(node.clockBounds()) */
+  /** The bounds on clocks and delays that are in force. */
   clockBounds(): Bounds {
     return this.gossip.snapshot?.manifest.doc.clock ?? Stamp.defaults;
   }
 
-  /**
-   * Whether the configuration is current as far as this node can know, and digests were exchanged lately.
-   * @example node.isCurrent()
-   */
+  /** Whether the configuration is confirmed and digests were exchanged within `Constants.contactTimeoutMs`. */
   isCurrent(): boolean {
     return this.isConfirmed() && this.env.mono() - this.gossip.lastExchangeAt < Constants.contactTimeoutMs;
   }
 
-  /** Whether this node may give timestamps and hold leases. @example if (!node.mayHoldLeases()) return busy; */
+  /** Whether this node may assign timestamps and hold leases. */
   mayHoldLeases(): boolean {
     return this.isConfirmed() && this.membership.isClockTrusted(this.clockBounds().deltaMs);
   }
 
-  /** The address of a member that hasn't left. @example node.addressOf("store-17") */
+  /** Returns the address of a member; undefined if it is unknown or has left. */
   addressOf(id: string): string | undefined {
     const member = this.membership.find(id);
     return member && member.state !== "left" ? member.address : undefined;
   }
 
-  /** The newest snapshot; the same object until something changes. @example node.snapshot().endpoints */
+  /** Returns the newest snapshot; the same object until something changes. */
   snapshot(): ClusterSnapshot {
     return this.snapshots.get();
   }
@@ -167,7 +165,7 @@
   private watch(): void {
     this.membership.onChange((changed) => {
       this.snapshots.invalidate();
-      // A connection to a member that doesn't respond may be dead; a new one shows whether the member is back.
+      // A connection to a member that does not respond may be dead; a new connection shows whether the member is back.
       if (changed && changed.state !== "alive" && changed.id !== this.self.id) this.rpc.closeIfIdle(changed.address);
     });
     this.gossip.onChange(() => this.snapshots.invalidate());
@@ -182,8 +180,8 @@
     this.connectionsCheckedAt = now;
   }
 
-  /** What this node knew may be outdated by now, and what others knew of it too. */
-  private onThaw(frozenMs: number): void {
+  /** After a freeze, both this node's knowledge and the others' knowledge of it may be outdated. */
+  private onFreezeEnd(frozenMs: number): void {
     this.freezeCount += 1;
     this.isSynchronized = false;
     this.snapshots.invalidate();
@@ -203,18 +201,18 @@
     this.snapshots.invalidate();
   }
 
-  /** Where to ask for a read index: at the leader, other control members, now and then any member. */
+  /** Returns the address to request a read index from: the leader, another control member, or sometimes any member. */
   private readIndexSource(attempt: number): string | undefined {
     const leader = this.leaderAddress();
     if (leader !== undefined && attempt % 2 === 0) return leader;
     const others = this.membership.alive().filter((member) => member.id !== this.self.id);
     const controls = others.filter((member) => member.program === "control");
-    const isTurnOfAny = attempt % ANY_MEMBER_INTERVAL === ANY_MEMBER_INTERVAL - 1;
-    const sources = controls.length === 0 || isTurnOfAny ? others : controls;
+    const isAnyMemberDue = attempt % ANY_MEMBER_INTERVAL === ANY_MEMBER_INTERVAL - 1;
+    const sources = controls.length === 0 || isAnyMemberDue ? others : controls;
     return sources[Math.floor(this.env.random() * sources.length)]?.address;
   }
 
-  /** Not frozen since the last exchange, and confirmed by the control leader since the start or the last freeze. */
+  /** Whether digests were exchanged and the configuration was confirmed since the start or the last freeze. */
   private isConfirmed(): boolean {
     return this.isSynchronized && !this.clockWatch.isLate() && this.confirmation.isConfirmed();
   }
--- a/src/node/nodeContext.ts
+++ b/src/node/nodeContext.ts
@@ -7,11 +7,11 @@
 import { Announcement, AnnouncementResult, EndpointAnnouncements } from "./endpointAnnouncements";
 import { Node } from "./node";
 
-/** What the HTTP adapters need of the process that they run in: a node, or an ingress with an agent. */
+/** The process that the HTTP adapters run in: a node, or an ingress with an agent. */
 export interface NodeContext {
   readonly env: Environment;
   readonly rpc: Rpc;
-  /** The member's id. */
+  /** Id of the member. */
   readonly id: string;
   readonly control: ControlClient;
   snapshot(): ClusterSnapshot;
@@ -20,12 +20,12 @@
   withdraw(id: string): Task<Result<true>>;
 }
 
-/** Addresses of the control members that a snapshot shows. */
+/** Returns the addresses of the control members in a snapshot. */
 export const controlAddresses = (snapshot: ClusterSnapshot): string[] =>
   snapshot.members.filter((member) => member.program === "control").map((member) => member.address);
 
 /**
- * The context of a node.
+ * Creates the context of a node.
  *
  * @example
  * const context = NodeContext.of(node);
--- a/src/node/orderDeadline.ts
+++ b/src/node/orderDeadline.ts
@@ -6,21 +6,21 @@
 
 /** A reading of the leader's monotonic clock. */
 export interface LeaderClock {
-  /** Names the process whose clock it is, and its start: readings of different clocks cannot be compared. */
+  /** Identifies the process and its start; readings of different clocks cannot be compared. */
   clockId: string;
-  /** ms. */
+  /** Monotonic time of the leader, ms. */
   now: number;
 }
 
-/** The time after which the leader may no longer append an order to the log. */
+/** Time after which the leader must not append an order to the log. */
 export interface OrderDeadline {
-  /** Whose clock the time is of; see `LeaderClock`. */
+  /** Id of the clock that `at` refers to; see `LeaderClock`. */
   clockId: string;
-  /** ms on that clock. */
+  /** Time on that clock, ms. */
   at: number;
 }
 
-/** The leader's clock and our own at the same moment, or slightly later by our own. */
+/** A reading of the leader's clock, and the local monotonic time at which it arrived. */
 interface ClockReading {
   address: string;
   clockId: string;
@@ -29,9 +29,10 @@
 }
 
 /**
- * Deadlines of orders in the leader's time, so that an order that was delayed in a frozen process or a partitioned
- * connection is not carried out after its caller has stopped waiting. A reading of the leader's clock is older than the
- * moment at which it arrives, so a deadline computed from it is early by the time of one message, and never late.
+ * Converts deadlines of orders to the leader's clock, so that an order that was delayed in a frozen process or a
+ * partitioned connection is not carried out after its caller has stopped waiting. A reading of the leader's clock is
+ * older than the time at which it arrives, so a deadline computed from it is early by the time of one message, and
+ * never late.
  *
  * @example
  * const deadlines = new OrderDeadlines(env, rpc);
@@ -46,29 +47,28 @@
   ) {}
 
   /**
-   * A time on our monotonic clock as a deadline by the clock of the leader at this address. Gives the faults of the call
-   * where the clock has to be read first and cannot be.
-   * @example yield* deadlines.at(address, until, 500)
+   * Converts a local monotonic time to a deadline on the clock of the leader at this address. If the leader's clock has
+   * to be read first and the call fails, returns the fault of the call.
    */
-  *at(address: string, until: number, timeoutMs: number): Task<Result<OrderDeadline>> {
+  *at(address: string, localDeadline: number, timeoutMs: number): Task<Result<OrderDeadline>> {
     const known = this.reading;
     if (known?.address === address && this.env.mono() - known.localTime < Constants.leaderClockMaxAgeMs)
-      return { ok: true, value: { clockId: known.clockId, at: known.leaderTime + (until - known.localTime) } };
+      return { ok: true, value: { clockId: known.clockId, at: known.leaderTime + (localDeadline - known.localTime) } };
     const read = yield* this.rpc.call(address, "control.op", { op: "clock" }, timeoutMs);
     if (!read.ok) return read;
     const { clockId, now: leaderTime } = read.value as LeaderClock;
     const localTime = this.env.mono();
     this.reading = { address, clockId, leaderTime, localTime };
-    return { ok: true, value: { clockId, at: leaderTime + (until - localTime) } };
+    return { ok: true, value: { clockId, at: leaderTime + (localDeadline - localTime) } };
   }
 
-  /** Drops the reading: the leader is another process than the one whose clock was read. @example deadlines.forget(); */
+  /** Discards the reading, because the clock of the leader is not the one that was read. */
   forget(): void {
     this.reading = undefined;
   }
 }
 
 export const OrderDeadline = {
-  /** Detail of the fault "late" that asks the caller for a new reading of the clock. */
+  /** Detail of the fault "late" on which the caller must read the clock again. */
   clockMismatch: "the deadline was counted by another process's clock",
 };
--- a/src/node/readIndexConfirmation.ts
+++ b/src/node/readIndexConfirmation.ts
@@ -6,17 +6,19 @@
 import { Rpc } from "../rpc/rpc";
 import { Fault, Result } from "../common/fault";
 
-/** A read index (Raft, section 6.4): at the time `at` the control leader had committed no configuration past `index`. */
+/** A read index (Raft, section 6.4): at time `at`, the control leader had committed no configuration after `index`. */
 export interface ReadIndex {
   /** Id of the consensus group. */
   readonly group: string;
   /** Log index of the newest configuration. */
   readonly index: number;
-  /** Monotonic ms of this process. */
+  /** Time on this process's monotonic clock, ms. */
   readonly at: number;
 }
 
-/** The same on the wire: an age in place of a time, since no two processes share a monotonic clock. */
+/**
+ * A read index in the wire format. It contains an age instead of a time, because processes share no monotonic clock.
+ */
 interface ReadIndexResponse {
   readonly group: string;
   readonly index: number;
@@ -24,44 +26,45 @@
 }
 
 interface ReadIndexRequest {
-  /** The read index must be younger, ms. */
+  /** The read index must be younger than this, ms. */
   readonly maxAgeMs: number;
-  /** How often the request may still be forwarded. */
+  /** Number of times that the request may still be forwarded. */
   readonly hops: number;
 }
 
 declare module "../rpc/methods" {
   interface RpcMethods {
-    /** Asks for a read index that is young enough. Faults: busy if there is none. Idempotent: it only reads. */
+    /** Requests a read index that is young enough. Faults: busy if there is none. Idempotent: it only reads. */
     "config.readIndex": RpcMethod<ReadIndexRequest, ReadIndexResponse>;
   }
 }
 
-/** What a confirmation needs of the process that it runs in. */
+/** Callbacks to the process that the confirmation runs in. */
 export interface ReadIndexConfirmationHooks {
-  /** Our own read index, if we are the control leader and hold its lease. */
+  /** Returns this process's own read index if it is the control leader and holds the lease. */
   own(): ReadIndex | undefined;
-  /** Address to ask, by the number of the attempt; undefined if there is none. */
+  /** Returns the address to send this attempt to; undefined if there is none. */
   source(attempt: number): string | undefined;
-  /** The configuration that would be served. */
+  /** Returns the configuration that this process would serve. */
   configuration(): ControlSnapshot | undefined;
-  /** Fetches a configuration of at least this index. */
+  /** Fetches a configuration with at least this index. */
   fetch(address: string, index: number): Task<void>;
 }
 
-/** Pauses between attempts differ by up to this share, so that processes don't fall into step. */
+/** The pause between attempts varies by 20% in both directions, so that processes do not retry in lockstep. */
 const RETRY_JITTER_LOW = 0.8;
 const RETRY_JITTER_SPREAD = 0.4;
 
 /**
- * Confirms that the configuration held here is current. A process that has just started or was frozen may be on the
- * minority side of a partition, where every process it reaches has an outdated configuration. It therefore serves nothing
- * until it has a read index of the control leader that was taken after its start or freeze, and a configuration at least as
- * new. Once confirmed, it stays so until the next freeze: a consensus group without a leader doesn't stop running
- * processes.
+ * Confirms that the configuration of this process is current. A process that has just started or was frozen may be on
+ * the minority side of a partition, where every process that it reaches has an outdated configuration. It therefore
+ * serves nothing until it has a read index of the control leader from after its start or freeze, and a configuration at
+ * least as new. A confirmation is valid until the next freeze, so that a consensus group without a leader does not stop
+ * running processes.
  *
- * A read index is taken only from the response to a request of our own and counted from before the request, so it is never
- * thought younger than it is, however long a message lay in a buffer or a frozen process.
+ * A read index is accepted only from the response to this process's own request, and its time is counted from before
+ * the request. It is therefore never taken for younger than it is, even if a message was delayed in a buffer or a
+ * frozen process.
  *
  * @example
  * const confirmation = new ReadIndexConfirmation(env, rpc, hooks);
@@ -69,13 +72,13 @@
  * if (!confirmation.isConfirmed()) return "configuration not confirmed";
  */
 export class ReadIndexConfirmation {
-  /** Only a read index taken later than this confirms, monotonic ms. */
+  /** Only a read index from after this time confirms the configuration, monotonic ms. */
   private requiredAfter: number;
   private wasConfirmed = false;
   private latest: ReadIndex | undefined;
-  /** Addresses with a request under way. */
+  /** Addresses with a request in progress. */
   private readonly pendingAddresses = new Set<string>();
-  /** Closed when the forwarded request that is under way has ended. */
+  /** Channel that closes when the forwarded request in progress has ended. */
   private refreshing: Chan<true> | undefined;
   private readonly confirmationDue: Chan<true> = Csp.sliding(1);
 
@@ -87,25 +90,25 @@
     this.requiredAfter = env.mono();
   }
 
-  /** Starts to ask for a read index, and does so again after each freeze. @example confirmation.start(); */
+  /** Starts the task that requests a read index after the start and after each freeze. */
   start(): void {
     Csp.offer(this.confirmationDue, true);
     EnvironmentTools.keep(this.env, this.env.scope, "configuration confirmation", () => this.confirmLoop());
   }
 
-  /** Responds to other processes that ask. @example confirmation.serve(); */
+  /** Registers the handler of other processes' requests for a read index. */
   serve(): void {
     this.rpc.handle("config.readIndex", (request) => this.onRequest(request));
   }
 
-  /** From now on only a read index taken later than this confirms. @example confirmation.invalidate(); */
+  /** Requires a new confirmation, by a read index from after this call. */
   invalidate(): void {
     this.requiredAfter = this.env.mono();
     this.wasConfirmed = false;
     Csp.offer(this.confirmationDue, true);
   }
 
-  /** Whether the configuration is confirmed. @example if (!confirmation.isConfirmed()) return busy; */
+  /** Whether the configuration is confirmed. */
   isConfirmed(): boolean {
     if (this.wasConfirmed) return true;
     const own = this.hooks.own();
@@ -119,7 +122,7 @@
     return true;
   }
 
-  /** Remembers the newest read index; one of a group that was superseded is none. */
+  /** Records the newest read index; ignores one of a superseded consensus group. */
   private record(readIndex: ReadIndex): void {
     const { latest } = this;
     if (latest && latest.group !== readIndex.group && GroupRecovery.supersedes(latest.group, readIndex.group)) return;
@@ -133,7 +136,7 @@
         const address = this.hooks.source(attempt);
         const confirmation = this;
         if (address !== undefined && !this.pendingAddresses.has(address))
-          Csp.go(this.env.scope, "ask for a read index", () => confirmation.askAt(address));
+          Csp.go(this.env.scope, "read index request", () => confirmation.requestFrom(address));
         yield* EnvironmentTools.sleep(
           this.env,
           Constants.readIndexRetryMs * (RETRY_JITTER_LOW + RETRY_JITTER_SPREAD * this.env.random()),
@@ -142,7 +145,7 @@
     }
   }
 
-  private *askAt(address: string): Task<void> {
+  private *requestFrom(address: string): Task<void> {
     this.pendingAddresses.add(address);
     try {
       const maxAgeMs = this.env.mono() - this.requiredAfter;
@@ -168,15 +171,18 @@
   /** Handles "config.readIndex". */
   private *onRequest(request: ReadIndexRequest): Task<Result<ReadIndexResponse>> {
     const own = yield* this.awaitOwn(request.maxAgeMs);
-    const known = own ?? this.youngEnough(request.maxAgeMs);
+    const known = own ?? this.knownYoungerThan(request.maxAgeMs);
     if (known) return Fault.ok(this.responseOf(known));
     if (request.hops > 0) yield* this.refresh({ ...request, hops: request.hops - 1 });
-    const refreshed = this.youngEnough(request.maxAgeMs);
+    const refreshed = this.knownYoungerThan(request.maxAgeMs);
     if (refreshed) return Fault.ok(this.responseOf(refreshed));
     return Fault.busy("read index", "here", "no word of the control lead is young enough", Constants.readIndexRetryMs);
   }
 
-  /** As the leader: the contact with a majority that began late enough comes with the next heartbeats. */
+  /**
+   * On the leader, waits until its own read index is young enough: the next heartbeats contact a majority. Returns
+   * undefined if this process is not the leader, or after a time-out.
+   */
   private *awaitOwn(maxAgeMs: number): Task<ReadIndex | undefined> {
     const requiredAfter = this.env.mono() - maxAgeMs;
     const deadline = this.env.mono() + Constants.readIndexWaitMaxMs;
@@ -188,7 +194,7 @@
     return undefined;
   }
 
-  private youngEnough(maxAgeMs: number): ReadIndex | undefined {
+  private knownYoungerThan(maxAgeMs: number): ReadIndex | undefined {
     return this.latest && this.env.mono() - this.latest.at < maxAgeMs ? this.latest : undefined;
   }
 
@@ -197,7 +203,7 @@
     index,
     ageMs: Math.ceil(this.env.mono() - at),
   });
-  /** Forwards a request; those that come meanwhile wait for the same response. */
+  /** Forwards a request; requests that arrive meanwhile wait for the same response. */
   private *refresh(request: ReadIndexRequest): Task<void> {
     if (this.refreshing) {
       yield* Csp.take(this.refreshing);
--- a/src/node/snapshotFeed.ts
+++ b/src/node/snapshotFeed.ts
@@ -2,15 +2,15 @@
 import { Member } from "../membership/member";
 import { ClusterSnapshot, Endpoint } from "./clusterSnapshot";
 
-/** An ingress without a node of its own asks its agent for the next snapshot. */
+/** Request of an ingress without a node of its own to its agent, for the next cluster snapshot. */
 export interface FeedRequest {
-  /** Revision of the snapshot that the caller has; the response waits for another. */
+  /** Revision of the snapshot that the ingress has; the response waits for a different one. */
   readonly seen: number;
-  /** Index of the control snapshot that the caller has, 0 for none; that part is left out if it is the same. */
+  /** Index of the control snapshot that the ingress has, 0 for none; the response omits that part if it is the same. */
   readonly controlIndex: number;
 }
 
-/** A cluster snapshot under the field names that go over the wire. */
+/** A cluster snapshot in the wire format. */
 export interface FeedResponse {
   readonly number: number;
   readonly control: ControlSnapshot | undefined;
@@ -19,23 +19,23 @@
   readonly crowded: Record<string, boolean>;
   readonly fresh: boolean;
   readonly vouched: boolean;
-  /** Index of the agent's control snapshot, also where that is left out; 0 for none. */
+  /** Index of the agent's control snapshot, also if the snapshot is omitted; 0 for none. */
   readonly controlIndex: number;
   /** Whether the agent is shutting down. */
   readonly stopping: boolean;
 }
 
-/** What a feed gives the ingress. */
+/** A cluster snapshot from the agent. */
 export type AgentSnapshot = ClusterSnapshot & { readonly controlIndex: number; readonly stopping: boolean };
 
 declare module "../rpc/methods" {
   interface RpcMethods {
-    /** Long poll for the agent's cluster snapshot. Gives no faults of its own. Idempotent: it only reads. */
+    /** Long poll for the agent's cluster snapshot. Has no faults of its own. Idempotent: it only reads. */
     "agent.feed": RpcMethod<FeedRequest, FeedResponse>;
   }
 }
 
-/** Cluster snapshots between an agent and its ingress: names of the wire to names in memory and back. */
+/** Converts cluster snapshots between the names in memory and those of the wire format. */
 export const SnapshotFeed = {
   encode(snapshot: ClusterSnapshot, knownControlIndex: number, stopping: boolean): FeedResponse {
     const { control } = snapshot;
