--- a/src/common/constants.ts
+++ b/src/common/constants.ts
@@ -14,8 +14,8 @@
 import { timestampConstants } from "./constants/timestamps";
 
 /**
- * All numbers that the system runs by, with unit and reason; each concern has its table in `constants/`.
- * Starting values and defaults are ours; docs/measurements.md says what was measured.
+ * All tunable constants of the system, with unit and reason; each concern has its own table in `constants/`.
+ * docs/measurements.md lists the measured values.
  *
  * @example
  * const listingDelay = Constants.bigDeltaMs + 2 * Constants.deltaMs + Constants.epsilonMs;
--- a/src/common/constants/batchJobs.ts
+++ b/src/common/constants/batchJobs.ts
@@ -1,79 +1,88 @@
-/** Batch jobs: window, share, results, listing, quota. */
+/** Batch jobs: scheduling of items, results, listings and quotas. */
 export const batchJobConstants = {
-  /** ms; a submission whose acceptance is not known by then: its caller may retry with the same id, elsewhere. */
+  /**
+   * Time-out of a submission, ms. If its acceptance is not known by then, the caller may retry it elsewhere with the
+   * same id.
+   */
   jobSubmissionTimeoutMs: 5000,
-  /** Items in flight for a storage node and pool, at most. */
+  /** Maximum number of items in flight for each storage node and pool. */
   jobWindowMax: 8,
-  /** Items in flight for a storage node while live requests overload the pool. */
+  /** Number of items in flight for each storage node while live requests overload the pool. */
   jobWindowMin: 1,
-  /** ms; period in which a leader searches for claims whose owner no longer runs them. */
+  /** Period of a leader's search for claims whose owner no longer runs them, ms. */
   abandonedClaimSearchMs: 2500,
-  /** ms; period in which the dispatcher checks for free capacity. */
+  /** Period in which the dispatcher checks for free capacity, ms. */
   jobSchedulingPeriodMs: 40,
-  /** ms; after a sign of overload the window stays small for so long. */
+  /** Time for which the window stays small after a sign of overload, ms. */
   jobOverloadHoldMs: 600,
   /**
-   * Share of a pool's slots that items of batch jobs may use, over all storage nodes; live requests take precedence
+   * Share of a pool's capacity that items of batch jobs may use, over all storage nodes. Live requests take precedence
    * at an endpoint.
    */
   itemCapacityShare: 0.7,
-  /** Tokens; a shorter shared prefix is processed faster than its endpoint's queue shrinks. */
+  /**
+   * Minimum length of a shared prefix for affinity, tokens. A shorter prefix is processed faster than its endpoint's
+   * queue shrinks.
+   */
   jobAffinityTokens: 2000,
-  /** Items; a storage node that runs fewer uses so little capacity that it need not announce it. */
+  /**
+   * Minimum number of items at which a storage node announces its demand; with fewer items it uses too little capacity
+   * to matter.
+   */
   jobDemandItems: 16,
-  /** ms; a changed demand is announced at most this often. */
+  /** Minimum time between two announcements of a changed demand, ms. */
   jobDemandPeriodMs: 300,
-  /** ms; and counts for so long. */
+  /** Lease of an announced demand, ms. */
   jobDemandLeaseMs: 900,
-  /** Share of that, while live requests have to wait and no batch job is nearly due. */
+  /** Share of the items' capacity that remains while live requests have to wait and no batch job is nearly due. */
   itemOverloadedShare: 0.25,
   /**
-   * ms; a batch job that is due so soon is not throttled by overload: it has the same priority as live requests.
+   * Remaining time below which a batch job is not throttled by overload but has the same priority as live requests, ms.
    */
   jobUrgentMs: 4000,
-  /** ms; results that arrive within this time share one put. */
+  /** Time in which results are collected for one put, ms. */
   itemResultBatchMs: 30,
-  /**
-   * ms; an attempt of an item without a response head by then is given up; less than the time by which an ended job
-   * must have stopped.
-   */
+  /** Time-out of the response head of an item, ms. It is less than the time by which an ended job must have stopped. */
   itemResponseHeadMs: 2500,
-  /** ms; pause before an item that did not run is tried at another endpoint. */
+  /** Pause before an item that did not run is tried at another endpoint, ms. */
   itemRetryMs: 60,
-  /** ms; the same after a failed response. */
+  /** Pause before an item is tried again after a failed response, ms. */
   itemFailureBackoffMs: 250,
-  /**
-   * ms; the bodies of a closed job are served for so long, to processes that have not learned of its last results.
-   */
+  /** Time for which the bodies of a closed job are served to processes that have not received its last results, ms. */
   jobBodiesRetentionMs: 10_000,
-  /** ms; an item is given up so much after its deadline, since clocks differ. */
+  /** Delay after its deadline at which an item is abandoned, ms; it allows for differing clocks. */
   itemAbandonMarginMs: 1000,
-  /** ms; a replica whose frontier lags by so much more than it must leaves the listing to another. */
+  /** Extra lag of a replica's frontier above which another replica serves the listing, ms. */
   jobListMaxLagMs: 500,
-  /** Share of its own zone's slots that a storage node's items fill before they use other zones. */
+  /** Share of the capacity in its own zone that a storage node's items fill before they use other zones. */
   itemSameZoneShare: 0.6,
-  /** bytes of results in one listing, so that it stays under 1 MB as JSON. */
+  /** Maximum size of the results in one listing, bytes; it keeps the listing below 1 MB as JSON. */
   jobListBytes: 700_000,
-  /** ms; items run on for so long after their leader lost its lease: it mostly regains it within a few ms. */
+  /**
+   * Time for which items continue after their leader has lost its lease, ms. The leader mostly regains it within a few
+   * ms.
+   */
   leadershipRegainMs: 3000,
-  /** ms; a submission waits so long for its shard's leader to be found: longer than a takeover. */
+  /** Time for which a request about a job waits for the leader of its shard, ms; longer than a takeover. */
   jobLeaderSearchMs: 3000,
-  /** ms; one attempt to submit a job: longer than a put that waits for a member to be left out. */
+  /**
+   * Time-out of one attempt to submit a job, ms; longer than a put that waits until a member is excluded from the view.
+   */
   jobSubmissionAttemptMs: 1500,
-  /** ms; for so long all replicas are asked for a listing, beyond what its caller would wait. */
+  /** Time for which all replicas are asked for a listing, in addition to the time that its caller waits, ms. */
   jobListTimeoutMs: 2000,
-  /** ms; one request of these. */
+  /** Time-out of one of these requests, in addition to the time that the caller waits, ms. */
   jobListAttemptMs: 250,
-  /** ms; to make certain that a job that was given up is never accepted later. */
+  /** Time-out of the request that ensures that an abandoned submission is never accepted later, ms. */
   jobRejectTimeoutMs: 900,
-  /** ms; a leader that has not sent its usage report by then is counted as another replica knows it. */
+  /** Time-out of a leader's usage report, ms. After it, the report that another replica has is used. */
   usageReportTimeoutMs: 250,
-  /** ms; usage reports so young are not fetched again before a job is rejected. */
+  /** Age below which usage reports are not fetched again before a job is rejected, ms. */
   usageReportMaxAgeMs: 60,
-  /** Reservations that are remembered until their jobs are in the usage reports. */
+  /** Maximum number of reservations that are kept until their jobs appear in the usage reports. */
   quotaReservationsMax: 512,
-  /** Share of a pool's slots that batch jobs never use. */
+  /** Share of a pool's capacity that batch jobs never use. */
   liveReservedShare: 0.34,
-  /** Items in one batch job. */
+  /** Maximum number of items in a batch job. */
   jobItemsMax: 2000,
 } as const;
--- a/src/common/constants/control.ts
+++ b/src/common/constants/control.ts
@@ -1,96 +1,94 @@
 /** The consensus group and the control leader. */
 export const controlConstants = {
-  /** ms; the shortest time without a leader before a vote is asked for. */
+  /** Minimum time without a leader before an election starts, ms. */
   electionTimeoutMinMs: 900,
-  /** ms; the shortest pause after a pre-vote without a majority: a pre-vote binds nobody. */
+  /** Minimum pause after a pre-vote without a majority, ms; a pre-vote binds no voter. */
   preVoteRetryMinMs: 150,
-  /** ms; after a restart of all voters an election is due about so soon. */
+  /** Approximate time until an election after a restart of all voters, ms. */
   restartElectionMs: 120,
-  /** ms; the longest pause between two checks of the election timer. */
+  /** Maximum pause between two checks of the election timer, ms. */
   electionCheckMaxMs: 300,
-  /** ms; random part of the election time-out, so that two servers seldom stand at once. */
+  /** Random part of the election time-out, ms, so that two voters seldom become candidates at once. */
   electionTimeoutSpreadMs: 700,
-  /** ms; period of the leader's AppendEntries requests. */
+  /** Period of the leader's AppendEntries requests, ms. */
   heartbeatMs: 150,
-  /** ms; lease of the control leader, counted from the sending of a request; below electionTimeoutMinMs. */
+  /** Lease of the control leader, counted from the sending of a request, ms; less than electionTimeoutMinMs. */
   controlLeaseMs: 800,
-  /** ms; a leader that stops waits so long for a successor with the whole log, and for its response. */
+  /** Time for which a stopping leader waits for a successor with the whole log and for its response, ms. */
   leadershipTransferTimeoutMs: 300,
-  /** bytes; of the entries in one request, and of a chunk of a longer payload: 52 ms at 20 Mbit/s. */
+  /** Maximum size of the entries in one request, and of a chunk of a longer payload, bytes: 52 ms at 20 Mbit/s. */
   appendEntriesMaxBytes: 131_072,
-  /** bytes; chunks shrink down to this while they are not acknowledged in time. */
+  /** Minimum size of a chunk, bytes. Chunks shrink to this size while they are not acknowledged in time. */
   payloadChunkMinBytes: 8192,
-  /** ms; a request or a chunk not acknowledged by then is sent again. */
+  /** Time after which an unacknowledged request or chunk is sent again, ms. */
   appendEntriesTimeoutMs: 600,
-  /** Failures in a row; then the payload is made anew from the follower's progress. */
+  /** Number of consecutive failures after which the payload is created again from the follower's progress. */
   payloadChunkAttempts: 20,
-  /** bytes; of a packed payload (snapshot or entry) that a follower accepts. */
+  /** Maximum size of a packed payload (snapshot or entry) that a follower accepts, bytes. */
   packedPayloadMaxBytes: 67_108_864,
-  /** bytes; the same unpacked. */
+  /** Maximum size of an unpacked payload that a follower accepts, bytes. */
   unpackedPayloadMaxBytes: 268_435_456,
-  /** ms; a reason for which messages of the group are rejected is logged at most this often. */
+  /** Minimum time between two log lines about the same reason for rejecting messages of the group, ms. */
   rejectionLogPeriodMs: 5000,
-  /** Entries; the log is compacted into a snapshot past this length. */
+  /** Length above which the log is compacted into a snapshot, entries. */
   logEntriesUntilSnapshot: 400,
-  /** bytes; or past this size, so that a start reads no more than two such logs. */
+  /** Size above which the log is compacted into a snapshot, bytes, so that a start reads at most two such logs. */
   logBytesUntilSnapshot: 4_194_304,
   /**
-   * Entries; stay in memory before a snapshot, for followers a little behind or still receiving the snapshot before.
+   * Entries before a snapshot that stay in memory, for followers that are slightly behind or still receive the previous
+   * snapshot.
    */
   trailingLogEntries: 500,
-  /** bytes; of those, at most. */
+  /** Maximum size of these entries, bytes. */
   trailingLogBytes: 4_194_304,
-  /** ms; an operator waits this long before fate is called unknown. */
+  /** Time-out of a proposal, ms. After it, the outcome is reported to the operator as unknown. */
   proposeTimeoutMs: 1800,
-  /** ms; a leader that was just elected may not have discovered every storage node for this long. */
+  /** Time for which a newly elected leader may not have discovered every storage node, ms. */
   storeDiscoveryAfterElectionMs: 4000,
-  /**
-   * ms; a voter that is found dead is replaced this much later: inside the time that a loss counts, and before the
-   * next may come.
-   */
+  /** Delay before a dead voter is replaced, ms: within the time allowed for one loss, and before the next may occur. */
   deadVoterDelayMs: 200,
-  /** ms; a voter that left in order is replaced this much later: most restart on the same disk before. */
+  /** Delay before a voter that left is replaced, ms. Most voters restart on the same disk before. */
   leftVoterDelayMs: 1500,
   /**
-   * ms; a voter that a leader has not discovered for so long since its own start counts as lost: after a power loss
-   * of all nobody remembers who is missing.
+   * Time since its own start after which a leader regards a voter that it has not discovered as lost, ms. After a power
+   * loss of all processes, no member knows who is missing.
    */
   undiscoveredVoterDelayMs: 2000,
-  /** ms; and so long since it became the leader. */
+  /** Minimum time since its election after which a leader regards an undiscovered voter as lost, ms. */
   undiscoveredVoterLeaderDelayMs: 400,
-  /** ms; how often the leader checks its voters, and a follower whether it has become the leader. */
+  /** Period in which the leader checks its voters and a follower checks whether it has become the leader, ms. */
   leaderTaskPeriodMs: 150,
   /**
-   * Indexes and terms; a recovered group begins so far above its voter's log, past all that the lost voters may have
-   * had.
+   * Gap between the log of its voter and the first index and term of a recovered group; larger than what the lost
+   * voters may have had in addition.
    */
   recoveryIndexGap: 1_000_000,
-  /** Epochs; the same for shard views. */
+  /** Gap between the known and the first epoch of shard views in a recovered group. */
   recoveryEpochGap: 1_000_000,
   /**
-   * Machines; lost at once, where settings don't say: three voters, so that a cut in two of four leaves two of three
-   * on one side.
+   * Machines that may be lost at once, if the settings do not specify it. This gives three voters, so that two of three
+   * are on one side when a partition splits four machines in halves.
    */
   toleratedLosses: 1,
-  /** ms; a group that was bootstrapped with too few voters takes no first change for so long. */
+  /** Time for which a group that was bootstrapped with too few voters accepts no first change, ms. */
   groupGrowthWaitMs: 4000,
-  /** ms; pause between attempts to bootstrap the consensus group. */
+  /** Pause between attempts to bootstrap the consensus group, ms. */
   bootstrapRetryMs: 300,
-  /** Ended calendar entries that the state retains; the ledger has the older ones. */
+  /** Number of ended calendar entries that the state retains; the ledger has the older ones. */
   endedEntriesRetained: 1000,
   /**
-   * Accepted changes remembered for each document; 26 bytes each in a snapshot; a retry of an older one gets no
-   * definite outcome.
+   * Number of accepted changes that are retained for each document, 26 bytes each in a snapshot. A retry of an older
+   * change gets no definite outcome.
    */
   acceptedChangesRetained: 10_000,
-  /** Hexadecimal digits of a change id's hash that are stored. */
+  /** Number of hexadecimal digits that are stored of the hash of a change id. */
   changeDigestLength: 15,
-  /** Outcomes of changes remembered by change id. */
+  /** Number of outcomes of changes that are retained by change id. */
   changeOutcomesRetained: 2000,
-  /** Entries; a standby this close may become a voter. */
+  /** Maximum lag of a standby that may become a voter, entries. */
   standbyMaxLag: 20,
-  /** ms; how often the leader checks the calendar for due entries. */
+  /** Period in which the leader checks the calendar for due entries, ms. */
   calendarPeriodMs: 250,
-  /** ms; a drained zone is checked again after this long. */
+  /** Delay before a drained zone is checked again, ms. */
   drainRecheckMs: 1500,
 } as const;
--- a/src/common/constants/controlClient.ts
+++ b/src/common/constants/controlClient.ts
@@ -1,16 +1,16 @@
 /** Requests to the control leader. */
 export const controlClientConstants = {
   /**
-   * ms; a drain, undrain or retirement may be retried for so long after its first attempt: ack_timeout_ms and one
+   * Time after its first attempt in which a drain, undrain or retirement may be retried, ms: ack_timeout_ms and one
    * response.
    */
   orderRetryWindowMs: 5000,
-  /** ms; a reading of the leader's clock is used for so long: clocks drift by less than 10 ms in it. */
+  /** Maximum age of a reading of the leader's clock, ms. Clocks drift by less than 10 ms in this time. */
   leaderClockMaxAgeMs: 60_000,
-  /** ms; time-out of one request to one control node. */
+  /** Time-out of one request to one control node, ms. */
   controlRequestTimeoutMs: 2200,
-  /** ms; pause before another control node is called. */
+  /** Pause before another control node is called, ms. */
   controlRetryMs: 120,
-  /** ms; for so long an operator's change is retried through a change of leader. */
+  /** Time for which an operator's change is retried through a change of leader, ms. */
   changeRetryWindowMs: 6000,
 } as const;
--- a/src/common/constants/endpoints.ts
+++ b/src/common/constants/endpoints.ts
@@ -1,18 +1,24 @@
-/** Leases of endpoints, and their announcements. */
+/** Leases and announcements of endpoints. */
 export const endpointConstants = {
-  /** ms; an endpoint that has not announced itself for so long is not selected. */
+  /** Lease of an endpoint, ms. An endpoint that has not announced itself for this time is not selected. */
   endpointLeaseMs: 4000,
   /**
-   * ms; an endpoint that has not announced itself for so long (two announcements and the time to spread) is selected
-   * only if there is no other.
+   * Time without an announcement after which an endpoint is selected only if there is no other, ms: two announcements
+   * and the time to spread.
    */
   announcementOverdueMs: 2700,
-  /** ms; an unchanged announcement is published at most this often: less than the usual pause between two. */
+  /**
+   * Minimum time between two publications of an unchanged announcement, ms; less than the usual pause between two
+   * announcements.
+   */
   endpointRenewPeriodMs: 900,
-  /** ms; a smaller change of the end of warming up comes from delays on the way and is not published. */
+  /** Change of the end of warming up that is not published because network delays explain it, ms. */
   warmUpToleranceMs: 250,
-  /** ms; a withdrawal is acknowledged once another member has it, or after this time. */
+  /**
+   * Time-out of the replication of a withdrawal, ms. The withdrawal is acknowledged once another member has it, or
+   * after this time.
+   */
   withdrawalAckTimeoutMs: 300,
-  /** ms; an endpoint without instance names may come back so long after its withdrawal. */
+  /** Time after its withdrawal at which an endpoint without instance names may announce itself again, ms. */
   reannounceDelayMs: 5000,
 } as const;
--- a/src/common/constants/gossip.ts
+++ b/src/common/constants/gossip.ts
@@ -1,31 +1,33 @@
-/** Gossip: dissemination by push and repair by digests. */
+/** Gossip: dissemination by pushes and repair by anti-entropy. */
 export const gossipConstants = {
-  /** ms; a fact that is not urgent waits so long for others: at most four pushes a second. */
+  /**
+   * Time for which a fact that is not urgent waits for others to be pushed with it, ms: at most four pushes per second.
+   */
   gossipFlushMs: 250,
   /**
-   * Patches of the configuration that are kept for members a few versions behind: a minute of them at 91,000 changes
-   * a day.
+   * Number of patches of the configuration that are retained for members a few versions behind: one minute at 91,000
+   * changes a day.
    */
   configurationStepsRetained: 64,
-  /** Buckets of facts; compared one by one only where the total checksums differ. */
+  /** Number of buckets of facts. Buckets are compared one by one only if the total checksums differ. */
   gossipBuckets: 64,
-  /** Members; in a larger cluster a node gossips with these only, so that it has few connections. */
+  /** Maximum number of members that a node gossips with in a large cluster, so that it has few connections. */
   gossipPeersMax: 24,
   /**
-   * Share of a lease; a fact that was not renewed for so long (two announcements and the time to spread) is asked for
-   * with each digest.
+   * Share of a lease after which a fact without renewal is requested with each digest: two announcements and the time
+   * to spread.
    */
   staleLeaseShare: 0.45,
-  /** Facts asked for at once, at most. */
+  /** Maximum number of facts that are requested with one digest. */
   staleFactsMax: 200,
-  /** Members that one push goes to. */
+  /** Number of members to which each push is sent. */
   gossipFanout: 3,
-  /** ms; one request of an exchange of digests. */
+  /** Time-out of one request in an exchange of digests, ms. */
   digestTimeoutMs: 600,
-  /** ms; one fetch of a control snapshot, the largest message of gossip. */
+  /** Time-out of a fetch of a control snapshot, the largest message of gossip, ms. */
   snapshotFetchTimeoutMs: 1500,
-  /** ms; pause between two exchanges of digests; repairs gaps well within two seconds. */
+  /** Pause between two exchanges of digests, ms; short enough to repair losses well within two seconds. */
   digestPeriodMs: 500,
-  /** ms; longer than every lease, so that a removal is never undone by an outdated fact. */
+  /** Retention of tombstones, ms; longer than every lease, so that an outdated fact never undoes a removal. */
   tombstoneRetentionMs: 30_000,
 } as const;
--- a/src/common/constants/http.ts
+++ b/src/common/constants/http.ts
@@ -1,27 +1,30 @@
 /** HTTP with callers and operators: limits on sizes and times. */
 export const httpConstants = {
-  /** ms; an order without a version waits so long for the notice that its caller has disconnected. */
+  /** Time for which an order without a version waits for a notification that its caller has disconnected, ms. */
   disconnectCheckMs: 5,
-  /** bytes; body of a caller's or operator's request, except a configuration. */
+  /** Maximum size of the body of a caller's or operator's request, except a configuration, bytes. */
   bodyLimitBytes: 1_048_576,
-  /** bytes of a body over its limit that are still read, so that its sender sees the refusal. */
+  /** Bytes of a body above its limit that are still read, so that the sender receives the rejection. */
   bodyDrainBytes: 1_048_576,
-  /** bytes; headers of a request, where the configuration sets no limit. */
+  /** Maximum size of the headers of a request if the configuration sets no limit, bytes. */
   headerLimitBytes: 16_384,
-  /** bytes; the parser gives up here, whatever the configuration sets. */
+  /** Size of headers at which the parser fails, whatever the configuration sets, bytes. */
   headerLimitMaxBytes: 1_048_576,
-  /** ms; the headers of a request must be complete by then, where the configuration sets no limit. */
+  /** Time-out of the headers of a request if the configuration sets no limit, ms. */
   headerTimeoutMs: 10_000,
-  /** ms; a caller's connection may be idle for so long, where the configuration sets no limit. */
+  /** Time for which a caller's connection may be idle if the configuration sets no limit, ms. */
   callerIdleTimeoutMs: 30_000,
-  /** ms; it is closed so much later than announced, so that no request is on its way then. */
+  /**
+   * Delay between the announced and the actual close of an idle connection, ms, so that no request is in transit at the
+   * close.
+   */
   idleCloseMarginMs: 1000,
-  /** ms; period of the check for slow headers. */
+  /** Period of the check for slow headers, ms. */
   headerCheckPeriodMs: 500,
-  /** ms; a connection whose framing was wrong stays open so long, so that its caller sees why. */
+  /** Time for which a connection with a framing error stays open, ms, so that the caller receives the reason. */
   framingErrorLingerMs: 300,
-  /** bytes; a configuration: thousands of routes. */
+  /** Maximum size of a configuration, bytes: thousands of routes. */
   configurationLimitBytes: 8_388_608,
-  /** bytes; an endpoint whose response is longer has failed. */
+  /** Size of a response above which its endpoint counts as failed, bytes. */
   responseLimitBytes: 4_194_304,
 } as const;
--- a/src/common/constants/liveRequests.ts
+++ b/src/common/constants/liveRequests.ts
@@ -1,52 +1,64 @@
-/** Live requests at an ingress: admission, attempts, time-outs, streams. */
+/** Live requests at an ingress: admission, attempts, time-outs and streams. */
 export const liveRequestConstants = {
-  /** ms; a route's deadline, at most: refusals are remembered for longer. */
+  /** Maximum deadline of a route, ms; rejections are retained for longer. */
   deadlineMaxMs: 600_000,
-  /** ms; where neither caller nor route sets a deadline. */
+  /** Deadline if neither the caller nor the route sets one, ms. */
   defaultDeadlineMs: 10_000,
-  /** Attempts of a safe lookup, each at another endpoint. */
+  /** Number of attempts of a safe lookup, each at another endpoint. */
   lookupAttempts: 3,
-  /** Requests that wait for capacity at one ingress, for each class. */
+  /** Maximum number of requests that wait for capacity at one ingress, for each class. */
   admissionQueueMax: 64,
-  /** ms; a stream that lost its endpoint after some chunks waits so long for another. */
+  /** Time for which a stream that has lost its endpoint after some chunks waits for another one, ms. */
   resumeWaitMs: 5000,
-  /** ms; period in which the first of the queue is checked for what changes by time alone. */
+  /** Period in which the first request of the queue checks for changes that come with time alone, ms. */
   admissionCheckPeriodMs: 50,
-  /** ms; a request that would wait longer is rejected at once. */
+  /** Maximum wait for capacity, ms. A request that would wait longer is rejected at once. */
   admissionWaitMaxMs: 400,
-  /** ms; the shortest time that a busy response asks its caller to wait. */
+  /** Minimum retry-after of a busy response, ms. */
   retryAfterMs: 1000,
-  /** ms; a relay continues through a takeover of its shard. */
+  /** Time for which a relay of a stream continues through a takeover of its shard, ms. */
   streamTakeoverGraceMs: 15_000,
-  /** Requests at once in one process. */
+  /** Maximum number of concurrent requests in one process. */
   requestTableSlots: 4096,
   /**
-   * ms; an idempotent request without a response head by then, or by twice its latency target, is tried at another
-   * endpoint.
+   * Time-out of the response head of an idempotent request, ms. After it, or after twice the latency target if that is
+   * longer, the request is tried at another endpoint.
    */
   responseHeadTimeoutMs: 700,
-  /** ms; a stream that can be resumed elsewhere is after so long without a chunk. */
+  /** Time without a chunk after which a resumable stream is resumed at another endpoint, ms. */
   resumableStallMs: 1200,
-  /** ms; an endpoint on the same site accepts a connection well within this time. */
+  /**
+   * Time-out of a connection to an endpoint, ms. An endpoint on the same site accepts a connection well within this
+   * time.
+   */
   endpointConnectTimeoutMs: 350,
-  /** ms; an unused connection to an endpoint is closed after this time, or half of what the endpoint announces. */
+  /**
+   * Time after which an unused connection to an endpoint is closed, ms, unless half of the time that the endpoint
+   * announces is less.
+   */
   endpointConnectionIdleMs: 8000,
-  /** Share of its latency target that a request may wait for capacity: a later rejection is worth nothing more. */
+  /** Share of its latency target that a request may wait for capacity. A later rejection has no value for its caller. */
   admissionWaitShare: 0.22,
-  /** ms; retry-after of a rejection for lack of capacity: about the time of one response. */
+  /** Retry-after of a rejection for lack of capacity, ms: about the time of one response. */
   overloadRetryAfterMs: 350,
-  /** ms; retry-after of an ingress without a configuration in force: about the time in which a cluster restarts. */
+  /** Retry-after of an ingress without a configuration in force, ms: about the time in which a cluster restarts. */
   unreadyRetryAfterMs: 1100,
-  /** ms; after SIGTERM callers still send requests here until they have noticed that it is unready. */
+  /**
+   * Time after SIGTERM for which an ingress still accepts requests, ms. Callers send them until they have noticed that
+   * it is unready.
+   */
   shutdownListenMs: 3000,
-  /** Requests that an ingress sends to itself before it becomes ready, so that callers meet compiled code. */
+  /**
+   * Number of requests that an ingress sends to itself before it becomes ready, so that the code is compiled when
+   * callers arrive.
+   */
   warmUpRequests: 160,
-  /** ms; time for that, at most. */
+  /** Time-out of these requests together, ms. */
   warmUpTimeoutMs: 1500,
-  /** ms; an endpoint that does not accept a connection by then. */
+  /** Time-out of a connection to an endpoint, ms. */
   connectTimeoutMs: 1000,
-  /** ms; an endpoint that accepts a request and sends nothing by then counts as unreachable. */
+  /** Time after which an endpoint that has accepted a request and sent nothing counts as unreachable, ms. */
   firstChunkTimeoutMs: 3000,
-  /** ms; the same between chunks. */
+  /** Time-out of each further chunk, ms. */
   chunkTimeoutMs: 3000,
 } as const;
--- a/src/common/constants/membership.ts
+++ b/src/common/constants/membership.ts
@@ -1,35 +1,41 @@
 /** Membership and its failure detector (SWIM). */
 export const membershipConstants = {
-  /** ms; one member is probed a period: some member probes a dead one within about one period. */
+  /**
+   * Period of probes, ms. Each member probes one member per period, so some member probes a dead one within about one
+   * period.
+   */
   probePeriodMs: 400,
-  /** ms; until a direct acknowledgement; three times ε, so that a busy member is not probed indirectly. */
+  /** Time-out of a direct acknowledgement, ms; three times ε, so that a busy member is not probed indirectly. */
   probeTimeoutMs: 150,
-  /** ms; until an acknowledgement by way of other members. */
+  /** Time-out of an acknowledgement by way of other members, ms. */
   indirectTimeoutMs: 250,
-  /** ms; a probe whose timers fired so late gives no verdict. */
+  /** Delay of this process's own timers above which a probe gives no result, ms. */
   maxTimerDelayMs: 100,
-  /** Members; that probe a silent one before it becomes suspect. */
+  /** Number of members that probe an unresponsive member before it becomes suspect. */
   indirectProbes: 3,
-  /** ms; time for a suspect to refute; keeps detection under 2.5 s and takeover under 12 s. */
+  /** Time in which a suspect can refute the suspicion, ms; keeps detection below 2.5 s and takeover below 12 s. */
   suspicionTimeoutMs: 1500,
-  /** ms; a dead or departed member is remembered, so that outdated updates cannot revive it. */
+  /**
+   * Time for which a member that died or left is retained, ms, so that outdated updates cannot make it active again.
+   */
   deadMemberRetentionMs: 60_000,
-  /** Updates in a datagram; keeps it within one frame of the network. */
+  /** Maximum number of updates in a datagram; keeps it within one frame of the network. */
   piggybackMaxUpdates: 8,
-  /** Times that each node passes on an update: about 2·log2 of 24 members. */
+  /** Number of times that each node sends an update: about 2·log2 of 24 members. */
   piggybackTransmissions: 6,
-  /** Samples; the median of the newest ones is the estimated skew. */
+  /** Number of newest clock samples that are kept; the skew is estimated by their median. */
   clockSamplesMax: 9,
   /**
-   * ms; a member that has just started uses shorter periods for so long: after a common start nobody knows anybody.
+   * Time after its start for which a member uses shorter periods, ms, because after a common start no member knows any
+   * other.
    */
   startupPhaseMs: 4000,
-  /** Share of the usual periods that applies meanwhile. */
+  /** Factor that shortens the usual periods in this time. */
   startupPeriodFactor: 0.25,
-  /** Buckets of members; compared one by one only where the total checksums differ. */
+  /** Number of buckets of members. Buckets are compared one by one only if the total checksums differ. */
   memberBuckets: 16,
-  /** ms; pause between contacts to seeds until the member has joined. */
+  /** Pause between contacts to seeds until the member has joined, ms. */
   joinRetryMs: 500,
-  /** ms; the same once it has joined, so that a healed partition is noticed. */
+  /** Pause between contacts to seeds after the member has joined, ms; they detect that a partition has healed. */
   rejoinPeriodMs: 2000,
 } as const;
--- a/src/common/constants/metrics.ts
+++ b/src/common/constants/metrics.ts
@@ -1,5 +1,5 @@
 /** Metrics. */
 export const metricsConstants = {
-  /** Values of one measured time that its summary is computed from. */
+  /** Number of newest measurements from which a summary is computed. */
   summaryValuesMax: 1000,
 } as const;
--- a/src/common/constants/node.ts
+++ b/src/common/constants/node.ts
@@ -1,30 +1,30 @@
 /** A node: freezes, confirmation of the configuration, the feed from an agent to its ingress, shutdown. */
 export const nodeConstants = {
-  /** ms; a timer that is so late means that the process was frozen; its leases count as expired. */
+  /** Delay of a timer above which the process counts as having been frozen and its leases as expired, ms. */
   clockJumpMs: 1000,
-  /** ms; a connection between members that was not used for so long is closed. */
+  /** Time after which an unused connection between members is closed, ms. */
   memberConnectionIdleMs: 30_000,
-  /** ms; period of the clock watch. */
+  /** Period of the clock watch, ms. */
   clockCheckPeriodMs: 200,
-  /** ms; pause between requests for a read index: about as often as a majority acknowledges the leader. */
+  /** Pause between requests for a read index, ms: about as often as a majority acknowledges the leader. */
   readIndexRetryMs: 150,
-  /** ms; time-out of one such request, with the wait at the leader and the hops between. */
+  /** Time-out of one such request, ms; includes the wait at the leader and the forwarding. */
   readIndexTimeoutMs: 600,
-  /** Times that a request is forwarded: from any member to a control member, from there to the leader. */
+  /** Number of times that a request is forwarded: from any member to a control member, and from there to the leader. */
   readIndexMaxHops: 2,
-  /** ms; two heartbeats: the leader waits so long for a contact that began after the request was sent. */
+  /** Time for which the leader waits for a contact that began after the request was sent, ms: two heartbeats. */
   readIndexWaitMaxMs: 300,
-  /** ms; how often it checks. */
+  /** Period in which the leader checks for such a contact, ms. */
   readIndexCheckPeriodMs: 20,
-  /** ms; the agent responds to its ingress by then, with or without a change. */
+  /** Time after which the agent responds to its ingress even without a change, ms. */
   feedWaitMaxMs: 400,
-  /** ms; how often the agent checks for a newer snapshot. */
+  /** Period in which the agent checks for a newer snapshot, ms. */
   feedCheckPeriodMs: 20,
   /**
-   * ms; without contact to others (an ingress: to its agent) for so long, no new work is accepted; less than the two
-   * seconds in which a configuration must be in force.
+   * Time without contact to other members (for an ingress: to its agent) after which no new requests are accepted, ms;
+   * less than the two seconds in which a configuration must be in force.
    */
   contactTimeoutMs: 1500,
-  /** ms; time for work in flight after SIGTERM; a second less than the platform allows. */
+  /** Time after SIGTERM for requests in flight, ms; one second less than the platform allows. */
   shutdownGraceMs: 6800,
 } as const;
--- a/src/common/constants/routing.ts
+++ b/src/common/constants/routing.ts
@@ -1,31 +1,34 @@
 /** Selection of endpoints: slow start, prefix affinity, outlier ejection. */
 export const routingConstants = {
-  /** ms; slow start: a new endpoint reaches its full share over this time. */
+  /** Time in which a new endpoint reaches its full share, ms. */
   slowStartMs: 6000,
-  /** Starts a second for each slot, times the share, from all senders together. */
+  /**
+   * Request starts per second and unit of capacity at a new endpoint, from all senders together; scaled by its share.
+   */
   slowStartPerSecond: 4,
-  /** Share of a new endpoint at its start. */
+  /** Initial share of a new endpoint. */
   slowStartFloor: 0.15,
   /**
-   * ms; an endpoint counts as warming up so much longer than it announced: the announcement was delayed on its way.
+   * Time for which an endpoint counts as warming up after the announced end, ms, because the announcement was delayed
+   * in the network.
    */
   warmUpMarginMs: 400,
-  /** ms; the shortest time between one sender's requests to an endpoint that is warming up. */
+  /** Minimum time between one sender's requests to an endpoint that is warming up, ms. */
   warmUpIntervalMs: 120,
-  /** ms; after its start a sender does not know for so long how many share a budget. */
+  /** Time after its start for which a sender does not know how many senders share a budget, ms. */
   senderDiscoveryMs: 3000,
-  /** Share of an endpoint's connections that all senders together plan with. */
+  /** Share of an endpoint's connections that all senders together plan to use. */
   connectionShare: 0.85,
-  /** Tokens that an endpoint prefills in a ms: an estimate that only tells prefixes that are worth affinity. */
+  /** Tokens that an endpoint prefills per ms: an estimate that only decides which prefixes are worth affinity. */
   promptTokensPerMs: 100,
-  /** Share of the latency target; a shared prefix whose prefill is shorter attracts no requests. */
+  /** Share of the latency target below which the prefill of a shared prefix is too short for affinity. */
   affinityTargetShare: 0.1,
-  /** Parts of one prompt that are compared. */
+  /** Maximum number of parts of one prompt that are compared. */
   promptPartsMax: 64,
-  /** Factor; prefix affinity yields above this multiple of the mean load. */
+  /** Multiple of the mean load above which an endpoint gets no requests by prefix affinity. */
   boundedLoadFactor: 1.25,
-  /** Failures in a row until an endpoint is ejected. */
+  /** Number of consecutive failures after which an endpoint is ejected. */
   ejectFailures: 3,
-  /** ms; it is ejected for so long, then probed with one request. */
+  /** Time for which an endpoint is ejected before it is probed with one request, ms. */
   ejectMs: 3000,
 } as const;
--- a/src/common/constants/rpc.ts
+++ b/src/common/constants/rpc.ts
@@ -1,15 +1,15 @@
 /** Connections and messages between members. */
 export const rpcConstants = {
-  /** bytes; a longer body between processes is deflated: links between zones cost more than the work. */
+  /** Minimum length of a body that is deflated, bytes. Links between zones cost more than the compression. */
   deflateMinBytes: 1024,
-  /** bytes; a longer body is not searched for repeats. */
+  /** Maximum length of a body that is searched for repeated strings, bytes. */
   deflateSearchMaxBytes: 16_384,
-  /** Share of its length that a deflated body must stay below. */
+  /** Maximum length of a deflated body relative to the original length; otherwise the original is sent. */
   deflateMaxRatio: 0.9,
-  /** bytes; one message between processes. */
+  /** Maximum length of a message between processes, bytes. */
   messageMaxBytes: 33_554_432,
-  /** ms; a call that waits for its response checks so often whether it has become pointless, as by a new leader. */
+  /** Period in which a waiting call checks whether it has become pointless, for example because of a new leader, ms. */
   callAbortCheckPeriodMs: 60,
-  /** ms; time-out of a connection between members: a new attempt is faster than a late retransmission. */
+  /** Time-out of a connection between members, ms. A new attempt is faster than a late retransmission. */
   memberConnectTimeoutMs: 200,
 } as const;
--- a/src/common/constants/shards.ts
+++ b/src/common/constants/shards.ts
@@ -1,98 +1,111 @@
 /** Replicated shards: views, leases, replication, log, segments, reads and the ledger. */
 export const shardConstants = {
-  /** Shards; twice the storage machines, so that a lost one spreads its work. */
+  /**
+   * Number of shards; twice the number of storage machines, so that the load of a lost machine is spread over others.
+   */
   shardCount: 8,
-  /** Replicas of a shard; two storage nodes may be lost at once. */
+  /** Number of replicas of a shard; two storage nodes may be lost at once. */
   replicasPerShard: 3,
-  /** Replicas; below this, new batch jobs are rejected as busy. */
+  /** Number of replicas below which new batch jobs are rejected as busy. */
   minReplicasForJobs: 2,
-  /** ms; the leader's lease from every other member of its view; the lease of a lost leader must run out. */
+  /**
+   * Lease that the leader has from every other member of its view, ms. The lease of a lost leader must expire before a
+   * takeover.
+   */
   shardLeaseMs: 800,
-  /** ms; the leader stops so much before its lease ends. */
+  /** Time before the end of its lease at which the leader stops, ms. */
   shardLeaseMarginMs: 100,
-  /** ms; period of renewals while idle, which also carry the frontier to the replicas; puts renew it too. */
+  /** Period of lease renewals while idle, ms. They also send the frontier to the replicas; puts renew the lease too. */
   leaseRenewMs: 150,
   /**
-   * ms; a member that has not synced for so long is left out by a new view while its leader is alive: some 10 of the
-   * longest stalls seen.
+   * Time without a sync after which a new view excludes a member while its leader is alive, ms: about 10 times the
+   * longest stalls observed.
    */
   memberTimeoutMs: 400,
   /**
-   * ms; three lease renewals missed by the control leader and every other member: a new view need not wait for
-   * suspicion.
+   * Time without contact after which the control leader and every other member regard a shard's leader as failed, ms:
+   * three missed lease renewals. A new view then does not wait for a suspicion.
    */
   leaderTimeoutMs: 500,
-  /** ms; a member that has not synced by then counts as silent since the request. */
+  /** Time-out of a replication request, ms. After it, the member counts as unresponsive since the request. */
   replicateTimeoutMs: 300,
-  /** ms; a member that has not responded to a seal by then is left out of the next view. */
+  /** Time-out of the response to a seal, ms. After it, the member is excluded from the next view. */
   sealTimeoutMs: 700,
   /**
-   * ms; a node that does not have the sealed end by then is left out of the next view; a missing tail takes a few ms.
+   * Time-out of the transfer of the sealed end of a log, ms. After it, the node is excluded from the next view; a
+   * missing tail takes a few ms.
    */
   logSyncTimeoutMs: 1500,
-  /** ms; the leader polls every storage node this often; at once when one requests a check. */
+  /** Period in which the leader polls every storage node, ms; it polls at once when a node requests a check. */
   statusPeriodMs: 400,
-  /** ms; a storage node whose status is older counts as down. */
+  /** Age of its status above which a storage node counts as down, ms. */
   statusMaxAgeMs: 1800,
-  /** ms; a poll of the storage nodes waits so long for the slowest. */
+  /** Time for which a poll of the storage nodes waits for the slowest, ms. */
   statusPollTimeoutMs: 100,
-  /** ms; shortest pause between two polls, so that requested checks share one. */
+  /** Minimum pause between two polls, ms, so that several requested checks share one. */
   statusPollGapMs: 60,
-  /** ms; a claim that waited longer for its delivery is released: another may be the owner by now. */
+  /** Age above which an undelivered claim is released, ms, because another node may be the owner by now. */
   claimMaxAgeMs: 1000,
-  /** ms; the first views wait this long for storage nodes to be discovered. */
+  /** Time for which the first views wait for storage nodes to be discovered, ms. */
   storeDiscoveryMs: 2500,
-  /** Entries; a longer log is folded into a checkpoint, and so many stay in memory for others to catch up by. */
+  /**
+   * Length above which the log is compacted into a checkpoint, entries. As many entries stay in memory for other
+   * replicas to catch up.
+   */
   shardLogMaxEntries: 500,
-  /** bytes; or past this size, so that a start reads no more than two such logs. */
+  /** Size above which the log is compacted, bytes, so that a start reads at most two such logs. */
   shardLogMaxBytes: 4_194_304,
-  /** Puts; ordered and synced together. */
+  /** Maximum number of puts that are ordered and synced together. */
   putBatchMax: 256,
-  /** Puts that wait for their order; past this, busy. */
+  /** Maximum number of puts that wait to be ordered; further puts are rejected as busy. */
   queuedPutsMax: 2048,
-  /** Ranges of object ids that are compared by digest. */
+  /** Number of ranges of object ids that are compared by digest. */
   digestRanges: 16,
-  /** bytes; below this free, nothing new is accepted; what was accepted can finish. */
+  /** Free space below which nothing new is accepted, bytes; what was accepted can finish. */
   diskReserveBytes: 67_108_864,
-  /** s; pause between attempts to use a failed disk, well inside the twelve seconds after it was freed. */
+  /** Pause between attempts to use a failed disk, s; well within the twelve seconds after it was freed. */
   diskRetrySeconds: 3,
-  /** Entries; in one catch-up message. */
+  /** Maximum number of entries in one catch-up message. */
   catchUpEntriesMax: 200,
-  /** ms; pause between two comparisons of the replicas of a shard. */
+  /** Pause between two comparisons of the replicas of a shard, ms. */
   repairPeriodMs: 10_000,
-  /** Objects; in one segment: a few hundred KB, so that writing one takes a few ms. */
+  /** Number of objects in one segment; a segment has a few hundred KB, so that writing it takes a few ms. */
   segmentObjects: { works: 256, lots: 64, ledger: 1024 },
-  /** Objects; the same in the simulator, so that half a minute of work seals, fills and reads segments. */
+  /**
+   * Number of objects in one segment in the simulator, so that half a minute of load seals, transfers and reads
+   * segments.
+   */
   simSegmentObjects: { works: 5, lots: 1, ledger: 48 },
-  /** bits; of a ledger segment's Bloom filter: about one false positive in two hundred. */
+  /** Size of a ledger segment's Bloom filter per subject, bits: about one false positive in two hundred. */
   bloomBitsPerSubject: 12,
-  /** ms; put ids are kept so long past the stamp or deadline of their put; nobody retries for longer than 20 s. */
+  /** Retention of put ids after the timestamp or deadline of their put, ms. No process retries for longer than 20 s. */
   putOutcomeRetentionMs: 30_000,
   /**
-   * ms; a refusal is kept for longer than the longest deadline, and so outlives every late attempt to open its
-   * request.
+   * Retention of a rejection, ms; longer than the maximum deadline, so that it outlives every delayed attempt to open
+   * its request.
    */
   rejectionRetentionMs: 700_000,
-  /** ms; the leader calls a replica that is copying state again after this long. */
+  /** Time after which the leader repeats its call to a replica that is still copying state, ms. */
   stateTransferCallTimeoutMs: 6000,
-  /** Entries of sealed segments in one response about a subject of a shard. */
+  /** Maximum number of entries of sealed segments in one response about a subject. */
   subjectEntriesMax: 2000,
-  /** bytes of a segment in one message. */
+  /** Maximum number of bytes of a segment in one message. */
   segmentChunkBytes: 1_048_576,
   /**
-   * bytes a second that a replica takes from the source of its state transfer, so that live traffic has the disk.
+   * Rate at which a replica reads from the source of its state transfer, bytes per second; leaves the disk free for
+   * live traffic.
    */
   segmentBytesPerSecond: 16_777_216,
-  /** Attempts; a late put gets a new stamp at most this often. */
+  /** Maximum number of times that a late put gets a new timestamp. */
   restampAttempts: 8,
-  /** ms; a read past the frontier waits at most this long. */
+  /** Maximum time for which a read beyond the frontier waits, ms. */
   readWaitMs: 2500,
-  /** ms; pause between attempts while a shard's leader is being found. */
+  /** Pause between attempts while the leader of a shard is searched for, ms. */
   leaderSearchPauseMs: 100,
-  /** ms; a shard's leader that cannot be reached is searched for so long, then the response is busy. */
+  /** Time for which an unreachable leader of a shard is searched for, ms; after it, the response is busy. */
   leaderSearchTimeoutMs: 1500,
-  /** ms; ledger entries about lookups are batched for so long. */
+  /** Time in which ledger entries about lookups are collected for one batch, ms. */
   ledgerFlushMs: 250,
-  /** Entries that wait for that; beyond it the oldest are counted as lost. */
+  /** Maximum number of entries that wait for the batch; above it, the oldest are discarded and counted as lost. */
   ledgerBufferMax: 500,
 } as const;
--- a/src/common/latencySummary.ts
+++ b/src/common/latencySummary.ts
@@ -1,11 +1,11 @@
 import { Constants } from "./constants";
 
-/** Quantiles that the metrics show. */
+/** Quantiles in the metrics. */
 const MEDIAN = 0.5;
 const HIGH_QUANTILE = 0.99;
 
 /**
- * The newest values of a measured time, and their quantiles.
+ * Keeps the newest values of a measured time and computes their quantiles.
  *
  * @example
  * const puts = new LatencySummary();
@@ -17,7 +17,7 @@
   private next = 0;
   private maximum = 0;
 
-  /** Adds a measurement, ms. @example relays.add(12.5); */
+  /** Adds a measurement, ms. */
   add(value: number): void {
     if (this.values.length < Constants.summaryValuesMax) this.values.push(value);
     else this.values[this.next] = value;
@@ -25,7 +25,7 @@
     this.maximum = Math.max(this.maximum, value);
   }
 
-  /** Median and 99th percentile of the newest values, and the maximum of all, ms. @example relays.metrics("relay_ms") */
+  /** Returns the median and the 99th percentile of the newest values, and the maximum of all values, ms. */
   metrics(name: string): Record<string, number> {
     const sorted = [...this.values].sort((left, right) => left - right);
     const quantile = (share: number): number =>
--- a/src/common/ledgerEntry.ts
+++ b/src/common/ledgerEntry.ts
@@ -1,9 +1,11 @@
-/** Entries of the ledger: the decisions of a cluster, in the order of their stamps. */
+/** Entries of the ledger: the decisions of a cluster, in the order of their timestamps. */
 import type { Stamp } from "./stamp";
 
-/** Why a decision was made: the versions of what it rests on. Stored; the field names never change. */
+/**
+ * Reason for a decision: the versions of the data that it is based on. It is stored, so the field names never change.
+ */
 export interface Cause {
-  /** Name of the policy that decided. */
+  /** Name of the policy behind the decision. */
   policy?: string;
   /** Version of the configuration that was in force. */
   manifest?: number;
@@ -13,12 +15,12 @@
   note?: string;
 }
 
-/** One decision. Stored; the field names never change. */
+/** One decision. It is stored, so the field names never change. */
 export interface LedgerEntry {
   stamp: Stamp;
   /** Position among the entries of the same put, from 0. */
   n: number;
-  /** What the decision is about, for example "lot L1" or "item L1/3". */
+  /** The subject of the decision, for example "lot L1" or "item L1/3". */
   subject: string;
   decision: string;
   cause: Cause;
--- a/src/common/logger.ts
+++ b/src/common/logger.ts
@@ -2,7 +2,7 @@
 import { LogEvents } from "./logEvents";
 
 /**
- * Numbered events as lines on standard error.
+ * Writes numbered log events as lines to standard error.
  *
  * @example
  * const log = Logger.make("store-1", "info");
--- a/src/common/settings.ts
+++ b/src/common/settings.ts
@@ -1,32 +1,35 @@
 import Ajv, { ErrorObject } from "ajv";
 import { Fault, Result } from "./fault";
 
-/** Settings of a process, under the names of the settings file. */
+/** Settings of a process. The field names are those of the settings file. */
 export interface Settings {
   program: "ingress" | "agent" | "store" | "control";
-  /** Name of the cluster; members of another are ignored. */
+  /** Name of the cluster; messages from members of another cluster are ignored. */
   cluster: string;
   /** Failure domain (region and zone) of the process. */
   district: string;
-  /** Where other members reach it, over TCP and UDP. */
+  /** Address at which other members reach the process, over TCP and UDP. */
   address: string;
-  /** Where it listens, if not at `address`. */
+  /** Address on which it listens, if not `address`. */
   bind?: string;
-  /** Where it serves HTTP to callers and operators. */
+  /** Address on which it serves HTTP to callers and operators. */
   http: string;
-  /** Addresses of members to join by; all programs but an ingress with an agent. */
+  /** Addresses of members to contact for joining; required for all programs but an ingress with an agent. */
   seeds?: string[];
-  /** Data folder; store and control. */
+  /** Data folder; required for storage and control nodes. */
   data?: string;
-  /** Ingress: address of its agent. Without it, and with seeds, the agent runs within the ingress. */
+  /** For an ingress, the address of its agent. With seeds instead, the agent runs within the ingress. */
   agent?: string;
-  /** Control: addresses of all that bootstrap the consensus group, its own among them; empty: it never does. */
+  /**
+   * For a control node, the addresses of all nodes that bootstrap the consensus group, including its own. If empty, the
+   * node does not take part in a bootstrap.
+   */
   founders?: string[];
-  /** Name of the machine, by which operators know it. */
+  /** Name of the machine that operators use. */
   name?: string;
-  /** Machines with a disk that may be lost at once: 2 × losses + 1 voters, losses + 2 replicas of each shard. */
+  /** Machines that may be lost at once with their disks: 2 × losses + 1 voters, losses + 2 replicas of each shard. */
   losses?: number;
-  /** The lowest level that is logged. */
+  /** Lowest level that is logged. */
   log?: "debug" | "info" | "warn" | "error";
 }
 
@@ -62,7 +65,7 @@
 };
 const isValid = new Ajv({ allErrors: true, strict: false }).compile<Settings>(schema);
 
-/** One line on what is wrong and where. */
+/** Describes an error in one line: its path and what is wrong. */
 function describe(error: ErrorObject): string {
   const path = error.instancePath.slice(1).replace(/\//g, ".");
   const params = error.params as Record<string, unknown>;
@@ -73,14 +76,14 @@
 }
 
 /**
- * The settings of a process, from a file and flags, checked before anything starts.
+ * Checks the settings of a process, from a file and flags, before anything starts.
  *
  * @example
  * const settings = Settings.check({ program: "store", cluster: "kiln" });
  * if (!settings.ok) console.error(settings.fault.paths);
  */
 export const Settings = {
-  /** Fault: invalid, with one path for each error. */
+  /** Fault: invalid, with one description in `paths` for each error. */
   check(candidate: unknown): Result<Settings> {
     if (isValid(candidate)) return Fault.ok(candidate);
     const paths = (isValid.errors ?? []).filter((error) => error.keyword !== "if").map(describe);
--- a/src/common/stamp.ts
+++ b/src/common/stamp.ts
@@ -1,29 +1,29 @@
 import { Constants } from "./constants";
 
-/** A timestamp that orders all events of the system. */
+/** A timestamp; timestamps order all events of the system. */
 export interface Stamp {
   /** Wall clock, whole ms. */
   readonly time: number;
-  /** Id of the node that gave it. */
+  /** Id of the node that assigned it. */
   readonly node: string;
-  /** Counts the timestamps of one node within one ms. */
+  /** Sequence number of the timestamps of one node within one ms. */
   readonly seq: number;
 }
 
 /** Bounds on clocks and delays (Birman et al. 2026, section 2.9), ms. */
 export interface Bounds {
-  /** δ, the greatest clock skew. */
+  /** δ, the maximum clock skew. */
   readonly deltaMs: number;
-  /** ε, the longest relay from the first node to a replica. */
+  /** ε, the maximum time of a relay from the first node to a replica. */
   readonly epsilonMs: number;
-  /** Δ, the longest time until a put is complete. */
+  /** Δ, the maximum time until a put is complete. */
   readonly bigDeltaMs: number;
 }
 
 const SEPARATOR = "~";
 
 /**
- * Timestamps, and the paper's rules on them (section 2.9).
+ * Creates, compares and converts timestamps, and applies the rules of Birman et al. 2026, section 2.9.
  *
  * @example
  * const next = Stamp.maker("n1");
@@ -32,7 +32,7 @@
  */
 export const Stamp = {
   defaults: { deltaMs: Constants.deltaMs, epsilonMs: Constants.epsilonMs, bigDeltaMs: Constants.bigDeltaMs } as Bounds,
-  /** Makes the timestamps of one node; each is greater than the one before. @example Stamp.maker("n1")(1000).seq // 0 */
+  /** Returns a function that assigns the timestamps of one node; each is greater than the previous one. */
   maker(node: string): (now: number) => Stamp {
     let lastTime = 0;
     let lastSeq = 0;
@@ -45,20 +45,20 @@
       return { time: lastTime, node, seq: lastSeq };
     };
   },
-  /** Order by time, node and count. @example Stamp.compare(older, newer) < 0 */
+  /** Compares by time, node and sequence number. @example Stamp.compare(older, newer) < 0 */
   compare(left: Stamp, right: Stamp): number {
     if (left.time !== right.time) return left.time - right.time;
     if (left.node !== right.node) return left.node < right.node ? -1 : 1;
     return left.seq - right.seq;
   },
-  /** Rule 1: refuse τ < now − δ − ε and τ > now + δ. @example Stamp.admits(900, 1000, bounds) */
+  /** Rule 1: timestamps τ < now − δ − ε and τ > now + δ are rejected. */
   admits: (time: number, now: number, bounds: Bounds): boolean =>
     !(time < now - bounds.deltaMs - bounds.epsilonMs) && !(time > now + bounds.deltaMs),
-  /** Rule 2: how far into the past a read must index. @example Stamp.delay(Stamp.defaults) // 350 */
+  /** Rule 2: how far in the past the timestamp of a read must be, ms. @example Stamp.delay(Stamp.defaults) // 350 */
   delay: (bounds: Bounds): number => bounds.bigDeltaMs + 2 * bounds.deltaMs + bounds.epsilonMs,
-  /** As text, which loses nothing. @example Stamp.text({ time: 5, node: "n1", seq: 0 }) // "5~n1~0" */
+  /** Converts a timestamp to text without loss. @example Stamp.text({ time: 5, node: "n1", seq: 0 }) // "5~n1~0" */
   text: (stamp: Stamp): string => [stamp.time, stamp.node, stamp.seq].join(SEPARATOR),
-  /** The timestamp that a text shows; undefined if it shows none. @example Stamp.parse("5~n1~0") */
+  /** Converts text to a timestamp; returns undefined if the text is malformed. @example Stamp.parse("5~n1~0") */
   parse(text: string): Stamp | undefined {
     const [time, node, seq] = text.split(SEPARATOR);
     if (!time || !node || !seq || !Number.isFinite(+time) || !Number.isInteger(+seq)) return undefined;
--- a/test/confirmation.test.ts
+++ b/test/confirmation.test.ts
@@ -5,8 +5,8 @@
 import { SimWorld } from "../src/simulation/simWorld";
 import { Rpc } from "../src/rpc/rpc";
 
-/** A confirmation whose read index and configuration are set by hand. */
-class Bench {
+/** A confirmation whose read index and configuration are set by the test. */
+class ConfirmationFixture {
   readonly world = new SimWorld(1);
   private readonly env = this.world.start("node", new SimDisk(this.world)).env;
   readIndex: ReadIndex | undefined;
@@ -17,53 +17,53 @@
     configuration: () => this.configuration,
     *fetch() {},
   });
-  hold(group: string, index: number): void {
+  setConfiguration(group: string, index: number): void {
     this.configuration = ControlSnapshot.of({ ...ControlState.empty(), group }, index);
   }
   now = (): number => this.env.mono();
 }
 
-test("confirmed is what is at least as new as a read index taken after the start, of the same group", async () => {
-  const bench = new Bench();
-  const { confirmation } = bench;
-  bench.readIndex = { group: "g", index: 5, at: bench.now() };
-  expect(confirmation.isConfirmed()).toBe(false); // taken at the start, not after it
-  await bench.world.run(10);
-  bench.readIndex = { group: "g", index: 9, at: bench.now() };
+test("a configuration is confirmed if it is at least as new as a read index of the same group from after the start", async () => {
+  const fixture = new ConfirmationFixture();
+  const { confirmation } = fixture;
+  fixture.readIndex = { group: "g", index: 5, at: fixture.now() };
+  expect(confirmation.isConfirmed()).toBe(false); // The read index is from the time of the start, not from after it.
+  await fixture.world.run(10);
+  fixture.readIndex = { group: "g", index: 9, at: fixture.now() };
   expect(confirmation.isConfirmed()).toBe(false);
-  bench.hold("g", 8);
+  fixture.setConfiguration("g", 8);
   expect(confirmation.isConfirmed()).toBe(false);
-  bench.hold("other", 9);
+  fixture.setConfiguration("other", 9);
   expect(confirmation.isConfirmed()).toBe(false);
-  bench.hold("g", 9);
+  fixture.setConfiguration("g", 9);
   expect(confirmation.isConfirmed()).toBe(true);
 });
-test("it stays confirmed without the lead's word, until that is required anew", async () => {
-  const bench = new Bench();
-  const { confirmation } = bench;
-  await bench.world.run(10);
-  bench.readIndex = { group: "g", index: 5, at: bench.now() };
+test("a configuration stays confirmed without a read index of the leader until it is invalidated", async () => {
+  const fixture = new ConfirmationFixture();
+  const { confirmation } = fixture;
+  await fixture.world.run(10);
+  fixture.readIndex = { group: "g", index: 5, at: fixture.now() };
   expect(confirmation.isConfirmed()).toBe(true);
-  bench.readIndex = undefined;
-  await bench.world.run(60_000);
+  fixture.readIndex = undefined;
+  await fixture.world.run(60_000);
   expect(confirmation.isConfirmed()).toBe(true);
   confirmation.invalidate();
   expect(confirmation.isConfirmed()).toBe(false);
-  await bench.world.run(10);
-  bench.readIndex = { group: "g", index: 6, at: bench.now() };
+  await fixture.world.run(10);
+  fixture.readIndex = { group: "g", index: 6, at: fixture.now() };
   expect(confirmation.isConfirmed()).toBe(false);
-  bench.hold("g", 6);
+  fixture.setConfiguration("g", 6);
   expect(confirmation.isConfirmed()).toBe(true);
 });
-test("a group recovered by an operator counts, its former self no longer does", async () => {
-  const bench = new Bench();
-  const { confirmation } = bench;
-  await bench.world.run(10);
-  bench.readIndex = { group: "g+1", index: 1_000_005, at: bench.now() };
+test("a read index of a group recovered by an operator counts, one of the group before its recovery no longer does", async () => {
+  const fixture = new ConfirmationFixture();
+  const { confirmation } = fixture;
+  await fixture.world.run(10);
+  fixture.readIndex = { group: "g+1", index: 1_000_005, at: fixture.now() };
   expect(confirmation.isConfirmed()).toBe(false);
-  await bench.world.run(10);
-  bench.readIndex = { group: "g", index: 5, at: bench.now() };
+  await fixture.world.run(10);
+  fixture.readIndex = { group: "g", index: 5, at: fixture.now() };
   expect(confirmation.isConfirmed()).toBe(false);
-  bench.hold("g+1", 1_000_005);
+  fixture.setConfiguration("g+1", 1_000_005);
   expect(confirmation.isConfirmed()).toBe(true);
 });
--- a/test/stamp.test.ts
+++ b/test/stamp.test.ts
@@ -2,7 +2,7 @@
 
 const bounds = { deltaMs: 25, epsilonMs: 50, bigDeltaMs: 250 };
 
-test("rule 1: a stamp at the edges now − δ − ε and now + δ is taken, one past them is not", () => {
+test("rule 1: a timestamp at the bounds now − δ − ε and now + δ is accepted, one beyond them is rejected", () => {
   expect([924.9, 925, 1000, 1025, 1025.1].map((time) => Stamp.admits(time, 1000, bounds))).toEqual([
     false,
     true,
@@ -11,10 +11,10 @@
     false,
   ]);
 });
-test("rule 2: a read indexes Δ + 2δ + ε into the past", () => {
+test("rule 2: a read uses a timestamp Δ + 2δ + ε in the past", () => {
   expect(Stamp.delay(bounds)).toBe(350);
 });
-test("stamps of one node only grow, though its clock stands still or steps back, and their text loses nothing", () => {
+test("timestamps of one node increase even if its clock stops or steps back, and survive conversion to text", () => {
   const next = Stamp.maker("n");
   const stamps = [5.7, 5.9, 4, 6].map(next);
   for (let at = 1; at < stamps.length; at += 1) expect(Stamp.compare(stamps[at - 1], stamps[at])).toBeLessThan(0);
