--- a/src/common/constants.ts
+++ b/src/common/constants.ts
@@ -15,7 +15,7 @@
 
 /**
  * All tunable constants of the system, with unit and reason; each concern has its own table in `constants/`.
- * docs/measurements.md lists the measured values.
+ * docs/measurements.md says what was measured.
  *
  * @example
  * const listingDelay = Constants.bigDeltaMs + 2 * Constants.deltaMs + Constants.epsilonMs;
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -212,7 +212,10 @@
     return sources[Math.floor(this.env.random() * sources.length)]?.address;
   }
 
-  /** Whether digests were exchanged and the configuration was confirmed since the start or the last freeze. */
+  /**
+   * Whether digests were exchanged since the last freeze, if any, and the control leader has confirmed the configuration
+   * since the start or the last freeze.
+   */
   private isConfirmed(): boolean {
     return this.isSynchronized && !this.clockWatch.isLate() && this.confirmation.isConfirmed();
   }
