--- a/src/storage/batchJobs/batchJobReads.ts
+++ b/src/storage/batchJobs/batchJobReads.ts
@@ -19,23 +19,24 @@
 import { isInView, notInViewFault } from "../viewMembership";
 
 /**
- * Temporal reads of batch jobs: any member of a shard's view responds, from its stable prefix. The fault "notFound" is
- * given only where it is certain, by a leader that isn't accepting such a job just now.
+ * Temporal reads of batch jobs. Any member of a shard's view serves them from its stable prefix. For an unknown
+ * job only the leader returns the fault "notFound"; `list` and `itemBody` return it only while no submission of the job
+ * is in progress.
  *
  * @example
  * const page = yield* reads.list(replica, { shard: 3, id: "lot-17", from: 12, waitMs: 1000 });
  */
 export class BatchJobReads {
-  /** @param submissions locks of the jobs that are being submitted, by job id */
+  /** @param submissionLocks held for each job that is being submitted, by job id */
   constructor(
     private readonly env: Environment,
     private readonly node: Node,
-    private readonly submissions: KeyedLock,
+    private readonly submissionLocks: KeyedLock,
   ) {}
 
-  /** Results from a position on, as soon as there is one, all are there or the time is up. */
+  /** Reads results from a position. Responds once there is one, all results are stable, or the wait has ended. */
   *list(replica: ShardReplica, { id, from, waitMs, anyAge }: ListJobRequest): Task<Result<JobResultPage>> {
-    const until = this.env.mono() + Math.min(waitMs, Constants.readWaitMs);
+    const deadline = this.env.mono() + Math.min(waitMs, Constants.readWaitMs);
     for (;;) {
       if (!isInView(this.node, replica)) return notInViewFault(this.node, "list");
       const oldest = this.env.wall() - Stamp.delay(this.node.clockBounds()) - Constants.jobListMaxLagMs;
@@ -44,24 +45,24 @@
       const found = yield* replica.job(id);
       if (!found.ok) return found;
       const job = found.value;
-      const isTimeUp = this.env.mono() >= until;
+      const isTimeUp = this.env.mono() >= deadline;
       if (job) {
         if (job.positions.length > from || areAllStable(job) || isTimeUp) return Fault.ok(pageOf(job, from));
-      } else if (replica.holdsLease() && !this.submissions.isLocked(id))
+      } else if (replica.holdsLease() && !this.submissionLocks.isLocked(id))
         return Fault.fail("notFound", "list", this.node.self.id, `no lot ${id}`);
       else if (isTimeUp || !replica.holdsLease())
         return Fault.fail("notLead", "list", this.node.self.id, "not known here");
-      yield* replica.waitForChange(until - this.env.mono());
+      yield* replica.waitForChange(deadline - this.env.mono());
     }
   }
 
-  /** The request body of an item of a job that hasn't ended. */
+  /** Reads the request body of an item. A job that was ended has no bodies. */
   *itemBody(replica: ShardReplica, { id, item }: ItemBodyRequest): Task<Result<ItemBodyResponse>> {
     if (!isInView(this.node, replica)) return notInViewFault(this.node, "item body");
     const found = yield* replica.job(id);
     if (!found.ok) return found;
     const job = found.value;
-    const isUncertain = !replica.holdsLease() || this.submissions.isLocked(id);
+    const isUncertain = !replica.holdsLease() || this.submissionLocks.isLocked(id);
     if (!job) return Fault.fail(isUncertain ? "notLead" : "notFound", "item body", this.node.self.id, `no lot ${id}`);
     const index = job.requests?.findIndex((request) => request.id === item) ?? -1;
     const body = job.ended ? undefined : job.bodies[index];
@@ -70,33 +71,33 @@
       : Fault.ok({ body });
   }
 
-  /** Results with their positions and stamps, of jobs of either kind. */
+  /** Reads results with their positions and stamps, of jobs with or without claims. */
   *results(replica: ShardReplica, body: JobResultsRequest): Task<Result<JobResultsResponse>> {
     if (!isInView(this.node, replica)) return notInViewFault(this.node, "read");
-    const until = this.env.mono() + Math.min(body.waitMs, Constants.readWaitMs);
+    const deadline = this.env.mono() + Math.min(body.waitMs, Constants.readWaitMs);
     for (;;) {
       const frontier = replica.frontier();
       const found = yield* replica.job(body.id);
       if (!found.ok) return found;
       const job = found.value;
-      const isTimeUp = this.env.mono() >= until;
+      const isTimeUp = this.env.mono() >= deadline;
       if (job) {
         const response = resultsOf(job, body, frontier);
         if (response.results.length > 0 || areAllStable(job) || isTimeUp) return Fault.ok(response);
       } else if (replica.holdsLease())
         return Fault.fail("notFound", "lot results", this.node.self.id, `no lot ${body.id}`);
       else if (isTimeUp) return Fault.fail("notLead", "lot results", this.node.self.id, "not here yet");
-      yield* replica.waitForChange(until - this.env.mono());
+      yield* replica.waitForChange(deadline - this.env.mono());
     }
   }
 }
 
-/** Whether there is a result of every item, each behind the frontier. */
+/** Whether no item is open and all results are in the stable prefix. */
 function areAllStable(job: BatchJob): boolean {
   return job.open === 0 && job.positions.length === job.items.filter((item) => item.stamp).length;
 }
 
-/** As many results as fit into one response, at least one if there is any. */
+/** A page with as many results as fit into one response, and with at least one if there is any. */
 function pageOf(job: BatchJob, from: number): JobResultPage {
   const results: JobResultEntry[] = [];
   let bytes = 0;
--- a/src/storage/claimedWork.ts
+++ b/src/storage/claimedWork.ts
@@ -4,7 +4,7 @@
 import { Csp } from "../runtime/csp";
 import { Environment } from "../runtime/env";
 import { ShardReplica } from "../shard/shardReplica";
-import { AbandonedClaims } from "./abandonedClaims";
+import { AbandonedClaimRecovery } from "./abandonedClaimRecovery";
 import { ClaimedItemExecution } from "./claimedItems/claimedItemExecution";
 import { ClaimedItemJobs } from "./claimedItems/claimedItemJobs";
 import { ClaimedItemScheduler } from "./claimedItems/claimedItemScheduler";
@@ -18,21 +18,17 @@
 import { ShardWriter } from "./shardWriter";
 
 /**
- * The work that a storage node executes under a claim, for the shards that it leads: live requests, and items of batch
- * jobs that may not run twice. A claim is put before anything is forwarded.
- *
- * @example
- * const work = new ClaimedWork(env, node, shardClient, endpointSelector, replicas);
- * work.start();
+ * Composes the components that execute work under a claim, for the shards that a storage node leads: live requests, and
+ * items of batch jobs that must not run twice. The claim is put into the shard before anything is forwarded.
  */
 export class ClaimedWork {
-  /** Ids of the live requests, and `JOB/INDEX` of the items, that are being executed. */
+  /** Names of what this node executes under a claim: ids of live requests, and `JOB/INDEX` of batch items. */
   readonly running = new Set<string>();
   readonly admission: LiveRequestAdmission;
   readonly reader: LiveRequestReader;
   readonly itemJobs: ClaimedItemJobs;
   private readonly itemScheduler: ClaimedItemScheduler;
-  private readonly abandonedClaims: AbandonedClaims;
+  private readonly claimRecovery: AbandonedClaimRecovery;
   private readonly counters = newExecutionCounters();
 
   constructor(
@@ -61,7 +57,7 @@
     const itemExecution = new ClaimedItemExecution(env, node, writer, queue, replicas, running, counters);
     this.itemScheduler = new ClaimedItemScheduler(env, node, endpointSelector, replicas, window, itemExecution);
     this.itemJobs = new ClaimedItemJobs(env, node, this.itemScheduler);
-    this.abandonedClaims = new AbandonedClaims(
+    this.claimRecovery = new AbandonedClaimRecovery(
       env,
       node,
       writer,
@@ -75,19 +71,22 @@
 
   start(): void {
     this.itemScheduler.start();
-    this.abandonedClaims.start();
+    this.claimRecovery.start();
   }
 
-  /** This node leads the shard from now on: its open jobs are scheduled, and its abandoned claims recovered. */
+  /** Schedules the open jobs and recovers the abandoned claims of a shard that this node now leads. */
   leadershipStarted(replica: ShardReplica): void {
     this.itemScheduler.addJobsOf(replica);
-    const { abandonedClaims } = this;
-    Csp.go(this.env.scope, `take up shard ${replica.shard}`, function* () {
-      abandonedClaims.recoverShard(replica);
+    const { claimRecovery } = this;
+    Csp.go(this.env.scope, `recover claims of shard ${replica.shard}`, function* () {
+      claimRecovery.recoverShard(replica);
     });
   }
 
-  /** This node no longer leads the shard. What runs goes on; a new leader finds out whether it does. */
+  /**
+   * Schedules no further item of a shard that this node no longer leads. Running work continues, and the new leader
+   * polls this node for it.
+   */
   leadershipStopped(replica: ShardReplica): void {
     this.itemScheduler.removeJobsOf(replica);
   }
