--- a/test/gossip.test.ts
+++ b/test/gossip.test.ts
@@ -13,7 +13,7 @@
   bornAt: 1,
   ...more,
 });
-const leaseMs = 20_000;
+const LEASE_MS = 20_000;
 async function startMembers(
   members: number,
   seed: number,
@@ -26,7 +26,7 @@
 
 test("a renewal contains only changed fields and is applied by every member that knows its base version", async () => {
   const { membership: simulation, gossip } = await startMembers(12, 1);
-  gossip[0].publish("replica/r1/1", endpoint(0), leaseMs, true);
+  gossip[0].publish("replica/r1/1", endpoint(0), LEASE_MS, true);
   expect(await simulation.until(3000, () => gossip.every((each) => each.find("replica/r1/1")))).toBeDefined();
   await simulation.world.run(1000);
   const idle = await simulation.over(4000);
@@ -34,11 +34,11 @@
   let renewalCount = 0;
   for (const at of Array(16).keys())
     simulation.world.at(at * 250, () =>
-      gossip[at % 3].publish("replica/r1/1", endpoint((renewalCount += 1)), leaseMs, false),
+      gossip[at % 3].publish("replica/r1/1", endpoint((renewalCount += 1)), LEASE_MS, false),
     );
   const renewing = await simulation.over(4000);
   await simulation.world.run(1500);
-  gossip[0].publish("replica/r1/1", endpoint(99), leaseMs, false);
+  gossip[0].publish("replica/r1/1", endpoint(99), LEASE_MS, false);
   await simulation.world.run(2500);
   const known = values(gossip, "replica/r1/1");
   expect(known.filter((value) => JSON.stringify(value) === JSON.stringify(endpoint(99))).length).toBeGreaterThanOrEqual(
@@ -50,13 +50,13 @@
 }, 60_000);
 test("facts published during a partition reach every member soon after it heals, and a removed fact stays removed", async () => {
   const { membership: simulation, gossip } = await startMembers(12, 2);
-  gossip[0].publish("replica/gone/1", endpoint(0, { id: "gone" }), leaseMs, true);
+  gossip[0].publish("replica/gone/1", endpoint(0, { id: "gone" }), LEASE_MS, true);
   await simulation.world.run(2000);
   simulation.world.isolate(["hollow-12"], "both");
-  gossip[11].publish("replica/r1/1", endpoint(1), leaseMs, true);
-  gossip[0].publish("replica/r2/1", endpoint(2, { id: "r2" }), leaseMs, true);
+  gossip[11].publish("replica/r1/1", endpoint(1), LEASE_MS, true);
+  gossip[0].publish("replica/r2/1", endpoint(2, { id: "r2" }), LEASE_MS, true);
   gossip[0].remove("replica/gone/1");
-  gossip[11].publish("replica/gone/1", endpoint(7, { id: "gone" }), leaseMs, true);
+  gossip[11].publish("replica/gone/1", endpoint(7, { id: "gone" }), LEASE_MS, true);
   await simulation.world.run(1000);
   simulation.world.heal();
   const allKnow = (): boolean =>
@@ -67,9 +67,9 @@
 test("of two versions published on both sides of a partition, one wins at every member, and renewals continue from it", async () => {
   const { membership: simulation, gossip } = await startMembers(10, 3);
   simulation.world.isolate(["hollow-9", "hollow-10"], "both");
-  gossip[0].publish("replica/r1/1", endpoint(1), leaseMs, true);
+  gossip[0].publish("replica/r1/1", endpoint(1), LEASE_MS, true);
   await simulation.world.run(700);
-  gossip[9].publish("replica/r1/1", endpoint(2), leaseMs, true);
+  gossip[9].publish("replica/r1/1", endpoint(2), LEASE_MS, true);
   await simulation.world.run(700);
   simulation.world.heal();
   const isSameEverywhere = (): boolean =>
@@ -77,9 +77,9 @@
   expect(await simulation.until(6000, isSameEverywhere)).toBeDefined();
   expect(values(gossip, "replica/r1/1")[0]).toEqual(endpoint(2));
   // Both members that published the fact can renew it now, because the base version is the same everywhere.
-  gossip[0].publish("replica/r1/1", endpoint(3), leaseMs, false);
+  gossip[0].publish("replica/r1/1", endpoint(3), LEASE_MS, false);
   await simulation.world.run(800);
-  gossip[9].publish("replica/r1/1", endpoint(4), leaseMs, false);
+  gossip[9].publish("replica/r1/1", endpoint(4), LEASE_MS, false);
   await simulation.world.run(2000);
   expect(
     values(gossip, "replica/r1/1").filter((value) => JSON.stringify(value) === JSON.stringify(endpoint(4))).length,
