--- a/src/membership/factStore.ts
+++ b/src/membership/factStore.ts
@@ -103,12 +103,12 @@
   /** Time since the known version was published, ms; Infinity for an unknown key. */
   ageMs(key: string): number {
     const known = this.facts.get(key);
-    return known ? this.env.mono() - known.publishedAt : Infinity;
+    return known ? this.env.monotonicMs() - known.publishedAt : Infinity;
   }
 
   /** Facts with an unexpired lease, in the order of their keys. */
   live(prefix: string): GossipFact[] {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     const liveFacts: GossipFact[] = [];
     for (const key of (this.sortedKeys ??= [...this.facts.keys()].sort())) {
       if (!key.startsWith(prefix)) continue;
@@ -122,7 +122,7 @@
   publish(key: string, value: unknown, leaseMs: number, inFull: boolean): void {
     const known = this.facts.get(key);
     const version = this.nextVersion(known);
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     const renewable =
       known && !known.removed && !inFull && known.leaseMs === leaseMs && now - known.publishedAt < leaseMs;
     const patch = renewable ? changedFields(known.baseValue, value) : undefined;
@@ -173,7 +173,7 @@
 
   /** Reports expired leases, and deletes facts and tombstones that are older than the retention of tombstones. */
   expire(): void {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     for (const fact of this.facts.values()) {
       const ageMs = now - fact.publishedAt;
       if (ageMs <= (fact.removed ? Constants.tombstoneRetentionMs : fact.leaseMs)) continue;
@@ -211,7 +211,7 @@
 
   /** Returns the known versions of facts that are overdue for renewal although their lease has not expired. */
   staleVersions(): Record<string, number> {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     const stale: Record<string, number> = {};
     let count = 0;
     for (const { key, version, removed, publishedAt, leaseMs } of this.facts.values()) {
@@ -255,7 +255,7 @@
   }
 
   private nextVersion(known: StoredFact | undefined): number {
-    return Math.max(Math.floor(this.env.wall()), (known?.version ?? 0) + 1);
+    return Math.max(Math.floor(this.env.wallClockMs()), (known?.version ?? 0) + 1);
   }
 
   private apply(update: FactUpdate, ageMs = 0): boolean {
@@ -263,7 +263,7 @@
     if (!FactStore.isApplicable(update, ageMs, known)) return false;
     const patched = Object.keys(update.patch).length > 0;
     const value = patched ? { ...(update.baseValue as object), ...update.patch } : update.baseValue;
-    const publishedAt = this.env.mono() - ageMs;
+    const publishedAt = this.env.monotonicMs() - ageMs;
     const fact: StoredFact = { ...update, value, publishedAt, checksum: checksumOf(update) };
     this.bucketChecksums[bucketOf(fact.key)] ^= (known?.checksum ?? 0) ^ fact.checksum;
     if (!known) this.sortedKeys = undefined;
@@ -313,6 +313,6 @@
   }
 
   private roundedAgeMs(fact: StoredFact): number {
-    return Math.max(0, Math.round(this.env.mono() - fact.publishedAt));
+    return Math.max(0, Math.round(this.env.monotonicMs() - fact.publishedAt));
   }
 }
--- a/test/confirmation.test.ts
+++ b/test/confirmation.test.ts
@@ -20,7 +20,7 @@
   setConfiguration(group: string, index: number): void {
     this.configuration = ControlSnapshot.of({ ...ControlState.empty(), group }, index);
   }
-  now = (): number => this.env.mono();
+  now = (): number => this.env.monotonicMs();
 }
 
 test("a configuration is confirmed if it is at least as new as a read index of the same group from after the start", async () => {
