--- a/src/simulation/simFleet.ts
+++ b/src/simulation/simFleet.ts
@@ -217,20 +217,20 @@
         throw new Error(`shard ${view.shard} has ${view.members.length} replicas in ${[...usedZones].join(", ")}`);
     }
   }
-  private processesAndEndpointsIn = (zone: string): { processes: string[]; replicas: EndpointSettings[] } => ({
+  private processesAndEndpointsIn = (zone: string): { processes: string[]; endpoints: EndpointSettings[] } => ({
     processes: this.plan.processes.filter((each) => each.settings.district === zone).map((each) => each.name),
-    replicas: this.plan.endpoints.filter((each) => each.district === zone),
+    endpoints: this.plan.endpoints.filter((each) => each.district === zone),
   });
   /** Simulates a power loss of all machines in a zone. */
   loseZone(zone: string): void {
     this.recordFault(`district ${zone} lost`, true);
-    const { processes, replicas: endpoints } = this.processesAndEndpointsIn(zone);
+    const { processes, endpoints } = this.processesAndEndpointsIn(zone);
     for (const name of processes) this.kill(name, true);
     for (const { id } of endpoints) this.killEndpoint(id);
   }
   /** Restarts all machines of a zone, with their former disks or with empty ones. */
   restoreZone(zone: string, empty: boolean): void {
-    const { processes, replicas: endpoints } = this.processesAndEndpointsIn(zone);
+    const { processes, endpoints } = this.processesAndEndpointsIn(zone);
     for (const name of processes) this.restart(name, { withEmptyDisk: empty && /^(store|control)/.test(name) });
     for (const endpoint of endpoints) this.startEndpoint(endpoint);
   }
