--- a/src/tools/callers/batchCaller.ts
+++ b/src/tools/callers/batchCaller.ts
@@ -1,6 +1,6 @@
 import { Csp, Task } from "../../runtime/csp";
 import { EnvironmentTools } from "../../runtime/env";
-import { Mix } from "../deployment";
+import { TrafficMix } from "../deployment";
 import { CallerClient, CallerResponse, ProblemBody } from "./callerClient";
 
 const SUBMIT_TIMEOUT_MS = 12_000;
@@ -54,10 +54,10 @@
   constructor(private readonly client: CallerClient) {}
 
   /** One job from its submission to its last result. @example yield* batch.call(mix.lots, 17) */
-  *call(kind: Mix["lots"], n: number): Task<void> {
+  *call(kind: TrafficMix["lots"], n: number): Task<void> {
     const { client } = this;
     const { binding, items, endOneIn } = kind;
-    const id = `${client.salt}-lot-${n}`;
+    const id = `${client.idPrefix}-lot-${n}`;
     const startedAt = client.env.mono();
     if (!(yield* this.submit(id, binding, items, startedAt))) return;
     const acceptedAt = client.env.wall();
--- a/src/tools/callers/callerClient.ts
+++ b/src/tools/callers/callerClient.ts
@@ -35,21 +35,21 @@
  */
 export class CallerClient {
   /** Ingresses that the platform sends nobody to just now. */
-  readonly avoid = new Set<string>();
+  readonly avoidedIngresses = new Set<string>();
   /** Makes the ids and tokens of one run differ from those of another. */
-  readonly salt: string;
+  readonly idPrefix: string;
 
   constructor(
     readonly env: Environment,
     readonly ingresses: string[],
     readonly history: History,
   ) {
-    this.salt = EnvironmentTools.id(env, "c").slice(2, 8);
+    this.idPrefix = EnvironmentTools.id(env, "c").slice(2, 8);
   }
 
   /** One of the ingresses, at random. @example client.pickIngress() */
   pickIngress(): string {
-    const ready = this.ingresses.filter((address) => !this.avoid.has(address));
+    const ready = this.ingresses.filter((address) => !this.avoidedIngresses.has(address));
     return ready[Math.floor(this.env.random() * ready.length)];
   }
   /** Undefined where no response came. @example yield* client.post(address, "/v1/lots", job, 12_000) */
--- a/src/tools/callers/callers.ts
+++ b/src/tools/callers/callers.ts
@@ -1,6 +1,6 @@
 import { Csp, Task } from "../../runtime/csp";
 import { Environment, EnvironmentTools } from "../../runtime/env";
-import { Mix } from "../deployment";
+import { TrafficMix } from "../deployment";
 import { History } from "../history";
 import { AcceptedJob, BatchCaller } from "./batchCaller";
 import { CallerClient } from "./callerClient";
@@ -20,7 +20,7 @@
  */
 export class Callers {
   /** Calls under way. */
-  running = 0;
+  callsInFlight = 0;
   /** Multiple of the mix's rates. */
   load = 1;
   private readonly client: CallerClient;
@@ -30,7 +30,7 @@
 
   constructor(
     readonly env: Environment,
-    private readonly mix: Mix,
+    private readonly mix: TrafficMix,
     ingresses: string[],
     readonly history: History,
   ) {
@@ -39,8 +39,8 @@
   }
 
   /** Ingresses that the platform sends nobody to just now. @example callers.avoid.add("127.0.0.1:7100"); */
-  get avoid(): Set<string> {
-    return this.client.avoid;
+  get avoidedIngresses(): Set<string> {
+    return this.client.avoidedIngresses;
   }
   /** Batch jobs that were accepted, by id. @example callers.acceptedJobs.size */
   get acceptedJobs(): ReadonlyMap<string, AcceptedJob> {
@@ -88,12 +88,12 @@
     const callers = this;
     this.started += 1;
     const n = this.started;
-    this.running += 1;
+    this.callsInFlight += 1;
     Csp.go(this.env.scope, `${name} ${n}`, function* () {
       try {
         yield* call(n);
       } finally {
-        callers.running -= 1;
+        callers.callsInFlight -= 1;
       }
     });
   }
--- a/src/tools/callers/lookupCaller.ts
+++ b/src/tools/callers/lookupCaller.ts
@@ -1,6 +1,6 @@
 import { Task } from "../../runtime/csp";
 import { EnvironmentTools } from "../../runtime/env";
-import { Mix } from "../deployment";
+import { TrafficMix } from "../deployment";
 import { CallerClient, ProblemBody } from "./callerClient";
 
 const LOOKUP_TIMEOUT_MS = 5000;
@@ -15,9 +15,9 @@
 }
 
 /** One idempotent lookup: sent once, and its response checked to be its own. @example yield* callLookup(client, mix.lookups, 17) */
-export function* callLookup(client: CallerClient, lookups: Mix["lookups"], n: number): Task<void> {
+export function* callLookup(client: CallerClient, lookups: TrafficMix["lookups"], n: number): Task<void> {
   const { env, history } = client;
-  const token = `${client.salt}-${n}`;
+  const token = `${client.idPrefix}-${n}`;
   const startedAt = env.mono();
   const ingress = client.pickIngress();
   const path = `/v1/requests/${lookups.binding}`;
@@ -30,10 +30,10 @@
 }
 
 /** One request that must not run twice: sent under one key until there is a definite response. @example yield* callConfirmation(client, mix.singles, 17) */
-export function* callConfirmation(client: CallerClient, singles: Mix["singles"], n: number): Task<void> {
+export function* callConfirmation(client: CallerClient, singles: TrafficMix["singles"], n: number): Task<void> {
   const { env, history } = client;
-  const key = `${client.salt}-key-${n}`;
-  const token = `${client.salt}-${n}`;
+  const key = `${client.idPrefix}-key-${n}`;
+  const token = `${client.idPrefix}-${n}`;
   const startedAt = env.mono();
   const path = `/v1/requests/${singles.binding}`;
   const headers = { "idempotency-key": key };
--- a/src/tools/callers/streamCaller.ts
+++ b/src/tools/callers/streamCaller.ts
@@ -1,7 +1,7 @@
 import { Task } from "../../runtime/csp";
 import { EnvironmentTools, HttpResponse } from "../../runtime/env";
 import { Result } from "../../common/fault";
-import { Mix } from "../deployment";
+import { TrafficMix } from "../deployment";
 import { StandInEndpoint } from "../standInEndpoint";
 import { CallerClient, ProblemBody } from "./callerClient";
 import { readEvents, ServerSentEvent } from "./serverSentEvents";
@@ -15,7 +15,7 @@
 const MOVED_PAUSE_MS = 20; // ms; before a stream that its node handed over is resumed
 
 /** A kind of stream in the mix. */
-type StreamKind = Mix["streams"][number];
+type StreamKind = TrafficMix["streams"][number];
 
 /** One stream of a stand-in caller: read event by event, checked, and resumed at another ingress after a break. */
 class StreamCall {
@@ -36,7 +36,7 @@
     this.startedAt = client.env.mono();
     const prefixNumber = Math.floor(client.env.random() * kind.prefixes);
     const prefix = `system prompt ${prefixNumber} of ${kind.binding} `.padEnd(kind.prefixBytes, "kiln ");
-    this.prompt = `${prefix} question ${client.salt}-${n}`;
+    this.prompt = `${prefix} question ${client.idPrefix}-${n}`;
   }
 
   /** To its end, or until it is given up; either is recorded in the history. */
--- a/src/tools/checker/availabilityInvariants.ts
+++ b/src/tools/checker/availabilityInvariants.ts
@@ -11,9 +11,9 @@
 type ServedKind = keyof typeof QUIET_GAP_MS;
 const servedKinds = Object.keys(QUIET_GAP_MS) as ServedKind[];
 
-export const plannedOperationsAnswer: Invariant = {
+export const plannedOperationsDropNothing: Invariant = {
   name: "planned-moves-answer",
-  sentence: "Work in flight during a planned move is not dropped unanswered",
+  requirement: "Work in flight during a planned move is not dropped unanswered",
   check: (history, _endpoints, { plannedOnly }) => [
     ...history
       .of("stopped")
@@ -73,7 +73,7 @@
 
 export const serviceReturns: Invariant = {
   name: "service-returns",
-  sentence: "After a heavy fault, service returns within about twelve seconds",
+  requirement: "After a heavy fault, service returns within about twelve seconds",
   check: (history) => {
     const endAt = history.of("dayEnd")[0]?.at ?? Math.max(0, ...history.of("served").map(({ at }) => at));
     const heavyFaults = history.of("fault").filter(({ heavy }) => heavy);
--- a/src/tools/checker/batchJobInvariants.ts
+++ b/src/tools/checker/batchJobInvariants.ts
@@ -10,7 +10,7 @@
 
 export const jobDurable: Invariant = {
   name: "lot-kept",
-  sentence: "An accepted lot is kept; its results never vanish",
+  requirement: "An accepted lot is kept; its results never vanish",
   check: (history) => [
     ...history.of("lotLost").map(({ lot: job, detail }) => `lot ${job}: ${detail}`),
     ...history
@@ -22,7 +22,7 @@
 
 export const jobReadable: Invariant = {
   name: "lot-readable",
-  sentence: "Within about a second its results can be read at every node",
+  requirement: "Within about a second its results can be read at every node",
   check: (history, _endpoints, { unreachable }) => {
     const faults = history.of("fault");
     const duringRecovery = (from: number, to: number): boolean =>
@@ -57,9 +57,9 @@
   }
 }
 
-export const onePosition: Invariant = {
+export const fixedPosition: Invariant = {
   name: "one-position",
-  sentence: "Each result holds one position in its lot, and that position never changes",
+  requirement: "Each result holds one position in its lot, and that position never changes",
   check: (history) => {
     const positions = new ResultPositions();
     for (const observation of history.observations) {
@@ -73,9 +73,9 @@
   },
 };
 
-export const cancelledStops: Invariant = {
+export const cancelledJobStops: Invariant = {
   name: "ended-stops",
-  sentence: "Once a lot is ended, none of its items starts after about three seconds",
+  requirement: "Once a lot is ended, none of its items starts after about three seconds",
   check: (history, endpoints) => {
     const cancelledAt = new Map(history.of("lotEnded").map(({ lot: job, at }) => [job, at]));
     const found: string[] = [];
--- a/src/tools/checker/checker.ts
+++ b/src/tools/checker/checker.ts
@@ -1,16 +1,16 @@
 import { History } from "../history";
-import { plannedOperationsAnswer, serviceReturns } from "./availabilityInvariants";
-import { cancelledStops, jobDurable, jobReadable, onePosition } from "./batchJobInvariants";
+import { plannedOperationsDropNothing, serviceReturns } from "./availabilityInvariants";
+import { cancelledJobStops, jobDurable, jobReadable, fixedPosition } from "./batchJobInvariants";
 import {
-  configurationAtDayEnd,
+  configurationKeptAtRunEnd,
   configurationInForce,
-  configurationNeverBack,
-  refusedNeverInForce,
+  configurationNeverRolledBack,
+  rejectedNeverInForce,
 } from "./configurationInvariants";
 import { deregisteredRespected, drainRespected, slowStartRespected } from "./endpointInvariants";
 import { CheckOptions, Invariant, ObservedEndpoint, Violation } from "./invariant";
 import { acknowledgedOnEveryMember, oneLedgerOrder } from "./replicationInvariants";
-import { busyNeverRan, neverTwice, noFalseSuccess, rightCaller, streamExact } from "./responseInvariants";
+import { busyMeansNotRun, neverRunsTwice, noFalseSuccess, rightCaller, streamExact } from "./responseInvariants";
 
 export type { CheckOptions, ObservedEndpoint, Violation } from "./invariant";
 
@@ -18,22 +18,22 @@
 const invariants: readonly Invariant[] = [
   rightCaller,
   noFalseSuccess,
-  neverTwice,
-  busyNeverRan,
+  neverRunsTwice,
+  busyMeansNotRun,
   streamExact,
   jobDurable,
   acknowledgedOnEveryMember,
   jobReadable,
-  onePosition,
-  cancelledStops,
+  fixedPosition,
+  cancelledJobStops,
   deregisteredRespected,
   drainRespected,
   configurationInForce,
-  configurationNeverBack,
-  configurationAtDayEnd,
-  refusedNeverInForce,
+  configurationNeverRolledBack,
+  configurationKeptAtRunEnd,
+  rejectedNeverInForce,
   slowStartRespected,
-  plannedOperationsAnswer,
+  plannedOperationsDropNothing,
   serviceReturns,
   oneLedgerOrder,
 ];
@@ -53,7 +53,7 @@
     );
   },
   /** How many observations of each kind, and how many runs, there were to judge. @example Checker.judged(history, endpoints) */
-  judged(history: History, endpoints: ObservedEndpoint[]): Record<string, number> {
+  observationCounts(history: History, endpoints: ObservedEndpoint[]): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const { tag } of history.observations) counts[tag] = (counts[tag] ?? 0) + 1;
     counts.runs = endpoints.reduce((sum, { runs }) => sum + runs.length, 0);
--- a/src/tools/checker/configurationInvariants.ts
+++ b/src/tools/checker/configurationInvariants.ts
@@ -6,7 +6,7 @@
 
 export const configurationInForce: Invariant = {
   name: "config-in-force",
-  sentence: "An acknowledged configuration is in force within about two seconds",
+  requirement: "An acknowledged configuration is in force within about two seconds",
   check: (history, _endpoints, { unreachable }) => {
     const found: string[] = [];
     for (const change of history.of("change").filter(({ outcome }) => outcome === "acknowledged"))
@@ -21,9 +21,9 @@
   },
 };
 
-export const configurationNeverBack: Invariant = {
+export const configurationNeverRolledBack: Invariant = {
   name: "config-never-back",
-  sentence: "never slides back",
+  requirement: "never slides back",
   check: (history) => {
     const latest = new Map<string, number>();
     const found: string[] = [];
@@ -36,9 +36,9 @@
   },
 };
 
-export const configurationAtDayEnd: Invariant = {
+export const configurationKeptAtRunEnd: Invariant = {
   name: "config-at-day-end",
-  sentence: "is what we read at day's end",
+  requirement: "is what we read at day's end",
   check: (history) => {
     const acknowledged = history.of("change").filter(({ outcome }) => outcome === "acknowledged");
     const lastVersion = Math.max(-Infinity, ...acknowledged.map(({ version }) => version));
@@ -54,9 +54,9 @@
   },
 };
 
-export const refusedNeverInForce: Invariant = {
+export const rejectedNeverInForce: Invariant = {
   name: "loser-never-in-force",
-  sentence: "A refused or losing change is never in force",
+  requirement: "A refused or losing change is never in force",
   check: (history) => {
     const changes = history.of("change").filter(({ outcome }) => outcome === "refused");
     const refused = new Set(changes.map(({ mark }) => mark));
--- a/src/tools/checker/endpointInvariants.ts
+++ b/src/tools/checker/endpointInvariants.ts
@@ -8,7 +8,7 @@
 
 export const deregisteredRespected: Invariant = {
   name: "goodbye-respected",
-  sentence: "A replica that has said goodbye gets no new work after about two seconds",
+  requirement: "A replica that has said goodbye gets no new work after about two seconds",
   check: (history, endpoints) => {
     const deregisteredAt = new Map(history.of("goodbye").map(({ replica, at }) => [replica, at]));
     const startedAt = new Map(history.of("replicaStarted").map(({ replica, at }) => [replica, at]));
@@ -26,7 +26,7 @@
 
 export const drainRespected: Invariant = {
   name: "drain-respected",
-  sentence: "A drained zone gets none after about five",
+  requirement: "A drained zone gets none after about five",
   check: (history, endpoints) => {
     const runs = runsOf(endpoints);
     return history.of("drained").flatMap((drain) => {
@@ -45,7 +45,7 @@
 
 export const slowStartRespected: Invariant = {
   name: "not-flooded",
-  sentence: "A replica that has just started is not flooded",
+  requirement: "A replica that has just started is not flooded",
   check: (history, endpoints, { settledAt = 0 }) => {
     const runs = runsOf(endpoints);
     const found: string[] = [];
--- a/src/tools/checker/invariant.ts
+++ b/src/tools/checker/invariant.ts
@@ -39,7 +39,7 @@
 export interface Invariant {
   name: string;
   /** The sentence of the requirements, in its own words. */
-  sentence: string;
+  requirement: string;
   /** What violates it; empty where it holds. */
   check: (history: History, endpoints: ObservedEndpoint[], options: CheckOptions) => string[];
 }
--- a/src/tools/checker/replicationInvariants.ts
+++ b/src/tools/checker/replicationInvariants.ts
@@ -9,7 +9,7 @@
 
 export const acknowledgedOnEveryMember: Invariant = {
   name: "acknowledged-on-every-member",
-  sentence: "An acknowledged put is on the synced disk of every member of the committed view",
+  requirement: "An acknowledged put is on the synced disk of every member of the committed view",
   check: (history) =>
     history
       .of("onDisk")
@@ -46,7 +46,7 @@
 
 export const oneLedgerOrder: Invariant = {
   name: "one-ledger-order",
-  sentence: "the ledger reads back in one agreed order from any node",
+  requirement: "the ledger reads back in one agreed order from any node",
   check: (history) => {
     const readings = history.of("ledger");
     const disagreements = readings.flatMap((left) =>
--- a/src/tools/checker/responseInvariants.ts
+++ b/src/tools/checker/responseInvariants.ts
@@ -6,7 +6,7 @@
 
 export const rightCaller: Invariant = {
   name: "right-caller",
-  sentence: "no answer reaches the wrong caller",
+  requirement: "no answer reaches the wrong caller",
   check: (history) => [
     ...history
       .of("lookup")
@@ -25,7 +25,7 @@
 
 export const noFalseSuccess: Invariant = {
   name: "no-false-success",
-  sentence: "No success is shown for work that was not run",
+  requirement: "No success is shown for work that was not run",
   check: (history, endpoints) => {
     if (endpoints.length === 0) return [];
     const executed = new Set(runsOf(endpoints).map(({ id }) => id));
@@ -42,9 +42,9 @@
   },
 };
 
-export const neverTwice: Invariant = {
+export const neverRunsTwice: Invariant = {
   name: "never-twice",
-  sentence: "A request that is not safe to repeat never runs twice",
+  requirement: "A request that is not safe to repeat never runs twice",
   check: (_history, endpoints) => {
     const runsById = new Map<string, string[]>();
     for (const { id, replica, attempt, at } of runsOf(endpoints)) {
@@ -59,9 +59,9 @@
   },
 };
 
-export const busyNeverRan: Invariant = {
+export const busyMeansNotRun: Invariant = {
   name: "busy-never-ran",
-  sentence: '"Busy, try later" always means the work never ran and never will',
+  requirement: '"Busy, try later" always means the work never ran and never will',
   check: (history, endpoints) => {
     const executed = new Set(runsOf(endpoints).map(({ id }) => id));
     return [
@@ -79,7 +79,7 @@
 
 export const streamExact: Invariant = {
   name: "stream-exact",
-  sentence: "A stream never skips or repeats a piece. A resumed stream continues exactly",
+  requirement: "A stream never skips or repeats a piece. A resumed stream continues exactly",
   check: (history) => [
     ...history
       .of("streamPiece")
--- a/src/tools/eventStandIn.ts
+++ b/src/tools/standInEventEndpoint.ts
@@ -31,11 +31,11 @@
  * const replica = new EventStandIn(env, "127.0.0.1:9000", "i1", { events: 5, eventMs: 20, slots: 8 });
  * yield* replica.start();
  */
-export class EventStandIn {
+export class StandInEventEndpoint {
   readonly runs: EndpointRun[] = [];
   behavior: (id: string, attempt: number) => RequestBehavior = () => ({ tag: "complete" });
   active = 0;
-  mostActive = 0;
+  peakActive = 0;
   private attempts = new Map<string, number>();
   constructor(
     private readonly env: Environment,
@@ -81,7 +81,7 @@
     };
     this.runs.push(run);
     this.active += 1;
-    this.mostActive = Math.max(this.mostActive, this.active);
+    this.peakActive = Math.max(this.peakActive, this.active);
     try {
       if (behavior.tag === "silent") return void (yield* Csp.take(incoming.gone));
       if (behavior.tag === "status") return incoming.send(behavior.status, responseHeaders, "sorry");
