--- a/src/tools/callers/batchCaller.ts
+++ b/src/tools/callers/batchCaller.ts
@@ -6,57 +6,57 @@
 const SUBMIT_TIMEOUT_MS = 12_000;
 const SUBMIT_ATTEMPTS = 30;
 const SUBMIT_RETRY_MS = 1000;
-const END_DELAY_MS = 120; // ms; after its acceptance, a job that is to be ended is ended
+/** Time from the acceptance of a job to the request that ends it, ms. */
+const END_DELAY_MS = 120;
 const END_ATTEMPTS = 20;
 const END_TIMEOUT_MS = 5000;
 const END_RETRY_MS = 300;
-const FOLLOW_MS = 90_000; // ms; a job's results are waited for
+/** How long a caller waits for all results of a job before it records the job as lost, ms. */
+const RESULTS_TIMEOUT_MS = 90_000;
 const LONG_POLL_MS = 800;
 const LIST_TIMEOUT_MS = 6000;
 const LIST_RETRY_MS = 300;
 const EMPTY_PAGE_PAUSE_MS = 150;
-const COMPARE_SHARE = 0.25; // share of jobs whose first result is looked for at all other nodes
-const COMPARE_ATTEMPTS = 40;
-const COMPARE_TIMEOUT_MS = 4000;
-const COMPARE_RETRY_MS = 100;
+/** Share of jobs whose first result is also polled for at all other nodes. */
+const VISIBILITY_SAMPLE_SHARE = 0.25;
+const VISIBILITY_ATTEMPTS = 40;
+const VISIBILITY_TIMEOUT_MS = 4000;
+const VISIBILITY_RETRY_MS = 100;
 const REREAD_ATTEMPTS = 15;
 const REREAD_RETRY_MS = 400;
 
-/** A result in its fixed position, as listed. */
+/** A result and its fixed position among the results of its job, as the API lists it. */
 interface ListedResult {
   position: number;
   item: number;
   state: string;
   result: string;
 }
-/** One page of a job's results. */
+/** A response that lists results of a job. */
 interface ResultsPage extends ProblemBody {
   results: ListedResult[];
   finished: boolean;
   ended: boolean;
 }
-/** A batch job that was accepted. */
+/** An accepted batch job. */
 export interface AcceptedJob {
   items: number;
   binding: string;
 }
 
 /**
- * Stand-in callers of batch jobs: they submit, end some, follow the results at changing nodes, and read all again at the
- * end of the day.
- *
- * @example
- * yield* batch.call(mix.lots, 17);
+ * Simulates callers of batch jobs: submits jobs, ends some of them early, reads the results at random ingresses, and
+ * rereads all jobs at the end of the run. Records what it observes in the history.
  */
 export class BatchCaller {
-  /** Every job that was accepted, by id. */
+  /** All accepted jobs, by id. */
   readonly accepted = new Map<string, AcceptedJob>();
   constructor(private readonly client: CallerClient) {}
 
-  /** One job from its submission to its last result. @example yield* batch.call(mix.lots, 17) */
-  *call(kind: TrafficMix["lots"], n: number): Task<void> {
+  /** Submits the job of the n-th call, ends every `endOneIn`-th, and reads its results to the last one. */
+  *call(jobMix: TrafficMix["lots"], n: number): Task<void> {
     const { client } = this;
-    const { binding, items, endOneIn } = kind;
+    const { binding, items, endOneIn } = jobMix;
     const id = `${client.idPrefix}-lot-${n}`;
     const startedAt = client.env.mono();
     if (!(yield* this.submit(id, binding, items, startedAt))) return;
@@ -66,13 +66,13 @@
     client.history.add({ tag: "served", at: acceptedAt, kind: "lot" });
     this.accepted.set(id, { items, binding });
     if (n % endOneIn === 0) yield* this.end(id);
-    yield* this.follow(id, items, acceptedAt);
+    yield* this.readResults(id, items, acceptedAt);
   }
-  /** Reads every accepted job again at one node: complete, and in the same order. @example yield* batch.reread("127.0.0.1:7100"); */
+  /** Rereads every accepted job at one ingress and records the order of its results and whether all were there. */
   *reread(ingress: string): Task<void> {
     const { env, history } = this.client;
     for (const id of this.accepted.keys()) {
-      const page = yield* this.readWhole(ingress, id);
+      const page = yield* this.readFinishedJob(ingress, id);
       history.add({
         tag: "lotReread",
         lot: id,
@@ -84,6 +84,7 @@
     }
   }
 
+  /** Submits a job until it is accepted; returns false if it is rejected, or not accepted within all attempts. */
   private *submit(id: string, binding: string, count: number, startedAt: number): Task<boolean> {
     const { client } = this;
     const items = Array.from({ length: count }, (_item, index) => ({ q: `${id}/${index}` }));
@@ -97,6 +98,7 @@
     }
     return false;
   }
+  /** Ends a job before all of its items have run. */
   private *end(id: string): Task<void> {
     const { client } = this;
     yield* EnvironmentTools.sleep(client.env, END_DELAY_MS);
@@ -109,15 +111,15 @@
       yield* EnvironmentTools.sleep(client.env, END_RETRY_MS);
     }
   }
-  /** Reads the results at changing nodes until all are there. */
-  private *follow(id: string, items: number, acceptedAt: number): Task<void> {
+  /** Reads results, each page at a random ingress, until the job is finished. */
+  private *readResults(id: string, items: number, acceptedAt: number): Task<void> {
     const { client } = this;
     const { env, history } = client;
-    const until = env.mono() + FOLLOW_MS;
-    let read = 0;
-    while (env.mono() < until) {
+    const deadline = env.mono() + RESULTS_TIMEOUT_MS;
+    let resultsRead = 0;
+    while (env.mono() < deadline) {
       const ingress = client.pickIngress();
-      const path = `/v1/lots/${id}/results?after=${read}&waitMs=${LONG_POLL_MS}`;
+      const path = `/v1/lots/${id}/results?after=${resultsRead}&waitMs=${LONG_POLL_MS}`;
       const response = yield* client.get<ResultsPage>(ingress, path, LIST_TIMEOUT_MS);
       if (response?.status === 404) {
         history.add({ tag: "lotLost", lot: id, at: env.wall(), detail: String(response.body?.detail) });
@@ -128,17 +130,18 @@
         continue;
       }
       const { results, finished, ended } = response.body;
-      if (read === 0 && results.length > 0 && env.random() < COMPARE_SHARE) this.compareNodes(id, ingress);
+      if (resultsRead === 0 && results.length > 0 && env.random() < VISIBILITY_SAMPLE_SHARE)
+        this.measureVisibility(id, ingress);
       for (const result of results) this.recordResult(id, ingress, result);
-      read += results.length;
+      resultsRead += results.length;
       if (finished) {
         const at = env.wall();
-        history.add({ tag: "lotFinished", lot: id, at, tookMs: at - acceptedAt, ended, results: read });
+        history.add({ tag: "lotFinished", lot: id, at, tookMs: at - acceptedAt, ended, results: resultsRead });
         return;
       }
       if (results.length === 0) yield* EnvironmentTools.sleep(env, EMPTY_PAGE_PAUSE_MS);
     }
-    const detail = `${read} of ${items} results after 90 s`;
+    const detail = `${resultsRead} of ${items} results after 90 s`;
     history.add({ tag: "lotLost", lot: id, at: env.wall(), detail });
   }
   private recordResult(id: string, ingress: string, { position, item, state, result }: ListedResult): void {
@@ -147,26 +150,26 @@
     const mine = state !== "done" || echoed === `${id}/${item}`;
     history.add({ tag: "lotResult", lot: id, position, item, state, at: env.wall(), ingress, mine });
   }
-  /** Measures how long after the first sight of a result at one node the others list it too. */
-  private compareNodes(id: string, seenAt: string): void {
+  /** Measures how long after the ingress `firstIngress` listed a result of a job each other ingress lists one, too. */
+  private measureVisibility(id: string, firstIngress: string): void {
     const { env, ingresses } = this.client;
     const firstAt = env.wall();
-    for (const ingress of ingresses.filter((address) => address !== seenAt))
-      Csp.go(env.scope, `read ${id} at ${ingress}`, () => this.untilReadable(id, ingress, firstAt));
+    for (const ingress of ingresses.filter((address) => address !== firstIngress))
+      Csp.go(env.scope, `read ${id} at ${ingress}`, () => this.pollUntilReadable(id, ingress, firstAt));
   }
-  private *untilReadable(id: string, ingress: string, firstAt: number): Task<void> {
+  private *pollUntilReadable(id: string, ingress: string, firstAt: number): Task<void> {
     const { env, history } = this.client;
     const path = `/v1/lots/${id}/results?after=0&limit=1`;
-    for (let attempt = 0; attempt < COMPARE_ATTEMPTS; attempt += 1) {
-      const response = yield* this.client.get<ResultsPage>(ingress, path, COMPARE_TIMEOUT_MS);
+    for (let attempt = 0; attempt < VISIBILITY_ATTEMPTS; attempt += 1) {
+      const response = yield* this.client.get<ResultsPage>(ingress, path, VISIBILITY_TIMEOUT_MS);
       if (response?.status === 200 && (response.body?.results.length ?? 0) > 0) break;
-      yield* EnvironmentTools.sleep(env, COMPARE_RETRY_MS);
+      yield* EnvironmentTools.sleep(env, VISIBILITY_RETRY_MS);
     }
     const at = env.wall();
     history.add({ tag: "lotReadable", lot: id, ingress, at, afterMs: at - firstAt });
   }
-  /** All results of a job, once it is finished; undefined or another status where it is not. */
-  private *readWhole(ingress: string, id: string): Task<CallerResponse<ResultsPage> | undefined> {
+  /** Returns a response with all results of a finished job; undefined or a response of another status if there is none. */
+  private *readFinishedJob(ingress: string, id: string): Task<CallerResponse<ResultsPage> | undefined> {
     const path = `/v1/lots/${id}/results?limit=2000`;
     let response: CallerResponse<ResultsPage> | undefined;
     for (let attempt = 0; attempt < REREAD_ATTEMPTS && response?.status !== 200; attempt += 1) {
--- a/src/tools/callers/callerClient.ts
+++ b/src/tools/callers/callerClient.ts
@@ -5,13 +5,13 @@
 
 const RESPONSE_LIMIT_BYTES = 8_000_000;
 
-/** A response as a caller sees it; `body` is undefined where it is no JSON. */
+/** A response as a caller sees it; `body` is undefined if it is not JSON. */
 export interface CallerResponse<Body> {
   status: number;
   headers: Record<string, string>;
   body: Body | undefined;
 }
-/** Fields of an error response that callers look at. */
+/** The fields of an error response that callers evaluate. */
 export interface ProblemBody {
   code?: string;
   detail?: string;
@@ -28,15 +28,15 @@
 }
 
 /**
- * What all stand-in callers share: the ingresses, requests to them, and the history that they write.
+ * The HTTP client that all simulated callers share, with the ingresses that they call and the history that they write.
  *
  * @example
  * const response = yield* client.post<LookupBody>(client.pickIngress(), "/v1/requests/status", { q: "1" }, 5000);
  */
 export class CallerClient {
-  /** Ingresses that the platform sends nobody to just now. */
+  /** Ingresses that get no calls at present, as when a load balancer has taken them out. */
   readonly avoidedIngresses = new Set<string>();
-  /** Makes the ids and tokens of one run differ from those of another. */
+  /** A random prefix of ids and tokens, which makes those of one run differ from those of another. */
   readonly idPrefix: string;
 
   constructor(
@@ -47,12 +47,12 @@
     this.idPrefix = EnvironmentTools.id(env, "c").slice(2, 8);
   }
 
-  /** One of the ingresses, at random. @example client.pickIngress() */
+  /** Returns a random ingress that is not avoided. */
   pickIngress(): string {
-    const ready = this.ingresses.filter((address) => !this.avoidedIngresses.has(address));
-    return ready[Math.floor(this.env.random() * ready.length)];
+    const candidates = this.ingresses.filter((address) => !this.avoidedIngresses.has(address));
+    return candidates[Math.floor(this.env.random() * candidates.length)];
   }
-  /** Undefined where no response came. @example yield* client.post(address, "/v1/lots", job, 12_000) */
+  /** Sends a POST request with a JSON body; returns undefined if there was no complete response. */
   *post<Body>(
     address: string,
     path: string,
@@ -63,19 +63,23 @@
     const request = { method: "POST", path, body: JSON.stringify(body), headers, timeoutMs };
     return yield* this.readResponse<Body>(yield* this.env.http(address, request), timeoutMs);
   }
-  /** Undefined where no response came. @example yield* client.get(address, "/v1/lots/lot-1/results", 6000) */
+  /** Sends a GET request; returns undefined if there was no complete response. */
   *get<Body>(address: string, path: string, timeoutMs: number): Task<CallerResponse<Body> | undefined> {
     const request = { method: "GET", path, timeoutMs };
     return yield* this.readResponse<Body>(yield* this.env.http(address, request), timeoutMs);
   }
-  /** Reads a response to its end; undefined where it broke off. @example yield* client.readResponse(response, 2000) */
+  /** Reads a response to its end; returns undefined if there is none or if it ends early. */
   *readResponse<Body>(response: Result<HttpResponse>, timeoutMs: number): Task<CallerResponse<Body> | undefined> {
     if (!response.ok) return undefined;
     const { status, headers } = response.value;
     const text = yield* EnvironmentTools.bodyOf(this.env, response.value, RESPONSE_LIMIT_BYTES, timeoutMs);
     return text === undefined ? undefined : { status, headers, body: parseJson<Body>(text) };
   }
-  /** Records a response that is no success: rejected as busy, or failed. @example client.recordFailure("lookup", startedAt, response); */
+  /**
+   * Records a call that did not succeed, as "busy" for status 503 and otherwise as "failed".
+   *
+   * @param startedAt monotonic time at which the call started, in ms
+   */
   recordFailure(kind: string, startedAt: number, response: CallerResponse<ProblemBody> | undefined): void {
     const problem = response?.body;
     const common = {
--- a/src/tools/callers/callers.ts
+++ b/src/tools/callers/callers.ts
@@ -7,11 +7,12 @@
 import { callConfirmation, callLookup } from "./lookupCaller";
 import { callStream } from "./streamCaller";
 
-const IDLE_MS = 3_600_000; // ms; a pace task that is over sleeps, since a supervised task that ends is started again
+/** How long a finished call generator sleeps at a time, ms: if it returned, its supervisor would start it again. */
+const IDLE_MS = 3_600_000;
 
 /**
- * Stand-in callers: they send the mix of a deployment, check every response, resume streams elsewhere, follow batch jobs to
- * their end, and write down what they saw.
+ * Simulates the callers of a deployment: sends its traffic mix, checks every response, resumes interrupted streams at
+ * other ingresses, reads batch jobs to their end, and records all observations in the history.
  *
  * @example
  * const callers = new Callers(env, mix, ingressHttp, history);
@@ -19,14 +20,14 @@
  * callers.stopNew();
  */
 export class Callers {
-  /** Calls under way. */
+  /** Number of calls in flight. */
   callsInFlight = 0;
-  /** Multiple of the mix's rates. */
+  /** Factor by which the rates of the traffic mix are multiplied. */
   load = 1;
   private readonly client: CallerClient;
   private readonly batch: BatchCaller;
-  private open = true;
-  private started = 0;
+  private startsNewCalls = true;
+  private startedCalls = 0;
 
   constructor(
     readonly env: Environment,
@@ -38,47 +39,47 @@
     this.batch = new BatchCaller(this.client);
   }
 
-  /** Ingresses that the platform sends nobody to just now. @example callers.avoid.add("127.0.0.1:7100"); */
+  /** Addresses of the ingresses that get no calls at present. */
   get avoidedIngresses(): Set<string> {
     return this.client.avoidedIngresses;
   }
-  /** Batch jobs that were accepted, by id. @example callers.acceptedJobs.size */
+  /** All accepted batch jobs, by id. */
   get acceptedJobs(): ReadonlyMap<string, AcceptedJob> {
     return this.batch.accepted;
   }
-  /** Starts the mix at a multiple of its rate. @example callers.start(2); */
+  /** Starts sending the traffic mix at `load` times its rates. */
   start(load: number): void {
     this.load = load;
     const { client, batch } = this;
     const { lookups, streams, singles, lots: jobs } = this.mix;
     const periodOf = (perSecond: number) => (): number => 1000 / (perSecond * this.load);
-    this.pace("lookup", periodOf(lookups.perSecond), (n) => callLookup(client, lookups, n));
+    this.startPeriodically("lookup", periodOf(lookups.perSecond), (n) => callLookup(client, lookups, n));
     for (const stream of streams)
-      this.pace(stream.binding, periodOf(stream.perSecond), (n) => callStream(client, stream, n));
-    this.pace("single", periodOf(singles.perSecond), (n) => callConfirmation(client, singles, n));
-    this.pace(
+      this.startPeriodically(stream.binding, periodOf(stream.perSecond), (n) => callStream(client, stream, n));
+    this.startPeriodically("single", periodOf(singles.perSecond), (n) => callConfirmation(client, singles, n));
+    this.startPeriodically(
       "lot",
       () => jobs.everyMs / this.load,
       (n) => batch.call(jobs, n),
     );
   }
-  /** Starts no new calls; those under way go on. @example callers.stopNew(); */
+  /** Stops starting new calls; calls in flight continue. */
   stopNew(): void {
-    this.open = false;
+    this.startsNewCalls = false;
   }
-  /** Reads every accepted job again at one node. @example yield* callers.reread("127.0.0.1:7100"); */
+  /** Rereads every accepted batch job at one ingress and records what it lists. */
   *reread(ingress: string): Task<void> {
     yield* this.batch.reread(ingress);
   }
 
-  /** Starts a call about every `periodMs`, with half of it as jitter each way. */
-  private pace(name: string, periodMs: () => number, call: (n: number) => Task<void>): void {
+  /** Starts a call every `periodMs` with a uniform jitter of ±50 %. */
+  private startPeriodically(name: string, periodMs: () => number, call: (n: number) => Task<void>): void {
     const callers = this;
     const { env } = this;
     EnvironmentTools.keep(env, env.scope, `pace ${name}`, function* () {
-      while (callers.open) {
+      while (callers.startsNewCalls) {
         yield* EnvironmentTools.sleep(env, periodMs() * (0.5 + env.random()));
-        if (!callers.open) break;
+        if (!callers.startsNewCalls) break;
         callers.launch(name, call);
       }
       for (;;) yield* EnvironmentTools.sleep(env, IDLE_MS);
@@ -86,8 +87,8 @@
   }
   private launch(name: string, call: (n: number) => Task<void>): void {
     const callers = this;
-    this.started += 1;
-    const n = this.started;
+    this.startedCalls += 1;
+    const n = this.startedCalls;
     this.callsInFlight += 1;
     Csp.go(this.env.scope, `${name} ${n}`, function* () {
       try {
--- a/src/tools/callers/lookupCaller.ts
+++ b/src/tools/callers/lookupCaller.ts
@@ -8,13 +8,13 @@
 const CONFIRMATION_ATTEMPTS = 8;
 const CONFIRMATION_RETRY_MS = 1000;
 
-/** What a stand-in endpoint responds: the request's token, and an id of the run. */
+/** The response of a stand-in endpoint: the request body, and the id under which the endpoint ran the request. */
 interface EchoBody extends ProblemBody {
   echo?: { q?: string };
   id?: string;
 }
 
-/** One idempotent lookup: sent once, and its response checked to be its own. @example yield* callLookup(client, mix.lookups, 17) */
+/** Sends the idempotent lookup of the n-th call once and checks that the response belongs to it. */
 export function* callLookup(client: CallerClient, lookups: TrafficMix["lookups"], n: number): Task<void> {
   const { env, history } = client;
   const token = `${client.idPrefix}-${n}`;
@@ -29,7 +29,7 @@
   history.add({ tag: "served", at, kind: "lookup" });
 }
 
-/** One request that must not run twice: sent under one key until there is a definite response. @example yield* callConfirmation(client, mix.singles, 17) */
+/** Sends the request of the n-th call, which has side effects, under one idempotency key until its outcome is definite. */
 export function* callConfirmation(client: CallerClient, singles: TrafficMix["singles"], n: number): Task<void> {
   const { env, history } = client;
   const key = `${client.idPrefix}-key-${n}`;
@@ -56,7 +56,7 @@
     const outcomeUnknown = response?.body?.code === "unknown" && response.body.step === "run";
     if (response && response.status !== 503 && outcomeUnknown)
       return client.recordFailure("single", startedAt, response);
-    // busy or no response: the same key may be sent again
+    // After "busy" or no response, the request can be retried under the same key.
     yield* EnvironmentTools.sleep(env, CONFIRMATION_RETRY_MS);
   }
   history.add({
--- a/src/tools/callers/serverSentEvents.ts
+++ b/src/tools/callers/serverSentEvents.ts
@@ -3,13 +3,13 @@
 
 const EVENT_END = "\n\n";
 
-/** One event of a stream: its name, its number and its JSON data (HTML standard, server-sent events). */
+/** One server-sent event (HTML standard) with a numeric id and JSON data. */
 export interface ServerSentEvent {
   event: string;
   id: number;
   data: unknown;
 }
-/** How the reading of a stream came to its end: by its reader, by the connection, or by the time. */
+/** Why reading a stream stopped: the reader ended it, the connection closed, or the time-out expired. */
 export type StreamEnd = "ended" | "broken" | "slow";
 
 function parseEvent(text: string): ServerSentEvent {
@@ -25,9 +25,9 @@
 }
 
 /**
- * Reads the events of a response until the reader returns false, the connection ends, or the time is over.
+ * Passes the events of a response to `read` until that returns false, the connection closes, or the time-out expires.
  *
- * @param timeoutMs time for the whole of it, in milliseconds
+ * @param timeoutMs time-out for all events together, in ms
  * @example
  * const end = yield* readEvents(env, response, 30_000, (event) => event.event !== "end");
  */
@@ -38,9 +38,9 @@
   read: (event: ServerSentEvent) => boolean,
 ): Task<StreamEnd> {
   let buffered = "";
-  const until = env.mono() + timeoutMs;
+  const deadline = env.mono() + timeoutMs;
   for (;;) {
-    const chunk = yield* EnvironmentTools.takeWithin(env, response.chunks, until - env.mono());
+    const chunk = yield* EnvironmentTools.takeWithin(env, response.chunks, deadline - env.mono());
     if (chunk === undefined) {
       response.abort();
       return "slow";
--- a/src/tools/callers/streamCaller.ts
+++ b/src/tools/callers/streamCaller.ts
@@ -6,18 +6,24 @@
 import { CallerClient, ProblemBody } from "./callerClient";
 import { readEvents, ServerSentEvent } from "./serverSentEvents";
 
-const STREAM_TIMEOUT_MS = 45_000; // ms; for a stream with all its resumptions
-const REQUEST_TIMEOUT_MS = 20_000; // ms; until a response begins
-const EVENTS_TIMEOUT_MS = 30_000; // ms; for the events of one response
+/** Time-out for a stream including all of its resumptions, ms. */
+const STREAM_TIMEOUT_MS = 45_000;
+/** Time-out for the head of a response, ms. */
+const REQUEST_TIMEOUT_MS = 20_000;
+/** Time-out for all events of one response, ms. */
+const EVENTS_TIMEOUT_MS = 30_000;
 const ERROR_BODY_TIMEOUT_MS = 2000;
-const REJECTED_PAUSE_MS = 300; // ms; before a rejected resumption is sent again
-const BROKEN_PAUSE_MS = 100; // ms; before a stream whose connection broke is resumed
-const MOVED_PAUSE_MS = 20; // ms; before a stream that its node handed over is resumed
+/** Delay before a rejected resumption is retried, ms. */
+const REJECTED_DELAY_MS = 300;
+/** Delay before a stream is resumed whose connection closed, ms. */
+const CONNECTION_LOST_DELAY_MS = 100;
+/** Delay before a stream is resumed that its ingress handed over, or that ended in an error or a time-out, ms. */
+const HANDOVER_DELAY_MS = 20;
 
-/** A kind of stream in the mix. */
-type StreamKind = TrafficMix["streams"][number];
+/** One kind of streams in the traffic mix. */
+type StreamMix = TrafficMix["streams"][number];
 
-/** One stream of a stand-in caller: read event by event, checked, and resumed at another ingress after a break. */
+/** One stream of a simulated caller: checks every chunk, and resumes at a random ingress after an interruption. */
 class StreamCall {
   private readonly startedAt: number;
   private readonly prompt: string;
@@ -31,42 +37,42 @@
   constructor(
     private readonly client: CallerClient,
     private readonly n: number,
-    private readonly kind: StreamKind,
+    private readonly mix: StreamMix,
   ) {
     this.startedAt = client.env.mono();
-    const prefixNumber = Math.floor(client.env.random() * kind.prefixes);
-    const prefix = `system prompt ${prefixNumber} of ${kind.binding} `.padEnd(kind.prefixBytes, "kiln ");
+    const prefixNumber = Math.floor(client.env.random() * mix.prefixes);
+    const prefix = `system prompt ${prefixNumber} of ${mix.binding} `.padEnd(mix.prefixBytes, "kiln ");
     this.prompt = `${prefix} question ${client.idPrefix}-${n}`;
   }
 
-  /** To its end, or until it is given up; either is recorded in the history. */
+  /** Reads the stream until it ends, fails or times out, and records the outcome in the history. */
   *run(): Task<void> {
     const { env } = this.client;
-    const until = env.mono() + STREAM_TIMEOUT_MS;
-    while (!this.complete && !this.problem && env.mono() < until) {
+    const deadline = env.mono() + STREAM_TIMEOUT_MS;
+    while (!this.complete && !this.problem && env.mono() < deadline) {
       const response = yield* this.send();
       if (!response.ok || response.value.status !== 200) {
-        if (!(yield* this.rejected(response))) return;
+        if (!(yield* this.canContinueAfterRejection(response))) return;
         continue;
       }
       this.requestId = response.value.headers["x-request-id"];
       const end = yield* readEvents(env, response.value, EVENTS_TIMEOUT_MS, (event) => this.accept(event));
       if (this.complete || this.problem) continue;
       this.resumptions += 1;
-      yield* EnvironmentTools.sleep(env, end === "broken" ? BROKEN_PAUSE_MS : MOVED_PAUSE_MS);
+      yield* EnvironmentTools.sleep(env, end === "broken" ? CONNECTION_LOST_DELAY_MS : HANDOVER_DELAY_MS);
     }
-    if (this.complete) this.recordEnd();
-    else this.recordProblem();
+    if (this.complete) this.recordCompletion();
+    else this.recordFailure();
   }
 
-  /** Opens the stream, or resumes it behind the last event that came. */
+  /** Opens the stream, or resumes it after the last event received. */
   private *send(): Task<Result<HttpResponse>> {
     const { client } = this;
     if (this.requestId === "")
       return yield* client.env.http(client.pickIngress(), {
         method: "POST",
-        path: `/v1/requests/${this.kind.binding}`,
-        body: JSON.stringify({ prompt: this.prompt, pieces: this.kind.pieces }),
+        path: `/v1/requests/${this.mix.binding}`,
+        body: JSON.stringify({ prompt: this.prompt, pieces: this.mix.pieces }),
         timeoutMs: REQUEST_TIMEOUT_MS,
       });
     return yield* client.env.http(client.pickIngress(), {
@@ -76,20 +82,23 @@
       timeoutMs: REQUEST_TIMEOUT_MS,
     });
   }
-  /** Whether to go on after a response that is no stream: a rejected resumption is sent again, a rejected request is not. */
-  private *rejected(response: Result<HttpResponse>): Task<boolean> {
+  /**
+   * Handles a response that is not a stream. Returns whether to continue: a rejected resumption is retried, a rejected first
+   * request is not.
+   */
+  private *canContinueAfterRejection(response: Result<HttpResponse>): Task<boolean> {
     const { client } = this;
     const body = yield* client.readResponse<ProblemBody>(response, ERROR_BODY_TIMEOUT_MS);
     if (this.requestId === "") {
-      client.recordFailure(`stream ${this.kind.binding}`, this.startedAt, body);
+      client.recordFailure(`stream ${this.mix.binding}`, this.startedAt, body);
       return false;
     }
     if (body && body.status !== 503 && body.status !== 504) this.problem = body.body;
-    yield* EnvironmentTools.sleep(client.env, REJECTED_PAUSE_MS);
+    yield* EnvironmentTools.sleep(client.env, REJECTED_DELAY_MS);
     this.resumptions += 1;
     return true;
   }
-  /** Takes an event; false where the response has nothing more for us. */
+  /** Handles an event; returns false if no more events of this response are to be read. */
   private accept({ event, id, data }: ServerSentEvent): boolean {
     switch (event) {
       case "piece":
@@ -110,11 +119,11 @@
   private acceptChunk(id: number, chunk: string): void {
     const { client, prompt } = this;
     if (this.firstEventMs === 0) this.firstEventMs = client.env.mono() - this.startedAt;
-    const right = id === this.lastEventId + 1 && chunk === StandInEndpoint.chunkAt(prompt, id);
-    client.history.add({ tag: "streamPiece", stream: this.n, n: id, right });
+    const isExpected = id === this.lastEventId + 1 && chunk === StandInEndpoint.chunkAt(prompt, id);
+    client.history.add({ tag: "streamPiece", stream: this.n, n: id, right: isExpected });
     this.lastEventId = id;
   }
-  private recordEnd(): void {
+  private recordCompletion(): void {
     const { env, history } = this.client;
     const at = env.wall();
     history.add({
@@ -124,19 +133,19 @@
       tookMs: env.mono() - this.startedAt,
       firstMs: this.firstEventMs,
       pieces: this.lastEventId,
-      wanted: this.kind.pieces,
+      wanted: this.mix.pieces,
       resumes: this.resumptions,
-      binding: this.kind.binding,
+      binding: this.mix.binding,
     });
     history.add({ tag: "served", at, kind: "stream" });
   }
-  private recordProblem(): void {
+  private recordFailure(): void {
     const { env, history } = this.client;
     history.add({
       tag: "failed",
       at: env.wall(),
       tookMs: env.mono() - this.startedAt,
-      kind: `stream ${this.kind.binding}`,
+      kind: `stream ${this.mix.binding}`,
       requestId: this.requestId,
       code: String(this.problem?.code ?? "noEnd"),
       detail: String(this.problem?.detail ?? ""),
@@ -144,7 +153,7 @@
   }
 }
 
-/** One stream, resumed elsewhere as long as it breaks off. @example yield* callStream(client, mix.streams[0], 17) */
-export function* callStream(client: CallerClient, kind: StreamKind, n: number): Task<void> {
-  yield* new StreamCall(client, n, kind).run();
+/** Requests the stream of the n-th call and reads it to its end; resumes it after each interruption. */
+export function* callStream(client: CallerClient, mix: StreamMix, n: number): Task<void> {
+  yield* new StreamCall(client, n, mix).run();
 }
