--- a/src/tools/checker/availabilityInvariants.ts
+++ b/src/tools/checker/availabilityInvariants.ts
@@ -1,15 +1,16 @@
-/** Invariants of availability: planned operations drop nothing, and service returns after faults. */
+/** Invariants of availability: planned operations drop no request, and service is restored after faults. */
 
 import { History, ObservationOf } from "../history";
 import { Invariant, RECOVERY_MS } from "./invariant";
 
-/** A process that comes back, or a link that heals, may itself move shards: time allowed for that, ms. */
+/** Time allowed after a process has restarted or a link has healed, ms, since either can move shards in turn. */
 const RESTORED_MS = 4000;
+/** Time by which the acceptance of a batch job may exceed the time allowed for recovery, ms. */
 const ACCEPTANCE_TOLERANCE_MS = 1500;
-/** Longest time without a served call that is no interruption, by kind, ms. */
-const QUIET_GAP_MS = { lookup: 2500, stream: 3000, lot: 5000 } as const;
-type ServedKind = keyof typeof QUIET_GAP_MS;
-const servedKinds = Object.keys(QUIET_GAP_MS) as ServedKind[];
+/** Longest interval between two served calls that does not count as an interruption, by kind, ms. */
+const MAX_GAP_MS = { lookup: 2500, stream: 3000, lot: 5000 } as const;
+type ServedKind = keyof typeof MAX_GAP_MS;
+const SERVED_KINDS = Object.keys(MAX_GAP_MS) as ServedKind[];
 
 export const plannedOperationsDropNothing: Invariant = {
   name: "planned-moves-answer",
@@ -18,14 +19,15 @@
     ...history
       .of("stopped")
       .filter(({ unanswered }) => unanswered > 0)
-      .map(({ process, unanswered }) => `${process} stopped with ${unanswered} unanswered`),
+      .map(({ process, unanswered }) => `${process} stopped with ${unanswered} requests without a response`),
     ...(plannedOnly ? history.of("failed") : []).map(
-      ({ kind, requestId, code, detail }) => `${kind} ${requestId} got ${code} during a planned move: ${detail}`,
+      ({ kind, requestId, code, detail }) =>
+        `${kind} ${requestId} failed during a planned operation (${code}: ${detail})`,
     ),
   ],
 };
 
-/** Requests that failed though they were sent after all faults were over. */
+/** Returns the requests that failed although they were sent after the time allowed for recovery from all faults. */
 function lateFailures(history: History): string[] {
   const faults = history.of("fault");
   if (faults.length === 0) return [];
@@ -38,22 +40,22 @@
     .filter(({ at, tookMs }) => at - tookMs > recoveredAt)
     .map(
       ({ kind, requestId, code, detail, at }) =>
-        `${kind} ${requestId} still failed (${code}: ${detail}) ${(at - recoveredAt).toFixed(0)} ms after service should have returned`,
+        `${kind} ${requestId} still failed (${code}: ${detail}) ${(at - recoveredAt).toFixed(0)} ms after service should have been restored`,
     );
 }
-/** Batch jobs sent after the first fault that were accepted too late. */
+/** Returns the batch jobs that were submitted after the first fault and accepted too late. */
 function lateAcceptances(history: History): string[] {
   const firstFaultAt = Math.min(Infinity, ...history.of("fault").map(({ at }) => at));
   return history
     .of("lotAccepted")
     .filter(({ at, tookMs }) => at - tookMs >= firstFaultAt && tookMs > RECOVERY_MS + ACCEPTANCE_TOLERANCE_MS)
-    .map(({ lot: job, tookMs }) => `lot ${job} was accepted only after ${tookMs.toFixed(0)} ms`);
+    .map(({ lot: job, tookMs }) => `batch job ${job} was accepted only after ${tookMs.toFixed(0)} ms`);
 }
-/** The first interruption of a kind of call that lasted beyond the time allowed for recovery; at most one. */
+/** Returns the first interruption that lasted beyond the time allowed for recovery from a fault, or none. */
 function interruption(history: History, fault: ObservationOf<"fault">, kind: ServedKind, endAt: number): string[] {
   const recoveredBy = fault.at + RECOVERY_MS;
-  const gapMs = QUIET_GAP_MS[kind];
-  if (endAt < recoveredBy + gapMs) return [];
+  const maxGapMs = MAX_GAP_MS[kind];
+  if (endAt < recoveredBy + maxGapMs) return [];
   const times = history
     .of("served")
     .filter((served) => served.kind === kind && served.at > fault.at)
@@ -62,7 +64,7 @@
   let previous = fault.at;
   for (const time of [...times, endAt]) {
     if (previous > recoveredBy) return [];
-    if (time - previous > gapMs && time > recoveredBy) {
+    if (time - previous > maxGapMs && time > recoveredBy) {
       const [from, to] = [previous - fault.at, time - fault.at];
       return [`no ${kind} was served from ${from.toFixed(0)} to ${to.toFixed(0)} ms after ${fault.fault}`];
     }
@@ -76,11 +78,13 @@
   requirement: "After a heavy fault, service returns within about twelve seconds",
   check: (history) => {
     const endAt = history.of("dayEnd")[0]?.at ?? Math.max(0, ...history.of("served").map(({ at }) => at));
-    const heavyFaults = history.of("fault").filter(({ heavy }) => heavy);
+    const interruptingFaults = history.of("fault").filter(({ heavy }) => heavy);
     return [
       ...lateFailures(history),
       ...lateAcceptances(history),
-      ...heavyFaults.flatMap((fault) => servedKinds.flatMap((kind) => interruption(history, fault, kind, endAt))),
+      ...interruptingFaults.flatMap((fault) =>
+        SERVED_KINDS.flatMap((kind) => interruption(history, fault, kind, endAt)),
+      ),
     ];
   },
 };
--- a/src/tools/checker/batchJobInvariants.ts
+++ b/src/tools/checker/batchJobInvariants.ts
@@ -1,22 +1,24 @@
-/** Invariants of batch jobs: durability, visibility and order of their results, and cancellation. */
+/** Invariants of batch jobs: durability, visibility and order of the results, and early ends. */
 
 import { Invariant, RECOVERY_MS, runsOf, TOLERANCE_MS } from "./invariant";
 
 const READABLE_MS = 1000;
 const READABLE_TOLERANCE_MS = 500;
+/** Time after the acknowledged end of a job during which its items may still start, ms. */
 const CANCELLED_MS = 3000;
 
+/** Returns the job of a run whose id is `job/item`. */
 const jobIdOf = (runId: string): string => runId.slice(0, runId.lastIndexOf("/"));
 
 export const jobDurable: Invariant = {
   name: "lot-kept",
   requirement: "An accepted lot is kept; its results never vanish",
   check: (history) => [
-    ...history.of("lotLost").map(({ lot: job, detail }) => `lot ${job}: ${detail}`),
+    ...history.of("lotLost").map(({ lot: job, detail }) => `batch job ${job} was lost: ${detail}`),
     ...history
       .of("lotReread")
       .filter(({ complete }) => !complete)
-      .map(({ lot: job, ingress }) => `lot ${job} could not be read whole at ${ingress}`),
+      .map(({ lot: job, ingress }) => `not all results of batch job ${job} could be read at ${ingress}`),
   ],
 };
 
@@ -34,12 +36,12 @@
       .filter(({ ingress, at, afterMs }) => !unreachable?.(ingress, at - afterMs, at))
       .map(
         ({ lot: job, ingress, afterMs }) =>
-          `a result of lot ${job} was readable at ${ingress} only after ${afterMs.toFixed(0)} ms`,
+          `a result of batch job ${job} was readable at ${ingress} only after ${afterMs.toFixed(0)} ms`,
       );
   },
 };
 
-/** The positions of results as they are observed, and where two observations contradict each other. */
+/** Collects the observed positions of results, and the contradictions between observations. */
 class ResultPositions {
   readonly contradictions: string[] = [];
   private readonly itemAt = new Map<string, number>();
@@ -48,10 +50,10 @@
   observe(job: string, position: number, item: number): void {
     const otherItem = this.itemAt.get(`${job}#${position}`);
     if (otherItem !== undefined && otherItem !== item)
-      this.contradictions.push(`lot ${job} position ${position} held item ${otherItem} and then ${item}`);
+      this.contradictions.push(`position ${position} of batch job ${job} held item ${otherItem} and then item ${item}`);
     const otherPosition = this.positionOf.get(`${job}/${item}`);
     if (otherPosition !== undefined && otherPosition !== position)
-      this.contradictions.push(`item ${job}/${item} stood at ${otherPosition} and then at ${position}`);
+      this.contradictions.push(`item ${job}/${item} was at position ${otherPosition} and then at position ${position}`);
     this.itemAt.set(`${job}#${position}`, item);
     this.positionOf.set(`${job}/${item}`, position);
   }
@@ -78,12 +80,12 @@
   requirement: "Once a lot is ended, none of its items starts after about three seconds",
   check: (history, endpoints) => {
     const cancelledAt = new Map(history.of("lotEnded").map(({ lot: job, at }) => [job, at]));
-    const found: string[] = [];
+    const violations: string[] = [];
     for (const { id, at } of runsOf(endpoints)) {
       const cancelled = id.includes("/") ? cancelledAt.get(jobIdOf(id)) : undefined;
       if (cancelled !== undefined && at > cancelled + CANCELLED_MS + TOLERANCE_MS)
-        found.push(`item ${id} started ${(at - cancelled).toFixed(0)} ms after its lot was ended`);
+        violations.push(`item ${id} started ${(at - cancelled).toFixed(0)} ms after its batch job was ended`);
     }
-    return found;
+    return violations;
   },
 };
--- a/src/tools/checker/checker.ts
+++ b/src/tools/checker/checker.ts
@@ -14,8 +14,8 @@
 
 export type { CheckOptions, ObservedEndpoint, Violation } from "./invariant";
 
-/** All invariants, in the order of docs/invariants.md, in which violations are reported. */
-const invariants: readonly Invariant[] = [
+/** All invariants, in the order of docs/invariants.md. Violations are reported in this order. */
+const INVARIANTS: readonly Invariant[] = [
   rightCaller,
   noFalseSuccess,
   neverRunsTwice,
@@ -39,20 +39,20 @@
 ];
 
 /**
- * The checker: each sentence on what must never happen, as a named invariant over a history.
+ * Checks all invariants over the history of a run and the runs that its endpoints recorded.
  *
  * @example
  * const violations = Checker.check(history, endpoints, { settledAt });
  */
 export const Checker = {
-  names: invariants.map(({ name }) => name),
-  /** All violations, by invariant. @example Checker.check(history, endpoints) */
+  names: INVARIANTS.map(({ name }) => name),
+  /** Returns all violations, in the order of the invariants. */
   check(history: History, endpoints: ObservedEndpoint[], options: CheckOptions = {}): Violation[] {
-    return invariants.flatMap(({ name, check }) =>
+    return INVARIANTS.flatMap(({ name, check }) =>
       check(history, endpoints, options).map((detail) => ({ invariant: name, detail })),
     );
   },
-  /** How many observations of each kind, and how many runs, there were to judge. @example Checker.judged(history, endpoints) */
+  /** Returns the number of observations by tag, and the number of runs of all endpoints as `runs`. */
   observationCounts(history: History, endpoints: ObservedEndpoint[]): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const { tag } of history.observations) counts[tag] = (counts[tag] ?? 0) + 1;
--- a/src/tools/checker/configurationInvariants.ts
+++ b/src/tools/checker/configurationInvariants.ts
@@ -1,4 +1,4 @@
-/** Invariants of configuration changes: in force in time, never rolled back, never lost. */
+/** Invariants of configuration changes: they are in force in time, and are neither rolled back nor lost. */
 
 import { Invariant, REPORTED_VIOLATIONS, TOLERANCE_MS } from "./invariant";
 
@@ -8,16 +8,16 @@
   name: "config-in-force",
   requirement: "An acknowledged configuration is in force within about two seconds",
   check: (history, _endpoints, { unreachable }) => {
-    const found: string[] = [];
+    const violations: string[] = [];
     for (const change of history.of("change").filter(({ outcome }) => outcome === "acknowledged"))
       for (const { at, version, node } of history.of("inForce")) {
         const isOverdue = at > change.at + IN_FORCE_MS + TOLERANCE_MS && version < change.version;
         if (isOverdue && !unreachable?.(node, change.at, at))
-          found.push(
+          violations.push(
             `version ${change.version} was not in force at ${node} ${(at - change.at).toFixed(0)} ms after its acknowledgement (${version} was)`,
           );
       }
-    return found.slice(0, REPORTED_VIOLATIONS);
+    return violations.slice(0, REPORTED_VIOLATIONS);
   },
 };
 
@@ -25,14 +25,14 @@
   name: "config-never-back",
   requirement: "never slides back",
   check: (history) => {
-    const latest = new Map<string, number>();
-    const found: string[] = [];
+    const latestVersions = new Map<string, number>();
+    const violations: string[] = [];
     for (const { node, version } of history.of("inForce")) {
-      const previous = latest.get(node) ?? 0;
-      if (version < previous) found.push(`${node} went from version ${previous} back to ${version}`);
-      latest.set(node, Math.max(version, previous));
+      const previous = latestVersions.get(node) ?? 0;
+      if (version < previous) violations.push(`${node} went from version ${previous} back to ${version}`);
+      latestVersions.set(node, Math.max(version, previous));
     }
-    return found;
+    return violations;
   },
 };
 
@@ -42,14 +42,18 @@
   check: (history) => {
     const acknowledged = history.of("change").filter(({ outcome }) => outcome === "acknowledged");
     const lastVersion = Math.max(-Infinity, ...acknowledged.map(({ version }) => version));
-    const marks = new Set(acknowledged.map(({ mark }) => mark));
+    const acknowledgedMarkers = new Set(acknowledged.map(({ mark }) => mark));
     return history.of("dayEnd").flatMap(({ version, mark: markers }) => {
-      const found: string[] = [];
-      if (version < lastVersion) found.push(`read version ${version} at day's end, acknowledged was ${lastVersion}`);
+      const violations: string[] = [];
+      if (version < lastVersion)
+        violations.push(
+          `version ${version} was read at the end of the run, but version ${lastVersion} had been acknowledged`,
+        );
       const present = markers.split(",");
-      for (const mark of marks)
-        if (!present.includes(mark)) found.push(`acknowledged change ${mark} is not in what was read at day's end`);
-      return found;
+      for (const marker of acknowledgedMarkers)
+        if (!present.includes(marker))
+          violations.push(`acknowledged change ${marker} is missing in the configuration read at the end of the run`);
+      return violations;
     });
   },
 };
@@ -59,12 +63,12 @@
   requirement: "A refused or losing change is never in force",
   check: (history) => {
     const changes = history.of("change").filter(({ outcome }) => outcome === "refused");
-    const refused = new Set(changes.map(({ mark }) => mark));
+    const rejectedMarkers = new Set(changes.map(({ mark }) => mark));
     return [...history.of("inForce"), ...history.of("dayEnd")].flatMap(({ mark: markers }) =>
       markers
         .split(",")
-        .filter((mark) => refused.has(mark))
-        .map((mark) => `refused change ${mark} was in force`),
+        .filter((marker) => rejectedMarkers.has(marker))
+        .map((marker) => `rejected change ${marker} was in force`),
     );
   },
 };
--- a/src/tools/checker/endpointInvariants.ts
+++ b/src/tools/checker/endpointInvariants.ts
@@ -1,9 +1,12 @@
-/** Invariants of the work that endpoints get: none after deregistration or drain, little after a start. */
+/** Invariants of the requests sent to endpoints: none after a deregistration or drain, few after a start. */
 
 import { Invariant, runsOf, TOLERANCE_MS } from "./invariant";
 
+/** Time after the acknowledgement of a deregistration during which requests may still arrive, ms. */
 const DEREGISTERED_MS = 2000;
+/** Time after the acknowledgement of a drain during which requests may still arrive, ms. */
 const DRAINED_MS = 5000;
+/** Time after the start of an endpoint in which it may get no more requests than its capacity, ms. */
 const SLOW_START_MS = 1000;
 
 export const deregisteredRespected: Invariant = {
@@ -12,15 +15,15 @@
   check: (history, endpoints) => {
     const deregisteredAt = new Map(history.of("goodbye").map(({ replica, at }) => [replica, at]));
     const startedAt = new Map(history.of("replicaStarted").map(({ replica, at }) => [replica, at]));
-    const found: string[] = [];
+    const violations: string[] = [];
     for (const { id, at, replica } of runsOf(endpoints)) {
       const deregistered = deregisteredAt.get(replica) ?? Infinity;
       const restarted = startedAt.get(replica) ?? -1;
-      const isBack = restarted > deregistered && at >= restarted;
-      if (at > deregistered + DEREGISTERED_MS + TOLERANCE_MS && !isBack)
-        found.push(`replica ${replica} got ${id} ${(at - deregistered).toFixed(0)} ms after its goodbye`);
+      const hasReturned = restarted > deregistered && at >= restarted;
+      if (at > deregistered + DEREGISTERED_MS + TOLERANCE_MS && !hasReturned)
+        violations.push(`endpoint ${replica} got ${id} ${(at - deregistered).toFixed(0)} ms after its deregistration`);
     }
-    return found;
+    return violations;
   },
 };
 
@@ -37,7 +40,7 @@
         .filter(({ district, at }) => district === drain.district && at > from && at < to)
         .map(
           ({ replica, district, id, at }) =>
-            `replica ${replica} in drained ${district} got ${id} after ${(at - drain.at).toFixed(0)} ms`,
+            `endpoint ${replica} got ${id} ${(at - drain.at).toFixed(0)} ms after the drain of its zone ${district}`,
         );
     });
   },
@@ -48,15 +51,17 @@
   requirement: "A replica that has just started is not flooded",
   check: (history, endpoints, { settledAt = 0 }) => {
     const runs = runsOf(endpoints);
-    const found: string[] = [];
+    const violations: string[] = [];
     for (const { replica, at: startedAt, capacity } of history.of("replicaStarted")) {
       if (startedAt <= settledAt) continue;
       const early = runs.filter(
         (run) => run.replica === replica && run.at >= startedAt && run.at < startedAt + SLOW_START_MS,
       );
       if (early.length > capacity)
-        found.push(`replica ${replica} got ${early.length} in its first second, capacity ${capacity}`);
+        violations.push(
+          `endpoint ${replica} got ${early.length} requests in its first second, but its capacity is ${capacity}`,
+        );
     }
-    return found;
+    return violations;
   },
 };
--- a/src/tools/checker/invariant.ts
+++ b/src/tools/checker/invariant.ts
@@ -2,56 +2,56 @@
 
 /** One execution of a request at an endpoint. */
 export interface ObservedRun {
-  /** Id of the request, or `job/item`. */
+  /** Id of the request, or `job/item` for a batch item. */
   id: string;
   attempt: number;
-  /** Wall clock at the start, ms. */
+  /** Wall-clock time of the start, ms. */
   at: number;
   kind: "stream" | "single";
-  /** Chunks that an earlier attempt had delivered. */
+  /** Number of chunks that earlier attempts had delivered. */
   continued: number;
 }
-/** An endpoint, and all that it ran. */
+/** An endpoint and all of its runs. */
 export interface ObservedEndpoint {
   settings: { id: string; district: string };
   runs: ObservedRun[];
 }
-/** A run, with the endpoint that it was at. */
+/** A run together with its endpoint. */
 export interface EndpointRun extends ObservedRun {
   replica: string;
   district: string;
 }
-/** An invariant that did not hold, and what shows it. */
+/** A violated invariant, and the observation that shows it. */
 export interface Violation {
   invariant: string;
   detail: string;
 }
-/** What the checker has to know of the run. */
+/** What the checker knows about a run besides its history. */
 export interface CheckOptions {
-  /** Nothing but planned operations happened: then no request may go without a response. */
+  /** Whether the run had planned operations only and no faults; no request may fail then. */
   plannedOnly?: boolean;
-  /** End of the fleet's start-up, wall clock in ms: slow start is judged for endpoints started after it. */
+  /** Wall-clock time at which the fleet had started, in ms. Slow start is checked for endpoints started later. */
   settledAt?: number;
-  /** Whether the run itself cut off or froze a node in that time: bounds in seconds hold for nodes that can be reached. */
+  /** Whether the run partitioned or froze a node in an interval. Time limits apply to reachable nodes only. */
   unreachable?: (node: string, from: number, to: number) => boolean;
 }
-/** A sentence of the requirements as a check over a history. */
+/** A requirement, as a check over a history. */
 export interface Invariant {
   name: string;
-  /** The sentence of the requirements, in its own words. */
+  /** Text of the requirement, quoted word for word. */
   requirement: string;
-  /** What violates it; empty where it holds. */
+  /** Returns a description of each violation. */
   check: (history: History, endpoints: ObservedEndpoint[], options: CheckOptions) => string[];
 }
 
-/** How far a bound that the requirements call "about" may be exceeded, ms. */
+/** By how much a time limit may be exceeded that the requirements call "about", ms. */
 export const TOLERANCE_MS = 200;
-/** Time within which service returns after a fault, ms. */
+/** Time within which service must be restored after a fault, ms. */
 export const RECOVERY_MS = 12_000;
-/** Most violations that are listed of an invariant that is judged at every reading. */
+/** Maximum number of violations reported for an invariant that is checked for each of many readings. */
 export const REPORTED_VIOLATIONS = 5;
 
-/** The runs of all endpoints. @example runsOf(endpoints).length */
+/** Returns the runs of all endpoints. */
 export const runsOf = (endpoints: ObservedEndpoint[]): EndpointRun[] =>
   endpoints.flatMap(({ settings, runs }) =>
     runs.map((run) => ({ ...run, replica: settings.id, district: settings.district })),
--- a/src/tools/checker/replicationInvariants.ts
+++ b/src/tools/checker/replicationInvariants.ts
@@ -1,4 +1,4 @@
-/** Invariants of replicated state: acknowledged puts are on disk, and the ledger has one order. */
+/** Invariants of replicated state: acknowledged puts are on disk, and all nodes read the ledger in the same order. */
 
 import { Stamp } from "../../common/stamp";
 import { LogPosition, ObservationOf } from "../history";
@@ -16,7 +16,7 @@
       .filter(({ stands, acknowledged }) => isBefore(stands, acknowledged))
       .map(
         ({ shard, epoch, member, stands, acknowledged }) =>
-          `shard ${shard}, view ${epoch}: ${member} holds ${stands.seq} of epoch ${stands.epoch}, acknowledged was ${acknowledged.seq} of ${acknowledged.epoch}`,
+          `shard ${shard}, view ${epoch}: the log of ${member} ends at ${stands.seq} of epoch ${stands.epoch}, but ${acknowledged.seq} of epoch ${acknowledged.epoch} had been acknowledged`,
       )
       .slice(0, REPORTED_VIOLATIONS),
 };
@@ -25,23 +25,23 @@
 
 function parseStamp(text: string): Stamp {
   const stamp = Stamp.parse(text);
-  if (!stamp) throw new Error(`no stamp: ${text}`);
+  if (!stamp) throw new Error(`invalid stamp of a ledger entry: ${text}`);
   return stamp;
 }
-/** Entries of one reading that are earlier than the entry before them. */
+/** Returns a violation for each entry of a reading that is earlier than its predecessor. */
 const outOfOrder = ({ ingress, stamps }: LedgerReading): string[] =>
   stamps
     .filter((stamp, index) => index > 0 && Stamp.compare(parseStamp(stamps[index - 1]), parseStamp(stamp)) > 0)
-    .map((stamp) => `ledger read at ${ingress} is out of order at ${stamp}`);
-/** Whether two readings hold the same entries in the time that both cover. */
+    .map((stamp) => `the ledger read at ${ingress} is out of order at ${stamp}`);
+/** Returns whether two readings contain the same entries for the time that both cover. */
 function agree(left: LedgerReading, right: LedgerReading): boolean {
   if (left.stamps.length === 0 || right.stamps.length === 0) return true;
   const readings = [left, right];
   const from = Math.max(...readings.map(({ stamps }) => parseStamp(stamps[0]).time));
   const to = Math.min(...readings.map(({ stamps }) => parseStamp(stamps[stamps.length - 1]).time));
-  const covered = ({ stamps }: LedgerReading): string =>
+  const coveredByBoth = ({ stamps }: LedgerReading): string =>
     stamps.filter((stamp) => parseStamp(stamp).time > from && parseStamp(stamp).time < to).join(" ");
-  return covered(left) === covered(right);
+  return coveredByBoth(left) === coveredByBoth(right);
 }
 
 export const oneLedgerOrder: Invariant = {
@@ -52,7 +52,7 @@
     const disagreements = readings.flatMap((left) =>
       readings
         .filter((right) => right !== left && !agree(left, right))
-        .map((right) => `ledger reads at ${left.ingress} and ${right.ingress} differ`),
+        .map((right) => `the ledger read at ${left.ingress} differs from that read at ${right.ingress}`),
     );
     return [...readings.flatMap(outOfOrder), ...disagreements].slice(0, REPORTED_VIOLATIONS);
   },
--- a/src/tools/checker/responseInvariants.ts
+++ b/src/tools/checker/responseInvariants.ts
@@ -1,7 +1,8 @@
-/** Invariants of single responses: whose they are, and what they say about the work. */
+/** Invariants of single responses: each reaches its own caller, and is true to what the endpoints ran. */
 
 import { Invariant, runsOf } from "./invariant";
 
+/** Returns whether a run is that of a batch item (`job/item`) or of a request with an idempotency key. */
 const hasSideEffects = (requestId: string): boolean => requestId.includes("/") || requestId.startsWith("key-");
 
 export const rightCaller: Invariant = {
@@ -11,15 +12,15 @@
     ...history
       .of("lookup")
       .filter(({ mine }) => !mine)
-      .map(({ ingress }) => `lookup at ${ingress} got another's reply`),
+      .map(({ ingress }) => `a lookup at ${ingress} got the response of another request`),
     ...history
       .of("single")
       .filter(({ mine }) => !mine)
-      .map(({ key }) => `single ${key} got another's reply`),
+      .map(({ key }) => `the request with key ${key} got the response of another request`),
     ...history
       .of("lotResult")
       .filter(({ mine }) => !mine)
-      .map(({ lot: job, item }) => `lot ${job} item ${item} holds another's result`),
+      .map(({ lot: job, item }) => `item ${job}/${item} has the result of another item`),
   ],
 };
 
@@ -50,7 +51,7 @@
     for (const { id, replica, attempt, at } of runsOf(endpoints)) {
       if (!hasSideEffects(id)) continue;
       const runs = runsById.get(id) ?? [];
-      runs.push(`${replica} round ${attempt} at ${at.toFixed(0)}`);
+      runs.push(`${replica} attempt ${attempt} at ${at.toFixed(0)}`);
       runsById.set(id, runs);
     }
     return [...runsById]
@@ -68,11 +69,11 @@
       ...history
         .of("busy")
         .filter(({ requestId }) => requestId.startsWith("req-") && executed.has(requestId))
-        .map(({ requestId }) => `${requestId} was told busy and ran`),
+        .map(({ requestId }) => `request ${requestId} was rejected as busy but ran`),
       ...history
         .of("busy")
         .filter(({ retryAfter }) => !retryAfter)
-        .map(({ at }) => `busy at ${at} without when to come back`),
+        .map(({ at }) => `the busy response at ${at} has no Retry-After header`),
     ];
   },
 };
@@ -84,10 +85,10 @@
     ...history
       .of("streamPiece")
       .filter(({ right }) => !right)
-      .map(({ stream, n }) => `stream ${stream}: piece ${n} is out of place or wrong`),
+      .map(({ stream, n }) => `stream ${stream}: chunk ${n} is out of order or has the wrong text`),
     ...history
       .of("streamEnd")
       .filter(({ pieces, wanted }) => pieces !== wanted)
-      .map(({ stream, pieces, wanted }) => `stream ${stream} ended with ${pieces} of ${wanted} pieces`),
+      .map(({ stream, pieces, wanted }) => `stream ${stream} ended with ${pieces} of ${wanted} chunks`),
   ],
 };
--- a/src/tools/fleet/checkedRun.ts
+++ b/src/tools/fleet/checkedRun.ts
@@ -9,36 +9,38 @@
 import { fleetFaults } from "./fleetFaults";
 import { recoveryTimeMs, ServedKind } from "./recoveryTime";
 
-const LEAST_SECONDS_BEFORE_FAULTS = 5;
+const MIN_SECONDS_BEFORE_FAULTS = 5;
 const AFTER_FAULT_MS = 16_000;
-const DRAIN_TIMEOUT_MS = 100_000; // for calls that are under way when no new ones are started
+/** How long to wait for the calls in flight once no new calls are started, ms. */
+const DRAIN_TIMEOUT_MS = 100_000;
 const DRAIN_POLL_MS = 100;
-const SLOW_ACCEPTANCE_WINDOW_MS = 12_000; // after a fault
-/** Longest time between two served calls that is no gap, by kind. */
-const GAP_MS: Readonly<Record<ServedKind, number>> = { lookup: 1500, stream: 1500, lot: 4000 };
+/** Batch jobs submitted up to this long after a fault, ms, count for its slowest acceptance. */
+const SLOW_ACCEPTANCE_WINDOW_MS = 12_000;
+/** Longest interval between two served calls that does not count as a gap, by kind, ms. */
+const MAX_GAP_MS: Readonly<Record<ServedKind, number>> = { lookup: 1500, stream: 1500, lot: 4000 };
 const REPORTED_STORE_METRICS = /_(put_ms|relay_ms|late_puts|overrun|disk_syncs|puts |skew)/;
 
-/** What a checked run does. */
+/** Options of a checked run. */
 export interface CheckedRunOptions {
   plan: DeploymentPlan;
   deployment: Deployment;
-  /** How long the mix is sent before the first fault, in seconds. */
+  /** How long the traffic mix is sent before the first fault, in seconds. */
   seconds: number;
-  /** Multiple of the mix's rates. */
+  /** Factor by which the rates of the traffic mix are multiplied. */
   load: number;
-  /** The fleet, where this process started it: then its endpoints' runs are checked and faults can be injected. */
+  /** The fleet if this process started it: only then can runs of endpoints be checked and faults be injected. */
   fleet?: Fleet;
-  /** Names of the faults to inject, one after the other. */
+  /** Names of the faults to inject one after another. */
   faultNames?: string[];
-  /** Takes each line of the report. */
+  /** Prints text of the report. */
   print: (line: string) => void;
 }
 
-/** Lets the mix run and injects the faults. */
+/** Waits while the callers send the traffic mix, then injects the faults. */
 function* injectFaults(env: Environment, options: CheckedRunOptions, history: History): Task<void> {
   const { fleet, faultNames = [], seconds } = options;
-  const leastSeconds = faultNames.length > 0 ? LEAST_SECONDS_BEFORE_FAULTS : 0;
-  yield* EnvironmentTools.sleep(env, Math.max(seconds, leastSeconds) * 1000);
+  const minSeconds = faultNames.length > 0 ? MIN_SECONDS_BEFORE_FAULTS : 0;
+  yield* EnvironmentTools.sleep(env, Math.max(seconds, minSeconds) * 1000);
   if (!fleet) return;
   for (const name of faultNames) {
     yield* fleetFaults[name].inject(fleet, history);
@@ -59,11 +61,11 @@
 function printFaults(history: History, print: (line: string) => void): void {
   for (const { fault, at } of history.of("fault")) {
     const recoveries = (["lookup", "stream", "lot"] as const).map(
-      (kind) => `${kind} ${recoveryTimeMs(history, at, kind, GAP_MS[kind]).toFixed(0)} ms`,
+      (kind) => `${kind} ${recoveryTimeMs(history, at, kind, MAX_GAP_MS[kind]).toFixed(0)} ms`,
     );
     const slowest = slowestAcceptanceMs(history, at).toFixed(0);
     print(
-      `fault ${fault}: served again without a gap after ${recoveries.join(", ")}; slowest lot taken after ${slowest} ms`,
+      `fault ${fault}: service restored after ${recoveries.join(", ")}; slowest batch job accepted after ${slowest} ms`,
     );
   }
 }
@@ -75,8 +77,8 @@
   }
 }
 /**
- * Sends the deployment's mix to a running fleet, injects faults, reads all batch jobs again at every ingress, and checks
- * what callers and endpoints saw. Returns whether something was served and no invariant was violated.
+ * Sends the traffic mix of the deployment to a running fleet, injects faults, rereads all batch jobs at every ingress, and
+ * checks what callers and endpoints observed. Returns whether lookups and streams were served and no invariant was violated.
  *
  * @example
  * const passed = yield* runChecked(env, { plan, deployment, seconds: 20, load: 1, print: console.log });
@@ -99,7 +101,7 @@
   for (const { invariant, detail } of violations) print(`VIOLATION ${invariant}: ${detail}`);
   print(`violations: ${violations.length}`);
   if (history.of("lookup").length === 0 || history.of("streamEnd").length === 0) {
-    print("nothing was served: a run that exercised nothing is a failure");
+    print("no lookup or no stream was served: the run has tested nothing and counts as failed");
     return false;
   }
   return violations.length === 0;
--- a/src/tools/fleet/fleet.ts
+++ b/src/tools/fleet/fleet.ts
@@ -14,8 +14,8 @@
 const hasExited = (child: ChildProcess): boolean => child.exitCode !== null || child.signalCode !== null;
 
 /**
- * All processes of a deployment on this machine, with stand-in endpoints that run in the calling process. A developer's
- * tool, and the only code that starts processes.
+ * Runs all processes of a deployment on this machine; the stand-in endpoints run in the calling process. This is a
+ * developer tool, and the only code that starts processes.
  *
  * @example
  * const fleet = new Fleet(env, plan, "run");
@@ -24,13 +24,13 @@
  * yield* fleet.operator.waitUntilReady(30_000);
  */
 export class Fleet {
-  /** Child processes by their names in the plan. */
+  /** Child processes by their name in the plan. */
   readonly children = new Map<string, ChildProcess>();
   readonly endpoints: StandInEndpoint[] = [];
   readonly operator: FleetOperator;
   private proxies: LinkProxies | undefined;
 
-  /** @param folder folder of the processes' settings, output and data */
+  /** @param folder folder for the settings, output and data of the processes */
   constructor(
     readonly env: Environment,
     readonly plan: DeploymentPlan,
@@ -39,12 +39,12 @@
     this.operator = new FleetOperator(env, plan);
   }
 
-  /** The proxies between the processes; throws where the plan has none. @example fleet.linkProxies.heal(); */
+  /** The proxies between the processes; throws if they have not been started. */
   get linkProxies(): LinkProxies {
-    if (!this.proxies) throw new Error("the plan has no proxies");
+    if (!this.proxies) throw new Error("the link proxies have not been started, or the plan has none");
     return this.proxies;
   }
-  /** Starts one process; its output is appended to a file in the folder. @example fleet.start(plan.processes[0]); */
+  /** Starts one process; its output is appended to a file in the folder. */
   start({ name, settings }: ProcessPlan): void {
     const settingsFile = path.join(this.folder, `${name}.json`);
     fs.writeFileSync(settingsFile, JSON.stringify(settings, null, 2));
@@ -56,12 +56,12 @@
     fs.closeSync(output);
     this.children.set(name, child);
   }
-  /** Starts all processes of the plan. @example fleet.startAll(); */
+  /** Starts all processes of the plan. */
   startAll(): void {
     fs.mkdirSync(this.folder, { recursive: true });
     for (const process of this.plan.processes) this.start(process);
   }
-  /** Opens the proxies at the announced addresses, if the plan has any. @example yield* fleet.startProxies(); */
+  /** Opens the proxies at the announced addresses, if the plan has any. */
   *startProxies(): Task<void> {
     if (this.plan.proxied.length === 0) return;
     const proxies = new LinkProxies(this.plan.proxied);
@@ -70,13 +70,13 @@
     proxies.open().then(
       () => opened.close(),
       (error: Error) => {
-        process.stderr.write(`proxies: ${error.message}\n`);
+        process.stderr.write(`cannot open the link proxies: ${error.message}\n`);
         opened.close();
       },
     );
     yield* Csp.take(opened);
   }
-  /** Starts the stand-in endpoints in this process, so that the checker sees their runs. @example yield* fleet.startEndpoints(); */
+  /** Starts the stand-in endpoints in this process, which gives the checker access to their runs. */
   *startEndpoints(): Task<void> {
     for (const settings of this.plan.endpoints) {
       const endpoint = new StandInEndpoint(this.env, settings);
@@ -84,11 +84,11 @@
       this.endpoints.push(endpoint);
     }
   }
-  /** Sends a signal to a process; does nothing for an unknown name. @example fleet.signal("store-1", "SIGKILL"); */
+  /** Sends a signal to a process; does nothing for an unknown name. */
   signal(name: string, signal: NodeJS.Signals): void {
     this.children.get(name)?.kill(signal);
   }
-  /** Waits for the exit of a process; false if it still runs after `withinMs`. @example yield* fleet.waitForExit("store-1", 10_000) */
+  /** Waits for the exit of a process; returns false if it still runs after `withinMs`. */
   *waitForExit(name: string, withinMs: number): Task<boolean> {
     const child = this.children.get(name);
     if (!child) return true;
@@ -96,7 +96,7 @@
     while (!hasExited(child) && this.env.mono() < deadline) yield* EnvironmentTools.sleep(this.env, EXIT_POLL_MS);
     return hasExited(child);
   }
-  /** Kills all processes and closes the proxies. @example fleet.stopAll(); */
+  /** Kills all processes and closes the proxies. */
   stopAll(): void {
     this.proxies?.close();
     for (const child of this.children.values()) if (child.exitCode === null) child.kill("SIGKILL");
--- a/src/tools/fleet/fleetFaults.ts
+++ b/src/tools/fleet/fleetFaults.ts
@@ -7,8 +7,10 @@
 import { busiestMember, planOf, ReplicatedProgram } from "./fleetState";
 import { LinkProxies } from "./linkProxies";
 
-const EXIT_TIMEOUT_MS = 5000; // of a process that was killed
-const SHUTDOWN_TIMEOUT_MS = 20_000; // of a process that was sent SIGTERM
+/** Time-out for the exit of a killed process, ms. */
+const EXIT_TIMEOUT_MS = 5000;
+/** Time-out for the exit of a process after SIGTERM, ms. */
+const SHUTDOWN_TIMEOUT_MS = 20_000;
 const RESTART_AFTER_MS = 6000;
 const INGRESS_RESTART_AFTER_MS = 3000;
 const FREEZE_MS = 8000;
@@ -17,19 +19,19 @@
 
 /** A fault that can be injected into a fleet of real processes. */
 export interface FleetFault {
-  /** One sentence for the command line's help. */
+  /** Description for the help of the command line. */
   about: string;
-  /** Injects the fault, notes it in the history and repairs it. */
+  /** Injects the fault, records it in the history, and ends it. */
   inject: (fleet: Fleet, history: History) => Task<void>;
 }
-/** Which direction of the links is cut, as seen from the process that is cut off. */
+/** Which direction of the links is cut, as seen from the isolated process. */
 type Direction = "in" | "out" | "both";
 
-const record = (fleet: Fleet, history: History, fault: string, heavy = true): void =>
+const recordFault = (fleet: Fleet, history: History, fault: string, heavy = true): void =>
   history.add({ tag: "fault", at: fleet.env.wall(), fault, heavy });
 
 function removeData({ name, settings }: ProcessPlan): void {
-  if (settings.data === undefined) throw new Error(`${name} has no data folder`);
+  if (settings.data === undefined) throw new Error(`the settings of ${name} name no data folder`);
   fs.rmSync(settings.data, { recursive: true, force: true });
 }
 function* killAll(fleet: Fleet, names: string[]): Task<void> {
@@ -37,12 +39,12 @@
   for (const name of names) yield* fleet.waitForExit(name, EXIT_TIMEOUT_MS);
 }
 
-/** Kills the busiest process of a program, empties its data folder where asked to, and starts it again. */
+/** Kills the process of a program that leads most, optionally deletes its data, and restarts it. */
 const kill = (program: ReplicatedProgram, losesData: boolean): FleetFault => ({
-  about: `the ${program} that leads most is killed${losesData ? ", its data folder emptied" : ""}, and started again after 6 s`,
+  about: `the ${program} process that leads most is killed${losesData ? ", loses its data" : ""} and is restarted after 6 s`,
   *inject(fleet, history) {
     const name = yield* busiestMember(fleet, program);
-    record(fleet, history, `kill ${name}${losesData ? " and empty its folder" : ""}`);
+    recordFault(fleet, history, `kill ${name}${losesData ? " and empty its folder" : ""}`);
     yield* killAll(fleet, [name]);
     if (losesData) removeData(planOf(fleet, name));
     yield* EnvironmentTools.sleep(fleet.env, RESTART_AFTER_MS);
@@ -50,26 +52,26 @@
   },
 });
 const freeze = (program: ReplicatedProgram): FleetFault => ({
-  about: `the ${program} that leads most is stopped by SIGSTOP for 8 s`,
+  about: `the ${program} process that leads most is frozen by SIGSTOP for 8 s`,
   *inject(fleet, history) {
     const name = yield* busiestMember(fleet, program);
-    record(fleet, history, `freeze ${name}`);
+    recordFault(fleet, history, `freeze ${name}`);
     fleet.signal(name, "SIGSTOP");
     yield* EnvironmentTools.sleep(fleet.env, FREEZE_MS);
     fleet.signal(name, "SIGCONT");
   },
 });
-/** Cuts the links between the chosen processes and all others. */
+/** Cuts the links between the chosen processes and all others for `durationMs`. */
 const partition = (
   about: string,
   direction: Direction,
-  choose: (fleet: Fleet) => Task<string[]>,
+  chooseProcesses: (fleet: Fleet) => Task<string[]>,
   durationMs: number,
 ): FleetFault => ({
   about,
   *inject(fleet, history) {
-    const names = yield* choose(fleet);
-    record(fleet, history, `cut ${direction} at ${names.join(" and ")}`);
+    const names = yield* chooseProcesses(fleet);
+    recordFault(fleet, history, `cut ${direction} at ${names.join(" and ")}`);
     const proxies = fleet.linkProxies;
     const others = fleet.plan.proxied.map((process) => process.name).filter((name) => !names.includes(name));
     for (const name of names)
@@ -82,54 +84,55 @@
   },
 });
 
-const busiestStore = function* (fleet: Fleet): Task<string[]> {
+const busiestStorageNode = function* (fleet: Fleet): Task<string[]> {
   return [yield* busiestMember(fleet, "store")];
 };
 const controlNames = (fleet: Fleet): string[] =>
   fleet.plan.processes.filter(({ settings }) => settings.program === "control").map(({ name }) => name);
-const allControls = function* (fleet: Fleet): Task<string[]> {
+const wholeControlGroup = function* (fleet: Fleet): Task<string[]> {
   return controlNames(fleet);
 };
-const halfOfControls = function* (fleet: Fleet): Task<string[]> {
+const halfOfControlGroup = function* (fleet: Fleet): Task<string[]> {
   const names = controlNames(fleet);
   return names.slice(0, Math.ceil(names.length / 2));
 };
 
 const killIngress: FleetFault = {
-  about: "an ingress and its agent are killed, and started again",
+  about: "an ingress and its agent are killed and are restarted after 3 s",
   *inject(fleet, history) {
-    record(fleet, history, "kill ingress-1 and agent-1");
+    recordFault(fleet, history, "kill ingress-1 and agent-1");
     yield* killAll(fleet, ["ingress-1", "agent-1"]);
     yield* EnvironmentTools.sleep(fleet.env, INGRESS_RESTART_AFTER_MS);
     for (const name of ["agent-1", "ingress-1"]) fleet.start(planOf(fleet, name));
   },
 };
-const killTwoStores: FleetFault = {
-  about: "the two busiest stores are killed at once, and started again after 6 s",
+const killTwoStorageNodes: FleetFault = {
+  about: "the busiest storage node and another one are killed at once and are restarted after 6 s",
   *inject(fleet, history) {
     const first = yield* busiestMember(fleet, "store");
     const second = fleet.plan.processes.find(({ name, settings }) => settings.program === "store" && name !== first);
-    if (!second) throw new Error("the fleet has one store only");
+    if (!second) throw new Error("the fleet has only one storage node");
     const names = [first, second.name];
-    record(fleet, history, `kill ${names.join(" and ")}`);
+    recordFault(fleet, history, `kill ${names.join(" and ")}`);
     yield* killAll(fleet, names);
     yield* EnvironmentTools.sleep(fleet.env, RESTART_AFTER_MS);
     for (const name of names) fleet.start(planOf(fleet, name));
   },
 };
-const stopStore: FleetFault = {
-  about: "the busiest store is stopped by SIGTERM and started again",
+const stopStorageNode: FleetFault = {
+  about: "the busiest storage node is shut down by SIGTERM and is restarted",
   *inject(fleet, history) {
     const name = yield* busiestMember(fleet, "store");
-    record(fleet, history, `SIGTERM to ${name}`, false);
+    recordFault(fleet, history, `SIGTERM to ${name}`, false);
     fleet.signal(name, "SIGTERM");
-    if (!(yield* fleet.waitForExit(name, SHUTDOWN_TIMEOUT_MS))) throw new Error(`${name} did not end by itself`);
+    if (!(yield* fleet.waitForExit(name, SHUTDOWN_TIMEOUT_MS)))
+      throw new Error(`${name} did not exit within 20 s after SIGTERM`);
     fleet.start(planOf(fleet, name));
   },
 };
 
 /**
- * Faults among real processes, by the name that the command line's `--trouble` takes.
+ * Faults that can be injected into real processes, by their name in the command line's option `--trouble`.
  *
  * @example
  * yield* fleetFaults["kill-store"].inject(fleet, history);
@@ -142,19 +145,39 @@
   "freeze-store": freeze("store"),
   "freeze-control": freeze("control"),
   "kill-ingress": killIngress,
-  "kill-two-stores": killTwoStores,
-  "cut-store": partition("the busiest store is cut off for 9 s", "both", busiestStore, PARTITION_MS),
-  "cut-store-in": partition("nothing comes in to the busiest store for 9 s", "in", busiestStore, PARTITION_MS),
-  "cut-store-out": partition("nothing comes out of the busiest store for 9 s", "out", busiestStore, PARTITION_MS),
-  "cut-control": partition("the whole control group is cut off for 15 s", "both", allControls, CONTROL_PARTITION_MS),
+  "kill-two-stores": killTwoStorageNodes,
+  "cut-store": partition(
+    "the busiest storage node is partitioned from all other processes for 9 s",
+    "both",
+    busiestStorageNode,
+    PARTITION_MS,
+  ),
+  "cut-store-in": partition(
+    "the busiest storage node receives nothing for 9 s",
+    "in",
+    busiestStorageNode,
+    PARTITION_MS,
+  ),
+  "cut-store-out": partition(
+    "nothing that the busiest storage node sends arrives for 9 s",
+    "out",
+    busiestStorageNode,
+    PARTITION_MS,
+  ),
+  "cut-control": partition(
+    "the whole control group is partitioned from all other processes for 15 s",
+    "both",
+    wholeControlGroup,
+    CONTROL_PARTITION_MS,
+  ),
   "cut-control-in-two": partition(
-    "half of the control group is cut off from all others for 9 s",
+    "half of the control group is partitioned from all other processes for 9 s",
     "both",
-    halfOfControls,
+    halfOfControlGroup,
     PARTITION_MS,
   ),
-  "stop-store": stopStore,
+  "stop-store": stopStorageNode,
 };
 
-/** Whether a fault needs proxies between the processes. @example needsProxies("cut-store") // true */
+/** Returns whether a fault needs proxies between the processes. */
 export const needsProxies = (faultName: string): boolean => faultName.startsWith("cut-");
--- a/src/tools/fleet/fleetOperator.ts
+++ b/src/tools/fleet/fleetOperator.ts
@@ -8,14 +8,14 @@
 const READY_POLL_MS = 150;
 const CONFIGURE_RETRY_MS = 200;
 
-/** A node's response; the body is parsed JSON, or the text where it is no JSON. */
+/** The response of a node; `body` is the parsed JSON, or the text if it is not JSON. */
 export interface FleetResponse {
   status: number;
   body: unknown;
 }
-/** One request of an operator to a node. */
+/** A request of an operator to a node. */
 export interface FleetRequest {
-  /** Address of the node's HTTP, `IP:port`. */
+  /** Address of the node's HTTP listener, `IP:port`. */
   address: string;
   method: string;
   path: string;
@@ -32,7 +32,7 @@
 }
 
 /**
- * An operator of a fleet on this machine: configures it over HTTP and reads its state.
+ * Operates a fleet on this machine over HTTP: configures it and reads its state.
  *
  * @example
  * const operator = new FleetOperator(env, plan);
@@ -44,7 +44,7 @@
     private readonly plan: DeploymentPlan,
   ) {}
 
-  /** Sends one request; undefined where no response came in time. @example yield* operator.request({ address, method: "GET", path: "/readyz" }) */
+  /** Sends a request; returns undefined if there was no complete response in time. */
   *request({ address, method, path, body, headers = {} }: FleetRequest): Task<FleetResponse | undefined> {
     const response = yield* this.env.http(address, {
       method,
@@ -58,49 +58,49 @@
     if (text === undefined) return undefined;
     return { status: response.value.status, body: parseBody(text) };
   }
-  /** Reads a resource of a node. @example yield* operator.get("127.0.0.1:7002", "/v1/members") */
+  /** Reads a resource of a node; returns undefined if there was no complete response in time. */
   *get(address: string, path: string): Task<FleetResponse | undefined> {
     return yield* this.request({ address, method: "GET", path });
   }
-  /** A node's metrics as text; empty where the node was not reached. @example yield* operator.metrics("127.0.0.1:7002") */
+  /** Reads the metrics of a node as text; returns an empty text if the node did not respond. */
   *metrics(address: string): Task<string> {
     const response = yield* this.get(address, "/metrics");
     return typeof response?.body === "string" ? response.body : "";
   }
-  /** The cluster as the first ingress knows it; undefined where that was not reached. @example yield* operator.members() */
+  /** Reads the state of the cluster at the first ingress; returns undefined if that did not respond with status 200. */
   *members(): Task<MembersBody | undefined> {
     const response = yield* this.get(this.plan.ingressHttp[0], "/v1/members");
     return response?.status === 200 ? (response.body as MembersBody) : undefined;
   }
-  /** Waits until every ingress is ready, all endpoints are known and the ledger can be read; false if not in time. @example yield* operator.waitUntilReady(30_000) */
+  /** Waits until every ingress is ready, all endpoints are known and the ledger is readable; returns false on a time-out. */
   *waitUntilReady(withinMs: number): Task<boolean> {
     const deadline = this.env.mono() + withinMs;
     while (this.env.mono() < deadline) {
-      if ((yield* this.ingressesReady()) && (yield* this.clusterReadable())) return true;
+      if ((yield* this.areIngressesReady()) && (yield* this.isClusterReadable())) return true;
       yield* EnvironmentTools.sleep(this.env, READY_POLL_MS);
     }
     return false;
   }
-  /** Sends the deployment's configuration and policies, unless the fleet has some; false if they were not accepted in time. @example yield* operator.configure(deployment, 30_000) */
+  /** Sends the configuration and the policies of the deployment unless the fleet already has some; returns false on a time-out. */
   *configure(deployment: Deployment, withinMs: number): Task<boolean> {
     const deadline = this.env.mono() + withinMs;
-    const configuration = yield* this.putInitial("/v1/manifest", deployment.manifest, deadline);
-    return configuration && (yield* this.putInitial("/v1/policies", deployment.policies, deadline));
+    const isConfigured = yield* this.putInitial("/v1/manifest", deployment.manifest, deadline);
+    return isConfigured && (yield* this.putInitial("/v1/policies", deployment.policies, deadline));
   }
 
-  private *ingressesReady(): Task<boolean> {
+  private *areIngressesReady(): Task<boolean> {
     for (const address of this.plan.ingressHttp) {
-      const ready = yield* this.get(address, "/readyz");
-      if (ready?.status !== 200) return false;
+      const response = yield* this.get(address, "/readyz");
+      if (response?.status !== 200) return false;
     }
     return true;
   }
-  private *clusterReadable(): Task<boolean> {
+  private *isClusterReadable(): Task<boolean> {
     const members = yield* this.members();
     const ledger = yield* this.get(this.plan.ingressHttp[0], "/v1/ledger?limit=1");
     return members !== undefined && members.replicas.length >= this.plan.endpoints.length && ledger?.status === 200;
   }
-  /** Puts the first version of a document, at any control node, until one accepts it. */
+  /** Puts the first version of a document at random control nodes until one accepts it, or one has a version already. */
   private *putInitial(path: string, document: unknown, deadline: number): Task<boolean> {
     const { controlHttp } = this.plan;
     while (this.env.mono() <= deadline) {
--- a/src/tools/fleet/fleetState.ts
+++ b/src/tools/fleet/fleetState.ts
@@ -2,18 +2,18 @@
 import { ProcessPlan } from "../deployment";
 import type { Fleet } from "./fleet";
 
-/** Programs whose processes elect leaders among themselves. */
+/** The programs whose processes elect leaders among themselves. */
 export type ReplicatedProgram = "store" | "control";
 
-/** The planned process of that name; throws where there is none. @example planOf(fleet, "store-1").settings.address */
+/** Returns the process of that name in the plan; throws if there is none. */
 export function planOf(fleet: Fleet, name: string): ProcessPlan {
   const process = fleet.plan.processes.find((each) => each.name === name);
-  if (!process) throw new Error(`no process ${name} in the plan`);
+  if (!process) throw new Error(`the plan has no process ${name}`);
   return process;
 }
 
-/** How many shards each store leads, by the store's address. */
-function* ledShards(fleet: Fleet): Task<Map<string, number>> {
+/** Returns the number of shards that each storage node leads, by its address. */
+function* ledShardCounts(fleet: Fleet): Task<Map<string, number>> {
   const cluster = yield* fleet.operator.members();
   const counts = new Map<string, number>();
   for (const view of cluster?.views ?? []) {
@@ -22,12 +22,12 @@
   }
   return counts;
 }
-function* busiestStore(fleet: Fleet, stores: ProcessPlan[]): Task<string> {
-  const counts = yield* ledShards(fleet);
+function* busiestStorageNode(fleet: Fleet, storageNodes: ProcessPlan[]): Task<string> {
+  const counts = yield* ledShardCounts(fleet);
   const countOf = ({ settings }: ProcessPlan): number => counts.get(settings.address) ?? 0;
-  return [...stores].sort((left, right) => countOf(right) - countOf(left))[0].name;
+  return [...storageNodes].sort((left, right) => countOf(right) - countOf(left))[0].name;
 }
-function* leadingControl(fleet: Fleet, controls: ProcessPlan[]): Task<string> {
+function* controlLeader(fleet: Fleet, controls: ProcessPlan[]): Task<string> {
   for (const { name, settings } of controls) {
     const metrics = yield* fleet.operator.metrics(settings.http);
     if (metrics.includes("petrelbeam_is_lead 1")) return name;
@@ -35,8 +35,8 @@
   return controls[0].name;
 }
 
-/** Name of the store that leads the most shards, or of the control group's leader. @example yield* busiestMember(fleet, "store") */
+/** Returns the name of the storage node that leads the most shards, or of the leader of the control group. */
 export function* busiestMember(fleet: Fleet, program: ReplicatedProgram): Task<string> {
   const processes = fleet.plan.processes.filter(({ settings }) => settings.program === program);
-  return yield* program === "store" ? busiestStore(fleet, processes) : leadingControl(fleet, processes);
+  return yield* program === "store" ? busiestStorageNode(fleet, processes) : controlLeader(fleet, processes);
 }
--- a/src/tools/fleet/linkProxies.ts
+++ b/src/tools/fleet/linkProxies.ts
@@ -2,16 +2,16 @@
 import * as net from "net";
 import { EnvelopeCodec } from "../../rpc/envelopeCodec";
 
-/** Bytes of a frame's length field, before the frame itself. */
+/** Size of the length field that precedes each frame, in bytes. */
 const FRAME_HEADER_BYTES = 4;
 
-/** A process whose announced address is taken by a proxy. */
+/** A process with a proxy at its announced address. */
 export interface ProxiedProcess {
   name: string;
   cluster: string;
-  /** Address that the other processes know, `IP:port`: the proxy listens there. */
+  /** Address that the process announces and the proxy listens on, `IP:port`. */
   address: string;
-  /** Address that the process listens on, `IP:port`. */
+  /** Address that the process itself listens on, `IP:port`. */
   bind: string;
 }
 /** One direction of a proxied connection. */
@@ -27,7 +27,7 @@
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 }
 
-/** The first frame of a connection, from the bytes received so far; undefined until it is complete. */
+/** Returns the first frame of a connection from the bytes received so far; undefined until it is complete. */
 function firstFrame(received: Buffer): Buffer | undefined {
   if (received.length < FRAME_HEADER_BYTES) return undefined;
   const end = FRAME_HEADER_BYTES + received.readUInt32BE(0);
@@ -35,8 +35,8 @@
 }
 
 /**
- * Proxies at the addresses that the processes announce; they forward to where the processes listen, so that the link
- * between two processes can be cut in one direction or both. A developer's tool, on this machine only.
+ * Runs proxies at the announced addresses of the processes. They forward datagrams and connections to the addresses that the
+ * processes listen on, unless the link between two processes is cut in that direction. A developer tool, for one machine.
  *
  * @example
  * const proxies = new LinkProxies(plan.proxied);
@@ -45,17 +45,17 @@
  * proxies.heal();
  */
 export class LinkProxies {
-  /** Name of all senders that are no members of the cluster: the ingresses. */
+  /** Name for every sender that is not a member of the cluster, such as the ingresses. */
   static readonly nonMember = "non-member";
   private readonly cuts = new Set<string>();
-  /** Process names by member id, learned from the members' datagrams. */
-  private readonly nameOf = new Map<string, string>();
+  /** Process names by member id, learned from the datagrams of the members. */
+  private readonly nameById = new Map<string, string>();
   private readonly flows = new Set<Flow>();
   private readonly closers: (() => void)[] = [];
 
   constructor(private readonly processes: ProxiedProcess[]) {}
 
-  /** Opens a datagram socket and a server for each process; rejects where an address is taken. @example await proxies.open(); */
+  /** Opens a datagram socket and a server for each process; rejects if an address is in use. */
   async open(): Promise<void> {
     const nameByAddress = new Map(this.processes.map(({ address, name }) => [address, name]));
     for (const process of this.processes) {
@@ -74,16 +74,16 @@
       );
     }
   }
-  /** Cuts one direction of a link; bytes in flight on its connections are lost. @example proxies.cut("store-1", "control-2"); */
+  /** Cuts one direction of a link: datagrams, and bytes sent on its connections, are lost. */
   cut(from: string, to: string): void {
     this.cuts.add(`${from}>${to}`);
   }
-  /** Ends all cuts, and the connections that may have lost bytes. @example proxies.heal(); */
+  /** Ends all cuts and closes the connections that may have lost bytes. */
   heal(): void {
     for (const flow of this.flows) if (this.isCut(flow.from, flow.to)) flow.source.destroy();
     this.cuts.clear();
   }
-  /** Closes all sockets. @example proxies.close(); */
+  /** Closes all sockets. */
   close(): void {
     for (const close of this.closers) close();
     for (const flow of this.flows) flow.source.destroy();
@@ -101,20 +101,20 @@
     const envelope = EnvelopeCodec.decode(data, to.cluster);
     const from = (envelope?.body as { from?: { id: string; address: string } } | undefined)?.from;
     const name = from && nameByAddress.get(from.address);
-    if (from && name) this.nameOf.set(from.id, name);
+    if (from && name) this.nameById.set(from.id, name);
     if (name && this.isCut(name, to.name)) return;
     const target = splitAddress(to.bind);
     socket.send(data, target.port, target.host);
   }
   private forwardConnection(incoming: net.Socket, to: ProxiedProcess): void {
     const outgoing = net.connect(splitAddress(to.bind));
-    const end = (): void => {
+    const closeBoth = (): void => {
       incoming.destroy();
       outgoing.destroy();
       for (const flow of this.flows) if (flow.source === incoming || flow.target === incoming) this.flows.delete(flow);
     };
-    for (const socket of [incoming, outgoing]) socket.on("error", end).on("close", end);
-    // Only the first frame names the sender.
+    for (const socket of [incoming, outgoing]) socket.on("error", closeBoth).on("close", closeBoth);
+    // Only the first frame of a connection names the sender.
     let received = Buffer.alloc(0);
     const readFirstFrame = (chunk: Buffer): void => {
       received = Buffer.concat([received, chunk]);
@@ -122,7 +122,7 @@
       if (!frame) return;
       incoming.off("data", readFirstFrame);
       const sender = EnvelopeCodec.decode(frame, to.cluster)?.sender ?? "";
-      const from = this.nameOf.get(sender) ?? LinkProxies.nonMember;
+      const from = this.nameById.get(sender) ?? LinkProxies.nonMember;
       this.addFlow({ from, to: to.name, source: incoming, target: outgoing });
       this.addFlow({ from: to.name, to: from, source: outgoing, target: incoming });
       if (!this.isCut(from, to.name)) outgoing.write(received);
--- a/src/tools/fleet/recoveryTime.ts
+++ b/src/tools/fleet/recoveryTime.ts
@@ -1,19 +1,21 @@
 import { History } from "../history";
 
-const OBSERVED_MS = 20_000; // ms after the fault; what is served later says nothing about it
+/** Interval after a fault in which served calls count, in ms; later calls say nothing about the recovery. */
+const OBSERVATION_MS = 20_000;
 
-/** Kinds of calls whose recovery is measured. */
+/** The kinds of calls whose recovery is measured. */
 export type ServedKind = "lookup" | "stream" | "lot";
 
 /**
- * How long after a fault a kind of call was served without a gap again, in ms.
+ * Returns the time from a fault to the first call after the last gap in the service of a kind of call, in ms; 0 if there
+ * was no gap.
  *
- * @param faultAt wall clock of the fault, ms
- * @param gapMs longest time between two served calls that is no gap
+ * @param faultAt wall-clock time of the fault, in ms
+ * @param maxGapMs longest interval between two served calls that does not count as a gap, in ms
  * @example
  * recoveryTimeMs(history, fault.at, "lot", 4000);
  */
-export function recoveryTimeMs(history: History, faultAt: number, kind: ServedKind, gapMs: number): number {
+export function recoveryTimeMs(history: History, faultAt: number, kind: ServedKind, maxGapMs: number): number {
   const times = history
     .of("served")
     .filter((served) => served.kind === kind)
@@ -21,8 +23,8 @@
     .sort((left, right) => left - right);
   let previous = times.filter((time) => time <= faultAt).pop() ?? faultAt;
   let recoveredAfterMs = 0;
-  for (const time of times.filter((each) => each > faultAt && each < faultAt + OBSERVED_MS)) {
-    if (time - previous > gapMs) recoveredAfterMs = time - faultAt;
+  for (const time of times.filter((each) => each > faultAt && each < faultAt + OBSERVATION_MS)) {
+    if (time - previous > maxGapMs) recoveredAfterMs = time - faultAt;
     previous = time;
   }
   return recoveredAfterMs;
