--- a/src/tools/batchJobChecker.ts
+++ b/src/tools/batchJobChecker.ts
@@ -17,6 +17,7 @@
       total: number;
       results: { id: string; state: string; text: string }[];
     }
+  /** A read that listed nothing; `certain` is false if it failed for another reason than an unknown job. */
   | { tag: "notFound"; at: number; job: string; certain: boolean }
   | { tag: "ended"; at: number; job: string }
   | { tag: "body"; at: number; job: string; item: string; body: string | undefined }
--- a/src/tools/deployment.ts
+++ b/src/tools/deployment.ts
@@ -8,13 +8,16 @@
 import { ProxiedProcess } from "./fleet/linkProxies";
 import { EndpointSettings } from "./standInEndpoint";
 
+/** The requests that simulated callers send. */
 export type TrafficMix = {
   lookups: { binding: string; perSecond: number };
   streams: { binding: string; perSecond: number; prefixes: number; prefixBytes: number; pieces: number }[];
   singles: { binding: string; perSecond: number };
   lots: { binding: string; everyMs: number; items: number; endOneIn: number };
 };
+/** A pool of endpoints with equal settings; `replicas` is their number. */
 type Pool = Omit<EndpointSettings, "id" | "address" | "district" | "version" | "announceTo"> & { replicas: number };
+/** The content of a deployment file. */
 export type Deployment = {
   cluster: string;
   districts: string[];
@@ -26,81 +29,87 @@
   policies: PolicyRule[];
   mix: TrafficMix;
 };
+/** A process of a deployment, and its settings. */
 export type ProcessPlan = { name: string; settings: Settings };
+/** The processes and endpoints of a deployment on one machine, with their addresses. */
 export type DeploymentPlan = {
+  /** The processes that other processes reach through a proxy; empty without proxies. */
   proxied: ProxiedProcess[];
   processes: ProcessPlan[];
   endpoints: EndpointSettings[];
+  /** Addresses of the HTTP listeners of the ingresses, `IP:port`. */
   ingressHttp: string[];
+  /** Addresses of the HTTP listeners of the control nodes, `IP:port`. */
   controlHttp: string[];
 };
-const positive = { type: "number", exclusiveMinimum: 0 };
-const whole = { type: "integer", minimum: 1, maximum: 200 };
-const ms = { type: "number", minimum: 0 };
-const stringy = { type: "string", minLength: 1 };
-const object = (properties: Record<string, unknown>): unknown => ({
+const positiveNumber = { type: "number", exclusiveMinimum: 0 };
+const count = { type: "integer", minimum: 1, maximum: 200 };
+const milliseconds = { type: "number", minimum: 0 };
+const nonEmptyString = { type: "string", minLength: 1 };
+const objectWith = (properties: Record<string, unknown>): unknown => ({
   type: "object",
   additionalProperties: false,
   required: Object.keys(properties),
   properties,
 });
-const check = new Ajv({ allErrors: true, strict: false }).compile(
-  object({
-    cluster: stringy,
-    districts: { type: "array", items: stringy, minItems: 1, uniqueItems: true },
-    ingresses: whole,
-    stores: whole,
-    controls: whole,
+const validate = new Ajv({ allErrors: true, strict: false }).compile(
+  objectWith({
+    cluster: nonEmptyString,
+    districts: { type: "array", items: nonEmptyString, minItems: 1, uniqueItems: true },
+    ingresses: count,
+    stores: count,
+    controls: count,
     pools: {
       type: "array",
       minItems: 1,
-      items: object({
-        pool: stringy,
-        replicas: whole,
-        capacity: whole,
-        prefillMs: ms,
-        prefillCachedMs: ms,
-        pieceMs: ms,
-        pieces: whole,
-        itemMs: ms,
+      items: objectWith({
+        pool: nonEmptyString,
+        replicas: count,
+        capacity: count,
+        prefillMs: milliseconds,
+        prefillCachedMs: milliseconds,
+        pieceMs: milliseconds,
+        pieces: count,
+        itemMs: milliseconds,
       }),
     },
     manifest: { type: "object" },
     policies: { type: "array" },
-    mix: object({
-      lookups: object({ binding: stringy, perSecond: positive }),
+    mix: objectWith({
+      lookups: objectWith({ binding: nonEmptyString, perSecond: positiveNumber }),
       streams: {
         type: "array",
-        items: object({
-          binding: stringy,
-          perSecond: positive,
-          prefixes: whole,
+        items: objectWith({
+          binding: nonEmptyString,
+          perSecond: positiveNumber,
+          prefixes: count,
           prefixBytes: { type: "integer", minimum: 1 },
-          pieces: whole,
+          pieces: count,
         }),
       },
-      singles: object({ binding: stringy, perSecond: positive }),
-      lots: object({ binding: stringy, everyMs: positive, items: whole, endOneIn: whole }),
+      singles: objectWith({ binding: nonEmptyString, perSecond: positiveNumber }),
+      lots: objectWith({ binding: nonEmptyString, everyMs: positiveNumber, items: count, endOneIn: count }),
     }),
   }) as object,
 );
 
 /**
- * A whole deployment on one machine: which processes, with which settings.
+ * Validates deployment files, and plans the processes of a deployment on one machine with their settings.
  *
  * @example
  * const deployment = Deployment.check(JSON.parse(text));
  * if (deployment.ok) Deployment.plan(deployment.value, 7000, "run").processes;
  */
 export const Deployment = {
+  /** Validates the content of a deployment file, including its configuration and policies. */
   check(candidate: unknown): Result<Deployment> {
-    const wrong = (paths: string[]): Result<Deployment> => ({
+    const invalid = (paths: string[]): Result<Deployment> => ({
       ok: false,
       fault: { tag: "invalid", step: "check deployment", member: "deployment", detail: "deployment is wrong", paths },
     });
-    if (!check(candidate))
-      return wrong(
-        (check.errors ?? []).map(
+    if (!validate(candidate))
+      return invalid(
+        (validate.errors ?? []).map(
           (error) => `${error.instancePath || "/"}: ${error.message} ${JSON.stringify(error.params)}`,
         ),
       );
@@ -111,79 +120,92 @@
     if (!policies.ok) return policies;
     return Fault.ok(deployment);
   },
-  /** Three seeds: the first control members and the first store. @example Deployment.plan(deployment, 7000, "run") */
+  /**
+   * Plans the processes with consecutive ports after `basePort`, their zones assigned in turn. The seeds are the first two
+   * control nodes and the first storage node.
+   *
+   * @param folder parent of the data folders of the processes
+   * @param proxies whether each cluster member listens at its own address behind a proxy at its announced address
+   */
   plan(deployment: Deployment, basePort: number, folder: string, proxies = false): DeploymentPlan {
     let port = basePort;
-    const next = (): string => `127.0.0.1:${(port += 1)}`;
-    const zone = (at: number): string => deployment.districts[at % deployment.districts.length];
-    const make = (count: number): { address: string; http: string }[] =>
-      Array.from({ length: count }, () => ({ address: next(), http: next() }));
-    const controls = make(deployment.controls);
-    const stores = make(deployment.stores);
-    const agents = make(deployment.ingresses);
-    const ingresses = make(deployment.ingresses);
+    const nextAddress = (): string => `127.0.0.1:${(port += 1)}`;
+    const zoneOf = (index: number): string => deployment.districts[index % deployment.districts.length];
+    const allocateAddresses = (length: number): { address: string; http: string }[] =>
+      Array.from({ length }, () => ({ address: nextAddress(), http: nextAddress() }));
+    const controls = allocateAddresses(deployment.controls);
+    const stores = allocateAddresses(deployment.stores);
+    const agents = allocateAddresses(deployment.ingresses);
+    const ingresses = allocateAddresses(deployment.ingresses);
     const seeds = [controls[0], controls[1 % controls.length], stores[0]]
-      .map((place) => place.address)
-      .filter((seed, at, all) => all.indexOf(seed) === at);
+      .map((node) => node.address)
+      .filter((seed, index, all) => all.indexOf(seed) === index);
     const common = { cluster: deployment.cluster, seeds };
     const processes: ProcessPlan[] = [
-      ...controls.map((place, at): ProcessPlan => ({
-        name: `control-${at + 1}`,
+      ...controls.map((node, index): ProcessPlan => ({
+        name: `control-${index + 1}`,
         settings: {
           program: "control",
-          district: zone(at),
+          district: zoneOf(index),
           ...common,
-          ...place,
-          data: `${folder}/control-${at + 1}`,
-          founders: controls.map((each) => each.address),
+          ...node,
+          data: `${folder}/control-${index + 1}`,
+          founders: controls.map((control) => control.address),
         },
       })),
-      ...stores.map((place, at): ProcessPlan => ({
-        name: `store-${at + 1}`,
-        settings: { program: "store", district: zone(at), ...common, ...place, data: `${folder}/store-${at + 1}` },
+      ...stores.map((node, index): ProcessPlan => ({
+        name: `store-${index + 1}`,
+        settings: {
+          program: "store",
+          district: zoneOf(index),
+          ...common,
+          ...node,
+          data: `${folder}/store-${index + 1}`,
+        },
       })),
-      ...agents.map((place, at): ProcessPlan => ({
-        name: `agent-${at + 1}`,
-        settings: { program: "agent", district: zone(at), ...common, ...place },
+      ...agents.map((node, index): ProcessPlan => ({
+        name: `agent-${index + 1}`,
+        settings: { program: "agent", district: zoneOf(index), ...common, ...node },
       })),
-      ...ingresses.map((place, at): ProcessPlan => ({
-        name: `ingress-${at + 1}`,
+      ...ingresses.map((node, index): ProcessPlan => ({
+        name: `ingress-${index + 1}`,
         settings: {
           program: "ingress",
           cluster: deployment.cluster,
-          district: zone(at),
-          ...place,
-          agent: agents[at].address,
+          district: zoneOf(index),
+          ...node,
+          agent: agents[index].address,
         },
       })),
     ];
     const proxied: ProxiedProcess[] = [];
     if (proxies)
-      for (const each of processes.filter((every) => every.settings.program !== "ingress")) {
-        each.settings.bind = next();
-        const beside = processes.find((every) => every.settings.agent === each.settings.address);
-        if (beside) beside.settings.agent = each.settings.bind; // same machine: their link is no link that is cut
+      for (const member of processes.filter((process) => process.settings.program !== "ingress")) {
+        member.settings.bind = nextAddress();
+        // An ingress and its agent run on the same machine, so their link bypasses the proxy and is never cut.
+        const ingress = processes.find((process) => process.settings.agent === member.settings.address);
+        if (ingress) ingress.settings.agent = member.settings.bind;
         proxied.push({
-          name: each.name,
+          name: member.name,
           cluster: deployment.cluster,
-          address: each.settings.address,
-          bind: each.settings.bind,
+          address: member.settings.address,
+          bind: member.settings.bind,
         });
       }
-    const ingressHttp = ingresses.map((place) => place.http);
+    const ingressHttp = ingresses.map((node) => node.http);
     const endpoints = deployment.pools.flatMap((pool) =>
-      Array.from({ length: pool.replicas }, (_each, at): EndpointSettings => {
+      Array.from({ length: pool.replicas }, (_item, index): EndpointSettings => {
         const { replicas: _count, ...rest } = pool;
         return {
           ...rest,
-          id: `${pool.pool}-${at + 1}`,
-          address: next(),
-          district: zone(at),
+          id: `${pool.pool}-${index + 1}`,
+          address: nextAddress(),
+          district: zoneOf(index),
           version: "v1",
           announceTo: ingressHttp,
         };
       }),
     );
-    return { proxied, processes, endpoints: endpoints, ingressHttp, controlHttp: controls.map((place) => place.http) };
+    return { proxied, processes, endpoints, ingressHttp, controlHttp: controls.map((node) => node.http) };
   },
 };
--- a/src/tools/history.ts
+++ b/src/tools/history.ts
@@ -1,27 +1,27 @@
-/** How far a log reaches: the epoch of its last entry and that entry's sequence number. */
+/** The end of a log: the epoch and the sequence number of its last entry. */
 export interface LogPosition {
   epoch: number;
   seq: number;
 }
-/** A caller's response to a lookup. */
+/** The response that a caller received to a lookup. */
 interface LookupObservation {
   tag: "lookup";
   at: number;
-  /** ms from the request to the response. */
+  /** Time from the request to the response, ms. */
   tookMs: number;
   status: number;
-  /** Whether the response was to this caller's own request. */
+  /** Whether the response belongs to the request of this caller. */
   mine: boolean;
   ingress: string;
 }
-/** A request that was refused with "busy, try later". */
+/** A request that was rejected as busy (status 503). */
 interface BusyObservation {
   tag: "busy";
   at: number;
   tookMs: number;
   kind: string;
   requestId: string;
-  /** Whether the response said when to retry. */
+  /** Whether the response had a Retry-After header. */
   retryAfter: boolean;
 }
 /** A request that failed, or whose outcome is unknown. */
@@ -39,7 +39,7 @@
   tag: "streamPiece";
   stream: number;
   n: number;
-  /** Whether it was the next chunk, with the expected text. */
+  /** Whether it was the next chunk and had the expected text. */
   right: boolean;
 }
 /** The end of a stream. */
@@ -48,15 +48,15 @@
   stream: number;
   at: number;
   tookMs: number;
-  /** ms to the first chunk. */
+  /** Time to the first chunk, ms. */
   firstMs: number;
-  /** Chunks received. */
+  /** Number of chunks received. */
   pieces: number;
-  /** Chunks asked for. */
+  /** Number of chunks requested. */
   wanted: number;
-  /** How often the caller resumed it at another ingress. */
+  /** Number of times that the caller resumed the stream. */
   resumes: number;
-  /** Route. */
+  /** Name of the route. */
   binding: string;
 }
 /** The response to a request with side effects. */
@@ -68,7 +68,7 @@
   status: number;
   mine: boolean;
   tookMs: number;
-  /** Id under which the endpoint ran it. */
+  /** Id under which the endpoint ran the request. */
   ran: string;
 }
 /** A batch job whose acceptance was acknowledged; `lot` is the job's id here and below. */
@@ -84,7 +84,7 @@
 interface JobResultObservation {
   tag: "lotResult";
   lot: string;
-  /** Position among the job's results, from 1 on. */
+  /** Position among the results of the job, counted from 1. */
   position: number;
   item: number;
   state: string;
@@ -92,7 +92,7 @@
   ingress: string;
   mine: boolean;
 }
-/** A batch job whose results were all read. */
+/** A batch job all of whose results were read. */
 interface JobFinishedObservation {
   tag: "lotFinished";
   lot: string;
@@ -101,30 +101,30 @@
   ended: boolean;
   results: number;
 }
-/** A batch job that was accepted and could not be found or finished. */
+/** An accepted batch job that was not found later or did not finish in time. */
 interface JobLostObservation {
   tag: "lotLost";
   lot: string;
   at: number;
   detail: string;
 }
-/** A batch job whose cancellation was acknowledged. */
+/** A batch job whose early end was acknowledged. */
 interface JobEndedObservation {
   tag: "lotEnded";
   lot: string;
   at: number;
 }
-/** A batch job's results, read again at the end of the run. */
+/** The results of a batch job, reread at the end of the run. */
 interface JobRereadObservation {
   tag: "lotReread";
   lot: string;
   at: number;
   ingress: string;
-  /** Items in the order of their results, with commas. */
+  /** Items in the order of their results, separated by commas. */
   order: string;
   complete: boolean;
 }
-/** How long after its first reading a result could be read at another ingress. */
+/** The time from the first read of a result of a batch job until another ingress listed one, too. */
 interface JobReadableObservation {
   tag: "lotReadable";
   lot: string;
@@ -150,7 +150,7 @@
   at: number;
   district: string;
 }
-/** A configuration change, as its operator knows its outcome. */
+/** A configuration change and its outcome as known to the operator. */
 interface ChangeObservation {
   tag: "change";
   at: number;
@@ -161,13 +161,13 @@
   /** Name of the marker route that the change added. */
   mark: string;
 }
-/** The configuration that a node works with. */
+/** The configuration that is in force at a node. */
 interface InForceObservation {
   tag: "inForce";
   at: number;
   node: string;
   version: number;
-  /** Names of its marker routes, with commas. */
+  /** Names of its marker routes, separated by commas. */
   mark: string;
 }
 /** The configuration as read at the end of the run. */
@@ -177,27 +177,27 @@
   version: number;
   mark: string;
 }
-/** A fault that was injected. */
+/** An injected fault. */
 interface FaultObservation {
   tag: "fault";
   at: number;
   fault: string;
-  /** Whether service may be interrupted by it. */
+  /** Whether the fault may interrupt service. */
   heavy: boolean;
 }
-/** The end of a fault: a process that came back, or a link that was healed. */
+/** The end of a fault: a process restarted, or a link healed. */
 interface RestoredObservation {
   tag: "restored";
   at: number;
   what: string;
 }
-/** A call that was served. */
+/** A call that was served successfully. */
 interface ServedObservation {
   tag: "served";
   at: number;
   kind: "lookup" | "stream" | "lot";
 }
-/** An endpoint that was started. */
+/** The start of an endpoint. */
 interface EndpointStartedObservation {
   tag: "replicaStarted";
   at: number;
@@ -212,16 +212,16 @@
   /** Stamps of its entries, in the order read. */
   stamps: string[];
 }
-/** A shard replica's log when a new view was committed. */
+/** The log of a shard replica at the commit of a new view. */
 interface OnDiskObservation {
   tag: "onDisk";
   at: number;
   shard: number;
   epoch: number;
   member: string;
-  /** How far its synced log reaches. */
+  /** End of the synced log. */
   stands: LogPosition;
-  /** Last position acknowledged before the view. */
+  /** Last log position that was acknowledged before the new view. */
   acknowledged: LogPosition;
 }
 /** A process that was shut down gracefully. */
@@ -229,11 +229,11 @@
   tag: "stopped";
   at: number;
   process: string;
-  /** Requests that it left without a response. */
+  /** Number of requests that it left without a response. */
   unanswered: number;
 }
 
-/** What callers, operators and the test harness observed. `at` is the observer's wall clock, ms. */
+/** An observation of a caller, an operator or the test harness. `at` is the wall-clock time of the observer, ms. */
 export type Observation =
   | LookupObservation
   | BusyObservation
@@ -261,9 +261,9 @@
   | LedgerObservation
   | OnDiskObservation
   | StoppedObservation;
-/** Name of a kind of observation. */
+/** The tag of a kind of observation. */
 export type ObservationTag = Observation["tag"];
-/** The observations of one kind. */
+/** The type of the observations with one tag. */
 export type ObservationOf<Tag extends ObservationTag> = Extract<Observation, { tag: Tag }>;
 
 /**
@@ -276,11 +276,11 @@
 export class History {
   readonly observations: Observation[] = [];
 
-  /** Appends an observation. @example history.add(observation); */
+  /** Appends an observation. */
   add(observation: Observation): void {
     this.observations.push(observation);
   }
-  /** The observations of one kind. @example history.of("lookup").length */
+  /** Returns the observations with one tag. */
   of<Tag extends ObservationTag>(tag: Tag): ObservationOf<Tag>[] {
     return this.observations.filter((observation): observation is ObservationOf<Tag> => observation.tag === tag);
   }
--- a/src/tools/standInEndpoint.ts
+++ b/src/tools/standInEndpoint.ts
@@ -7,52 +7,57 @@
 const ANNOUNCE_RETRY_MS = 100;
 const ANNOUNCE_TIMEOUT_MS = 500;
 const ANNOUNCE_RESPONSE_LIMIT_BYTES = 10_000;
-const IDLE_MS = 3_600_000; // a supervised task that ends is started again, so one that is over sleeps
-const PREFIX_LENGTH = 512; // characters of a prompt that count as its prefix
-const CACHED_PREFIXES = 12;
-const CHUNK_PROMPT_LENGTH = 24; // characters of the prompt's end that each chunk repeats
+/** How long the announcement loop sleeps at a time once it is over, ms: if it returned, its supervisor would restart it. */
+const IDLE_MS = 3_600_000;
+/** Number of leading characters of a prompt that form its prefix. */
+const PREFIX_LENGTH = 512;
+/** Maximum number of cached prefixes. */
+const PREFIX_CACHE_SIZE = 12;
+/** Number of characters at the end of a prompt that each chunk repeats. */
+const CHUNK_PROMPT_LENGTH = 24;
+/** Size of the body that the behavior "endless" sends, in bytes. */
 const ENDLESS_BODY_BYTES = 5_000_000;
 const ENDLESS_WRITE_BYTES = 65_536;
 
-/** What an endpoint is and how fast it works; the field names are those of the deploy file and of announcements. */
+/** Identity and speed of an endpoint, with the field names of deployment files and announcements. */
 export interface EndpointSettings {
   id: string;
-  /** `IP:port` that it listens on. */
+  /** Address that the endpoint listens on, `IP:port`. */
   address: string;
   pool: string;
-  /** Zone. */
+  /** Zone that the endpoint is in. */
   district: string;
   version: string;
-  /** Requests that it runs at a time. */
+  /** Maximum number of requests that the endpoint runs at a time. */
   capacity: number;
-  /** Addresses of the ingresses that it announces itself to. */
+  /** Addresses of the ingresses that the endpoint announces itself to. */
   announceTo: string[];
   /** Time to the first chunk of a stream, ms. */
   prefillMs: number;
-  /** The same where the prompt's prefix is cached, ms. */
+  /** Time to the first chunk of a stream whose prompt has a cached prefix, ms. */
   prefillCachedMs: number;
   /** Time between chunks, ms. */
   pieceMs: number;
-  /** Chunks of a stream whose request names no number. */
+  /** Number of chunks of a stream if the request does not say. */
   pieces: number;
-  /** Time for a request that is answered in one, ms. */
+  /** Time to process a request with a single response, ms. */
   itemMs: number;
 }
 /** One execution of a request. */
 export interface EndpointRun {
-  /** Id of the request or batch item. */
+  /** Id of the request, or `job/item` for a batch item. */
   id: string;
   attempt: number;
-  /** Wall clock at the start, ms. */
+  /** Wall-clock time of the start, ms. */
   at: number;
   kind: "stream" | "single";
-  /** Chunks that an earlier attempt had delivered; a stream continues after them. */
+  /** Number of chunks that earlier attempts had delivered; the stream continues after them. */
   continued: number;
 }
-/** How an endpoint treats requests: all but `healthy` are faults, except for `overloaded`, which refuses them properly. */
+/** How the endpoint handles requests. `overloaded` rejects them in the correct way; the others but `healthy` are faults. */
 export type EndpointBehavior = "healthy" | "unresponsive" | "malformed" | "endless" | "overloaded";
 
-/** A request's body; the field names are those on the wire. */
+/** Body of a request, with its field names on the wire. */
 interface RequestBody {
   prompt?: string;
   pieces?: number;
@@ -60,8 +65,8 @@
 }
 
 /**
- * A stand-in endpoint: a model that streams chunks and caches prefixes, and a service that responds in one. It records its
- * runs, so that the checker sees whether anything ran twice.
+ * A stand-in endpoint that simulates both a model, which streams chunks and caches prompt prefixes, and a service with single
+ * responses. It records its runs, from which the checker finds out whether a request ran twice.
  *
  * @example
  * const endpoint = new StandInEndpoint(env, settings);
@@ -70,16 +75,17 @@
 export class StandInEndpoint {
   readonly runs: EndpointRun[] = [];
   behavior: EndpointBehavior = "healthy";
-  /** Streams whose prefix was cached. */
+  /** Number of streams whose prefix was cached. */
   cacheHits = 0;
-  /** Streams whose prefix was not cached. */
+  /** Number of streams whose prefix was not cached. */
   cacheMisses = 0;
-  /** Id of this incarnation. */
+  /** Id of this incarnation of the endpoint. */
   readonly instance: string;
+  /** Number of requests in progress. */
   private active = 0;
   private deregistered = false;
   /** Cached prefixes, the least recently used first. */
-  private readonly prefixes = new Set<string>();
+  private readonly cachedPrefixes = new Set<string>();
 
   constructor(
     private readonly env: Environment,
@@ -88,19 +94,19 @@
     this.instance = EnvironmentTools.id(env, "i");
   }
 
-  /** The n-th chunk of a stream, counted from 1; callers check what they receive by it. @example StandInEndpoint.chunkAt("a prompt", 1) */
+  /** Returns the n-th chunk of a stream, counted from 1. Callers compare received chunks with it. */
   static chunkAt(prompt: string, n: number): string {
     return `${n}:${prompt.slice(-CHUNK_PROMPT_LENGTH)} `;
   }
 
-  /** Serves requests and announces itself; fails where its address is taken. @example yield* endpoint.start(); */
+  /** Starts to serve requests and to announce the endpoint; fails if the address is in use. */
   *start(): Task<Result<true>> {
     const served = yield* this.env.serveHttp(this.settings.address, (exchange) => this.serve(exchange));
     if (!served.ok) return served;
     EnvironmentTools.keep(this.env, this.env.scope, "announce", () => this.announceLoop());
     return served;
   }
-  /** Withdraws its announcement at some ingress and goes on with the requests it has; whether an ingress took it. @example yield* endpoint.deregister(); */
+  /** Deregisters at one of the ingresses and completes the requests in progress; returns whether an ingress accepted it. */
   *deregister(): Task<boolean> {
     this.deregistered = true;
     for (const address of this.settings.announceTo) {
@@ -148,9 +154,9 @@
       return;
     }
     const body = JSON.parse(received.value.toString("utf8")) as RequestBody;
-    const run = this.record(exchange, body);
+    const run = this.recordRun(exchange, body);
     if (this.behavior === "unresponsive") {
-      // The request counts as run: its caller can't know that it did not.
+      // The request counts as run, since its caller cannot rule that out.
       yield* Csp.take(exchange.gone);
       return;
     }
@@ -158,13 +164,13 @@
     try {
       if (this.behavior === "malformed") exchange.send(200, { "content-type": "text/plain" }, "<<<\n>>>\n");
       else if (this.behavior === "endless") yield* this.respondEndlessly(exchange);
-      else if (run.kind === "stream") yield* this.stream(exchange, body);
+      else if (run.kind === "stream") yield* this.respondWithStream(exchange, body);
       else yield* this.respond(exchange, run.id, body);
     } finally {
       this.active -= 1;
     }
   }
-  private record(exchange: HttpExchange, body: RequestBody): EndpointRun {
+  private recordRun(exchange: HttpExchange, body: RequestBody): EndpointRun {
     const run: EndpointRun = {
       id: exchange.headers["x-request-id"] ?? "",
       attempt: Number(exchange.headers["x-round"] ?? 0),
@@ -180,11 +186,11 @@
     const response = JSON.stringify({ by: this.settings.id, id, echo: body });
     exchange.send(200, { "content-type": "application/json" }, response);
   }
-  private *stream(exchange: HttpExchange, body: RequestBody): Task<void> {
+  private *respondWithStream(exchange: HttpExchange, body: RequestBody): Task<void> {
     const { prefillMs, prefillCachedMs, pieceMs, pieces } = this.settings;
     const prompt = body.prompt ?? "";
-    const cached = this.cachePrefix(prompt.slice(0, PREFIX_LENGTH));
-    yield* EnvironmentTools.sleep(this.env, cached ? prefillCachedMs : prefillMs);
+    const isCached = this.cachePrefix(prompt.slice(0, PREFIX_LENGTH));
+    yield* EnvironmentTools.sleep(this.env, isCached ? prefillCachedMs : prefillMs);
     exchange.open(200, { "content-type": "application/x-ndjson" });
     const count = body.pieces ?? pieces;
     for (let n = (body.continueFrom?.length ?? 0) + 1; n <= count; n += 1) {
@@ -203,14 +209,14 @@
     }
     exchange.end();
   }
-  /** Makes a prefix the most recently used one; whether it was cached before. */
+  /** Makes a prefix the most recently used one; returns whether it was cached before. */
   private cachePrefix(prefix: string): boolean {
-    const cached = this.prefixes.delete(prefix);
-    this.prefixes.add(prefix);
-    const [oldest] = this.prefixes;
-    if (this.prefixes.size > CACHED_PREFIXES) this.prefixes.delete(oldest);
-    if (cached) this.cacheHits += 1;
+    const wasCached = this.cachedPrefixes.delete(prefix);
+    this.cachedPrefixes.add(prefix);
+    const [leastRecent] = this.cachedPrefixes;
+    if (this.cachedPrefixes.size > PREFIX_CACHE_SIZE) this.cachedPrefixes.delete(leastRecent);
+    if (wasCached) this.cacheHits += 1;
     else this.cacheMisses += 1;
-    return cached;
+    return wasCached;
   }
 }
--- a/test/batchJobChecker.test.ts
+++ b/test/batchJobChecker.test.ts
@@ -22,8 +22,10 @@
   text: `text ${id}`,
   expected,
 });
-const sent: ExpectedJob[] = [{ job: "L", items: [item("a"), item("b"), item("c", "impossible"), item("d", "fails")] }];
-const run = (id: string, at: number, more: Partial<ObservedRun> = {}): ObservedRun => ({
+const expectedJobs: ExpectedJob[] = [
+  { job: "L", items: [item("a"), item("b"), item("c", "impossible"), item("d", "fails")] },
+];
+const run = (id: string, at: number, overrides: Partial<ObservedRun> = {}): ObservedRun => ({
   id,
   at,
   requestedAt: at,
@@ -32,7 +34,7 @@
   body: `body ${id}`,
   target: `/b/${id}`,
   isComplete: true,
-  ...more,
+  ...overrides,
 });
 const accepted: JobObservation = { tag: "submitted", at: 100, job: "L", outcome: "accepted", tokens: 400 };
 const listed = (
@@ -53,11 +55,13 @@
   text,
 });
 const abandoned = (id: string): { id: string; state: string; text: string } => ({ id, state: "abandoned", text: "" });
-const violated = (seen: JobObservation[], runs: ObservedRun[] = []): string[] => [
-  ...new Set(BatchJobChecker.check({ observations: seen, runs, jobs: sent, bounds }).map(({ invariant }) => invariant)),
+const violatedInvariants = (observations: JobObservation[], runs: ObservedRun[] = []): string[] => [
+  ...new Set(
+    BatchJobChecker.check({ observations, runs, jobs: expectedJobs, bounds }).map(({ invariant }) => invariant),
+  ),
 ];
 
-/** Of each invariant: what violates it, and what is similar and doesn't. */
+/** For each invariant: observations that violate it, and similar ones that do not. */
 const cases: [string, [JobObservation[], ObservedRun[]?][], [JobObservation[], ObservedRun[]?][]][] = [
   [
     "lot-stays",
@@ -150,9 +154,9 @@
     ],
   ],
 ];
-test.each(cases)("%s is reported where it is violated, and only there", (name, broken, allowed) => {
-  for (const [seen, runs] of broken) expect(violated(seen, runs)).toContain(name);
-  for (const [seen, runs] of allowed) expect(violated(seen, runs)).toEqual([]);
+test.each(cases)("%s is reported for each violation and for no similar case", (name, violating, valid) => {
+  for (const [observations, runs] of violating) expect(violatedInvariants(observations, runs)).toContain(name);
+  for (const [observations, runs] of valid) expect(violatedInvariants(observations, runs)).toEqual([]);
 });
-test("every invariant has its cases", () =>
+test("there are cases for every invariant", () =>
   expect(cases.map(([name]) => name)).toEqual(BatchJobChecker.rules.map(({ name }) => name)));
--- a/test/controlHistory.test.ts
+++ b/test/controlHistory.test.ts
@@ -1,10 +1,10 @@
 import { OperatorRaceCampaign } from "./operatorRaceCampaign";
 import { ControlHistory } from "./controlHistory";
 
-const { change, read, drainOrder: order, drained, configurations, zone } = ControlHistory;
+const { change, read, drainOrder, drained, configurations, zone } = ControlHistory;
 
-describe("the judge of operators' histories", () => {
-  test("finds an order for concurrent calls, lost answers and reads on either side of them", () => {
+describe("linearizability check of what operators observed", () => {
+  test("accepts concurrent calls, lost responses, and reads before and after them", () => {
     expect(
       configurations([
         change("a", 0, 30, 0, 3, "acknowledged"),
@@ -18,70 +18,78 @@
       ]).tag,
     ).toBe("linearizable");
     expect(
-      zone([order("drain", 0, 9, true), drained(true, 10), order("undrain", 11, 20, true), drained(false, 21)]).tag,
+      zone([
+        drainOrder("drain", 0, 9, true),
+        drained(true, 10),
+        drainOrder("undrain", 11, 20, true),
+        drained(false, 21),
+      ]).tag,
     ).toBe("linearizable");
-    // two orders under way at once: either may be the later one
-    for (const last of [true, false])
-      expect(zone([order("drain", 0, 9, true), order("undrain", 3, 8, true), drained(last, 10)]).tag).toBe(
-        "linearizable",
-      );
+    // Of two concurrent orders, either may take effect last.
+    for (const isDrained of [true, false])
+      expect(
+        zone([drainOrder("drain", 0, 9, true), drainOrder("undrain", 3, 8, true), drained(isDrained, 10)]).tag,
+      ).toBe("linearizable");
   });
   test.each([
     [
-      "two acknowledged on one version",
+      "two changes of one version are acknowledged",
       [change("a", 0, 9, 0, 3, "acknowledged"), change("b", 1, 9, 0, 3, "acknowledged")],
     ],
-    ["a refused one in force", [change("a", 0, 9, 0, 3, "refused"), read("a", 20, 21, 3)]],
-    ["refused, though its version was current", [change("a", 0, 9, 0, 3, "refused"), read("", 20, 21, 0)]],
-    ["an acknowledged one lost", [change("a", 0, 9, 0, 3, "acknowledged"), read("", 20, 21, 0)]],
-    ["an old read after a newer one", [change("a", 0, 90, 0, 3, "unknown"), read("a", 20, 21, 3), read("", 22, 23, 0)]],
+    ["a refused change is in force", [change("a", 0, 9, 0, 3, "refused"), read("a", 20, 21, 3)]],
+    ["a change is refused although its version is current", [change("a", 0, 9, 0, 3, "refused"), read("", 20, 21, 0)]],
+    ["an acknowledged change is lost", [change("a", 0, 9, 0, 3, "acknowledged"), read("", 20, 21, 0)]],
+    [
+      "an old version is read after a newer one",
+      [change("a", 0, 90, 0, 3, "unknown"), read("a", 20, 21, 3), read("", 22, 23, 0)],
+    ],
     [
-      "another document under its number",
+      "a refused change is read under the version of the acknowledged one",
       [change("a", 0, 9, 0, 3, "acknowledged"), change("b", 0, 9, 0, 3, "refused"), read("b", 20, 21, 3)],
     ],
-    ["read before it was sent", [read("a", 1, 2, 3), change("a", 5, 9, 0, 3, "acknowledged")]],
-  ])("a planted violation is seen: %s", (_what, operations) => {
+    ["a change is read before it was sent", [read("a", 1, 2, 3), change("a", 5, 9, 0, 3, "acknowledged")]],
+  ])("reports a violation: %s", (_title, operations) => {
     expect(configurations(operations).tag).toBe("violated");
   });
   test.each([
-    ["an acknowledged drain lost", [order("drain", 0, 9, true), drained(false, 10)]],
+    ["an acknowledged drain is lost", [drainOrder("drain", 0, 9, true), drained(false, 10)]],
     [
-      "drained by a call that was over",
-      [order("drain", 0, 9, false), order("undrain", 20, 29, true), drained(true, 30)],
+      "a zone is drained by an order that can no longer take effect",
+      [drainOrder("drain", 0, 9, false), drainOrder("undrain", 20, 29, true), drained(true, 30)],
     ],
     [
-      "drained by a late duplicate",
-      [order("drain", 0, 9, true), order("undrain", 20, 29, true), drained(false, 30), drained(true, 31)],
+      "a zone is drained by a late duplicate of an order",
+      [drainOrder("drain", 0, 9, true), drainOrder("undrain", 20, 29, true), drained(false, 30), drained(true, 31)],
     ],
-  ])("a planted violation is seen: %s", (_what, operations) => {
+  ])("reports a violation: %s", (_title, operations) => {
     expect(zone(operations).tag).toBe("violated");
   });
-  test("a day of 400 operations is judged", () => {
-    const operations = Array.from({ length: 200 }, (_, at) => [
-      change(`a${at}`, at * 10, at * 10 + 8, at, at + 1, "acknowledged"),
-      change(`b${at}`, at * 10 + 1, at * 10 + 9, at, at + 1, at % 3 === 0 ? "unknown" : "refused"),
+  test("a history of 400 operations is checked", () => {
+    const operations = Array.from({ length: 200 }, (_item, index) => [
+      change(`a${index}`, index * 10, index * 10 + 8, index, index + 1, "acknowledged"),
+      change(`b${index}`, index * 10 + 1, index * 10 + 9, index, index + 1, index % 3 === 0 ? "unknown" : "refused"),
     ]).flat();
     expect(configurations(operations).tag).toBe("linearizable");
   });
 });
 
-describe("operators of configurations and zones, answers lost, while control machines are in trouble", () => {
-  const [first, count] = [Number(process.env.ORDER_SEED ?? 1), Number(process.env.ORDER_SEEDS ?? 1)];
+describe("operators change configurations and drain zones while responses are lost and control machines have faults", () => {
+  const [firstSeed, seedCount] = [Number(process.env.ORDER_SEED ?? 1), Number(process.env.ORDER_SEEDS ?? 1)];
   const faults = Number(process.env.ORDER_TROUBLES ?? 2);
   test.each([
     [4, 1],
     [7, 2],
   ])(
-    "%i machines, %i of them lost: what operators saw has an order",
+    "%i control machines, %i of them lost: what operators observed is linearizable",
     async (controls, losses) => {
       const violations: Record<number, string[]> = {};
-      for (let seed = first; seed < first + count; seed += 1) {
+      for (let seed = firstSeed; seed < firstSeed + seedCount; seed += 1) {
         const result = await OperatorRaceCampaign.run(seed, { controls, losses, faults, orders: true });
         if (result.violations.length > 0) violations[seed] = [...result.violations, ...result.injectedFaults];
         expect(result.acknowledged).toBeGreaterThan(10);
       }
       expect(violations).toEqual({});
     },
-    120_000 * count,
+    120_000 * seedCount,
   );
 });
--- a/test/controlHistory.ts
+++ b/test/controlHistory.ts
@@ -1,72 +1,94 @@
-/** What a caller saw of one operation: from its first sending to its clear answer. */
+/** The time from the first request of an operation until its caller knows the outcome. */
 type Span = { name: string; begin: number; end: number };
+/** An operation on an object with this state, as its caller observed it. */
 export type Operation<State> = Span & {
-  /** The caller got no clear answer: it may have taken effect between begin and end, or never. */
+  /** Whether the caller does not know the outcome: the operation took effect between begin and end, or not at all. */
   optional: boolean;
-  /** The state after it, or undefined where what the caller saw can't have been seen in this state. */
+  /** Returns the state after the operation, or undefined if its observed outcome is impossible in this state. */
   apply(state: State): State | undefined;
 };
+/**
+ * The result of a linearizability check. For a violation it names the last operations of the longest valid order found, and
+ * the operations that are due next, each of which contradicts that order.
+ */
 export type Verdict =
   { tag: "linearizable" } | { tag: "violated"; longestOrder: string[]; blockedOperations: string[] };
+/** The current configuration: its version, and the marker of the change that made it. */
 export type ConfigurationState = { version: number; mark: string };
-type Frame<State> = { state: State; done: bigint; newestBegin: number; path: string[] };
+/** An incomplete order of the operations, from which the search continues. */
+type SearchState<State> = {
+  /** State of the object after the operations ordered so far. */
+  state: State;
+  /** Bit set of the operations ordered so far, by their index. */
+  ordered: bigint;
+  /** Latest begin of an operation ordered so far. */
+  latestBegin: number;
+  /** Names of the operations in their order. */
+  path: string[];
+};
 
-const isDone = (done: bigint, at: number): boolean => ((done >> BigInt(at)) & 1n) === 1n;
-/** Operations that may be the next one: none that must come has ended before they began. */
-function candidates<State>(operations: Operation<State>[], snapshot: Frame<State>): number[] {
+const isOrdered = (ordered: bigint, index: number): boolean => ((ordered >> BigInt(index)) & 1n) === 1n;
+/** Returns the indexes of the operations that can be next: no mandatory operation ended before such an operation began. */
+function candidates<State>(operations: Operation<State>[], searchState: SearchState<State>): number[] {
   let earliestEnd = Infinity;
-  operations.forEach((operation, at) => {
-    if (!operation.optional && !isDone(snapshot.done, at)) earliestEnd = Math.min(earliestEnd, operation.end);
+  operations.forEach((operation, index) => {
+    if (!operation.optional && !isOrdered(searchState.ordered, index))
+      earliestEnd = Math.min(earliestEnd, operation.end);
   });
-  return operations.flatMap((operation, at) => {
-    const inTime = operation.begin <= earliestEnd && operation.end >= snapshot.newestBegin;
-    return !isDone(snapshot.done, at) && inTime ? [at] : [];
+  return operations.flatMap((operation, index) => {
+    const respectsRealTime = operation.begin <= earliestEnd && operation.end >= searchState.latestBegin;
+    return !isOrdered(searchState.ordered, index) && respectsRealTime ? [index] : [];
   });
 }
-const isComplete = <State>(operations: Operation<State>[], done: bigint): boolean =>
-  operations.every((operation, at) => operation.optional || isDone(done, at));
+const isComplete = <State>(operations: Operation<State>[], ordered: bigint): boolean =>
+  operations.every((operation, index) => operation.optional || isOrdered(ordered, index));
 
 /**
- * Whether operations of concurrent callers can be put in one order that respects real time and gives every caller what it
- * saw: a depth-first search (Wing and Gong) that visits each pair of state and finished operations once.
+ * Checks whether operations of concurrent callers are linearizable, which means that they have one order that respects real
+ * time and explains what every caller observed. A depth-first search (Wing and Gong) that visits each pair of a state and a
+ * set of ordered operations once.
  */
 function linearize<State>(initial: State, operations: Operation<State>[]): Verdict {
   const visited = new Set<string>();
-  const stack: Frame<State>[] = [{ state: initial, done: 0n, newestBegin: -Infinity, path: [] }];
+  const stack: SearchState<State>[] = [{ state: initial, ordered: 0n, latestBegin: -Infinity, path: [] }];
   let deepest = stack[0];
-  for (let snapshot = stack.pop(); snapshot; snapshot = stack.pop()) {
-    if (isComplete(operations, snapshot.done)) return { tag: "linearizable" };
-    if (snapshot.path.length > deepest.path.length) deepest = snapshot;
-    for (const at of candidates(operations, snapshot).reverse()) {
-      const operation = operations[at];
-      const state = operation.apply(snapshot.state);
+  for (let searchState = stack.pop(); searchState; searchState = stack.pop()) {
+    if (isComplete(operations, searchState.ordered)) return { tag: "linearizable" };
+    if (searchState.path.length > deepest.path.length) deepest = searchState;
+    for (const index of candidates(operations, searchState).reverse()) {
+      const operation = operations[index];
+      const state = operation.apply(searchState.state);
       if (state === undefined) continue;
-      const done = snapshot.done | (1n << BigInt(at));
-      const key = `${done.toString(36)} ${JSON.stringify(state)}`;
+      const ordered = searchState.ordered | (1n << BigInt(index));
+      const key = `${ordered.toString(36)} ${JSON.stringify(state)}`;
       if (visited.has(key)) continue;
       visited.add(key);
-      const newestBegin = Math.max(snapshot.newestBegin, operation.begin);
-      stack.push({ state, done, newestBegin, path: [...snapshot.path, operation.name] });
+      const latestBegin = Math.max(searchState.latestBegin, operation.begin);
+      stack.push({ state, ordered, latestBegin, path: [...searchState.path, operation.name] });
     }
   }
-  const stuck = candidates(operations, deepest).map((at) => operations[at].name);
-  return { tag: "violated", longestOrder: deepest.path.slice(-6), blockedOperations: stuck };
+  const blockedOperations = candidates(operations, deepest).map((index) => operations[index].name);
+  return { tag: "violated", longestOrder: deepest.path.slice(-6), blockedOperations };
 }
 
 /**
- * Judges what operators saw of the control group as histories of a register with versions, and of one switch for each zone.
+ * Checks what operators observed of the control group for linearizability: the configuration as a register with versions,
+ * and the drain of each zone as a switch.
  *
  * @example
- * const judged = ControlHistory.configurations([ControlHistory.change("a", 0, 10, 0, 3, "acknowledged")]);
+ * const verdict = ControlHistory.configurations([ControlHistory.change("a", 0, 10, 0, 3, "acknowledged")]);
  */
 export const ControlHistory = {
   linearize,
-  /** @example ControlHistory.configurations(operations).tag // "linearizable" */
+  /** Checks the changes and reads of the configuration. */
   configurations: (operations: Operation<ConfigurationState>[]): Verdict =>
     linearize({ version: 0, mark: "" }, operations),
-  /** @example ControlHistory.zone(operations).tag */
+  /** Checks the drain orders for one zone and the observations of its state. */
   zone: (operations: Operation<boolean>[]): Verdict => linearize(false, operations),
-  /** A change, resends included. Acknowledged: it took effect once. Refused: another version was current, and it never did. */
+  /**
+   * A change of the configuration, including its retries. An acknowledged change took effect once; a refused one never did,
+   * since another version than `ifVersion` was current.
+   */
   change(
     mark: string,
     begin: number,
@@ -75,21 +97,21 @@
     version: number,
     outcome: "acknowledged" | "refused" | "unknown",
   ): Operation<ConfigurationState> {
-    const take = (state: ConfigurationState): ConfigurationState | undefined =>
+    const accept = (state: ConfigurationState): ConfigurationState | undefined =>
       state.version === ifVersion ? { version, mark } : undefined;
-    const refuse = (state: ConfigurationState): ConfigurationState | undefined =>
+    const reject = (state: ConfigurationState): ConfigurationState | undefined =>
       state.version === ifVersion ? undefined : state;
-    const unknown = outcome === "unknown";
+    const isUnknown = outcome === "unknown";
     const name = `${mark}: ${version} on ${ifVersion} ${outcome}, ${begin.toFixed(0)} to ${end.toFixed(0)}`;
     return {
       name,
       begin,
-      end: unknown ? Infinity : end,
-      optional: unknown,
-      apply: outcome === "refused" ? refuse : take,
+      end: isUnknown ? Infinity : end,
+      optional: isUnknown,
+      apply: outcome === "refused" ? reject : accept,
     };
   },
-  /** @example ControlHistory.read("", 10, 12, 0) */
+  /** A read of the configuration. */
   read: (mark: string, begin: number, end: number, version: number): Operation<ConfigurationState> => ({
     name: `read ${version} ${mark}, ${begin.toFixed(0)} to ${end.toFixed(0)}`,
     begin,
@@ -97,7 +119,7 @@
     optional: false,
     apply: (state) => (state.version === version && state.mark === mark ? state : undefined),
   }),
-  /** An order for a zone; without an answer it may take effect until end. @example ControlHistory.order("drain", 0, 900, true) */
+  /** An order to drain or undrain a zone; one that is not acknowledged may take effect until `end`. */
   drainOrder: (kind: "drain" | "undrain", begin: number, end: number, acknowledged: boolean): Operation<boolean> => ({
     name: `${kind} ${acknowledged ? "acknowledged" : "unknown"}, ${begin.toFixed(0)} to ${end.toFixed(0)}`,
     begin,
@@ -105,12 +127,12 @@
     optional: !acknowledged,
     apply: () => kind === "drain",
   }),
-  /** @example ControlHistory.drained(true, 50) */
-  drained: (drained: boolean, at: number): Operation<boolean> => ({
-    name: `${drained ? "drained" : "open"} at ${at.toFixed(0)}`,
+  /** An observation whether a zone is drained. */
+  drained: (isDrained: boolean, at: number): Operation<boolean> => ({
+    name: `${isDrained ? "drained" : "open"} at ${at.toFixed(0)}`,
     begin: at,
     end: at,
     optional: false,
-    apply: (state) => (state === drained ? state : undefined),
+    apply: (state) => (state === isDrained ? state : undefined),
   }),
 };
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -10,12 +10,12 @@
 import { History } from "../src/tools/history";
 import { TaskRunner } from "./taskRunner";
 
-// Separate processes on real sockets and files. Every wait is for a condition; no verdict hangs on speed.
-test("the whole path: processes find each other, take a configuration, serve lookups, streams and lots, and survive a killed store", async () => {
+// Runs separate processes on real sockets and files. Every wait is for a condition, so the result does not depend on speed.
+test("processes discover each other, accept a configuration, serve lookups, streams and batch jobs, and survive the kill of a storage node", async () => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "petrelbeam-"));
-  const read = Deployment.check(JSON.parse(fs.readFileSync(path.join(__dirname, "../../deploy/small.json"), "utf8")));
-  if (!read.ok) throw new Error(JSON.stringify(read.fault));
-  const deployment = read.value;
+  const parsed = Deployment.check(JSON.parse(fs.readFileSync(path.join(__dirname, "../../deploy/small.json"), "utf8")));
+  if (!parsed.ok) throw new Error(JSON.stringify(parsed.fault));
+  const deployment = parsed.value;
   const plan = Deployment.plan(deployment, 20_000 + (process.pid % 20_000), folder);
   let fleet: Fleet | undefined;
   try {
@@ -28,19 +28,19 @@
       const history = new History();
       const callers = new Callers(env, deployment.mix, plan.ingressHttp, history);
       callers.start(1);
-      const enough = (): boolean =>
+      const hasServedEnough = (): boolean =>
         history.of("lookup").length >= 20 &&
         history.of("streamEnd").length >= 5 &&
         history.of("lotFinished").length >= 3 &&
         history.of("single").length >= 2;
-      for (let waited = 0; !enough() && waited < 600; waited += 1) yield* EnvironmentTools.sleep(env, 100);
-      expect(enough()).toBe(true);
+      for (let waited = 0; !hasServedEnough() && waited < 600; waited += 1) yield* EnvironmentTools.sleep(env, 100);
+      expect(hasServedEnough()).toBe(true);
       fleet.signal("store-2", "SIGKILL");
-      const finished = history.of("lotFinished").length;
-      const streams = history.of("streamEnd").length;
+      const finishedBefore = history.of("lotFinished").length;
+      const streamsBefore = history.of("streamEnd").length;
       for (
         let waited = 0;
-        (history.of("lotFinished").length < finished + 5 || history.of("streamEnd").length < streams + 5) &&
+        (history.of("lotFinished").length < finishedBefore + 5 || history.of("streamEnd").length < streamsBefore + 5) &&
         waited < 600;
         waited += 1
       )
@@ -49,8 +49,8 @@
       for (let waited = 0; callers.callsInFlight > 0 && waited < 1200; waited += 1)
         yield* EnvironmentTools.sleep(env, 100);
       for (const ingress of plan.ingressHttp) yield* callers.reread(ingress);
-      // what holds at any speed; the bounds in seconds are judged in virtual time
-      const timeless = [
+      // These invariants hold at any speed. Time limits are checked in virtual time by other tests.
+      const invariantsWithoutTimeLimits = [
         "right-caller",
         "no-false-success",
         "never-twice",
@@ -60,15 +60,17 @@
         "one-position",
       ];
       expect(
-        Checker.check(history, fleet.endpoints).filter((violation) => timeless.includes(violation.invariant)),
+        Checker.check(history, fleet.endpoints).filter((violation) =>
+          invariantsWithoutTimeLimits.includes(violation.invariant),
+        ),
       ).toEqual([]);
-      expect(history.of("lotFinished").length).toBeGreaterThanOrEqual(finished + 5);
+      expect(history.of("lotFinished").length).toBeGreaterThanOrEqual(finishedBefore + 5);
       const [job] = callers.acceptedJobs.keys();
-      const why = yield* fleet.operator.get(plan.ingressHttp[0], `/v1/why/${job}`);
-      expect((why?.body as WhyBody).entries.some((entry) => entry.decision.startsWith("accepted with 12 items"))).toBe(
-        true,
-      );
-      // SIGTERM ends a process by itself
+      const response = yield* fleet.operator.get(plan.ingressHttp[0], `/v1/why/${job}`);
+      expect(
+        (response?.body as WhyBody).entries.some((entry) => entry.decision.startsWith("accepted with 12 items")),
+      ).toBe(true);
+      // After SIGTERM, a process exits by itself.
       fleet.signal("ingress-1", "SIGTERM");
       expect(yield* fleet.waitForExit("ingress-1", 30_000)).toBe(true);
       expect(fleet.children.get("ingress-1")!.exitCode).toBe(0);
