--- a/src/tools/callers/batchCaller.ts
+++ b/src/tools/callers/batchCaller.ts
@@ -150,7 +150,7 @@
     const mine = state !== "done" || echoed === `${id}/${item}`;
     history.add({ tag: "lotResult", lot: id, position, item, state, at: env.wall(), ingress, mine });
   }
-  /** Measures how long after the ingress `firstIngress` listed a result of a job each other ingress lists one, too. */
+  /** Measures how long after `firstIngress` the other ingresses list a result of a job, too. */
   private measureVisibility(id: string, firstIngress: string): void {
     const { env, ingresses } = this.client;
     const firstAt = env.wall();
--- a/src/tools/checker/batchJobInvariants.ts
+++ b/src/tools/checker/batchJobInvariants.ts
@@ -50,7 +50,7 @@
   observe(job: string, position: number, item: number): void {
     const otherItem = this.itemAt.get(`${job}#${position}`);
     if (otherItem !== undefined && otherItem !== item)
-      this.contradictions.push(`position ${position} of batch job ${job} held item ${otherItem} and then item ${item}`);
+      this.contradictions.push(`batch job ${job}: position ${position} held item ${otherItem} and then item ${item}`);
     const otherPosition = this.positionOf.get(`${job}/${item}`);
     if (otherPosition !== undefined && otherPosition !== position)
       this.contradictions.push(`item ${job}/${item} was at position ${otherPosition} and then at position ${position}`);
--- a/src/tools/checker/endpointInvariants.ts
+++ b/src/tools/checker/endpointInvariants.ts
@@ -40,7 +40,7 @@
         .filter(({ district, at }) => district === drain.district && at > from && at < to)
         .map(
           ({ replica, district, id, at }) =>
-            `endpoint ${replica} got ${id} ${(at - drain.at).toFixed(0)} ms after the drain of its zone ${district}`,
+            `endpoint ${replica} in the drained zone ${district} got ${id} after ${(at - drain.at).toFixed(0)} ms`,
         );
     });
   },
--- a/src/tools/checker/responseInvariants.ts
+++ b/src/tools/checker/responseInvariants.ts
@@ -1,4 +1,4 @@
-/** Invariants of single responses: each reaches its own caller, and is true to what the endpoints ran. */
+/** Invariants of responses: they reach the right caller and agree with what the endpoints ran. */
 
 import { Invariant, runsOf } from "./invariant";
 
--- a/test/controlHistory.ts
+++ b/test/controlHistory.ts
@@ -15,17 +15,8 @@
   { tag: "linearizable" } | { tag: "violated"; longestOrder: string[]; blockedOperations: string[] };
 /** The current configuration: its version, and the marker of the change that made it. */
 export type ConfigurationState = { version: number; mark: string };
-/** An incomplete order of the operations, from which the search continues. */
-type SearchState<State> = {
-  /** State of the object after the operations ordered so far. */
-  state: State;
-  /** Bit set of the operations ordered so far, by their index. */
-  ordered: bigint;
-  /** Latest begin of an operation ordered so far. */
-  latestBegin: number;
-  /** Names of the operations in their order. */
-  path: string[];
-};
+/** A node of the search: operations in order, as a bit set of indexes and as names, with the state after them and their latest begin. */
+type SearchState<State> = { state: State; ordered: bigint; latestBegin: number; path: string[] };
 
 const isOrdered = (ordered: bigint, index: number): boolean => ((ordered >> BigInt(index)) & 1n) === 1n;
 /** Returns the indexes of the operations that can be next: no mandatory operation ended before such an operation began. */
