--- a/src/tools/batchJobChecker.ts
+++ b/src/tools/batchJobChecker.ts
@@ -251,7 +251,7 @@
       }),
   },
 ];
-/** Returns whether an item may be abandoned: if it is impossible, has failed often enough, is late, or its job was ended. */
+/** Returns whether an item may be abandoned: it is impossible, has failed often enough, is late, or its job was ended. */
 function mayBeAbandoned(
   observed: Observed,
   observation: { at: number; job: string },
--- a/src/tools/callers/streamCaller.ts
+++ b/src/tools/callers/streamCaller.ts
@@ -83,8 +83,8 @@
     });
   }
   /**
-   * Handles a response that is not a stream. Returns whether to continue: a rejected resumption is retried, a rejected first
-   * request is not.
+   * Handles a response that is not a stream. Returns whether to continue: a rejected resumption is retried, a rejected
+   * first request is not.
    */
   private *canContinueAfterRejection(response: Result<HttpResponse>): Task<boolean> {
     const { client } = this;
--- a/src/tools/fleet/checkedRun.ts
+++ b/src/tools/fleet/checkedRun.ts
@@ -77,8 +77,8 @@
   }
 }
 /**
- * Sends the traffic mix of the deployment to a running fleet, injects faults, rereads all batch jobs at every ingress, and
- * checks what callers and endpoints observed. Returns whether lookups and streams were served and no invariant was violated.
+ * Sends the traffic mix of the deployment to a running fleet, injects faults, rereads all batch jobs at every ingress,
+ * and checks what callers and endpoints observed. Returns whether lookups and streams were served without a violation.
  *
  * @example
  * const passed = yield* runChecked(env, { plan, deployment, seconds: 20, load: 1, print: console.log });
--- a/src/tools/fleet/fleetOperator.ts
+++ b/src/tools/fleet/fleetOperator.ts
@@ -72,7 +72,7 @@
     const response = yield* this.get(this.plan.ingressHttp[0], "/v1/members");
     return response?.status === 200 ? (response.body as MembersBody) : undefined;
   }
-  /** Waits until every ingress is ready, all endpoints are known and the ledger is readable; returns false on a time-out. */
+  /** Waits until all ingresses are ready, all endpoints known and the ledger readable; returns false on a time-out. */
   *waitUntilReady(withinMs: number): Task<boolean> {
     const deadline = this.env.mono() + withinMs;
     while (this.env.mono() < deadline) {
@@ -81,7 +81,7 @@
     }
     return false;
   }
-  /** Sends the configuration and the policies of the deployment unless the fleet already has some; returns false on a time-out. */
+  /** Sends the deployment's configuration and policies unless the fleet has some; returns false on a time-out. */
   *configure(deployment: Deployment, withinMs: number): Task<boolean> {
     const deadline = this.env.mono() + withinMs;
     const isConfigured = yield* this.putInitial("/v1/manifest", deployment.manifest, deadline);
--- a/src/tools/fleet/linkProxies.ts
+++ b/src/tools/fleet/linkProxies.ts
@@ -35,8 +35,8 @@
 }
 
 /**
- * Runs proxies at the announced addresses of the processes. They forward datagrams and connections to the addresses that the
- * processes listen on, unless the link between two processes is cut in that direction. A developer tool, for one machine.
+ * Runs proxies at the announced addresses of the processes. They forward datagrams and connections to the addresses that
+ * the processes listen on, unless the link is cut in that direction. This is a developer tool for one machine.
  *
  * @example
  * const proxies = new LinkProxies(plan.proxied);
--- a/src/tools/standInEndpoint.ts
+++ b/src/tools/standInEndpoint.ts
@@ -65,8 +65,8 @@
 }
 
 /**
- * A stand-in endpoint that simulates both a model, which streams chunks and caches prompt prefixes, and a service with single
- * responses. It records its runs, from which the checker finds out whether a request ran twice.
+ * A stand-in endpoint that simulates both a model, which streams chunks and caches prompt prefixes, and a service with
+ * single responses. It records its runs, which tell the checker whether a request ran twice.
  *
  * @example
  * const endpoint = new StandInEndpoint(env, settings);
--- a/test/controlHistory.ts
+++ b/test/controlHistory.ts
@@ -15,7 +15,7 @@
   { tag: "linearizable" } | { tag: "violated"; longestOrder: string[]; blockedOperations: string[] };
 /** The current configuration: its version, and the marker of the change that made it. */
 export type ConfigurationState = { version: number; mark: string };
-/** A node of the search: operations in order, as a bit set of indexes and as names, with the state after them and their latest begin. */
+/** A search node: ordered operations as a bit set of indexes and as names, the state after them and their latest begin. */
 type SearchState<State> = { state: State; ordered: bigint; latestBegin: number; path: string[] };
 
 const isOrdered = (ordered: bigint, index: number): boolean => ((ordered >> BigInt(index)) & 1n) === 1n;
