--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -68,7 +68,7 @@
     readonly settings: Settings,
     readonly node: Node,
   ) {
-    const voterCount = 2 * (settings.losses ?? Constants.losses) + 1;
+    const voterCount = 2 * (settings.losses ?? Constants.toleratedLosses) + 1;
     const group = this.createGroup();
     this.group = group;
     this.leadership = new Leadership(node, group);
@@ -141,9 +141,9 @@
   private startTasks(): void {
     const { env } = this;
     this.group.start();
-    EnvironmentTools.keep(env, env.scope, "bootstrap", () => this.bootstrap.run());
-    EnvironmentTools.keep(env, env.scope, "voter management", () => this.voterManager.run());
-    EnvironmentTools.keep(env, env.scope, "ledger delivery", () => this.ledgerDelivery.run());
+    EnvironmentTools.runSupervised(env, env.scope, "bootstrap", () => this.bootstrap.run());
+    EnvironmentTools.runSupervised(env, env.scope, "voter management", () => this.voterManager.run());
+    EnvironmentTools.runSupervised(env, env.scope, "ledger delivery", () => this.ledgerDelivery.run());
     this.shardPlacement.start();
     this.calendar.start();
   }
--- a/src/control/replicaJoin.ts
+++ b/src/control/replicaJoin.ts
@@ -34,12 +34,12 @@
       target.address,
       "shard.fill",
       { shard, from: source },
-      Constants.fillCallTimeoutMs,
+      Constants.stateTransferCallTimeoutMs,
       () => !this.statuses.isResponsive(target.id),
     );
     if (!filled.ok || filled.value.tag !== "ok") return;
     if (!this.group.hasLeaderLease() || this.group.state.views[shard].epoch !== epoch) return;
-    this.env.point(40, { shard, joiners: [target.id] });
+    this.env.faultPoint(40, { shard, joiners: [target.id] });
     yield* this.viewChange.run(shard, `${reason}: ${target.id} filled`, [target.id]);
   }
 }
--- a/src/node/clusterSnapshotCache.ts
+++ b/src/node/clusterSnapshotCache.ts
@@ -48,7 +48,7 @@
 
   /** The same object until something has changed. */
   get(): ClusterSnapshot {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     const clockTrusted = this.health.isClockTrusted();
     const { cached } = this;
     if (
@@ -76,7 +76,7 @@
     return this.gossip.live("replica/").map((fact) => ({
       key: fact.key,
       ...(fact.value as Omit<Endpoint, "key">),
-      ...(this.gossip.ageMs(fact.key) > Constants.endpointQuietMs ? { quiet: true } : {}),
+      ...(this.gossip.ageMs(fact.key) > Constants.announcementOverdueMs ? { quiet: true } : {}),
     }));
   }
 
--- a/src/shard/replica/leadership.ts
+++ b/src/shard/replica/leadership.ts
@@ -26,7 +26,7 @@
 
   /** Whether this replica is the leader and holds an unexpired lease from every other member. */
   holdsLease(): boolean {
-    const now = this.state.context.env.mono();
+    const now = this.state.context.env.monotonicMs();
     return this.state.role === "lead" && this.state.otherMembers().every((id) => this.leaseEnd(id) > now);
   }
   /** The time until which a member's lease is valid, monotonic ms; 0 for none. */
@@ -78,7 +78,7 @@
    * of the time after which a member counts as silent is taken as elapsed.
    */
   memberFailed(id: string, sentAt: number, fault?: Fault): void {
-    const since = fault?.tag === "refused" ? sentAt - Constants.memberSilentMs / 2 : sentAt;
+    const since = fault?.tag === "refused" ? sentAt - Constants.memberTimeoutMs / 2 : sentAt;
     if (!this.failingSince.has(id)) this.failingSince.set(id, since);
   }
   /** Records that a member's disk failed. The member counts as silent at once. */
@@ -87,8 +87,8 @@
   }
   /** Members that have failed to sync for longer than `memberSilentMs`. */
   silentMembers(): string[] {
-    const now = this.state.context.env.mono();
-    return [...this.failingSince].filter(([, since]) => now - since > Constants.memberSilentMs).map(([id]) => id);
+    const now = this.state.context.env.monotonicMs();
+    return [...this.failingSince].filter(([, since]) => now - since > Constants.memberTimeoutMs).map(([id]) => id);
   }
   /** Whether the disk of any member is nearly full. */
   isAnyDiskLow(): boolean {
@@ -97,13 +97,13 @@
 
   /** Time since this member last received entries or a renewal from the leader, ms. */
   leaderSilenceMs(): number {
-    return this.state.context.env.mono() - (this.state.grantedLeaseEnd - Constants.shardLeaseMs);
+    return this.state.context.env.monotonicMs() - (this.state.grantedLeaseEnd - Constants.shardLeaseMs);
   }
   /** Whether this replica has a reason to request a view change. */
   needsViewChange(): boolean {
     const { state } = this;
     if (state.role === "lead") return this.silentMembers().length > 0;
     const isFollower = state.role === "member" && state.isMember;
-    return isFollower && (state.viewChangeReason !== "" || this.leaderSilenceMs() > Constants.leaderSilentMs);
+    return isFollower && (state.viewChangeReason !== "" || this.leaderSilenceMs() > Constants.leaderTimeoutMs);
   }
 }
--- a/src/storage/batchJobs/itemEndpointChoice.ts
+++ b/src/storage/batchJobs/itemEndpointChoice.ts
@@ -63,7 +63,7 @@
   ): Endpoint | undefined {
     const endpoints = this.endpointsOf(pass, pool, job.binding);
     const window = this.windowOf(pass, pool, job.binding, isUrgent);
-    const maxPerEndpoint = Math.ceil((window / Math.max(1, endpoints.length)) * Constants.boundedLoad) + 1;
+    const maxPerEndpoint = Math.ceil((window / Math.max(1, endpoints.length)) * Constants.boundedLoadFactor) + 1;
     const fullEndpoints = endpoints.filter((endpoint) => this.usage.at(endpoint) >= maxPerEndpoint);
     const exclude = new Set(fullEndpoints.map(({ key }) => key));
     if (avoid && endpoints.some(({ key }) => key !== avoid && !exclude.has(key))) exclude.add(avoid);
--- a/src/storage/quota/quota.ts
+++ b/src/storage/quota/quota.ts
@@ -44,7 +44,7 @@
           shard,
           "quota.reserve",
           body,
-          Constants.jobCallMs,
+          Constants.jobLeaderSearchMs,
           RESERVE_ATTEMPT_TIMEOUT_MS,
         );
     if (!reserved.ok) this.reports.removeSubmission(replica.shard, job);
--- a/src/tools/callers/callerClient.ts
+++ b/src/tools/callers/callerClient.ts
@@ -44,7 +44,7 @@
     readonly ingresses: string[],
     readonly history: History,
   ) {
-    this.idPrefix = EnvironmentTools.id(env, "c").slice(2, 8);
+    this.idPrefix = EnvironmentTools.randomId(env, "c").slice(2, 8);
   }
 
   /** Returns a random ingress that is not avoided. */
@@ -61,18 +61,18 @@
     headers: Record<string, string> = {},
   ): Task<CallerResponse<Body> | undefined> {
     const request = { method: "POST", path, body: JSON.stringify(body), headers, timeoutMs };
-    return yield* this.readResponse<Body>(yield* this.env.http(address, request), timeoutMs);
+    return yield* this.readResponse<Body>(yield* this.env.httpRequest(address, request), timeoutMs);
   }
   /** Sends a GET request; returns undefined if there was no complete response. */
   *get<Body>(address: string, path: string, timeoutMs: number): Task<CallerResponse<Body> | undefined> {
     const request = { method: "GET", path, timeoutMs };
-    return yield* this.readResponse<Body>(yield* this.env.http(address, request), timeoutMs);
+    return yield* this.readResponse<Body>(yield* this.env.httpRequest(address, request), timeoutMs);
   }
   /** Reads a response to its end; returns undefined if there is none or if it ends early. */
   *readResponse<Body>(response: Result<HttpResponse>, timeoutMs: number): Task<CallerResponse<Body> | undefined> {
     if (!response.ok) return undefined;
     const { status, headers } = response.value;
-    const text = yield* EnvironmentTools.bodyOf(this.env, response.value, RESPONSE_LIMIT_BYTES, timeoutMs);
+    const text = yield* EnvironmentTools.readBodyText(this.env, response.value, RESPONSE_LIMIT_BYTES, timeoutMs);
     return text === undefined ? undefined : { status, headers, body: parseJson<Body>(text) };
   }
   /**
@@ -83,8 +83,8 @@
   recordFailure(kind: string, startedAt: number, response: CallerResponse<ProblemBody> | undefined): void {
     const problem = response?.body;
     const common = {
-      at: this.env.wall(),
-      tookMs: this.env.mono() - startedAt,
+      at: this.env.wallClockMs(),
+      tookMs: this.env.monotonicMs() - startedAt,
       kind,
       requestId: String(problem?.requestId ?? ""),
     };
--- a/src/tools/callers/serverSentEvents.ts
+++ b/src/tools/callers/serverSentEvents.ts
@@ -38,9 +38,9 @@
   read: (event: ServerSentEvent) => boolean,
 ): Task<StreamEnd> {
   let buffered = "";
-  const deadline = env.mono() + timeoutMs;
+  const deadline = env.monotonicMs() + timeoutMs;
   for (;;) {
-    const chunk = yield* EnvironmentTools.takeWithin(env, response.chunks, deadline - env.mono());
+    const chunk = yield* EnvironmentTools.takeWithin(env, response.chunks, deadline - env.monotonicMs());
     if (chunk === undefined) {
       response.abort();
       return "slow";
--- a/src/tools/callers/streamCaller.ts
+++ b/src/tools/callers/streamCaller.ts
@@ -39,7 +39,7 @@
     private readonly n: number,
     private readonly mix: StreamMix,
   ) {
-    this.startedAt = client.env.mono();
+    this.startedAt = client.env.monotonicMs();
     const prefixNumber = Math.floor(client.env.random() * mix.prefixes);
     const prefix = `system prompt ${prefixNumber} of ${mix.binding} `.padEnd(mix.prefixBytes, "kiln ");
     this.prompt = `${prefix} question ${client.idPrefix}-${n}`;
@@ -48,8 +48,8 @@
   /** Reads the stream until it ends, fails or times out, and records the outcome in the history. */
   *run(): Task<void> {
     const { env } = this.client;
-    const deadline = env.mono() + STREAM_TIMEOUT_MS;
-    while (!this.complete && !this.problem && env.mono() < deadline) {
+    const deadline = env.monotonicMs() + STREAM_TIMEOUT_MS;
+    while (!this.complete && !this.problem && env.monotonicMs() < deadline) {
       const response = yield* this.send();
       if (!response.ok || response.value.status !== 200) {
         if (!(yield* this.canContinueAfterRejection(response))) return;
@@ -69,13 +69,13 @@
   private *send(): Task<Result<HttpResponse>> {
     const { client } = this;
     if (this.requestId === "")
-      return yield* client.env.http(client.pickIngress(), {
+      return yield* client.env.httpRequest(client.pickIngress(), {
         method: "POST",
         path: `/v1/requests/${this.mix.binding}`,
         body: JSON.stringify({ prompt: this.prompt, pieces: this.mix.pieces }),
         timeoutMs: REQUEST_TIMEOUT_MS,
       });
-    return yield* client.env.http(client.pickIngress(), {
+    return yield* client.env.httpRequest(client.pickIngress(), {
       method: "GET",
       path: `/v1/streams/${this.requestId}`,
       headers: { "last-event-id": String(this.lastEventId) },
@@ -118,19 +118,19 @@
   }
   private acceptChunk(id: number, chunk: string): void {
     const { client, prompt } = this;
-    if (this.firstEventMs === 0) this.firstEventMs = client.env.mono() - this.startedAt;
+    if (this.firstEventMs === 0) this.firstEventMs = client.env.monotonicMs() - this.startedAt;
     const isExpected = id === this.lastEventId + 1 && chunk === StandInEndpoint.chunkAt(prompt, id);
     client.history.add({ tag: "streamPiece", stream: this.n, n: id, right: isExpected });
     this.lastEventId = id;
   }
   private recordCompletion(): void {
     const { env, history } = this.client;
-    const at = env.wall();
+    const at = env.wallClockMs();
     history.add({
       tag: "streamEnd",
       stream: this.n,
       at,
-      tookMs: env.mono() - this.startedAt,
+      tookMs: env.monotonicMs() - this.startedAt,
       firstMs: this.firstEventMs,
       pieces: this.lastEventId,
       wanted: this.mix.pieces,
@@ -143,8 +143,8 @@
     const { env, history } = this.client;
     history.add({
       tag: "failed",
-      at: env.wall(),
-      tookMs: env.mono() - this.startedAt,
+      at: env.wallClockMs(),
+      tookMs: env.monotonicMs() - this.startedAt,
       kind: `stream ${this.mix.binding}`,
       requestId: this.requestId,
       code: String(this.problem?.code ?? "noEnd"),
--- a/src/tools/standInEventEndpoint.ts
+++ b/src/tools/standInEventEndpoint.ts
@@ -84,7 +84,7 @@
     const after = +(exchange.headers[names.lastEventId] ?? 0);
     const run: EndpointRun = {
       id,
-      at: this.env.wall(),
+      at: this.env.wallClockMs(),
       after,
       target: exchange.target,
       host: exchange.headers.host ?? "",
@@ -96,12 +96,12 @@
     this.active += 1;
     this.peakActive = Math.max(this.peakActive, this.active);
     try {
-      if (behavior.tag === "silent") return void (yield* Csp.take(exchange.gone));
+      if (behavior.tag === "silent") return void (yield* Csp.take(exchange.disconnected));
       if (behavior.tag === "status") return exchange.send(behavior.status, responseHeaders, "sorry");
-      exchange.open(200, { ...responseHeaders, "content-type": "text/event-stream" });
+      exchange.startStream(200, { ...responseHeaders, "content-type": "text/event-stream" });
       for (let n = after + 1; n <= this.options.events; n += 1) {
         yield* EnvironmentTools.sleep(this.env, this.options.eventMs);
-        if (exchange.gone.isClosed()) return;
+        if (exchange.disconnected.isClosed()) return;
         if (behavior.tag === "cut" && n > behavior.after) return exchange.abort();
         run.events += 1;
         exchange.write(`id: ${n}\ndata: ${eventOf(id, n)}\n\n`);
--- a/test/batchJobFleet.ts
+++ b/test/batchJobFleet.ts
@@ -171,7 +171,7 @@
         });
         yield* EnvironmentTools.sleep(fleet.caller.env, 900);
       }
-      yield* NodeContext.of(fleet.node).goodbye(id);
+      yield* NodeContext.of(fleet.node).withdraw(id);
     });
   }
   /** Ends the announcements of an endpoint and deregisters it. */
