--- a/src/cli/simCommand.ts
+++ b/src/cli/simCommand.ts
@@ -76,7 +76,7 @@
   if (options.report) {
     const { history, pastEndpoints } = report.fleet;
     printLine(Report.text(history, report.virtualMs));
-    printLine(JSON.stringify(Checker.judged(history, pastEndpoints)));
+    printLine(JSON.stringify(Checker.observationCounts(history, pastEndpoints)));
   }
   if (options.trace) fs.writeFileSync(String(options.trace), [...report.acts, ...report.notes, ...lines].join("\n"));
   return report.violations.length === 0;
--- a/src/simulation/scenarios/dayScenarios.ts
+++ b/src/simulation/scenarios/dayScenarios.ts
@@ -33,12 +33,12 @@
         const ingressHttp = fleet.plan.processes.find(
           (each) => each.name === (program === "agent" ? name.replace("agent", "ingress") : name),
         )!.settings.http;
-        if (program === "ingress" || program === "agent") fleet.callers.avoid.add(ingressHttp);
+        if (program === "ingress" || program === "agent") fleet.callers.avoidedIngresses.add(ingressHttp);
         if (!(await fleet.terminate(name))) throw new Error(`${name} did not end by itself`);
         await fleet.run(4000);
         fleet.start(name);
         await fleet.run(6000);
-        fleet.callers.avoid.clear();
+        fleet.callers.avoidedIngresses.clear();
       }
     },
   },
@@ -46,8 +46,8 @@
     name: "release",
     about: "a pool is released to a new version, and the release is taken back",
     run: async (fleet) => {
-      const pool = fleet.plan.replicas[0].pool;
-      for (const endpoint of fleet.plan.replicas.filter((each) => each.pool === pool).slice(0, 3)) {
+      const pool = fleet.plan.endpoints[0].pool;
+      for (const endpoint of fleet.plan.endpoints.filter((each) => each.pool === pool).slice(0, 3)) {
         fleet.startEndpoint({
           ...endpoint,
           id: `${endpoint.id}-new`,
@@ -123,10 +123,10 @@
           fleet.heal();
         },
         async () => {
-          const { id } = pick(fleet, fleet.plan.replicas);
+          const { id } = pick(fleet, fleet.plan.endpoints);
           fleet.killEndpoint(id);
           await fleet.run(2000);
-          fleet.startEndpoint(fleet.plan.replicas.find((each) => each.id === id)!);
+          fleet.startEndpoint(fleet.plan.endpoints.find((each) => each.id === id)!);
         },
         async () => {
           await fleet.change();
--- a/src/simulation/scenarios/replicaScenarios.ts
+++ b/src/simulation/scenarios/replicaScenarios.ts
@@ -57,7 +57,7 @@
     name: "replicas-crash",
     about: "a third of the replicas crash, and come back",
     run: async (fleet) => {
-      const lost = fleet.plan.replicas.filter((_replica, at) => at % 3 === 0);
+      const lost = fleet.plan.endpoints.filter((_replica, at) => at % 3 === 0);
       fleet.fault("replicas crash", true);
       for (const endpoint of lost) fleet.killEndpoint(endpoint.id);
       await fleet.run(7000);
@@ -88,7 +88,7 @@
     about: "replicas are replaced one by one with goodbyes, under a crowd",
     run: async (fleet) => {
       fleet.callers.load = 2;
-      for (const endpoint of fleet.plan.replicas.slice(0, 5)) await fleet.replaceEndpoint(endpoint.id, "v2");
+      for (const endpoint of fleet.plan.endpoints.slice(0, 5)) await fleet.replaceEndpoint(endpoint.id, "v2");
       await fleet.run(3000);
     },
   },
--- a/src/simulation/simFleet.ts
+++ b/src/simulation/simFleet.ts
@@ -8,7 +8,7 @@
 import { ShardReplica } from "../shard/shardReplica";
 import { Callers } from "../tools/callers/callers";
 import { CheckOptions, Checker, Violation } from "../tools/checker/checker";
-import { Deployment, Plan, ProcessPlan } from "../tools/deployment";
+import { Deployment, DeploymentPlan, ProcessPlan } from "../tools/deployment";
 import { History } from "../tools/history";
 import { EndpointSettings, StandInEndpoint } from "../tools/standInEndpoint";
 import { MembersBody } from "../cli/operator/responses";
@@ -57,7 +57,7 @@
  */
 export class SimFleet {
   readonly world: SimWorld;
-  readonly plan: Plan;
+  readonly plan: DeploymentPlan;
   readonly history = new History();
   readonly disks = new Map<string, SimDisk>();
   readonly running = new Map<string, RunningDaemon>();
@@ -101,7 +101,7 @@
   async boot(load = 1): Promise<void> {
     this.operator = new SimOperator(this, this.world.start("operator", new SimDisk(this.world)), this.history);
     for (const each of this.plan.processes) this.start(each.name);
-    for (const settings of this.plan.replicas) this.startEndpoint(settings);
+    for (const settings of this.plan.endpoints) this.startEndpoint(settings);
     await this.run(1500);
     await this.configure("manifest", this.deployment.manifest);
     await this.configure("policies", this.deployment.policies);
@@ -218,7 +218,7 @@
   }
   private inZone = (zone: string): { processes: string[]; replicas: EndpointSettings[] } => ({
     processes: this.plan.processes.filter((each) => each.settings.district === zone).map((each) => each.name),
-    replicas: this.plan.replicas.filter((each) => each.district === zone),
+    replicas: this.plan.endpoints.filter((each) => each.district === zone),
   });
   /** Power is lost in a whole district. @example fleet.loseDistrict("north"); */
   loseZone(zone: string): void {
@@ -466,7 +466,7 @@
   }
   private async finishCallers(): Promise<void> {
     this.callers.stopNew();
-    for (let waited = 0; this.callers.running > 0 && waited < 120; waited += 1) await this.run(1000);
+    for (let waited = 0; this.callers.callsInFlight > 0 && waited < 120; waited += 1) await this.run(1000);
     for (const address of this.plan.ingressHttp.slice(0, 3))
       await this.world.finish(this.operator.process, () => this.callers.reread(address), 200_000);
   }
--- a/test/batchJobFleet.ts
+++ b/test/batchJobFleet.ts
@@ -16,7 +16,7 @@
 import { JobResultPage } from "../src/storage/messages/batchJobMessages";
 import { ShardClient } from "../src/storage/shardClient";
 import { StorageNode } from "../src/storage/storageNode";
-import { EventStandIn } from "../src/tools/eventStandIn";
+import { StandInEventEndpoint } from "../src/tools/standInEventEndpoint";
 
 const zoneOf = (index: number): string => ["north", "east", "south", "west"][index % 4];
 const seedAddresses = ["127.0.0.1:1"];
@@ -31,7 +31,7 @@
  */
 export class BatchJobFleet {
   readonly world: SimWorld;
-  readonly endpoints: EventStandIn[] = [];
+  readonly endpoints: StandInEventEndpoint[] = [];
   readonly storageNodes = new Map<string, StorageNode>();
   private readonly diskByProcess = new Map<string, SimDisk>();
   private readonly withdrawnEndpoints = new Set<string>();
@@ -148,7 +148,7 @@
   async startEndpoint(id: string): Promise<void> {
     const address = `127.0.0.1:${900 + +id.slice(1)}`;
     const process = this.world.start(`replica-${id}`, new SimDisk(this.world));
-    const endpoint = new EventStandIn(process.env, address, `${id}-1`, {
+    const endpoint = new StandInEventEndpoint(process.env, address, `${id}-1`, {
       events: this.size.events,
       eventMs: 25,
       slots: this.size.slots,
--- a/test/golden/goldenFleet.ts
+++ b/test/golden/goldenFleet.ts
@@ -4,7 +4,7 @@
 import { Disk } from "../../src/runtime/env";
 import { SimDisk } from "../../src/simulation/simDisk";
 import { SimProcess } from "../../src/simulation/simWorld";
-import { EventStandIn } from "../../src/tools/eventStandIn";
+import { StandInEventEndpoint } from "../../src/tools/standInEventEndpoint";
 import { EndpointSettings, StandInEndpoint } from "../../src/tools/standInEndpoint";
 import { Rpc } from "../../src/rpc/rpc";
 import { OperatorResponse, ControlFleet } from "../controlFleet";
@@ -27,7 +27,7 @@
   readonly exchanges: Exchange[] = [];
   readonly logLines: string[] = [];
   /** The event replicas, in the order of their start. */
-  readonly replicas: EventStandIn[] = [];
+  readonly replicas: StandInEventEndpoint[] = [];
   private readonly rpc: Rpc;
 
   constructor(seed: number, options: FleetOptions) {
@@ -122,7 +122,7 @@
   startEventReplica(id: string, port: number, names: HeaderNames = defaultHeaderNames): void {
     const address = `127.0.0.1:${port}`;
     const process = this.startProcess(`replica-${id}`);
-    const replica = new EventStandIn(process.env, address, id, { events: 3, eventMs: 20, slots: 8 }, names);
+    const replica = new StandInEventEndpoint(process.env, address, id, { events: 3, eventMs: 20, slots: 8 }, names);
     this.replicas.push(replica);
     Csp.go(process.scope, "main", () => replica.start());
   }
