--- a/src/simulation/simOperator.ts
+++ b/src/simulation/simOperator.ts
@@ -117,7 +117,7 @@
     address = this.anyNode(),
   ): Promise<NodeResponse | undefined> {
     const request = { method, path, body, headers, address, timeoutMs: REQUEST_TIMEOUT_MS };
-    return this.fleet.world.finish(this.process, () => this.request(request), OPERATION_TIMEOUT_MS);
+    return this.fleet.world.runTask(this.process, () => this.request(request), OPERATION_TIMEOUT_MS);
   }
   /** Adds marker routes to the configuration that is read first. @example await operator.changeConfiguration(1); */
   async changeConfiguration(routes = 1): Promise<ChangeOutcome> {
--- a/test/batchJobFleet.ts
+++ b/test/batchJobFleet.ts
@@ -127,7 +127,7 @@
       http: `127.0.0.1:${89 + 2 * index}`,
       seeds: seedAddresses,
     };
-    const started = await this.world.finish(process, () => Node.start(env, settings, "agent"), 5000);
+    const started = await this.world.runTask(process, () => Node.start(env, settings, "agent"), 5000);
     if (!started?.ok) throw new Error("the submitting process did not start");
     const node = started.value;
     this.nodes.push(node);
@@ -154,7 +154,7 @@
       slots: this.size.slots,
     });
     this.endpoints.push(endpoint);
-    await this.world.finish(process, () => endpoint.start(), 1000);
+    await this.world.runTask(process, () => endpoint.start(), 1000);
     const fleet = this;
     Csp.go(this.caller.scope, `announce ${id}`, function* () {
       while (!fleet.withdrawnEndpoints.has(id)) {
@@ -206,7 +206,7 @@
   }
   /** Runs a call in the first submitting process; undefined if it does not end in time. */
   call<T>(body: (context: BatchJobContext) => Task<T>, withinMs = 20_000): Promise<T | undefined> {
-    return this.world.finish(this.caller, () => body(this.context), withinMs);
+    return this.world.runTask(this.caller, () => body(this.context), withinMs);
   }
   items = (job: string, count: number, tokens = 100): SubmittedItem[] =>
     Array.from({ length: count }, (_each, index) => ({
@@ -280,7 +280,7 @@
     this.world.processes.get(name)!.freeze();
   }
   resume(name: string): void {
-    this.world.processes.get(name)!.wake();
+    this.world.processes.get(name)!.resume();
   }
   /** Errors that the simulated processes have recorded. */
   errors = (): string[] => [...this.world.processes.values()].flatMap((process) => process.errors);
--- a/test/operatorRaceCampaign.ts
+++ b/test/operatorRaceCampaign.ts
@@ -350,7 +350,7 @@
       }
     }
     await fleet.run(forMs);
-    if (kind === "freeze") world.processes.get(name)!.wake();
+    if (kind === "freeze") world.processes.get(name)!.resume();
     else if (kind === "isolate" || kind === "isolate inbound") world.heal();
     else if (kind === "replace") {
       fleet.settings.delete(name);
