--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -16,7 +16,6 @@
 }
 const FAILED_EXIT_CODE = 1;
 
-/** The program with all of its commands. */
 function makeProgram(): Sade {
   const program = sade("petrelbeam");
   program.version("0.1.0").describe("A serving tier with a batch interface: calendar, policies, ledger.");
@@ -32,7 +31,8 @@
 }
 
 /**
- * Runs the command that the arguments name; ends the process with exit code 2 on wrong arguments, 1 where it throws.
+ * Runs the command that the arguments name. Ends the process with exit code 2 if the arguments are wrong, and with 1 if
+ * the command throws.
  *
  * @param argv arguments as in `process.argv`
  * @example
--- a/src/cli/daemonCommands.ts
+++ b/src/cli/daemonCommands.ts
@@ -11,12 +11,12 @@
 const TASK_FAILED_EVENT = 1004;
 const START_FAILED_EXIT_CODE = 1;
 
-/** The daemons' programs, with the help of their commands. */
-const programs: Readonly<Record<Settings["program"], string>> = {
-  ingress: "takes in callers' requests",
-  agent: "keeps the link to the fleet beside an ingress",
-  store: "keeps shards and runs their work",
-  control: "keeps manifest, policies, calendar and views",
+/** The daemon programs, with what the help of their commands says they do. */
+const programSummaries: Readonly<Record<Settings["program"], string>> = {
+  ingress: "serves callers' requests",
+  agent: "runs cluster membership for an ingress",
+  store: "stores shard replicas and runs their requests and batch jobs",
+  control: "stores the manifest, policies, calendar and shard views",
 };
 
 function printFault(fault: Fault): void {
@@ -65,15 +65,15 @@
     printFault(settings.fault);
     process.exit(USAGE_EXIT_CODE);
   }
-  printLine(`${file}: ${settings.value.program} of ${settings.value.cluster} is well`);
+  printLine(`${file}: valid settings of program ${settings.value.program} in cluster ${settings.value.cluster}`);
 }
 
-/** The commands that start a daemon, one a program, and the one that checks a settings file. @example addDaemonCommands(program); */
+/** Adds a command for each program that starts it as a daemon, and one that checks a settings file. */
 export function addDaemonCommands(program: Sade): void {
-  for (const [name, about] of Object.entries(programs)) {
+  for (const [name, summary] of Object.entries(programSummaries)) {
     let command = program
       .command(name)
-      .describe(`Starts the ${name}: ${about}.`)
+      .describe(`Starts the ${name}: ${summary}.`)
       .option("-s, --settings", "Settings file (JSON)");
     for (const [flag, help] of settingFlags) command = command.option(`--${flag}`, help);
     command.example(`${name} --settings ${name}.json`).action((options: DaemonOptions) => startDaemon(name, options));
--- a/src/cli/developerTool.ts
+++ b/src/cli/developerTool.ts
@@ -1,4 +1,4 @@
-/** What the commands share that drive a fleet of real processes from this one. */
+/** Functions shared by the commands that run or load a fleet of real processes. */
 
 import { Logger } from "../common/logger";
 import { Csp, Scope, Task } from "../runtime/csp";
@@ -11,7 +11,7 @@
 const TASK_FAILED_EVENT = 1004;
 const FAILED_EXIT_CODE = 1;
 
-/** A deployment file named on the command line; ends the process with exit code 2 where it is wrong. @example readDeployment("deploy/small.json") */
+/** Reads a deployment file named on the command line. Ends the process with exit code 2 if the file is invalid. */
 export function readDeployment(file: string): Deployment {
   const checked = Deployment.check(readJsonFile(file));
   if (checked.ok) return checked.value;
@@ -19,7 +19,7 @@
   exitWithUsageError([`${file}: ${checked.fault.detail}`, ...paths.map((path) => `  ${path}`)].join("\n"));
 }
 
-/** Environment of a tool: the real clock, network and disk; warnings are logged. @example const env = makeToolEnv("fleet"); */
+/** Creates the environment of a tool, with the real clock, network and disk; logs warnings and errors. */
 export function makeToolEnv(name: string): Environment {
   const log = Logger.make(name, "warn");
   const onError = (task: string, error: unknown): void =>
@@ -27,7 +27,10 @@
   return NodeEnvironment.make(name, new Scope(name, onError), log);
 }
 
-/** Runs a tool's task and ends the process with the exit code that it returns. @example runTool(env, task, () => fleet.stopAll()); */
+/**
+ * Runs a tool's task and ends the process with the exit code that it returns, or 1 if it throws. `cleanUp` runs before
+ * the process ends, also after SIGINT.
+ */
 export function runTool(env: Environment, task: () => Task<number>, cleanUp: () => void = () => undefined): void {
   process.on("SIGINT", () => {
     cleanUp();
--- a/src/cli/eventsCommand.ts
+++ b/src/cli/eventsCommand.ts
@@ -10,7 +10,7 @@
     printLine(`| PB${number} | ${event.level} | ${event.text} | ${event.act} |`);
 }
 
-/** The command that writes the catalogue of log events as Markdown. @example addEventsCommand(program); */
+/** Adds the command that prints the catalogue of log events as Markdown. */
 export function addEventsCommand(program: Sade): void {
-  program.command("events").describe("The catalogue of log events, as Markdown.").action(printCatalogue);
+  program.command("events").describe("Prints the catalogue of log events as Markdown.").action(printCatalogue);
 }
--- a/src/cli/fleetCommand.ts
+++ b/src/cli/fleetCommand.ts
@@ -15,7 +15,7 @@
 const ALL_FAULTS = "all";
 const ExitCode = { passed: 0, failed: 1 } as const;
 
-/** Options of the command, as the parser gives them: numbers where the text is one. */
+/** Options of the command; the parser converts numeric texts to numbers. */
 interface FleetOptions {
   port: number | string;
   folder: number | string;
@@ -24,7 +24,7 @@
   trouble?: number | string;
 }
 
-/** Names of the faults that were asked for; ends the process with exit code 2 where one is unknown. */
+/** Returns the names of the faults to inject. Ends the process with exit code 2 if one is unknown. */
 function readFaultNames(option: number | string | undefined): string[] {
   if (option === undefined) return [];
   const known = Object.keys(fleetFaults);
@@ -32,23 +32,23 @@
   const unknown = names.filter((name) => !known.includes(name));
   if (unknown.length > 0) {
     const help = Object.entries(fleetFaults).map(([name, fault]) => `  ${name}: ${fault.about}`);
-    exitWithUsageError(`no trouble ${unknown.join(", ")}; known:\n${help.join("\n")}`);
+    exitWithUsageError(`unknown fault ${unknown.join(", ")}; known:\n${help.join("\n")}`);
   }
   return names;
 }
 
-/** Starts the fleet and waits until it serves; false, with a message, where it does not in time. */
+/** Starts the fleet and waits until it is ready; prints a message and returns false if that takes too long. */
 function* startFleet(env: Environment, fleet: Fleet, deployment: Deployment): Task<boolean> {
   yield* fleet.startProxies();
   fleet.startAll();
   yield* fleet.startEndpoints();
   const startedAt = env.mono();
   if (!(yield* fleet.operator.configure(deployment, CONFIGURE_TIMEOUT_MS))) {
-    printLine("no configuration was taken in 30 s; see the logs in the folder");
+    printLine("the fleet accepted no configuration within 30 s; see the logs in the folder");
     return false;
   }
   if (!(yield* fleet.operator.waitUntilReady(READY_TIMEOUT_MS))) {
-    printLine("fleet was not ready in 45 s; see the logs in the folder");
+    printLine("the fleet was not ready within 45 s; see the logs in the folder");
     return false;
   }
   const seconds = ((env.mono() - startedAt) / 1000).toFixed(1);
@@ -77,20 +77,20 @@
   runTool(env, task, () => fleet.stopAll());
 }
 
-/** The command that runs a whole deployment on this machine. @example addFleetCommand(program); */
+/** Adds the command that runs a whole deployment on this machine. */
 export function addFleetCommand(program: Sade): void {
   program
     .command("fleet <deployment>")
     .describe(
-      "Runs a whole deployment on this machine, with stand-in replicas; with --seconds also its callers, checked.",
+      "Runs a whole deployment on this machine with stand-in endpoints; with --seconds also sends load and checks the responses.",
     )
     .option("--port", "First port", 17000)
     .option("--folder", "Folder for data, settings and logs", "run")
-    .option("--seconds", "Send the deployment's mix for so long, check, report and stop", 0)
+    .option("--seconds", "Seconds to send the deployment's mix of requests; then check, report and stop", 0)
     .option("--load", "Multiple of the mix's rate", 1)
     .option(
       "--trouble",
-      `Troubles to bring about one by one, with commas, or all: ${Object.keys(fleetFaults).join(", ")}`,
+      `Faults to inject one after the other, separated by commas, or all: ${Object.keys(fleetFaults).join(", ")}`,
     )
     .example("fleet deploy/kiln-commons.json --seconds 30")
     .example("fleet deploy/kiln-commons.json --trouble kill-store,freeze-control")
--- a/src/cli/jsonFile.ts
+++ b/src/cli/jsonFile.ts
@@ -1,7 +1,7 @@
 import * as fs from "fs";
 import { exitWithUsageError } from "./output";
 
-/** A JSON file named on the command line; ends the process with exit code 2 where it can't be read. @example readJsonFile("policies.json") */
+/** Parses a JSON file named on the command line. Ends the process with exit code 2 if it can't be read or parsed. */
 export function readJsonFile(name: string): unknown {
   try {
     return JSON.parse(fs.readFileSync(name, "utf8"));
--- a/src/cli/loadgenCommand.ts
+++ b/src/cli/loadgenCommand.ts
@@ -7,7 +7,7 @@
 
 const ExitCode = { passed: 0, failed: 1 } as const;
 
-/** Options of the command, as the parser gives them: numbers where the text is one. */
+/** Options of the command; the parser converts numeric texts to numbers. */
 interface LoadgenOptions {
   port: number | string;
   ingresses?: string;
@@ -32,14 +32,14 @@
   });
 }
 
-/** The command that sends a deployment's mix to a fleet that runs already. @example addLoadgenCommand(program); */
+/** Adds the command that sends a deployment's mix of requests to a running fleet. */
 export function addLoadgenCommand(program: Sade): void {
   program
     .command("loadgen <deployment>")
-    .describe("Sends a deployment's mix to running ingresses and checks every reply.")
+    .describe("Sends a deployment's mix of requests to running ingresses and checks every response.")
     .option("--port", "First port of the fleet", 17000)
-    .option("--ingresses", "IP:port of ingresses, with commas (default: the fleet's)")
-    .option("--seconds", "How long", 20)
+    .option("--ingresses", "IP:port of ingresses, separated by commas (default: the fleet's)")
+    .option("--seconds", "Duration in seconds", 20)
     .option("--load", "Multiple of the mix's rate", 1)
     .example("loadgen deploy/kiln-commons.json --seconds 20 --load 2")
     .action(runLoadgen);
--- a/src/cli/modelCommand.ts
+++ b/src/cli/modelCommand.ts
@@ -5,10 +5,10 @@
 import { Walk } from "../model/walk";
 import { exitWithUsageError, printLine } from "./output";
 
-const PROGRESS_INTERVAL = 100; // walks between two lines of progress
+const PROGRESS_INTERVAL = 100; // walks
 const ExitCode = { passed: 0, failed: 1 } as const;
 
-/** Options of the command, as the parser gives them. */
+/** Options of the command as the parser returns them. */
 interface ModelOptions {
   walks: unknown;
   seed: unknown;
@@ -19,14 +19,15 @@
 }
 type VoterCount = 3 | 5;
 
-function readInteger(name: string, value: unknown, least: number): number {
-  const read = Number(value);
-  if (!Number.isSafeInteger(read) || read < least) exitWithUsageError(`--${name}: a whole number from ${least} on`);
-  return read;
+function readInteger(name: string, value: unknown, min: number): number {
+  const integer = Number(value);
+  if (!Number.isSafeInteger(integer) || integer < min)
+    exitWithUsageError(`--${name}: expected an integer of at least ${min}`);
+  return integer;
 }
 function readVoters(value: unknown): VoterCount {
   const voters = readInteger("voters", value, 3);
-  if (voters !== 3 && voters !== 5) exitWithUsageError("--voters: 3 or 5");
+  if (voters !== 3 && voters !== 5) exitWithUsageError("--voters: expected 3 or 5");
   return voters;
 }
 function readActions(file: string): Action[] {
@@ -39,9 +40,9 @@
 const secondsSince = (startedAt: number): string => ((Date.now() - startedAt) / 1000).toFixed(0);
 
 function printFailure({ seed, voters, violation, actions, shrinks }: FailingWalk): void {
-  printLine(`walk of seed ${seed} broke ${violation}`);
+  printLine(`walk of seed ${seed} violated ${violation}`);
   printLine(
-    `shortened ${shrinks} times; play it again: petrelbeam model --voters ${voters} --seed ${seed} --actions FILE`,
+    `shortened ${shrinks} times; replay with: petrelbeam model --voters ${voters} --seed ${seed} --actions FILE`,
   );
   printLine(JSON.stringify(actions));
 }
@@ -50,24 +51,24 @@
   const lines: string[] = [];
   try {
     const report = await Walk.play({ seed, voters, trace: (line) => lines.push(line) }, readActions(file));
-    printLine(`nothing broken: ${JSON.stringify(report)}`);
+    printLine(`no invariant violated: ${JSON.stringify(report)}`);
     return ExitCode.passed;
   } catch (error) {
-    printLine(`broke ${(error as Error).message}`);
+    printLine(`violated ${(error as Error).message}`);
     return ExitCode.failed;
   } finally {
     if (traceFile !== undefined) fs.writeFileSync(traceFile, lines.join("\n"));
   }
 }
 /** Runs random walks and prints each failure; returns the exit code. */
-async function walk(firstSeed: number, walks: number, voters: VoterCount, stopAtFailure: boolean): Promise<number> {
+async function runWalks(firstSeed: number, walks: number, voters: VoterCount, stopAtFailure: boolean): Promise<number> {
   const startedAt = Date.now();
   const report = await ModelCampaign.run({
     firstSeed,
     walks,
     voters,
-    onProgress: (done) => {
-      if (done % PROGRESS_INTERVAL === 0) printLine(`${done} walks, ${secondsSince(startedAt)} s`);
+    onProgress: (finished) => {
+      if (finished % PROGRESS_INTERVAL === 0) printLine(`${finished} walks, ${secondsSince(startedAt)} s`);
     },
     onFailure: printFailure,
     stopAtFailure,
@@ -83,21 +84,21 @@
   const walks = readInteger("walks", options.walks, 1);
   const seed = readInteger("seed", options.seed, 0);
   const voters = readVoters(options.voters);
-  if (options.actions === undefined) process.exit(await walk(seed, walks, voters, options.all === undefined));
+  if (options.actions === undefined) process.exit(await runWalks(seed, walks, voters, options.all === undefined));
   const traceFile = options.trace === undefined ? undefined : String(options.trace);
   process.exit(await replay(String(options.actions), seed, voters, traceFile));
 }
 
-/** The command that drives the control group through random walks, judged by its invariants. @example addModelCommand(program); */
+/** Adds the command that tests the control group with random walks and checks its invariants. */
 export function addModelCommand(program: Sade): void {
   program
     .command("model")
-    .describe("Drives the control group through random walks of faults in virtual time and judges its invariants.")
-    .option("--walks", "How many walks", 100)
-    .option("--seed", "Seed of the first walk; the next has the next one", 1)
-    .option("--voters", "Voters of the group, 3 or 5", 3)
-    .option("--all", "Go on after a failing walk")
-    .option("--actions", "Play the list of actions in this file, as a failing walk printed it")
+    .describe("Tests the control group with random walks of faults in virtual time and checks its invariants.")
+    .option("--walks", "Number of walks", 100)
+    .option("--seed", "Seed of the first walk; each further walk uses the next seed", 1)
+    .option("--voters", "Number of voters of the group, 3 or 5", 3)
+    .option("--all", "Continue after a failing walk")
+    .option("--actions", "Replay the list of actions in this file, as a failing walk printed it")
     .option("--trace", "With --actions: write the log of the walk to this file")
     .example("model --walks 1000 --seed 1 --voters 5")
     .action(runModel);
--- a/src/cli/operator/documentCommands.ts
+++ b/src/cli/operator/documentCommands.ts
@@ -21,18 +21,18 @@
   const content = readJsonFile(name);
   const checked = document === "manifest" ? parseConfiguration(content) : parsePolicies(content);
   if (checked.ok) {
-    printLine(`${name} is well`);
+    printLine(`${name} is valid`);
     return;
   }
   for (const path of checked.fault.tag === "invalid" ? (checked.fault.paths ?? []) : []) printError(path);
   process.exitCode = ExitCode.usage;
 }
-function addDocument(program: Sade, document: DocumentName): void {
+function addCommandsFor(program: Sade, document: DocumentName): void {
   const path = `/v1/${document}`;
-  nodeCommand(program, `${document} get`, `Shows the ${document} and its version.`).action((options: CommandOptions) =>
+  nodeCommand(program, `${document} get`, `Prints the ${document} and its version.`).action((options: CommandOptions) =>
     readResource(options, path, (body) => printLine(JSON.stringify(body, null, 2))),
   );
-  changeCommand(program, `${document} put <file>`, `Changes the ${document}.`).action(
+  changeCommand(program, `${document} put <file>`, `Replaces the ${document}.`).action(
     (file: string, options: ChangeOptions) =>
       sendChange(options, { method: "PUT", path, body: readJsonFile(file), version: versionOption(options) }),
   );
@@ -41,14 +41,14 @@
   );
 }
 
-/** Commands on the configuration and the policies. @example addDocumentCommands(program); */
+/** Adds the commands that read, check and change the configuration and the policies. */
 export function addDocumentCommands(program: Sade): void {
-  addDocument(program, "manifest");
-  addDocument(program, "policies");
+  addCommandsFor(program, "manifest");
+  addCommandsFor(program, "policies");
   changeCommand(
     program,
     "manifest patch <file>",
-    "Changes a manifest item by item: { version?, upsert, remove }.",
+    "Changes single items of the manifest; the file holds { version?, upsert, remove }.",
   ).action((file: string, options: ChangeOptions) =>
     sendChange(options, {
       method: "PATCH",
--- a/src/cli/operator/inspectionCommands.ts
+++ b/src/cli/operator/inspectionCommands.ts
@@ -8,13 +8,13 @@
   limit: string | number;
 }
 
-function causeText(cause: Record<string, unknown>): string {
+function formatCause(cause: Record<string, unknown>): string {
   const parts = Object.entries(cause).map(([key, value]) => `${key} ${String(value)}`);
   return parts.length > 0 ? `  [${parts.join(", ")}]` : "";
 }
 function printLedgerEntries(entries: LedgerEntryBody[]): void {
   for (const entry of entries)
-    printLine(`${entry.stamp}  ${entry.subject}: ${entry.decision}${causeText(entry.cause)}`);
+    printLine(`${entry.stamp}  ${entry.subject}: ${entry.decision}${formatCause(entry.cause)}`);
 }
 function printWhy(body: WhyBody): void {
   printLedgerEntries(body.entries);
@@ -42,12 +42,12 @@
       );
 }
 function addLedgerCommands(program: Sade): void {
-  nodeCommand(program, "change <id>", "What became of a change.").action((id: string, options: CommandOptions) =>
+  nodeCommand(program, "change <id>", "Prints the outcome of a change.").action((id: string, options: CommandOptions) =>
     readResource(options, `/v1/changes/${id}`, (body) => printLine(JSON.stringify(body))),
   );
-  nodeCommand(program, "ledger", "Reads the ledger in its one order.")
-    .option("--after", "Stamp to go on from", "")
-    .option("--limit", "Entries", 100)
+  nodeCommand(program, "ledger", "Prints the ledger in its total order.")
+    .option("--after", "Stamp of the entry to continue after", "")
+    .option("--limit", "Maximum number of entries", 100)
     .action((options: LedgerOptions) =>
       readResource<{ entries: LedgerEntryBody[] }>(
         options,
@@ -55,25 +55,29 @@
         (body) => printLedgerEntries(body.entries),
       ),
     );
-  nodeCommand(program, "why <id>", "Everything that bears on a request, lot, item, move, change, shard.").action(
-    (id: string, options: CommandOptions) =>
-      readResource<WhyBody>(options, `/v1/why/${encodeURIComponent(id)}`, printWhy),
+  nodeCommand(
+    program,
+    "why <id>",
+    "Prints the ledger entries on a request, lot, item, planned operation, change or shard, and their causes.",
+  ).action((id: string, options: CommandOptions) =>
+    readResource<WhyBody>(options, `/v1/why/${encodeURIComponent(id)}`, printWhy),
   );
 }
 
-/** Commands that only read: the ledger, members, shards, batch jobs and metrics. @example addInspectionCommands(program); */
+/** Adds the read-only commands for the ledger, members, shards, batch jobs and metrics. */
 export function addInspectionCommands(program: Sade): void {
   addLedgerCommands(program);
-  nodeCommand(program, "members", "Who is there.").action((options: CommandOptions) =>
+  nodeCommand(program, "members", "Lists the members and the endpoints.").action((options: CommandOptions) =>
     readResource<MembersBody>(options, "/v1/members", printMembers),
   );
-  nodeCommand(program, "shards", "Views and copies of every shard.").action((options: CommandOptions) =>
+  nodeCommand(program, "shards", "Lists the replicas of every shard.").action((options: CommandOptions) =>
     readResource<ShardsBody>(options, "/v1/shards", printShards),
   );
-  nodeCommand(program, "lot <id>", "State of a lot (ask an ingress).").action((id: string, options: CommandOptions) =>
-    readResource(options, `/v1/lots/${id}`, (body) => printLine(JSON.stringify(body, null, 2))),
+  nodeCommand(program, "lot <id>", "Prints the state of a lot (batch job); the node must be an ingress.").action(
+    (id: string, options: CommandOptions) =>
+      readResource(options, `/v1/lots/${id}`, (body) => printLine(JSON.stringify(body, null, 2))),
   );
-  nodeCommand(program, "metrics", "Metrics of the node.").action((options: CommandOptions) =>
+  nodeCommand(program, "metrics", "Prints the metrics of the node.").action((options: CommandOptions) =>
     readResource(options, "/metrics", () => undefined),
   );
 }
--- a/src/cli/operator/maintenanceCommands.ts
+++ b/src/cli/operator/maintenanceCommands.ts
@@ -7,11 +7,11 @@
   ExitCode,
   nodeCommand,
   readResource,
-  reportProblem,
+  printProblem,
   sendChange,
-  withNode,
+  runWithNode,
 } from "./commandRunner";
-import { stateOf } from "./calendarCommands";
+import { formatState } from "./calendarCommands";
 import { sendRequest } from "./operatorClient";
 import { CalendarEntryBody } from "./responses";
 
@@ -20,8 +20,8 @@
   by?: string;
 }
 
-/** An order that names its subject and no version: sent again, it is the same order. */
-function addOrder(
+/** Adds the command for an order, which has a subject and no version. Orders are idempotent. */
+function addOrderCommand(
   program: Sade,
   usage: string,
   help: string,
@@ -32,15 +32,15 @@
     sendChange(options, { method, path: pathOf(encodeURIComponent(subject)), version: 0 }),
   );
 }
-function refuseWithoutConsent(group: string, voter: string): void {
+function rejectUnconfirmedRecovery(group: string, voter: string): void {
   printError(
-    `What only the lost voters of ${group} had acknowledged would be gone, and they may not come back as voters.\nRefused while a majority of voters lives. Say --accept-loss to go on from ${voter}.`,
+    `Recovery of ${group} would discard the changes that only the lost voters had acknowledged; these voters must not return as voters.\nRecovery is rejected while a majority of voters is alive. Use --accept-loss to continue from ${voter}.`,
   );
   process.exitCode = ExitCode.usage;
 }
 async function recover(group: string, voter: string, options: RecoveryOptions): Promise<void> {
-  if (!options["accept-loss"]) return refuseWithoutConsent(group, voter);
-  await withNode(async () => {
+  if (!options["accept-loss"]) return rejectUnconfirmedRecovery(group, voter);
+  await runWithNode(async () => {
     const headers = options.by ? { "x-operator": String(options.by) } : undefined;
     const body = { group, voter, acceptLoss: true };
     const response = await sendRequest(options.node, "POST", "/v1/control/recover", body, headers);
@@ -49,35 +49,41 @@
       const text = `group ${recovered.group} goes on after index ${recovered.upTo}`;
       printLine(options.json ? JSON.stringify(recovered) : text);
     }
-    reportProblem(response);
+    printProblem(response);
   });
 }
 
-/** Commands that drain zones, retire stores and recover the control group. @example addMaintenanceCommands(program); */
+/** Adds the commands that drain zones, retire storage nodes and recover the control group. */
 export function addMaintenanceCommands(program: Sade): void {
   const drainOf = (zone: string): string => `/v1/districts/${zone}/drain`;
   const retirementOf = (store: string): string => `/v1/stores/${store}/retirement`;
-  addOrder(program, "drain <district>", "Drains a district: in force once it is acknowledged.", "POST", drainOf);
-  addOrder(program, "undrain <district>", "Lets work land in a district again.", "DELETE", drainOf);
-  addOrder(
+  addOrderCommand(
+    program,
+    "drain <district>",
+    "Drains a district (zone); in force once it is acknowledged.",
+    "POST",
+    drainOf,
+  );
+  addOrderCommand(program, "undrain <district>", "Ends the drain of a district (zone).", "DELETE", drainOf);
+  addOrderCommand(
     program,
     "retire <store>",
-    "Moves a store's copies off it, so that it can go; by its id or its machine's name.",
+    "Moves the replicas off a store, so that it can be removed; takes its id or its machine's name.",
     "POST",
     retirementOf,
   );
-  nodeCommand(program, "retirement <store>", "How far a store's retirement has come.").action(
+  nodeCommand(program, "retirement <store>", "Prints the state of a store's retirement.").action(
     (store: string, options: CommandOptions) =>
       readResource<CalendarEntryBody>(options, retirementOf(encodeURIComponent(store)), (body) =>
-        printLine(`${body.id}  ${stateOf(body)}`),
+        printLine(`${body.id}  ${formatState(body)}`),
       ),
   );
   nodeCommand(
     program,
     "recover <group> <voter>",
-    "Goes on from the one control voter that is left, after the others lost their disks.",
+    "Recovers the control group from its one remaining voter, after the others lost their disks.",
   )
-    .option("--accept-loss", "Changes that only the lost voters had acknowledged are given up")
-    .option("--by", "Who asks")
+    .option("--accept-loss", "Discard the changes that only the lost voters had acknowledged")
+    .option("--by", "Name of the operator, for the ledger")
     .action((group: string, voter: string, options: RecoveryOptions) => recover(group, voter, options));
 }
--- a/src/cli/operator/operatorClient.ts
+++ b/src/cli/operator/operatorClient.ts
@@ -1,8 +1,8 @@
 import * as http from "http";
 
-const REQUEST_TIMEOUT_MS = 15_000; // ms; without a response by then the node counts as not reached
+const REQUEST_TIMEOUT_MS = 15_000;
 
-/** A node's response; the body is parsed JSON, or the text where it is no JSON. */
+/** A node's response. The body is the parsed JSON, or the text if it is not JSON. */
 export interface OperatorResponse {
   status: number;
   headers: http.IncomingHttpHeaders;
@@ -23,9 +23,10 @@
 }
 
 /**
- * Sends one operator's request to a node; rejects when the node is not reached in time.
+ * Sends an operator's request to a node. The promise is rejected if the node can't be reached, or if the connection is
+ * idle for REQUEST_TIMEOUT_MS.
  *
- * @param node address of the node's HTTP, `IP:port`
+ * @param node IP:port of the node's HTTP
  * @example
  * const response = await sendRequest("127.0.0.1:8080", "GET", "/v1/members");
  */
@@ -47,7 +48,7 @@
         resolve({ status: response.statusCode ?? 0, headers: response.headers, body: parseBody(received) });
       });
     });
-    request.on("timeout", () => request.destroy(new Error("no answer in time")));
+    request.on("timeout", () => request.destroy(new Error("request timed out")));
     request.on("error", reject);
     request.end(text);
   });
--- a/src/cli/operator/responses.ts
+++ b/src/cli/operator/responses.ts
@@ -1,4 +1,4 @@
-/** Bodies of a node's responses to operators, as docs/http.md gives them: the field names are those on the wire. */
+/** Bodies of a node's responses to operators, described in docs/http.md. The field names are those on the wire. */
 
 /** An error response (`application/problem+json`). */
 export interface ProblemBody {
@@ -6,7 +6,7 @@
   detail?: string;
   step?: string;
   member?: string;
-  /** Where the input is wrong, as JSON pointers. */
+  /** JSON pointers to the errors in the input. */
   paths?: string[];
   changeId?: string;
 }
@@ -15,7 +15,7 @@
   version: number;
   changeId: string;
 }
-/** A calendar entry: a planned operation and how far it has come. */
+/** A calendar entry: a planned operation and its state. */
 export interface CalendarEntryBody {
   id: string;
   /** Milliseconds since 1970. */
@@ -25,19 +25,18 @@
   fate: string;
   detail?: string;
 }
-/** One entry of the ledger. */
 export interface LedgerEntryBody {
   stamp: string;
   subject: string;
   decision: string;
   cause: Record<string, unknown>;
 }
-/** Ledger entries that bear on one subject, and those that caused them. */
+/** Ledger entries on one subject, and the entries of their causes. */
 export interface WhyBody {
   entries: LedgerEntryBody[];
   because: LedgerEntryBody[];
 }
-/** A shard view: its members, and which of them leads. */
+/** A shard view: the members of the shard, and which of them is the leader. */
 export interface ShardViewBody {
   shard: number;
   epoch: number;
@@ -58,7 +57,7 @@
     version: string;
   }[];
   group: string | null;
-  /** Log index of the node's control snapshot. */
+  /** Index in the control log of the node's control snapshot. */
   frame: number;
   /** Version of its configuration. */
   manifest: number;
@@ -75,7 +74,7 @@
   lots: number;
   failing: string[];
 }
-/** The shard replicas and batch jobs of every store. */
+/** The shard replicas and batch jobs of every storage node. */
 export interface ShardsBody {
   stores: { store: string; shards: ShardReplicaBody[]; lots: Record<string, unknown>[] }[];
 }
--- a/src/cli/operatorCommands.ts
+++ b/src/cli/operatorCommands.ts
@@ -5,7 +5,7 @@
 import { addInspectionCommands } from "./operator/inspectionCommands";
 import { addMaintenanceCommands } from "./operator/maintenanceCommands";
 
-/** Operators' commands; each talks to any node. @example addOperatorCommands(program); */
+/** Adds the operators' commands, most of which send requests to any one node. */
 export function addOperatorCommands(program: Sade): void {
   addDocumentCommands(program);
   addCalendarCommands(program);
--- a/src/cli/queryCommand.ts
+++ b/src/cli/queryCommand.ts
@@ -5,7 +5,7 @@
 import { MembersBody, ShardsBody } from "./operator/responses";
 import { queryTables, Row, runSelect, Tables } from "./selectQuery";
 
-/** The fleet's state as one node knows it, as tables. */
+/** Reads the fleet's state from one node, as tables. */
 async function readTables(node: string): Promise<Tables> {
   const cluster = (await sendRequest(node, "GET", "/v1/members")).body as MembersBody;
   const { stores } = (await sendRequest(node, "GET", "/v1/shards")).body as ShardsBody;
@@ -28,8 +28,8 @@
   try {
     tables = await readTables(options.node);
   } catch (error) {
-    printError(`not reached: ${(error as Error).message}`);
-    process.exit(ExitCode.notReached);
+    printError(`node not reached: ${(error as Error).message}`);
+    process.exit(ExitCode.nodeUnreachable);
   }
   try {
     const rows = runSelect(text, tables);
@@ -41,9 +41,9 @@
   }
 }
 
-/** The command that asks the fleet's state in SQL. @example addQueryCommand(program); */
+/** Adds the command that queries the fleet's state with SQL. */
 export function addQueryCommand(program: Sade): void {
-  nodeCommand(program, "query <select>", `Asks the fleet's state in SQL; tables: ${queryTables.join(", ")}.`)
+  nodeCommand(program, "query <select>", `Queries the fleet's state with SQL; tables: ${queryTables.join(", ")}.`)
     .example(`query "SELECT district, COUNT(*) AS n FROM replicas GROUP BY district" --node 127.0.0.1:17002`)
     .action(query);
 }
--- a/src/cli/scale/fullScaleCommand.ts
+++ b/src/cli/scale/fullScaleCommand.ts
@@ -5,15 +5,15 @@
 import { exitWithUsageError, printLine } from "../output";
 import { readInteger, ScaleOptions } from "./sizeOptions";
 
-const memberBound: Bound = { name: "members", least: 3, most: 5000, why: "loopback addresses are made for no more" };
-const endpointBound: Bound = { name: "replicas", least: 0, most: 100_000, why: "ten times the size to design for" };
+const memberBound: Bound = { name: "members", least: 3, most: 5000, why: "there are loopback addresses for no more" };
+const endpointBound: Bound = { name: "replicas", least: 0, most: 100_000, why: "ten times the design size" };
 const processBound: Bound = {
   name: "processes",
   least: 1,
   most: Math.max(1, os.cpus().length),
   why: "the machine has no more cores",
 };
-const secondsBound: Bound = { name: "seconds", least: 10, most: 600, why: "others use this machine" };
+const secondsBound: Bound = { name: "seconds", least: 10, most: 600, why: "the machine is shared" };
 
 async function measureFullScale(options: ScaleOptions): Promise<void> {
   const members = readInteger(options.members, memberBound);
@@ -30,16 +30,16 @@
   process.exit(0);
 }
 
-/** The command that runs all members and endpoints of a full-size fleet at once. @example addFullScaleCommand(program); */
+/** Adds the command that measures all members and endpoints of a full-size fleet at once. */
 export function addFullScaleCommand(program: Sade): void {
   program
     .command("scale whole")
     .describe(
-      "All members and replicas at once: hollow members over the real wire on loopback addresses, in a few processes.",
+      "Measures all members and endpoints at once: lightweight members over real sockets on loopback addresses, in a few processes.",
     )
-    .option("--members", "Members", 780)
-    .option("--replicas", "Replicas that announce themselves", 10_000)
-    .option("--processes", "Processes that share the members; each takes a core when it is busy", 3)
-    .option("--seconds", "How long", 60)
+    .option("--members", "Number of members", 780)
+    .option("--replicas", "Number of endpoints that announce themselves", 10_000)
+    .option("--processes", "Number of processes that run the members; each uses a core when it is busy", 3)
+    .option("--seconds", "Duration in seconds", 60)
     .action(measureFullScale);
 }
--- a/src/cli/scale/idleCommand.ts
+++ b/src/cli/scale/idleCommand.ts
@@ -10,9 +10,14 @@
   most: 40,
   why: "each is a process of about 80 MB",
 });
-const endpointBound: Bound = { name: "replicas", least: 0, most: 500, why: "one tool announces them all" };
-const secondsBound: Bound = { name: "seconds", least: 5, most: 600, why: "others use this machine" };
-const portBound: Bound = { name: "port", least: 1024, most: 65_000, why: "two ports a process follow it" };
+const endpointBound: Bound = { name: "replicas", least: 0, most: 500, why: "one process announces all of them" };
+const secondsBound: Bound = { name: "seconds", least: 5, most: 600, why: "the machine is shared" };
+const portBound: Bound = {
+  name: "port",
+  least: 1024,
+  most: 65_000,
+  why: "each process uses two of the ports that follow",
+};
 
 async function measureIdle(options: ScaleOptions): Promise<void> {
   const plan = {
@@ -32,16 +37,16 @@
   process.exit(0);
 }
 
-/** The command that measures what real processes cost without traffic. @example addIdleCommand(program); */
+/** Adds the command that measures the cost of real processes without traffic. */
 export function addIdleCommand(program: Sade): void {
   program
     .command("scale idle")
-    .describe("Real processes of each program while nobody calls: processor, wake-ups, memory, descriptors.")
-    .option("--controls", "Control machines", 3)
-    .option("--stores", "Store machines", 3)
-    .option("--ingresses", "Ingresses, each with its agent inside", 4)
-    .option("--replicas", "Replicas that announce themselves", 17)
-    .option("--seconds", "How long", 20)
+    .describe("Measures real processes of each program without traffic: CPU, wake-ups, memory, file descriptors.")
+    .option("--controls", "Number of control nodes", 3)
+    .option("--stores", "Number of stores", 3)
+    .option("--ingresses", "Number of ingresses, each with its agent in the same process", 4)
+    .option("--replicas", "Number of endpoints that announce themselves", 17)
+    .option("--seconds", "Duration in seconds", 20)
     .option("--port", "First port", 21_000)
     .action(measureIdle);
 }
--- a/src/cli/scale/lossCommand.ts
+++ b/src/cli/scale/lossCommand.ts
@@ -9,19 +9,19 @@
   name: "members",
   least: 50,
   most: 1000,
-  why: "virtual time holds all of them in one process",
+  why: "one process simulates all of them",
 };
 const endpointBound: Bound = {
   name: "replicas",
   least: 0,
   most: 3000,
-  why: "each member of the simulated fleet holds all of them",
+  why: "each simulated member stores all of them",
 };
-const secondsBound: Bound = { name: "seconds", least: 10, most: 3600, why: "a longer run tells nothing more" };
+const secondsBound: Bound = { name: "seconds", least: 10, most: 3600, why: "a longer run gives no more information" };
 
 function readLoss(option: unknown): Loss {
-  const loss = losses.find((each) => each === String(option));
-  if (!loss) exitWithUsageError(`no loss ${String(option)}; known: ${losses.join(", ")}`);
+  const loss = losses.find((kind) => kind === String(option));
+  if (!loss) exitWithUsageError(`unknown loss ${String(option)}; known: ${losses.join(", ")}`);
   return loss;
 }
 async function measureLoss(options: ScaleOptions): Promise<void> {
@@ -35,15 +35,17 @@
   process.exit(0);
 }
 
-/** The command that measures how a large membership takes the loss of a rack, a zone or links between regions. @example addLossCommand(program); */
+/** Adds the command that measures how a large membership reacts to the loss of a rack, a zone or links between regions. */
 export function addLossCommand(program: Sade): void {
   program
     .command("scale loss")
-    .describe("A rack, a zone, or the links between two of seven regions lost, among hollow members in virtual time.")
+    .describe(
+      "Measures the loss of a rack, a zone, or the links between two of seven regions, with lightweight members in virtual time.",
+    )
     .option("--kind", losses.join(", "), "zone")
-    .option("--members", "Members, over 25 zones and 7 regions", 100)
-    .option("--replicas", "Replicas that announce themselves", 17)
-    .option("--seconds", "How long it lasts", 60)
+    .option("--members", "Number of members, in 25 zones and 7 regions", 100)
+    .option("--replicas", "Number of endpoints that announce themselves", 17)
+    .option("--seconds", "Duration of the loss in seconds", 60)
     .option("--seed", "Seed", 1)
     .action(measureLoss);
 }
--- a/src/cli/scale/scaleCommands.ts
+++ b/src/cli/scale/scaleCommands.ts
@@ -4,12 +4,7 @@
 import { addLossCommand } from "./lossCommand";
 import { addSlopeCommands } from "./slopeCommands";
 
-/**
- * The commands that measure how costs grow with sizes; docs/CAPACITY.md is worked out from what they print.
- *
- * @example
- * addScaleCommands(program);
- */
+/** Adds the commands that measure how costs grow with size. docs/CAPACITY.md is derived from their output. */
 export function addScaleCommands(program: Sade): void {
   addSlopeCommands(program);
   addLossCommand(program);
--- a/src/cli/scale/sizeOptions.ts
+++ b/src/cli/scale/sizeOptions.ts
@@ -1,16 +1,16 @@
 import { Bound, Sizes } from "../../tools/scale/sizes";
 import { exitWithUsageError } from "../output";
 
-/** Values of a command's options, by name. */
+/** Values of a command's options by name. */
 export type ScaleOptions = Record<string, unknown>;
 
-/** Seed of a simulated run. */
-export const seedBound: Bound = { name: "seed", least: 1, most: 1_000_000, why: "any other gives another run" };
+/** Bounds for the seed of a simulated run. */
+export const seedBound: Bound = { name: "seed", least: 1, most: 1_000_000, why: "a million seeds are enough" };
 
-/** One integer within its bound; ends the process with exit code 2 on anything else. @example readInteger(options.seed, seedBound) */
+/** Reads one integer within its bounds. Ends the process with exit code 2 if the value is anything else. */
 export function readInteger(value: unknown, bound: Bound): number {
   const sizes = Sizes.read(value, bound);
   if (!sizes.ok) exitWithUsageError(sizes.fault.detail);
-  if (sizes.value.length !== 1) exitWithUsageError(`${bound.name}: one number, not ${sizes.value.length}`);
+  if (sizes.value.length !== 1) exitWithUsageError(`${bound.name}: expected one number, found ${sizes.value.length}`);
   return sizes.value[0];
 }
--- a/src/cli/scale/slopeCommands.ts
+++ b/src/cli/scale/slopeCommands.ts
@@ -10,9 +10,9 @@
 import { exitWithUsageError, printLine } from "../output";
 import { readInteger, ScaleOptions, seedBound } from "./sizeOptions";
 
-/** Exit code of a run that ended before its last size was measured. */
+/** Exit code of a run that ended before all sizes were measured. */
 const INCOMPLETE_EXIT_CODE = 3;
-const secondsBound: Bound = { name: "seconds", least: 1, most: 3600, why: "a longer run tells nothing more" };
+const secondsBound: Bound = { name: "seconds", least: 1, most: 3600, why: "a longer run gives no more information" };
 
 /** Experiments by the name of their command. */
 const experiments: Readonly<Record<string, Experiment>> = {
@@ -37,16 +37,16 @@
   process.exit(complete ? 0 : INCOMPLETE_EXIT_CODE);
 }
 
-/** The commands that measure one cost at several sizes, one an experiment. @example addSlopeCommands(program); */
+/** Adds a command for each experiment, which measures a cost at several sizes. */
 export function addSlopeCommands(program: Sade): void {
   for (const [name, experiment] of Object.entries(experiments)) {
     const { about, bound, sizes } = experiment;
     program
       .command(`scale ${name}`)
       .describe(`${about} Prints each cost and its slope.`)
-      .option("--sizes", `What to measure at, ${bound.least} to ${bound.most}`, sizes.join(","))
+      .option("--sizes", `Sizes to measure at, ${bound.least} to ${bound.most}, separated by commas`, sizes.join(","))
       .option("--seed", "Seed", 1)
-      .option("--seconds", "No further size is begun after so many seconds of real time", 300)
+      .option("--seconds", "Seconds of real time after which no further size is started", 300)
       .action((options: ScaleOptions) => measureSlope(name, experiment, options));
   }
 }
--- a/src/cli/selectQuery.ts
+++ b/src/cli/selectQuery.ts
@@ -1,14 +1,13 @@
 import alasql from "alasql";
 
-/** Tables of the fleet's state; the names are those of the HTTP surface. */
+/** Names of the tables, which are also field names in the responses of the operator interface. */
 export const queryTables = ["members", "replicas", "views", "shards", "lots"] as const;
 type TableName = (typeof queryTables)[number];
-/** A row, by column. */
+/** A row: values by column name. */
 export type Row = Record<string, unknown>;
-/** The rows of each table. */
 export type Tables = Record<TableName, Row[]>;
 
-/** What this module uses of a parsed SQL statement. */
+/** The fields of a parsed SQL statement that this module uses. */
 interface ParsedStatement {
   from?: unknown;
   into?: unknown;
@@ -22,7 +21,7 @@
   columns?: unknown;
   from?: unknown;
 }
-/** The parts of alasql that its own type declarations leave out. */
+/** The parts of alasql that its type declarations lack. */
 interface AlasqlLibrary {
   parse(text: string): ParsedQuery;
   Database: new () => { exec(sql: string): Row[]; tables: Record<string, { data: Row[] }> };
@@ -33,7 +32,7 @@
   statement.constructor?.name === "Select" || Boolean(statement.from);
 const isKnownTable = (name: string): name is TableName => (queryTables as readonly string[]).includes(name);
 
-/** Throws where the statement, or a part of it, reads from anything but the known tables. */
+/** Throws if the statement, or a part of it, reads from anything but the known tables. */
 function checkSources(node: unknown): void {
   if (!node || typeof node !== "object") return;
   const { from } = node as { from?: unknown };
@@ -47,8 +46,8 @@
 }
 
 /**
- * Runs one SELECT over the fleet's state, with alasql. Throws on any other statement, on a source that is none of the
- * tables (the library's functions read files and addresses) and on SELECT INTO.
+ * Runs one SELECT statement over the tables, with alasql. Throws on any other statement, on SELECT INTO, and on a source
+ * that is not one of the tables, since alasql has source functions that read files and URLs.
  *
  * @example
  * runSelect("SELECT program, COUNT(*) AS n FROM members GROUP BY program", tables);
@@ -56,7 +55,8 @@
 export function runSelect(text: string, tables: Tables): Row[] {
   const parsed = library.parse(text);
   const statement = parsed.statements?.[0];
-  if (!statement || parsed.statements?.length !== 1 || !isSelect(statement)) throw new Error("one SELECT only");
+  if (!statement || parsed.statements?.length !== 1 || !isSelect(statement))
+    throw new Error("expected exactly one SELECT statement");
   if (statement.into) throw new Error("SELECT INTO is not allowed");
   checkSources(statement);
   const database = new library.Database();
--- a/src/cli/simCommand.ts
+++ b/src/cli/simCommand.ts
@@ -9,17 +9,17 @@
 import { exitWithUsageError, printLine } from "./output";
 
 const ALL_SCENARIOS = "all";
-/** Fault point of scenarios that have none, and the option's value for each point in turn. */
+/** The fault point of runs without one. As the value of --point, it stands for each point in turn. */
 const NO_POINT = 0;
 const ExitCode = { passed: 0, failed: 1 } as const;
 
-/** Options of the command, as the parser gives them: numbers where the text is one. */
+/** Options of the command; the parser converts numeric texts to numbers. */
 interface SimOptions {
   scenario: number | string;
   seed: number | string;
   seeds: number | string;
   point: number | string;
-  /** File of the log. */
+  /** File to write the log to. */
   trace?: string;
   report?: boolean;
 }
@@ -39,7 +39,7 @@
   const scenario = Scenarios.find(nameOrNumber);
   if (scenario) return scenario;
   const known = Scenarios.all.map(({ number, name, about }) => `  ${number} ${name}: ${about}`);
-  exitWithUsageError(`no scenario ${nameOrNumber}; known:\n${known.join("\n")}`);
+  exitWithUsageError(`unknown scenario ${nameOrNumber}; known:\n${known.join("\n")}`);
 }
 function readScenarios(option: number | string): Scenario[] {
   const text = String(option);
@@ -49,13 +49,13 @@
   const point = Number(option);
   if (point === NO_POINT || Scenarios.points[point]) return point;
   const known = Object.entries(Scenarios.points).map(([number, { about }]) => `  ${number} ${about}`);
-  exitWithUsageError(`no fault point ${option}; known:\n${known.join("\n")}`);
+  exitWithUsageError(`unknown fault point ${option}; known:\n${known.join("\n")}`);
 }
-function pointsOf(scenario: Scenario, chosen: number): number[] {
+function selectPoints(scenario: Scenario, chosen: number): number[] {
   if (!scenario.points) return [NO_POINT];
   return chosen === NO_POINT ? scenario.points : scenario.points.filter((point) => point === chosen);
 }
-/** All runs that were asked for: by seed, then by scenario, then by fault point. */
+/** Lists the selected runs, ordered by seed, then by scenario, then by fault point. */
 function planRuns(options: SimOptions): SimRun[] {
   const scenarios = readScenarios(options.scenario);
   const chosen = readPoint(options.point);
@@ -63,11 +63,11 @@
   const runs: SimRun[] = [];
   for (let seed = firstSeed; seed < firstSeed + Number(options.seeds); seed += 1)
     for (const scenario of scenarios)
-      for (const point of pointsOf(scenario, chosen)) runs.push({ scenario, seed, point });
+      for (const point of selectPoints(scenario, chosen)) runs.push({ scenario, seed, point });
   return runs;
 }
 
-/** Runs one scenario and prints its verdict; whether no invariant was violated. */
+/** Runs one scenario and prints its result; returns whether no invariant was violated. */
 async function runOne(file: string, deployment: Deployment, run: SimRun, options: SimOptions): Promise<boolean> {
   const lines: string[] = [];
   const log = options.trace ? (line: string): void => void lines.push(line) : undefined;
@@ -90,15 +90,15 @@
   process.exit(failed > 0 || runs.length === 0 ? ExitCode.failed : ExitCode.passed);
 }
 
-/** The command that runs a deployment in the simulator. @example addSimCommand(program); */
+/** Adds the command that runs a deployment in the simulator. */
 export function addSimCommand(program: Sade): void {
   program
     .command("sim <deployment>")
-    .describe("Runs a deployment in virtual time through scenarios of failure and judges what callers saw.")
-    .option("--scenario", "Name or number, or all", "all")
+    .describe("Runs a deployment through fault scenarios in virtual time and checks what callers observed.")
+    .option("--scenario", "Names or numbers of scenarios, separated by commas, or all", "all")
     .option("--seed", "First seed", 1)
-    .option("--seeds", "How many seeds", 1)
-    .option("--point", "Fault point for kill-at-point; 0 is each in turn", 0)
+    .option("--seeds", "Number of seeds", 1)
+    .option("--point", "Fault point for kill-at-point; 0 runs each in turn", 0)
     .option("--trace", "Write the log of a run to this file")
     .option("--report", "Print rates and latencies of each run")
     .example("sim deploy/kiln-commons.json --scenario freeze-store --seed 1 --seeds 10")
--- a/test/query.test.ts
+++ b/test/query.test.ts
@@ -1,6 +1,6 @@
 import { runSelect } from "../src/cli/selectQuery";
 
-const rows = {
+const tables = {
   members: [
     { id: "a", program: "store" },
     { id: "b", program: "store" },
@@ -14,15 +14,15 @@
   shards: [],
   lots: [{ id: "L", open: 0 }],
 };
-test("questions over one table and over two", () => {
-  expect(runSelect("SELECT program, COUNT(*) AS n FROM members GROUP BY program ORDER BY program", rows)).toEqual([
+test("a SELECT reads from one table or joins two", () => {
+  expect(runSelect("SELECT program, COUNT(*) AS n FROM members GROUP BY program ORDER BY program", tables)).toEqual([
     { program: "agent", n: 1 },
     { program: "store", n: 2 },
   ]);
-  expect(runSelect("SELECT members.id FROM views JOIN members ON views.lead = members.id", rows)).toEqual([
+  expect(runSelect("SELECT members.id FROM views JOIN members ON views.lead = members.id", tables)).toEqual([
     { id: "a" },
   ]);
-  expect(runSelect("SELECT id FROM replicas WHERE active > 3", rows)).toEqual([{ id: "r2" }]);
+  expect(runSelect("SELECT id FROM replicas WHERE active > 3", tables)).toEqual([{ id: "r2" }]);
 });
 test.each([
   "DELETE FROM members",
@@ -32,6 +32,6 @@
   "SELECT 1 AS x FROM members; DROP TABLE members",
   "CREATE TABLE x",
   "not sql",
-])("anything but one SELECT over the known tables is refused: %s", (text) => {
-  expect(() => runSelect(text, rows)).toThrow();
+])("anything but one SELECT over the known tables throws: %s", (text) => {
+  expect(() => runSelect(text, tables)).toThrow();
 });
