--- a/test/surface.test.ts
+++ b/test/surface.test.ts
@@ -39,7 +39,7 @@
     ]),
   );
 });
-test("a process does not start with wrong settings or flags, which are named, or with a data folder of another node", () => {
+test("a process exits with 2 and names the key on wrong settings or flags; it rejects a data folder that another node owns or uses", () => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "petrelbeam-cli-"));
   const run = (...args: string[]): { status: number | null; stderr: string } => {
     const ended = spawnSync(process.execPath, [path.join(__dirname, "../src/main.js"), ...args], {
