--- a/test/packages.test.ts
+++ b/test/packages.test.ts
@@ -45,8 +45,8 @@
   expect(build).toMatch(/npm ci .*--omit=dev .*--ignore-scripts/);
   const flags = /--max-old-space-size=\d+ --max-semi-space-size=\d+ --snapshot-blob \S+/.exec(build)![0];
   for (const [name, role] of deployment) if (name !== "") expect(role.get("run")).toContain(`node ${flags} `);
-  const manifest = JSON.parse(readFile("package.json")) as Record<string, Record<string, string>>;
-  expect(Object.keys(manifest.dependencies)).toContain("esbuild");
+  const packageJson = JSON.parse(readFile("package.json")) as Record<string, Record<string, string>>;
+  expect(Object.keys(packageJson.dependencies)).toContain("esbuild");
 });
 
 test("the check names an unsupported version of Node.js and a missing npm", () => {
