--- a/src/adapters/caller/liveResponse.ts
+++ b/src/adapters/caller/liveResponse.ts
@@ -23,7 +23,7 @@
   after: number,
   untilMono: number,
 ): Task<Result<ReadResponse>> => {
-  const leftMs = Math.min(Constants.streamPatienceMs, untilMono - operations.env.mono());
+  const leftMs = Math.min(Constants.streamTakeoverGraceMs, untilMono - operations.env.mono());
   return operations.liveRequests.read(requestId, after, readWaitMs, Math.max(minReadMs, leftMs));
 };
 
@@ -54,7 +54,7 @@
       if (!progress.ok) return this.readFailed(progress.fault, isNew);
       if (!this.relayChunks(progress.value)) return;
       if (progress.value.closed) return this.close(progress.value);
-      if (operations.env.mono() > this.untilMono + Constants.streamPatienceMs)
+      if (operations.env.mono() > this.untilMono + Constants.streamTakeoverGraceMs)
         return this.fail({ tag: "unknown", step: "relay", member: operations.id, detail: "no end in time" });
     }
   }
@@ -144,7 +144,7 @@
       const { fault, status } = closedRequestFault(state, outcome, requestId);
       return Http.problem(exchange, fault, status, { requestId });
     }
-    if (operations.env.mono() > untilMono + Constants.streamPatienceMs) {
+    if (operations.env.mono() > untilMono + Constants.streamTakeoverGraceMs) {
       const member = operations.id;
       const fault: Fault = { tag: "unknown", step: "read", member, detail: "no end in time" };
       return Http.problem(exchange, fault, 504, { requestId });
--- a/src/adapters/caller/requestRoutes.ts
+++ b/src/adapters/caller/requestRoutes.ts
@@ -120,7 +120,7 @@
       return Http.problem(exchange, { tag: "invalid", step: "read Last-Event-ID", member: "caller", detail });
     }
     counters.resumes += 1;
-    const untilMono = env.mono() + Constants.requestDeadlineMs;
+    const untilMono = env.mono() + Constants.defaultDeadlineMs;
     yield* new StreamRelay(this.operations, exchange, requestId, +lastEventId, untilMono).run(false);
   }
 }
--- a/src/adapters/operator/changePreconditions.ts
+++ b/src/adapters/operator/changePreconditions.ts
@@ -35,7 +35,7 @@
    * once: a change that names no version must not be carried out for a caller that left before.
    */
   *callerStillWaits(env: Environment, exchange: HttpExchange): Task<boolean> {
-    const disconnected = yield* EnvironmentTools.takeWithin(env, exchange.gone, Constants.callerGoneLookMs);
+    const disconnected = yield* EnvironmentTools.takeWithin(env, exchange.gone, Constants.disconnectCheckMs);
     return disconnected === undefined;
   },
 };
--- a/src/control/retirementOrders.ts
+++ b/src/control/retirementOrders.ts
@@ -86,7 +86,7 @@
    */
   private acceptedEarlier({ fate: state, due, version }: CalendarEntry): Result<AcceptedChange> {
     const ageMs = this.env.wall() - due;
-    const mayBeRetry = ageMs >= 0 && ageMs < Constants.orderRetryMs;
+    const mayBeRetry = ageMs >= 0 && ageMs < Constants.orderRetryWindowMs;
     if (state === CalendarEntryState.started || mayBeRetry) return Fault.ok({ version });
     return this.busyFault("the machine was retired before, and isn't known here now");
   }
--- a/src/control/storeStatuses.ts
+++ b/src/control/storeStatuses.ts
@@ -67,7 +67,7 @@
         if (response.ok) statuses.recordStatus(id, response.value);
         Csp.offer(done, true);
       });
-    const deadline = this.env.mono() + Constants.statusWaitMs;
+    const deadline = this.env.mono() + Constants.statusPollTimeoutMs;
     for (let received = 0; received < stores.length && this.env.mono() < deadline; received += 1)
       yield* EnvironmentTools.takeWithin(this.env, done, deadline - this.env.mono());
     this.lastPollAt = startedAt;
@@ -110,7 +110,7 @@
     return (
       (member?.state === "alive" || member?.state === "suspect") &&
       status !== undefined &&
-      this.env.mono() - status.receivedAt < Constants.statusFreshMs
+      this.env.mono() - status.receivedAt < Constants.statusMaxAgeMs
     );
   }
 
@@ -124,13 +124,13 @@
    * three lease renewals.
    */
   isLeaderSilent(view: ShardView): boolean {
-    if (this.silentMs(view.lead) < Constants.leaderSilentMs) return false;
+    if (this.silentMs(view.lead) < Constants.leaderTimeoutMs) return false;
     const followers = view.members.filter((id) => id !== view.lead);
     return followers.length > 0 && followers.every((id) => this.reportsSilentLeader(id, view));
   }
 
   private reportsSilentLeader(id: string, view: ShardView): boolean {
     const replica = this.isResponsive(id) ? this.replica(id, view.shard) : undefined;
-    return replica !== undefined && replica.epoch === view.epoch && replica.leadSilentMs > Constants.leaderSilentMs;
+    return replica !== undefined && replica.epoch === view.epoch && replica.leadSilentMs > Constants.leaderTimeoutMs;
   }
 }
--- a/src/forwarding/directHttp.ts
+++ b/src/forwarding/directHttp.ts
@@ -98,7 +98,7 @@
       headers: requestHeaders(names, endpoint, request),
       body: request.body,
       timeoutMs: Math.max(1, headTimeoutMs),
-      connectMs: Constants.connectMs,
+      connectMs: Constants.endpointConnectTimeoutMs,
       cancellation,
     });
     if (!sent.ok) return sent;
--- a/src/ingress/batchSubmission.ts
+++ b/src/ingress/batchSubmission.ts
@@ -57,7 +57,7 @@
         return { stamp: attempts === 1 ? arrival : shardClient.stamp(env.wall()), life: incarnation, lot: job, cause };
       },
       withinMs,
-      Constants.jobAttemptMs,
+      Constants.jobSubmissionAttemptMs,
     );
     return response.ok ? response : yield* this.settleFault(id, response.fault, attempts);
   }
@@ -121,7 +121,7 @@
       shardClient.shardOf(id),
       "lot.refuse",
       () => ({ id, stamp: shardClient.stamp(env.wall()) }),
-      Constants.jobRefuseMs,
+      Constants.jobRejectTimeoutMs,
     );
     if (!response.ok) return Fault.fail("unknown", "hand in", fault.member, fault.detail);
     if (!response.value.refused) return Fault.ok({ tag: "exists", same: true, state: "" });
@@ -147,9 +147,9 @@
         attempts += 1;
         return { stamp: attempts === 1 ? arrival : shardClient.stamp(env.wall()), lot: job, cause: route.cause };
       },
-      Constants.jobPatienceMs,
+      Constants.jobSubmissionTimeoutMs,
       JSON_ITEMS_ATTEMPT_TIMEOUT_MS,
-      Constants.openPatienceMs,
+      Constants.leaderSearchTimeoutMs,
     );
     if (response.ok || response.fault.tag === "busy" || response.fault.tag === "unknown") return response;
     return Fault.busy("accept lot", response.fault.member, response.fault.detail, 2 * Constants.retryAfterMs);
@@ -161,7 +161,7 @@
       shardClient.shardOf(id),
       "lot.end",
       () => ({ id, stamp: shardClient.stamp(env.wall()), by }),
-      Constants.jobCallMs,
+      Constants.jobLeaderSearchMs,
     );
     if (response.ok) return response;
     const { tag, member, detail } = response.fault;
--- a/src/runtime/httpClient.ts
+++ b/src/runtime/httpClient.ts
@@ -15,7 +15,9 @@
     keepSocketAlive(socket: net.Socket & { _httpMessage?: { res?: http.IncomingMessage } }): boolean {
       const told = /timeout=(\d+)/.exec(String(socket._httpMessage?.res?.headers["keep-alive"] ?? ""))?.[1];
       const keptMs =
-        told === undefined ? Constants.idleConnectionMs : Math.min(Constants.idleConnectionMs, +told * 500);
+        told === undefined
+          ? Constants.endpointConnectionIdleMs
+          : Math.min(Constants.endpointConnectionIdleMs, +told * 500);
       if (keptMs <= 0) return false;
       socket.setKeepAlive(true, 1000);
       socket.unref();
--- a/src/runtime/httpServer.ts
+++ b/src/runtime/httpServer.ts
@@ -14,8 +14,8 @@
 /** Limits where nobody sets others. */
 export const defaultHttpLimits: HttpLimits = {
   headerBytes: Constants.headerLimitBytes,
-  headerMs: Constants.headerLimitMs,
-  idleMs: Constants.callerIdleMs,
+  headerMs: Constants.headerTimeoutMs,
+  idleMs: Constants.callerIdleTimeoutMs,
 };
 const reasons: Record<number, string> = {
   400: "Bad Request",
@@ -70,7 +70,7 @@
     this.server = NodeLibs.http().createServer(
       {
         maxHeaderSize: Constants.headerLimitMaxBytes,
-        connectionsCheckingInterval: Constants.connectionCheckMs,
+        connectionsCheckingInterval: Constants.headerCheckPeriodMs,
       },
       (request, response) => this.onRequest(request, response),
     );
@@ -111,7 +111,7 @@
     this.applied = limits;
     this.server.headersTimeout = limits.headerMs;
     // never closed before its time: the margin covers a request that is on its way as the time ends
-    this.server.keepAliveTimeout = limits.idleMs + Constants.idleMarginMs;
+    this.server.keepAliveTimeout = limits.idleMs + Constants.idleCloseMarginMs;
     const seconds = Math.floor(limits.idleMs / 1000);
     this.keepAlive = seconds > 0 ? `timeout=${seconds}` : "";
   }
@@ -143,7 +143,7 @@
     // a response to an earlier request is still due on this connection: no other may come in its place
     if (connection.underWay > (newestIsBroken ? 1 : 0)) return void socket.destroy();
     socket.end(`HTTP/1.1 ${status} ${reasons[status]}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
-    setTimeout(() => socket.destroy(), Constants.refusedLingerMs).unref();
+    setTimeout(() => socket.destroy(), Constants.framingErrorLingerMs).unref();
   }
 
   // ---------- requests ----------
--- a/src/runtime/nodeEnvironment.ts
+++ b/src/runtime/nodeEnvironment.ts
@@ -26,7 +26,7 @@
     held = held.length === 0 ? chunk : Buffer.concat([held, chunk]);
     while (held.length >= 4) {
       const size = held.readUInt32BE(0);
-      if (size > Constants.frameLimitBytes) return close();
+      if (size > Constants.messageMaxBytes) return close();
       if (held.length < 4 + size) break;
       put(Buffer.from(held.subarray(4, 4 + size)));
       held = held.subarray(4 + size);
@@ -38,7 +38,7 @@
     member,
     incoming,
     send(frame) {
-      if (closed || socket.writableLength > Constants.frameLimitBytes) return false;
+      if (closed || socket.writableLength > Constants.messageMaxBytes) return false;
       const head = Buffer.alloc(4);
       head.writeUInt32BE(frame.length, 0);
       socket.cork();
--- a/src/shard/replica/leadership.ts
+++ b/src/shard/replica/leadership.ts
@@ -78,7 +78,7 @@
    * of the time after which a member counts as silent is taken as elapsed.
    */
   memberFailed(id: string, sentAt: number, fault?: Fault): void {
-    const since = fault?.tag === "refused" ? sentAt - Constants.memberSilentMs / 2 : sentAt;
+    const since = fault?.tag === "refused" ? sentAt - Constants.memberTimeoutMs / 2 : sentAt;
     if (!this.failingSince.has(id)) this.failingSince.set(id, since);
   }
   /** Records that a member's disk failed. The member counts as silent at once. */
@@ -88,7 +88,7 @@
   /** Members that have failed to sync for longer than `memberSilentMs`. */
   silentMembers(): string[] {
     const now = this.state.context.env.mono();
-    return [...this.failingSince].filter(([, since]) => now - since > Constants.memberSilentMs).map(([id]) => id);
+    return [...this.failingSince].filter(([, since]) => now - since > Constants.memberTimeoutMs).map(([id]) => id);
   }
   /** Whether the disk of any member is nearly full. */
   isAnyDiskLow(): boolean {
@@ -104,6 +104,6 @@
     const { state } = this;
     if (state.role === "lead") return this.silentMembers().length > 0;
     const isFollower = state.role === "member" && state.isMember;
-    return isFollower && (state.viewChangeReason !== "" || this.leaderSilenceMs() > Constants.leaderSilentMs);
+    return isFollower && (state.viewChangeReason !== "" || this.leaderSilenceMs() > Constants.leaderTimeoutMs);
   }
 }
--- a/src/shard/segments/subjectFilter.ts
+++ b/src/shard/segments/subjectFilter.ts
@@ -33,7 +33,7 @@
   /** Builds the filter of the entries, base64. */
   of(entries: LedgerEntry[]): string {
     const names = new Set(entries.flatMap(namesOf));
-    const filter = Buffer.alloc(Math.max(MIN_BYTES, Math.ceil((names.size * Constants.segmentBitsPerSubject) / 8)));
+    const filter = Buffer.alloc(Math.max(MIN_BYTES, Math.ceil((names.size * Constants.bloomBitsPerSubject) / 8)));
     for (const name of names) for (const bit of bitsOf(name, filter.length * 8)) filter[bit >> 3] |= 1 << (bit & 7);
     return filter.toString("base64");
   },
--- a/src/storage/storageNode.ts
+++ b/src/storage/storageNode.ts
@@ -206,7 +206,7 @@
   stop(): Task<void> {
     const storage = this;
     return this.node.shutDown(function* () {
-      const until = storage.env.mono() + Constants.stopGraceMs;
+      const until = storage.env.mono() + Constants.shutdownGraceMs;
       while (storage.env.mono() < until && storage.hasUnfinishedWork())
         yield* EnvironmentTools.sleep(storage.env, STOP_CHECK_MS);
     });
--- a/test/storeRetirement.test.ts
+++ b/test/storeRetirement.test.ts
@@ -24,7 +24,7 @@
     expect(await fleet.until(() => isComplete(fleet, "store-2"), 30_000, 20)).toBeDefined();
     fleet.kill("store-2", true);
     fleet.settings.delete("store-2");
-    if (fleet.world.now - acceptedAt < Constants.orderRetryMs)
+    if (fleet.world.now - acceptedAt < Constants.orderRetryWindowMs)
       expect((await retire(fleet, "store-2")).status).toBe(200);
     expect(
       await fleet.until(() => !knownMembers(fleet).some((each) => each.startsWith("store-2 ")), 120_000, 500),
