--- a/src/storage/shardClient.ts
+++ b/src/storage/shardClient.ts
@@ -10,24 +10,26 @@
 import type { ShardMethod } from "../shard/checkedHandlers";
 import { Cause, PutOutcome, ShardOperation } from "../shard/shardTypes";
 
-/** One call may take this long where its caller doesn't say, ms. */
-const ATTEMPT_MS = 1200;
-/** Pause before a put that came behind the stable prefix is stamped anew, ms. */
+/** Default time-out of one attempt, ms. */
+const ATTEMPT_TIMEOUT_MS = 1200;
+/** Pause before a put whose stamp the stable prefix has already passed is sent with a new stamp, ms. */
 const RESTAMP_PAUSE_MS = 15;
-/** The first pause is this share of the later ones: a leader that has just changed is mostly known soon. */
-const FIRST_PAUSE_SHARE = 0.3;
+/** Ratio of the first pause to the later ones: a new leader is usually known soon after a change. */
+const FIRST_PAUSE_FACTOR = 0.3;
 
 /**
- * Client of the shards: calls whichever storage node leads a shard now, until the time is up. A put that came too late
- * is stamped anew under the same put id, which is applied at most once, so that a repeated call is safe.
+ * Client of the shards: calls the storage node that currently leads a shard, with retries up to a time-out. A put that
+ * is rejected as late is sent again with a new stamp and the same put id. A put id is applied at most once, so retries
+ * are safe.
  *
  * @example
  * const shardClient = new ShardClient(env, rpc, "node-1", () => node.snapshot());
  * yield* shardClient.put(3, "p-1", ops, {}, 5000);
  */
 export class ShardClient {
-  /** The next stamp of this node, at a wall time in ms. */
+  /** Makes the next stamp of this node from a wall time in ms. */
   readonly stamp: (now: number) => Stamp;
+  /** Calls that were repeated with a new stamp. */
   restampedPuts = 0;
 
   constructor(
@@ -39,10 +41,10 @@
     this.stamp = Stamp.maker(selfId);
   }
 
-  /** The shard of a request, a job or another subject. @example shardClient.shardOf("lot-17") */
+  /** The shard that stores a request, a job or another subject. */
   shardOf = (id: string): number => Hash.number(id) % Constants.shardCount;
 
-  /** Address of a shard's leader, as far as known. @example shardClient.leaderAddress(3) */
+  /** The address of a shard's leader; undefined if it is unknown. */
   leaderAddress(shard: number): string | undefined {
     const snapshot = this.snapshot();
     const leader = snapshot.control?.views[shard]?.lead;
@@ -50,36 +52,39 @@
   }
 
   /**
-   * Calls the leader of a shard until it responds. Only faults that another leader or another stamp may cure are
-   * retried. The fault "unknown" means that an attempt may have arrived.
+   * Calls the leader of a shard, with retries for faults that another leader or a new stamp may resolve. The fault
+   * "unknown" means that an attempt may have arrived and its outcome is not known.
    *
-   * @param body made anew for each attempt
+   * @param body makes the body of each attempt
+   * @param unsentTimeoutMs the call ends earlier, after this time, if no attempt can have arrived
    * @example yield* shardClient.callLeader(3, "work.read", () => ({ id, after: 3, waitMs: 800 }), 5000)
    */
   *callLeader<Method extends ShardMethod>(
     shard: number,
     method: Method,
     body: () => Omit<RequestOf<Method>, "shard">,
-    withinMs: number,
-    attemptMs = ATTEMPT_MS,
-    unsentMs = withinMs,
+    timeoutMs: number,
+    attemptTimeoutMs = ATTEMPT_TIMEOUT_MS,
+    unsentTimeoutMs = timeoutMs,
   ): Task<Result<ResponseOf<Method>>> {
     const startedAt = this.env.mono();
-    const until = startedAt + withinMs;
-    let last: Result<ResponseOf<Method>> = Fault.fail("timeout", method, `shard ${shard}`, "no lead known");
+    const deadline = startedAt + timeoutMs;
+    let lastResult: Result<ResponseOf<Method>> = Fault.fail("timeout", method, `shard ${shard}`, "no lead known");
     let mayHaveArrived = false;
     for (let attempt = 0; ; attempt += 1) {
-      const remainingMs = until - this.env.mono();
-      // as long as nothing can have arrived, the caller needn't wait for an outcome
-      if (!mayHaveArrived && attempt > 0 && this.env.mono() - startedAt > unsentMs) return last;
+      const remainingMs = deadline - this.env.mono();
+      // If no attempt can have arrived, there is no outcome to wait for.
+      if (!mayHaveArrived && attempt > 0 && this.env.mono() - startedAt > unsentTimeoutMs) return lastResult;
       if (remainingMs <= 0)
-        return mayHaveArrived && !last.ok ? Fault.fail("unknown", method, last.fault.member, last.fault.detail) : last;
+        return mayHaveArrived && !lastResult.ok
+          ? Fault.fail("unknown", method, lastResult.fault.member, lastResult.fault.detail)
+          : lastResult;
       const address = this.leaderAddress(shard);
       if (address) {
-        last = yield* this.callOnce(address, shard, method, body(), Math.min(remainingMs, attemptMs));
-        if (last.ok) return last;
-        const retry = retryAfter(last.fault);
-        if (retry === "never") return last;
+        lastResult = yield* this.callOnce(address, shard, method, body(), Math.min(remainingMs, attemptTimeoutMs));
+        if (lastResult.ok) return lastResult;
+        const retry = retryDecision(lastResult.fault);
+        if (retry === "never") return lastResult;
         if (retry === "restamped") {
           this.restampedPuts += 1;
           this.env.log(1405, { shard, verb: method });
@@ -88,12 +93,12 @@
         }
         if (retry === "mayHaveArrived") mayHaveArrived = true;
       }
-      const pauseMs = Math.min(Constants.leaderSearchPauseMs, Math.max(1, until - this.env.mono()));
-      yield* EnvironmentTools.sleep(this.env, pauseMs * (attempt === 0 ? FIRST_PAUSE_SHARE : 1));
+      const pauseMs = Math.min(Constants.leaderSearchPauseMs, Math.max(1, deadline - this.env.mono()));
+      yield* EnvironmentTools.sleep(this.env, pauseMs * (attempt === 0 ? FIRST_PAUSE_FACTOR : 1));
     }
   }
 
-  /** A leader that doesn't respond isn't waited for once another has replaced it. */
+  /** Makes one attempt. It ends early when another node replaces the leader that was called. */
   private callOnce<Method extends ShardMethod>(
     address: string,
     shard: number,
@@ -107,21 +112,21 @@
   }
 
   /**
-   * Puts operations into a shard. Faults: "busy", "unknown" and those of a shard that has no leader in time.
-   * @example yield* shardClient.put(3, "p-1", [{ op: "note", entries }], {}, 5000)
+   * Puts operations into a shard, applied at most once by the put id. Faults: "busy", "unknown", and the last fault met
+   * if no leader was reached within the time-out.
    */
-  *put(shard: number, putId: string, ops: ShardOperation[], cause: Cause, withinMs: number): Task<Result<PutOutcome>> {
+  *put(shard: number, putId: string, ops: ShardOperation[], cause: Cause, timeoutMs: number): Task<Result<PutOutcome>> {
     return yield* this.callLeader(
       shard,
       "shard.put",
       () => ({ put: { putId, stamp: this.stamp(this.env.wall()), ops, cause } }),
-      withinMs,
+      timeoutMs,
     );
   }
 }
 
-/** What a fault means for a further attempt. */
-function retryAfter(fault: Fault): "never" | "restamped" | "mayHaveArrived" | "hasNotArrived" {
+/** Decides whether a fault is retried, and whether the failed attempt may have arrived. */
+function retryDecision(fault: Fault): "never" | "restamped" | "mayHaveArrived" | "hasNotArrived" {
   switch (fault.tag) {
     case "late":
       return "restamped";
