--- a/src/control/changeProposals.ts
+++ b/src/control/changeProposals.ts
@@ -46,7 +46,7 @@
 
   /** Stamps an order with the leader's time, so that one clock measures the age of all orders. */
   private withLeaderTime(command: Command): Command {
-    return command.tag === "drain" || command.tag === "undrain" ? { ...command, at: this.env.wall() } : command;
+    return command.tag === "drain" || command.tag === "undrain" ? { ...command, at: this.env.wallClockMs() } : command;
   }
 
   private toResponse(command: Command, outcome: Outcome): Result<AcceptedChange> {
--- a/src/control/retirementOrders.ts
+++ b/src/control/retirementOrders.ts
@@ -34,7 +34,7 @@
     const needed = this.retirement.replicationFactor;
     const remaining = store ? this.retirement.countRemainingMachines(store) : 0;
     // A leader that has just been elected may not have discovered every node yet.
-    const isIncomplete = this.env.mono() - this.group.leaderSince < Constants.storeDiscoveryAfterElectionMs;
+    const isIncomplete = this.env.monotonicMs() - this.group.leaderSince < Constants.storeDiscoveryAfterElectionMs;
     if (!isRetiring && (!store || remaining < needed) && isIncomplete)
       return this.busyFault("the stores are not all known here yet");
     const earlier = live ? undefined : this.findLatest(request.store);
@@ -44,7 +44,14 @@
     if (!isRetiring && remaining < needed)
       return Fault.fail("conflict", "retire", member, `too few stores would stay: ${remaining}, needed ${needed}`);
     const { changeId, by, store: name } = request;
-    return yield* this.proposals.propose({ tag: "retire", changeId, store: store.id, name, by, at: this.env.wall() });
+    return yield* this.proposals.propose({
+      tag: "retire",
+      changeId,
+      store: store.id,
+      name,
+      by,
+      at: this.env.wallClockMs(),
+    });
   }
 
   /**
@@ -85,7 +92,7 @@
    * that comes too late to be a retry may mean a successor with the same name that is not known here yet.
    */
   private acceptedEarlier({ fate: state, due, version }: CalendarEntry): Result<AcceptedChange> {
-    const ageMs = this.env.wall() - due;
+    const ageMs = this.env.wallClockMs() - due;
     const mayBeRetry = ageMs >= 0 && ageMs < Constants.orderRetryWindowMs;
     if (state === CalendarEntryState.started || mayBeRetry) return Fault.ok({ version });
     return this.busyFault("the machine was retired before, and isn't known here now");
--- a/src/control/shardPlacement.ts
+++ b/src/control/shardPlacement.ts
@@ -59,7 +59,7 @@
   }
 
   start(): void {
-    EnvironmentTools.keep(this.env, this.env.scope, "shard placement", () => this.loop());
+    EnvironmentTools.runSupervised(this.env, this.env.scope, "shard placement", () => this.loop());
   }
 
   /** Checks all shards now instead of with the next poll. A storage node requests this when a replica has a fault. */
@@ -75,9 +75,9 @@
         continue;
       }
       yield* this.statuses.poll();
-      const polledAt = this.env.mono();
+      const polledAt = this.env.monotonicMs();
       for (let shard = 0; shard < Constants.shardCount; shard += 1) this.checkShard(shard);
-      yield* EnvironmentTools.sleep(this.env, polledAt + Constants.statusPollGapMs - this.env.mono());
+      yield* EnvironmentTools.sleep(this.env, polledAt + Constants.statusPollGapMs - this.env.monotonicMs());
     }
   }
 
@@ -108,7 +108,7 @@
   }
 
   private checkFirstView(shard: number): void {
-    const isDiscoveryOver = this.env.mono() - this.statuses.firstStoreAt > Constants.storeDiscoveryMs;
+    const isDiscoveryOver = this.env.monotonicMs() - this.statuses.firstStoreAt > Constants.storeDiscoveryMs;
     if (isDiscoveryOver && this.selection.candidates(shard, []).length > 0)
       this.startChange(shard, "first view of", () => this.proposeFirstView(shard));
   }
--- a/src/control/storeStatuses.ts
+++ b/src/control/storeStatuses.ts
@@ -52,7 +52,7 @@
    * next poll.
    */
   *poll(): Task<void> {
-    const startedAt = this.env.mono();
+    const startedAt = this.env.monotonicMs();
     const stores = this.node.membership.alive("store");
     const done = Csp.chan<true>(Math.max(1, stores.length));
     const statuses = this;
@@ -67,18 +67,18 @@
         if (response.ok) statuses.recordStatus(id, response.value);
         Csp.offer(done, true);
       });
-    const deadline = this.env.mono() + Constants.statusPollTimeoutMs;
-    for (let received = 0; received < stores.length && this.env.mono() < deadline; received += 1)
-      yield* EnvironmentTools.takeWithin(this.env, done, deadline - this.env.mono());
+    const deadline = this.env.monotonicMs() + Constants.statusPollTimeoutMs;
+    for (let received = 0; received < stores.length && this.env.monotonicMs() < deadline; received += 1)
+      yield* EnvironmentTools.takeWithin(this.env, done, deadline - this.env.monotonicMs());
     this.lastPollAt = startedAt;
-    if (stores.length > 0 && this.firstStoreAt === Infinity) this.firstStoreAt = this.env.mono();
+    if (stores.length > 0 && this.firstStoreAt === Infinity) this.firstStoreAt = this.env.monotonicMs();
   }
 
   private recordStatus(
     id: string,
     { shards: replicas, stopping: isStopping, vouches: mayLead }: StoreStatusResponse,
   ): void {
-    this.byId.set(id, { replicas, isStopping, mayLead, receivedAt: this.env.mono() });
+    this.byId.set(id, { replicas, isStopping, mayLead, receivedAt: this.env.monotonicMs() });
   }
 
   /** Discards all statuses, because this node no longer leads. */
@@ -99,7 +99,7 @@
 
   /** Returns the time since the last status of a storage node, ms; 0 if there is none. */
   silentMs(id: string): number {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     return now - (this.byId.get(id)?.receivedAt ?? now);
   }
 
@@ -110,7 +110,7 @@
     return (
       (member?.state === "alive" || member?.state === "suspect") &&
       status !== undefined &&
-      this.env.mono() - status.receivedAt < Constants.statusMaxAgeMs
+      this.env.monotonicMs() - status.receivedAt < Constants.statusMaxAgeMs
     );
   }
 
--- a/src/control/voterManager.ts
+++ b/src/control/voterManager.ts
@@ -19,7 +19,7 @@
     private readonly group: ConsensusGroup,
     readonly voterCount: number,
   ) {
-    this.startedAt = env.mono();
+    this.startedAt = env.monotonicMs();
   }
 
   *run(): Task<void> {
@@ -41,7 +41,7 @@
     const { manifest: configuration, policies, calendar, voters } = this.group.state;
     const isUnchanged = configuration.version === 0 && policies.version === 0 && Object.keys(calendar).length === 0;
     if (!isUnchanged || voters.length >= this.voterCount) return false;
-    const isWaiting = this.env.mono() - this.group.leaderSince < Constants.groupGrowthWaitMs;
+    const isWaiting = this.env.monotonicMs() - this.group.leaderSince < Constants.groupGrowthWaitMs;
     if (!isWaiting) this.env.log(1309, { voters: voters.length, wanted: this.voterCount });
     return isWaiting;
   }
@@ -93,7 +93,7 @@
    * Returns the time in which an unknown node could have been discovered, ms; 0 until this leader has led long enough.
    */
   private undiscoveredMs(): number {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     const hasLedLongEnough = now - this.group.leaderSince > Constants.undiscoveredVoterLeaderDelayMs;
     return hasLedLongEnough ? now - this.startedAt : 0;
   }
--- a/src/shard/replica/leadership.ts
+++ b/src/shard/replica/leadership.ts
@@ -26,7 +26,7 @@
 
   /** Whether this replica is the leader and holds an unexpired lease from every other member. */
   holdsLease(): boolean {
-    const now = this.state.context.env.mono();
+    const now = this.state.context.env.monotonicMs();
     return this.state.role === "lead" && this.state.otherMembers().every((id) => this.leaseEnd(id) > now);
   }
   /** The time until which a member's lease is valid, monotonic ms; 0 for none. */
@@ -87,7 +87,7 @@
   }
   /** Members that have failed to sync for longer than `memberSilentMs`. */
   silentMembers(): string[] {
-    const now = this.state.context.env.mono();
+    const now = this.state.context.env.monotonicMs();
     return [...this.failingSince].filter(([, since]) => now - since > Constants.memberTimeoutMs).map(([id]) => id);
   }
   /** Whether the disk of any member is nearly full. */
@@ -97,7 +97,7 @@
 
   /** Time since this member last received entries or a renewal from the leader, ms. */
   leaderSilenceMs(): number {
-    return this.state.context.env.mono() - (this.state.grantedLeaseEnd - Constants.shardLeaseMs);
+    return this.state.context.env.monotonicMs() - (this.state.grantedLeaseEnd - Constants.shardLeaseMs);
   }
   /** Whether this replica has a reason to request a view change. */
   needsViewChange(): boolean {
--- a/src/shard/replica/replicaReads.ts
+++ b/src/shard/replica/replicaReads.ts
@@ -39,7 +39,7 @@
     const change = state.addReader();
     // The leader's frontier advances with its clock, so the time at which it passes the next unstable put is known.
     const nextTime = Math.min(...state.data.unstablePuts.map((put) => put.stamp.time));
-    const dueMs = state.role === "lead" ? nextTime + Stamp.delay(hooks.bounds()) - env.wall() + 1 : Infinity;
+    const dueMs = state.role === "lead" ? nextTime + Stamp.delay(hooks.bounds()) - env.wallClockMs() + 1 : Infinity;
     yield* EnvironmentTools.takeWithin(env, change, Math.min(ms, dueMs > 0 ? dueMs : Constants.statusPeriodMs));
     state.removeReader(change);
   }
--- a/src/shard/replica/replicaStorage.ts
+++ b/src/shard/replica/replicaStorage.ts
@@ -22,7 +22,7 @@
     private readonly leadership: Leadership,
   ) {
     const { env, shard } = state.context;
-    EnvironmentTools.keep(env, env.scope, `segments of shard ${shard}`, () => this.writeSegments());
+    EnvironmentTools.runSupervised(env, env.scope, `segments of shard ${shard}`, () => this.writeSegments());
   }
 
   /** Whether the disk failed and has not been recovered since. */
--- a/src/shard/replica/stablePrefix.ts
+++ b/src/shard/replica/stablePrefix.ts
@@ -28,7 +28,7 @@
    */
   startLeading(): void {
     const { env, hooks } = this.state.context;
-    this.published = Math.max(this.state.data.frontier, env.wall() + hooks.bounds().deltaMs);
+    this.published = Math.max(this.state.data.frontier, env.wallClockMs() + hooks.bounds().deltaMs);
   }
   /**
    * At the leader: advances the frontier to Δ + 2δ + ε before the current time, but not past queued puts or puts in
@@ -37,7 +37,7 @@
   advance(): void {
     const { env, hooks } = this.state.context;
     if (this.state.role !== "lead" || !hooks.isClockTrusted()) return;
-    let candidate = env.wall() - Stamp.delay(hooks.bounds());
+    let candidate = env.wallClockMs() - Stamp.delay(hooks.bounds());
     for (const time of this.leadership.puts.stampTimes()) candidate = Math.min(candidate, time - PUT_MARGIN_MS);
     if (candidate > this.published) this.published = candidate;
     this.state.advanceFrontier(this.published);
--- a/src/storage/abandonedClaimRecovery.ts
+++ b/src/storage/abandonedClaimRecovery.ts
@@ -65,7 +65,7 @@
   ) {}
 
   start(): void {
-    EnvironmentTools.keep(this.env, this.env.scope, "orphans", () => this.recoveryLoop());
+    EnvironmentTools.runSupervised(this.env, this.env.scope, "orphans", () => this.recoveryLoop());
   }
 
   /** Recovers the abandoned claims of a shard, in one background task for each owner. */
@@ -105,13 +105,13 @@
   /** Recovers each claim that its owner no longer executes, and polls the owner until none of the claims is left. */
   private *recoverFrom(owner: string, replica: ShardReplica, epoch: number, claims: Claim[]): Task<void> {
     let remaining = claims;
-    let lastResponseAt = this.env.mono();
+    let lastResponseAt = this.env.monotonicMs();
     while (remaining.length > 0 && replica.holdsLease() && replica.view?.epoch === epoch) {
       const names = remaining.map(({ name }) => name);
       const poll = yield* this.pollOwner(owner, names);
       let stillRunning = new Set<string>(poll.running);
-      if (poll.running !== undefined) lastResponseAt = this.env.mono();
-      else if (poll.isReachable && this.env.mono() - lastResponseAt < OWNER_LOSS_TIMEOUT_MS)
+      if (poll.running !== undefined) lastResponseAt = this.env.monotonicMs();
+      else if (poll.isReachable && this.env.monotonicMs() - lastResponseAt < OWNER_LOSS_TIMEOUT_MS)
         stillRunning = new Set(names);
       for (const claim of remaining) {
         if (stillRunning.has(claim.name) || this.running.has(claim.name)) continue;
@@ -143,7 +143,7 @@
     }
     const route = this.node.snapshot().control?.manifest.doc.bindings[request.binding];
     const canContinue = request.pieces.length === 0 || request.exact;
-    if (!route || request.deadlineAt < this.env.wall() || !canContinue) {
+    if (!route || request.deadlineAt < this.env.wallClockMs() || !canContinue) {
       const hasNotRun = request.state === "accepted" && request.pieces.length === 0;
       yield* this.closeRequest(replica, request, hasNotRun ? "refused" : "failed", OWNER_LOST_DETAIL);
       return;
@@ -174,7 +174,7 @@
       caller: "",
       body: spec.body,
       attempt: request.round,
-      claimedAt: this.env.mono(),
+      claimedAt: this.env.monotonicMs(),
       chunks: request.pieces.map((chunk) => chunk.data),
     };
     Csp.go(this.env.scope, `run ${id}`, () => this.execution.run(executing, undefined));
--- a/src/storage/batchJobs/batchJobReads.ts
+++ b/src/storage/batchJobs/batchJobReads.ts
@@ -36,23 +36,23 @@
 
   /** Reads results from a position. Responds once there is one, all results are stable, or the wait has ended. */
   *list(replica: ShardReplica, { id, from, waitMs, anyAge }: ListJobRequest): Task<Result<JobResultPage>> {
-    const deadline = this.env.mono() + Math.min(waitMs, Constants.readWaitMs);
+    const deadline = this.env.monotonicMs() + Math.min(waitMs, Constants.readWaitMs);
     for (;;) {
       if (!isInView(this.node, replica)) return notInViewFault(this.node, "list");
-      const oldest = this.env.wall() - Stamp.delay(this.node.clockBounds()) - Constants.jobListMaxLagMs;
+      const oldest = this.env.wallClockMs() - Stamp.delay(this.node.clockBounds()) - Constants.jobListMaxLagMs;
       if (replica.frontier() < oldest && !replica.holdsLease() && !anyAge)
         return Fault.fail("notLead", "list", this.node.self.id, "our frontier lags");
       const found = yield* replica.job(id);
       if (!found.ok) return found;
       const job = found.value;
-      const isTimeUp = this.env.mono() >= deadline;
+      const isTimeUp = this.env.monotonicMs() >= deadline;
       if (job) {
         if (job.positions.length > from || areAllStable(job) || isTimeUp) return Fault.ok(pageOf(job, from));
       } else if (replica.holdsLease() && !this.submissionLocks.isLocked(id))
         return Fault.fail("notFound", "list", this.node.self.id, `no lot ${id}`);
       else if (isTimeUp || !replica.holdsLease())
         return Fault.fail("notLead", "list", this.node.self.id, "not known here");
-      yield* replica.waitForChange(deadline - this.env.mono());
+      yield* replica.waitForChange(deadline - this.env.monotonicMs());
     }
   }
 
@@ -74,20 +74,20 @@
   /** Reads results with their positions and stamps, of jobs with or without claims. */
   *results(replica: ShardReplica, body: JobResultsRequest): Task<Result<JobResultsResponse>> {
     if (!isInView(this.node, replica)) return notInViewFault(this.node, "read");
-    const deadline = this.env.mono() + Math.min(body.waitMs, Constants.readWaitMs);
+    const deadline = this.env.monotonicMs() + Math.min(body.waitMs, Constants.readWaitMs);
     for (;;) {
       const frontier = replica.frontier();
       const found = yield* replica.job(body.id);
       if (!found.ok) return found;
       const job = found.value;
-      const isTimeUp = this.env.mono() >= deadline;
+      const isTimeUp = this.env.monotonicMs() >= deadline;
       if (job) {
         const response = resultsOf(job, body, frontier);
         if (response.results.length > 0 || areAllStable(job) || isTimeUp) return Fault.ok(response);
       } else if (replica.holdsLease())
         return Fault.fail("notFound", "lot results", this.node.self.id, `no lot ${body.id}`);
       else if (isTimeUp) return Fault.fail("notLead", "lot results", this.node.self.id, "not here yet");
-      yield* replica.waitForChange(deadline - this.env.mono());
+      yield* replica.waitForChange(deadline - this.env.monotonicMs());
     }
   }
 }
--- a/src/storage/batchJobs/itemScheduler.ts
+++ b/src/storage/batchJobs/itemScheduler.ts
@@ -54,22 +54,22 @@
   }
 
   start(): void {
-    EnvironmentTools.keep(this.env, this.env.scope, "item scheduler", () => this.scheduleLoop());
+    EnvironmentTools.runSupervised(this.env, this.env.scope, "item scheduler", () => this.scheduleLoop());
   }
 
   /** Number of items that run now. */
   runningCount = (): number => this.endpointUsage.total();
 
   private *scheduleLoop(): Task<void> {
-    for (let lastSearchAt = this.env.mono(); ;) {
+    for (let lastSearchAt = this.env.monotonicMs(); ;) {
       const hasWaiting = this.openJobs.all().some((open) => open.ready.length + open.delayed.length > 0);
       yield* EnvironmentTools.takeWithin(
         this.env,
         this.openJobs.changed,
         hasWaiting ? Constants.jobSchedulingPeriodMs : IDLE_PERIOD_MS,
       );
-      if (this.env.mono() - lastSearchAt > Constants.abandonedClaimSearchMs) {
-        lastSearchAt = this.env.mono();
+      if (this.env.monotonicMs() - lastSearchAt > Constants.abandonedClaimSearchMs) {
+        lastSearchAt = this.env.monotonicMs();
         // A job may have been accepted by a put that completed only after its caller had stopped waiting.
         for (const replica of this.replicas.values()) if (replica.holdsLease()) this.openJobs.addJobsOf(replica);
       }
@@ -79,7 +79,7 @@
   }
 
   private schedulingPass(snapshot: ClusterSnapshot): void {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     const schedulable = this.schedulableJobs();
     this.demand.announce();
     const pass: SchedulingPass = {
@@ -91,7 +91,7 @@
     for (const entry of schedulable) {
       const route = routeOf(snapshot, entry.job);
       if (!route) this.abandonWaitingItems(entry.open, "its binding was taken out of the manifest");
-      else if (this.env.wall() > giveUpAt(entry.job, route))
+      else if (this.env.wallClockMs() > giveUpAt(entry.job, route))
         this.abandonWaitingItems(entry.open, "not done in the time that its binding gives");
       else {
         requeueDelayedItems(entry.open, now);
@@ -106,7 +106,7 @@
     for (const open of this.openJobs.all()) {
       const job = this.openJobs.findSchedulable(open);
       if (!this.openJobs.mayContinue(open)) this.openJobs.abort(open);
-      else if (job) jobs.push({ open, job, dueInMs: dueInMs(job, this.env.wall()) });
+      else if (job) jobs.push({ open, job, dueInMs: dueInMs(job, this.env.wallClockMs()) });
     }
     // Results that are already late have lost most of their value, so their jobs come last.
     const overdueRank = ({ dueInMs: remainingMs }: SchedulableJob): number => (remainingMs > 0 ? 0 : 1);
@@ -192,7 +192,10 @@
 
   private retryLater(open: OpenJob, item: number, endpoint: Endpoint, backoffMs: number): void {
     const jitter = BACKOFF_JITTER_FACTOR.min + BACKOFF_JITTER_FACTOR.range * this.env.random();
-    Object.assign(progressOf(open, item), { notBefore: this.env.mono() + backoffMs * jitter, avoid: endpoint.key });
+    Object.assign(progressOf(open, item), {
+      notBefore: this.env.monotonicMs() + backoffMs * jitter,
+      avoid: endpoint.key,
+    });
     open.running.delete(item);
     open.delayed.push(item);
   }
--- a/src/storage/batchJobs/jobDemand.ts
+++ b/src/storage/batchJobs/jobDemand.ts
@@ -29,7 +29,7 @@
 
   /** Announces the demand if it has changed or its announcement is about to expire. A small demand is not announced. */
   announce(): void {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     const items = this.ownItems();
     const ageMs = now - this.announced.at;
     const hasChanged = Math.abs(items - this.announced.items) > this.announced.items * ANNOUNCED_CHANGE_MIN;
--- a/src/storage/claimedItems/claimedItemWindow.ts
+++ b/src/storage/claimedItems/claimedItemWindow.ts
@@ -22,7 +22,7 @@
 
   /** Closes the window because live requests wait for the pool, and notifies the other nodes. */
   reportOverload(pool: string): void {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     if (now - this.lastOverloadAt(pool) > ANNOUNCEMENT_PERIOD_MIN_MS)
       this.node.gossip.publish(`crowd/${this.node.self.id}/${pool}`, { pool }, Constants.jobOverloadHoldMs, true);
     this.overloadedAt.set(pool, now);
@@ -32,7 +32,8 @@
   /** Adapts the window in a scheduling pass. */
   update(pool: string, snapshot: ClusterSnapshot): void {
     const isOverloaded =
-      snapshot.overloadedPools[pool] || this.env.mono() - this.lastOverloadAt(pool) < Constants.jobOverloadHoldMs;
+      snapshot.overloadedPools[pool] ||
+      this.env.monotonicMs() - this.lastOverloadAt(pool) < Constants.jobOverloadHoldMs;
     const grownSize = Math.min(Constants.jobWindowMax, this.sizeOf(pool) + 1);
     this.sizes.set(pool, isOverloaded ? Constants.jobWindowMin : grownSize);
   }
--- a/src/storage/liveRequests/liveRequestAdmission.ts
+++ b/src/storage/liveRequests/liveRequestAdmission.ts
@@ -57,7 +57,7 @@
       return notLeaderFault(this.node, replica, "open");
     const existing = findExisting(replica, body);
     if (existing) return Fault.ok(existing);
-    if (!Stamp.admits(body.stamp.time, this.env.wall(), this.node.clockBounds()))
+    if (!Stamp.admits(body.stamp.time, this.env.wallClockMs(), this.node.clockBounds()))
       return Fault.fail("late", "open", this.node.self.id, `stamp ${Stamp.text(body.stamp)} outside the bounds`);
     const route = this.node.snapshot().control?.manifest.doc.bindings[body.work.binding];
     if (!route) return Fault.fail("notFound", "open", this.node.self.id, `no binding ${body.work.binding}`);
@@ -78,17 +78,17 @@
       () => liveRequestCriteria(this.node.snapshot(), routed, exclude),
       body.work.order,
       body.stamp.time,
-      Math.min(remainingWaitMs(this.env, body.work), body.work.deadlineAt - this.env.wall()),
+      Math.min(remainingWaitMs(this.env, body.work), body.work.deadlineAt - this.env.wallClockMs()),
     );
     if (!endpoint) {
       this.counters.busies += 1;
       const retryAfterMs = this.queue.retryAfterMs(route.pool);
       return Fault.busy("open", this.node.self.id, `no room in pool ${route.pool}`, retryAfterMs);
     }
-    const claimedAt = this.env.mono();
+    const claimedAt = this.env.monotonicMs();
     this.execution.running.add(id);
     const put = yield* this.putOpen(replica, body, endpoint);
-    this.env.point(51);
+    this.env.faultPoint(51);
     if (!put.ok || put.value.tag !== "done") {
       this.execution.running.delete(id);
       this.queue.release(endpoint, true);
@@ -115,12 +115,12 @@
       const cause = { ...body.cause, view: replica.view?.epoch };
       put = yield* replica.put({ putId, stamp, ops, cause }, OPEN_PUT_TIMEOUT_MS);
       if (put.ok || put.fault.tag !== "late" || attempt >= Constants.restampAttempts) break;
-      stamp = this.shardClient.stamp(this.env.wall());
+      stamp = this.shardClient.stamp(this.env.wallClockMs());
       yield* EnvironmentTools.sleep(this.env, RESTAMP_PAUSE_MS);
     }
     if (put.ok || put.fault.tag !== "unknown") return put;
     // A view change interrupted the put. Nothing was forwarded yet, so the same put is retried to learn its outcome.
-    const outcomeTimeoutMs = Math.max(OUTCOME_TIMEOUT_MIN_MS, deadlineAt - this.env.wall());
+    const outcomeTimeoutMs = Math.max(OUTCOME_TIMEOUT_MIN_MS, deadlineAt - this.env.wallClockMs());
     return yield* this.writer.put(replica.shard, putId, ops, body.cause, outcomeTimeoutMs);
   }
 
--- a/src/storage/liveRequests/liveRequestReader.ts
+++ b/src/storage/liveRequests/liveRequestReader.ts
@@ -30,7 +30,7 @@
 
   /** Responds once there is a further chunk, the request is closed, or the wait has ended. */
   *read(replica: ShardReplica, { id, after, waitMs }: ReadRequest): Task<Result<ReadResponse>> {
-    const deadline = this.env.mono() + waitMs;
+    const deadline = this.env.monotonicMs() + waitMs;
     const wake = this.addReader(id);
     try {
       for (;;) {
@@ -39,9 +39,9 @@
         if (!found.ok) return found;
         const request = found.value;
         if (!request) return Fault.fail("notFound", "read", this.node.self.id, `no request ${id}`);
-        if (request.pieces.length > after || isClosed(request) || this.env.mono() >= deadline)
+        if (request.pieces.length > after || isClosed(request) || this.env.monotonicMs() >= deadline)
           return Fault.ok(responseOf(request, after));
-        yield* EnvironmentTools.takeWithin(this.env, wake, deadline - this.env.mono());
+        yield* EnvironmentTools.takeWithin(this.env, wake, deadline - this.env.monotonicMs());
       }
     } finally {
       this.removeReader(id, wake);
--- a/src/storage/retention.ts
+++ b/src/storage/retention.ts
@@ -31,7 +31,7 @@
     for (const [kind, setting] of RETENTION_SETTINGS) {
       const maxAgeMs = configuration?.doc.retention?.[setting];
       if (maxAgeMs === undefined) continue;
-      const cutoff = this.env.wall() - maxAgeMs;
+      const cutoff = this.env.wallClockMs() - maxAgeMs;
       const below = replica.segments.firstSegmentSince(kind, cutoff);
       const trimmed = replica.data.trimmedCounts[kind];
       if (below <= trimmed) continue;
--- a/src/storage/shardClient.ts
+++ b/src/storage/shardClient.ts
@@ -67,14 +67,14 @@
     attemptTimeoutMs = ATTEMPT_TIMEOUT_MS,
     unsentTimeoutMs = timeoutMs,
   ): Task<Result<ResponseOf<Method>>> {
-    const startedAt = this.env.mono();
+    const startedAt = this.env.monotonicMs();
     const deadline = startedAt + timeoutMs;
     let lastResult: Result<ResponseOf<Method>> = Fault.fail("timeout", method, `shard ${shard}`, "no lead known");
     let mayHaveArrived = false;
     for (let attempt = 0; ; attempt += 1) {
-      const remainingMs = deadline - this.env.mono();
+      const remainingMs = deadline - this.env.monotonicMs();
       // If no attempt can have arrived, there is no outcome to wait for.
-      if (!mayHaveArrived && attempt > 0 && this.env.mono() - startedAt > unsentTimeoutMs) return lastResult;
+      if (!mayHaveArrived && attempt > 0 && this.env.monotonicMs() - startedAt > unsentTimeoutMs) return lastResult;
       if (remainingMs <= 0)
         return mayHaveArrived && !lastResult.ok
           ? Fault.fail("unknown", method, lastResult.fault.member, lastResult.fault.detail)
@@ -93,7 +93,7 @@
         }
         if (retry === "mayHaveArrived") mayHaveArrived = true;
       }
-      const pauseMs = Math.min(Constants.leaderSearchPauseMs, Math.max(1, deadline - this.env.mono()));
+      const pauseMs = Math.min(Constants.leaderSearchPauseMs, Math.max(1, deadline - this.env.monotonicMs()));
       yield* EnvironmentTools.sleep(this.env, pauseMs * (attempt === 0 ? FIRST_PAUSE_FACTOR : 1));
     }
   }
@@ -119,7 +119,7 @@
     return yield* this.callLeader(
       shard,
       "shard.put",
-      () => ({ put: { putId, stamp: this.stamp(this.env.wall()), ops, cause } }),
+      () => ({ put: { putId, stamp: this.stamp(this.env.wallClockMs()), ops, cause } }),
       timeoutMs,
     );
   }
--- a/src/storage/shardMaintenance.ts
+++ b/src/storage/shardMaintenance.ts
@@ -24,9 +24,11 @@
   ) {}
 
   start(): void {
-    EnvironmentTools.keep(this.env, this.env.scope, "disk check", () => this.diskCheckLoop());
-    EnvironmentTools.keep(this.env, this.env.scope, "view change requests", () => this.viewChangeRequestLoop());
-    EnvironmentTools.keep(this.env, this.env.scope, "repair", () => this.repairLoop());
+    EnvironmentTools.runSupervised(this.env, this.env.scope, "disk check", () => this.diskCheckLoop());
+    EnvironmentTools.runSupervised(this.env, this.env.scope, "view change requests", () =>
+      this.viewChangeRequestLoop(),
+    );
+    EnvironmentTools.runSupervised(this.env, this.env.scope, "repair", () => this.repairLoop());
   }
 
   /** Requests a view change from the control group without waiting for the next period. */
@@ -53,7 +55,7 @@
   private *diskCheckLoop(): Task<void> {
     let checkCount = 0;
     for (;;) {
-      const free = yield* this.env.disk.free(this.dataFolder);
+      const free = yield* this.env.disk.freeBytes(this.dataFolder);
       const isLow = free.ok && free.value < Constants.diskReserveBytes;
       checkCount += 1;
       for (const replica of this.replicas.values()) {
--- a/src/storage/storageNode.ts
+++ b/src/storage/storageNode.ts
@@ -129,7 +129,7 @@
   private addHandlers(): void {
     const { node, claimedWork, batchWork } = this;
     const replicaOf = (shard: number): ShardReplica => this.replicaOf(shard);
-    const wall = (): number => this.env.wall();
+    const wall = (): number => this.env.wallClockMs();
     const handlers = new CheckedHandlers(node.rpc, node.self.id, replicaOf);
     const onArrival = (stampTime: number): void => this.relayLatency.add(wall() - stampTime);
     registerShardMethods(node.rpc, node.self.id, replicaOf);
@@ -202,8 +202,8 @@
   stop(): Task<void> {
     const storage = this;
     return this.node.shutDown(function* () {
-      const deadline = storage.env.mono() + Constants.shutdownGraceMs;
-      while (storage.env.mono() < deadline && storage.hasUnfinishedWork())
+      const deadline = storage.env.monotonicMs() + Constants.shutdownGraceMs;
+      while (storage.env.monotonicMs() < deadline && storage.hasUnfinishedWork())
         yield* EnvironmentTools.sleep(storage.env, STOP_CHECK_PERIOD_MS);
     });
   }
--- a/test/batchJobDays.test.ts
+++ b/test/batchJobDays.test.ts
@@ -144,9 +144,9 @@
             ? "notFitting"
             : "refused"
           : "unknown";
-      this.observe({ tag: "submitted", at: context.env.wall(), job, outcome, tokens: 100 * count });
+      this.observe({ tag: "submitted", at: context.env.wallClockMs(), job, outcome, tokens: 100 * count });
       if (outcome === "accepted") {
-        this.observe({ tag: "waiting", at: context.env.wall(), tokens: this.waiting() });
+        this.observe({ tag: "waiting", at: context.env.wallClockMs(), tokens: this.waiting() });
         return true;
       }
       yield* EnvironmentTools.sleep(context.env, 400);
@@ -168,7 +168,7 @@
   }
   *read(context: BatchJobContext, job: string, from: number, waitMs: number): Task<number> {
     const listed = yield* new BatchJobReader(context).list(job, from, waitMs);
-    const at = context.env.wall();
+    const at = context.env.wallClockMs();
     if (!listed.ok) {
       this.observe({ tag: "notFound", at, job, certain: listed.fault.tag === "notFound" });
       return 0;
@@ -182,7 +182,7 @@
     if (found.ok || found.fault.tag === "notFound")
       this.observe({
         tag: "body",
-        at: context.env.wall(),
+        at: context.env.wallClockMs(),
         job,
         item,
         body: found.ok ? Buffer.from(found.value.body, "base64").toString() : undefined,
@@ -192,7 +192,7 @@
     for (let attempt = 0; attempt < 10; attempt += 1) {
       const context = this.context();
       const ended = yield* new BatchSubmission(context).end(job, "caller");
-      if (ended.ok) return this.observe({ tag: "ended", at: context.env.wall(), job });
+      if (ended.ok) return this.observe({ tag: "ended", at: context.env.wallClockMs(), job });
       yield* EnvironmentTools.sleep(context.env, 300);
     }
   }
--- a/test/batchJobs.test.ts
+++ b/test/batchJobs.test.ts
@@ -85,7 +85,7 @@
     ok: true,
     value: { ended: true },
   });
-  const endedAt = fleet.caller.env.wall();
+  const endedAt = fleet.caller.env.wallClockMs();
   await fleet.world.run(200);
   expect(fleet.endpoints.map(({ active }) => active)).toEqual([0, 0]);
   await fleet.world.run(3000);
@@ -149,14 +149,19 @@
     new BatchSubmission(context).refuse("S", { tag: "unknown", step: "", member: "", detail: "" }),
   );
   expect(refuse).toMatchObject({ ok: false, fault: { tag: "busy" } });
-  const earlyStamp = { time: Math.floor(fleet.caller.env.wall()) - 1000, node: "early", seq: 0 };
+  const earlyStamp = { time: Math.floor(fleet.caller.env.wallClockMs()) - 1000, node: "early", seq: 0 };
   const { job, cause } = new BatchSubmission(fleet.context).prepare("S", "b", BatchJobFleet.route, fleet.items("S", 2));
   const submissionStampText = `${earlyStamp.time}~early~0`;
   const late = await fleet.call((context) =>
     context.shardClient.callLeader(
       shard,
       "lot.handIn",
-      () => ({ stamp: context.shardClient.stamp(context.env.wall()), life: submissionStampText, lot: job, cause }),
+      () => ({
+        stamp: context.shardClient.stamp(context.env.wallClockMs()),
+        life: submissionStampText,
+        lot: job,
+        cause,
+      }),
       2000,
     ),
   );
@@ -187,7 +192,7 @@
   await fleet.world.run(1500);
   fleet.withdrawEndpoint("r1");
   await fleet.world.run(1500);
-  const deregisteredAt = fleet.caller.env.wall();
+  const deregisteredAt = fleet.caller.env.wallClockMs();
   await fleet.configure({});
   const page = await fleet.readAll("G", 6000);
   expect(new Set(page.results.map(({ state }) => state))).toEqual(new Set(["complete", "abandoned"]));
--- a/test/controlFleet.ts
+++ b/test/controlFleet.ts
@@ -191,9 +191,9 @@
     const result = await this.world.finish(
       this.operator,
       function* () {
-        const response = yield* env.http(target, { method, path, body: text, headers, timeoutMs: 8000 });
+        const response = yield* env.httpRequest(target, { method, path, body: text, headers, timeoutMs: 8000 });
         if (!response.ok) return { status: 0, body: response.fault, headers: {} };
-        const bodyText = (yield* EnvironmentTools.bodyOf(env, response.value, 32_000_000, 8000)) ?? "";
+        const bodyText = (yield* EnvironmentTools.readBodyText(env, response.value, 32_000_000, 8000)) ?? "";
         return {
           status: response.value.status,
           headers: response.value.headers,
--- a/test/drainOrders.test.ts
+++ b/test/drainOrders.test.ts
@@ -70,7 +70,11 @@
       const lost = await fleet.world.finish(
         fleet.operator,
         () =>
-          env.http(httpAddress(fleet, name), { method: "POST", path: "/v1/districts/north/drain", timeoutMs: 1000 }),
+          env.httpRequest(httpAddress(fleet, name), {
+            method: "POST",
+            path: "/v1/districts/north/drain",
+            timeoutMs: 1000,
+          }),
         2000,
       );
       expect(lost?.ok).toBe(false);
--- a/test/surface.test.ts
+++ b/test/surface.test.ts
@@ -135,7 +135,7 @@
 test("a long body is deflated, and a shared one encodes the same again; decoding restores it, but not if truncated", () => {
   const message = { kind: "request" as const, correlationId: 7, cluster: "a", method: "v", sender: "s" };
   for (const length of [10, 1500, 100_000]) {
-    const body = EnvelopeCodec.shared({
+    const body = EnvelopeCodec.preEncode({
       text: Array.from({ length }, (_unused, index) => index.toString(36)).join(""),
     });
     const encoded = EnvelopeCodec.encode({ ...message, body });
@@ -234,7 +234,7 @@
   for (const target of ["/v1/requests/status", "/v1/requests/confirm", "/v1/lots"]) {
     const response = await fleet.world.finish(
       rawClient,
-      () => rawClient.env.http(ingress, { method: "POST", path: target, body: "{", timeoutMs: 1000 }),
+      () => rawClient.env.httpRequest(ingress, { method: "POST", path: target, body: "{", timeoutMs: 1000 }),
       2000,
     );
     expect(response?.ok && response.value.status).toBe(400);
@@ -301,7 +301,7 @@
   await fleet.world.finish(
     stranger,
     function* () {
-      const socket = yield* stranger.env.datagrams("127.0.0.1:9");
+      const socket = yield* stranger.env.bindDatagrams("127.0.0.1:9");
       if (socket.ok) for (const junk of ["", "junk", "\u0000\u0001"]) socket.value.send(receiver, Buffer.from(junk));
       const link = yield* stranger.env.connect(receiver, 500);
       if (link.ok) link.value.send(Buffer.from("junk"));
