--- a/src/cli/operator/documentCommands.ts
+++ b/src/cli/operator/documentCommands.ts
@@ -29,7 +29,7 @@
 }
 function addCommandsFor(program: Sade, document: DocumentName): void {
   const path = `/v1/${document}`;
-  nodeCommand(program, `${document} get`, `Prints the ${document} and its version.`).action((options: CommandOptions) =>
+  nodeCommand(program, `${document} get`, `Prints the ${document} and the version.`).action((options: CommandOptions) =>
     readResource(options, path, (body) => printLine(JSON.stringify(body, null, 2))),
   );
   changeCommand(program, `${document} put <file>`, `Replaces the ${document}.`).action(
