--- a/test/surface.test.ts
+++ b/test/surface.test.ts
@@ -172,7 +172,7 @@
     headers: Record<string, string> = {},
     address = ingress,
   ): Promise<{ status: number; body: any }> => {
-    const response = await fleet.operate(method, target, body, headers, address);
+    const response = await fleet.send(method, target, body, headers, address);
     if (!response) throw new Error(`no response to ${method} ${target}`);
     return response;
   };
@@ -232,7 +232,7 @@
   expect((await send("POST", "/v1/requests/status", { q: "x".repeat(1_100_000) })).status).toBe(413);
   const rawClient = fleet.world.start("raw", fleet.disks.get("store-1")!);
   for (const target of ["/v1/requests/status", "/v1/requests/confirm", "/v1/lots"]) {
-    const response = await fleet.world.finish(
+    const response = await fleet.world.runTask(
       rawClient,
       () => rawClient.env.httpRequest(ingress, { method: "POST", path: target, body: "{", timeoutMs: 1000 }),
       2000,
@@ -298,7 +298,7 @@
   // Malformed datagrams and messages are dropped, and the process that receives them keeps running.
   const stranger = fleet.world.start("stranger", fleet.disks.get("store-1")!);
   const receiver = fleet.plan.processes[0].settings.address;
-  await fleet.world.finish(
+  await fleet.world.runTask(
     stranger,
     function* () {
       const socket = yield* stranger.env.bindDatagrams("127.0.0.1:9");
@@ -312,5 +312,5 @@
   await fleet.run(1000);
   expect((await send("GET", "/livez", undefined, {}, fleet.plan.processes[0].settings.http)).status).toBe(200);
   fleet.notes.length = 0;
-  expect(await fleet.close()).toEqual([]);
+  expect(await fleet.stopAndCheck()).toEqual([]);
 }, 120_000);
