--- a/src/adapters/caller/jobRoutes.ts
+++ b/src/adapters/caller/jobRoutes.ts
@@ -45,18 +45,18 @@
 
   private *submit(exchange: HttpExchange): Task<void> {
     const { admission, env, id: member } = this.operations;
-    const body = yield* Http.body(exchange, admission.bodyLimitBytes());
+    const body = yield* Http.readJsonBody(exchange, admission.bodyLimitBytes());
     if (!body) return;
     const job = parseJob(body.value);
-    if (!job.ok) return Http.problem(exchange, job.fault);
+    if (!job.ok) return Http.sendProblem(exchange, job.fault);
     const routeName = job.value.binding;
     const admitted = admission.admit(routeName, exchange.headers);
-    if (!admitted.ok) return Http.problem(exchange, admitted.fault);
+    if (!admitted.ok) return Http.sendProblem(exchange, admitted.fault);
     if (admitted.value.route.kind !== "item") {
       const detail = `binding ${routeName} is not of kind item`;
-      return Http.problem(exchange, { tag: "invalid", step: "accept lot", member, detail });
+      return Http.sendProblem(exchange, { tag: "invalid", step: "accept lot", member, detail });
     }
-    const id = job.value.id ?? EnvironmentTools.id(env, "lot");
+    const id = job.value.id ?? EnvironmentTools.randomId(env, "lot");
     if (job.value.requests) yield* this.submitRequests(exchange, id, admitted.value, job.value.requests);
     else yield* this.submitJsonItems(exchange, id, admitted.value, job.value.items!);
   }
@@ -73,22 +73,22 @@
     const submitted = yield* jobSubmission.submit(id, name, route, items, Constants.jobCallMs);
     if (!submitted.ok) {
       const isOverQuota = submitted.fault.tag === "busy" && submitted.fault.step === "quota";
-      return Http.problem(exchange, submitted.fault, isOverQuota ? 429 : undefined, { lot: id });
+      return Http.sendProblem(exchange, submitted.fault, isOverQuota ? 429 : undefined, { lot: id });
     }
     if (this.rejectKnownJob(exchange, submitted.value, "hand in")) return;
-    Http.json(exchange, 202, { id, items: items.length });
+    Http.sendJson(exchange, 202, { id, items: items.length });
   }
 
   private *submitJsonItems(exchange: HttpExchange, id: string, route: AdmittedRequest, items: unknown[]): Task<void> {
     const { counters, jobSubmission, liveRequests } = this.operations;
     const arrival = liveRequests.stampArrival();
-    if (!arrival.ok) return Http.problem(exchange, arrival.fault);
+    if (!arrival.ok) return Http.sendProblem(exchange, arrival.fault);
     const bodies = items.map((item) => JSON.stringify(item));
     counters.jobs += 1;
     const submitted = yield* jobSubmission.submitJsonItems({ id, route, bodies }, arrival.value);
-    if (!submitted.ok) return Http.problem(exchange, submitted.fault, undefined, { lot: id });
+    if (!submitted.ok) return Http.sendProblem(exchange, submitted.fault, undefined, { lot: id });
     if (this.rejectKnownJob(exchange, submitted.value, "accept lot")) return;
-    Http.json(exchange, submitted.value.tag === "exists" ? 200 : 202, { id, items: bodies.length });
+    Http.sendJson(exchange, submitted.value.tag === "exists" ? 200 : 202, { id, items: bodies.length });
   }
 
   /** Whether the id was used for a job that this submission does not repeat; the response has been sent then. */
@@ -97,37 +97,37 @@
     const member = this.operations.id;
     if (outcome.state === "trimmed") {
       const detail = "the lot was done, and its results trimmed by retention";
-      Http.problem(exchange, { tag: "gone", step, member, detail });
+      Http.sendProblem(exchange, { tag: "gone", step, member, detail });
       return true;
     }
     if (outcome.same) return false;
     const detail = "the lot id was used with other items";
-    Http.problem(exchange, { tag: "conflict", step, member, detail }, 422);
+    Http.sendProblem(exchange, { tag: "conflict", step, member, detail }, 422);
     return true;
   }
 
   private *status(exchange: HttpExchange, id: string): Task<void> {
     const status = yield* this.operations.jobReader.status(id);
-    if (!status.ok) return Http.problem(exchange, status.fault);
-    Http.json(exchange, 200, status.value);
+    if (!status.ok) return Http.sendProblem(exchange, status.fault);
+    Http.sendJson(exchange, 200, status.value);
   }
 
   private *results(exchange: HttpExchange, id: string): Task<void> {
     const after = queryNumber(exchange, "after", 0, maxPosition);
-    if (!after.ok) return Http.problem(exchange, after.fault);
+    if (!after.ok) return Http.sendProblem(exchange, after.fault);
     const limit = queryNumber(exchange, "limit", defaultResultsLimit, maxResultsLimit);
-    if (!limit.ok) return Http.problem(exchange, limit.fault);
+    if (!limit.ok) return Http.sendProblem(exchange, limit.fault);
     const waitMs = queryNumber(exchange, "waitMs", 0, Constants.readWaitMs);
-    if (!waitMs.ok) return Http.problem(exchange, waitMs.fault);
+    if (!waitMs.ok) return Http.sendProblem(exchange, waitMs.fault);
     const { jobReader } = this.operations;
     const read = yield* jobReader.results(id, after.value, Math.max(1, limit.value), waitMs.value);
-    if (!read.ok) return Http.problem(exchange, read.fault);
-    Http.json(exchange, 200, { id, ...read.value, next: after.value + read.value.results.length });
+    if (!read.ok) return Http.sendProblem(exchange, read.fault);
+    Http.sendJson(exchange, 200, { id, ...read.value, next: after.value + read.value.results.length });
   }
 
   private *itemBody(exchange: HttpExchange, id: string, itemId: string): Task<void> {
     const found = yield* this.operations.jobReader.itemBody(id, itemId);
-    if (!found.ok) return Http.problem(exchange, found.fault);
+    if (!found.ok) return Http.sendProblem(exchange, found.fault);
     const body = Buffer.from(found.value.body, "base64");
     exchange.send(200, { "content-type": "application/octet-stream" }, body);
   }
@@ -135,7 +135,7 @@
   private *end(exchange: HttpExchange, id: string): Task<void> {
     const by = exchange.headers["x-caller"] || "caller";
     const ended = yield* this.operations.jobSubmission.endNow(id, by);
-    if (!ended.ok) return Http.problem(exchange, ended.fault);
-    Http.json(exchange, 200, { id, ended: true });
+    if (!ended.ok) return Http.sendProblem(exchange, ended.fault);
+    Http.sendJson(exchange, 200, { id, ended: true });
   }
 }
--- a/src/adapters/caller/liveResponse.ts
+++ b/src/adapters/caller/liveResponse.ts
@@ -23,7 +23,7 @@
   after: number,
   untilMono: number,
 ): Task<Result<ReadResponse>> => {
-  const leftMs = Math.min(Constants.streamPatienceMs, untilMono - operations.env.mono());
+  const leftMs = Math.min(Constants.streamPatienceMs, untilMono - operations.env.monotonicMs());
   return operations.liveRequests.read(requestId, after, readWaitMs, Math.max(minReadMs, leftMs));
 };
 
@@ -48,13 +48,13 @@
   *run(isNew: boolean): Task<void> {
     const { operations } = this;
     for (;;) {
-      if (this.exchange.gone.isClosed()) return;
+      if (this.exchange.disconnected.isClosed()) return;
       if (operations.readiness.stopping && this.isOpen) return this.move();
       const progress = yield* readProgress(operations, this.requestId, this.position, this.untilMono);
       if (!progress.ok) return this.readFailed(progress.fault, isNew);
       if (!this.relayChunks(progress.value)) return;
       if (progress.value.closed) return this.close(progress.value);
-      if (operations.env.mono() > this.untilMono + Constants.streamPatienceMs)
+      if (operations.env.monotonicMs() > this.untilMono + Constants.streamPatienceMs)
         return this.fail({ tag: "unknown", step: "relay", member: operations.id, detail: "no end in time" });
     }
   }
@@ -100,7 +100,7 @@
 
   private open(): void {
     if (!this.isOpen)
-      this.exchange.open(200, {
+      this.exchange.startStream(200, {
         "content-type": "text/event-stream",
         "cache-control": "no-store",
         "x-request-id": this.requestId,
@@ -112,7 +112,7 @@
   private fail(fault: Fault, status?: number): void {
     const { exchange, requestId } = this;
     this.operations.counters.failures += 1;
-    if (!this.isOpen) return Http.problem(exchange, fault, status, { requestId });
+    if (!this.isOpen) return Http.sendProblem(exchange, fault, status, { requestId });
     const problem = Http.problemOf(fault, status ?? 504, fault.tag, { requestId, after: this.position });
     exchange.write(serverSentEvent("error", problem));
     exchange.end();
@@ -135,19 +135,19 @@
     const progress = yield* readProgress(operations, requestId, 0, untilMono);
     if (!progress.ok) {
       const { step, member, detail } = progress.fault;
-      return Http.problem(exchange, { tag: "unknown", step, member, detail }, 504, { requestId });
+      return Http.sendProblem(exchange, { tag: "unknown", step, member, detail }, 504, { requestId });
     }
     const { closed, outcome, pieces, state } = progress.value;
     if (closed && state === "done")
       return exchange.send(200, { "content-type": "application/json", "x-request-id": requestId }, pieces[0].data);
     if (closed) {
       const { fault, status } = closedRequestFault(state, outcome, requestId);
-      return Http.problem(exchange, fault, status, { requestId });
+      return Http.sendProblem(exchange, fault, status, { requestId });
     }
-    if (operations.env.mono() > untilMono + Constants.streamPatienceMs) {
+    if (operations.env.monotonicMs() > untilMono + Constants.streamPatienceMs) {
       const member = operations.id;
       const fault: Fault = { tag: "unknown", step: "read", member, detail: "no end in time" };
-      return Http.problem(exchange, fault, 504, { requestId });
+      return Http.sendProblem(exchange, fault, 504, { requestId });
     }
   }
 }
--- a/src/adapters/caller/requestRoutes.ts
+++ b/src/adapters/caller/requestRoutes.ts
@@ -37,15 +37,15 @@
   private *request(exchange: HttpExchange, routeName: string): Task<void> {
     const { admission, liveRequests } = this.operations;
     const admitted = admission.admit(routeName, exchange.headers);
-    if (!admitted.ok) return Http.problem(exchange, admitted.fault);
-    const body = yield* Http.body(exchange, admission.bodyLimitBytes());
+    if (!admitted.ok) return Http.sendProblem(exchange, admitted.fault);
+    const body = yield* Http.readJsonBody(exchange, admission.bodyLimitBytes());
     if (!body) return;
     if (!isJsonObject(body.value)) {
       const detail = "body must be a JSON object";
-      return Http.problem(exchange, { tag: "invalid", step: "read body", member: "caller", detail });
+      return Http.sendProblem(exchange, { tag: "invalid", step: "read body", member: "caller", detail });
     }
     const arrival = liveRequests.stampArrival();
-    if (!arrival.ok) return Http.problem(exchange, arrival.fault);
+    if (!arrival.ok) return Http.sendProblem(exchange, arrival.fault);
     const { route } = admitted.value;
     const isLookup = route.kind === "lookup" && route.safe;
     yield* admission.countLive(routeName, () =>
@@ -57,18 +57,18 @@
 
   /** An idempotent single request: no shard takes part. */
   private *lookup(exchange: HttpExchange, request: AdmittedRequest, body: string): Task<void> {
-    const requestId = EnvironmentTools.id(this.operations.env, "req");
+    const requestId = EnvironmentTools.randomId(this.operations.env, "req");
     const responded = Csp.chan<true>(1);
     const respond = (outcome: Result<CallerResponse>): void => {
       if (outcome.ok) {
         const headers = { "content-type": "application/json", "x-request-id": requestId };
         exchange.send(outcome.value.status, headers, outcome.value.body);
-      } else Http.problem(exchange, outcome.fault, undefined, { requestId });
+      } else Http.sendProblem(exchange, outcome.fault, undefined, { requestId });
       responded.close();
     };
     const lookup = this.operations.lookups.start(requestId, request, body, respond);
-    if (!lookup.ok) return Http.problem(exchange, lookup.fault);
-    yield* Csp.select([responded, exchange.gone]);
+    if (!lookup.ok) return Http.sendProblem(exchange, lookup.fault);
+    yield* Csp.select([responded, exchange.disconnected]);
     lookup.value.cancel();
   }
 
@@ -77,14 +77,14 @@
     const { operations } = this;
     const { env, liveRequests } = operations;
     const key = exchange.headers["idempotency-key"];
-    const requestId = key ? liveRequests.idOfKey(request.name, key) : EnvironmentTools.id(env, "req");
-    const untilMono = env.mono() + request.deadlineMs;
+    const requestId = key ? liveRequests.idOfKey(request.name, key) : EnvironmentTools.randomId(env, "req");
+    const untilMono = env.monotonicMs() + request.deadlineMs;
     operations.counters.streams += 1;
     const opened = yield* liveRequests.open(requestId, request, body, key !== undefined, arrival);
     if (!opened.ok) {
       if (opened.fault.tag === "busy")
         operations.note(`request ${requestId}`, `refused as busy: ${opened.fault.detail}`, request.cause);
-      return Http.problem(exchange, opened.fault, undefined, { requestId });
+      return Http.sendProblem(exchange, opened.fault, undefined, { requestId });
     }
     if (this.rejectKnownKey(exchange, opened.value)) return;
     if (request.route.kind === "stream")
@@ -98,12 +98,12 @@
     const member = this.operations.id;
     if (opened.state === "trimmed") {
       const detail = "the idempotency key was used, and its reply trimmed by retention";
-      Http.problem(exchange, { tag: "gone", step: "open", member, detail });
+      Http.sendProblem(exchange, { tag: "gone", step: "open", member, detail });
       return true;
     }
     if (opened.same || opened.state === "refused") return false;
     const detail = "the idempotency key was used with another body";
-    Http.problem(exchange, { tag: "conflict", step: "open", member, detail }, 422);
+    Http.sendProblem(exchange, { tag: "conflict", step: "open", member, detail }, 422);
     return true;
   }
 
@@ -112,15 +112,15 @@
     const unreadyReason = readiness.unreadyReason();
     if (unreadyReason) {
       const { retryAfterMs } = Constants;
-      return Http.problem(exchange, { tag: "busy", step: "accept", member, detail: unreadyReason, retryAfterMs });
+      return Http.sendProblem(exchange, { tag: "busy", step: "accept", member, detail: unreadyReason, retryAfterMs });
     }
     const lastEventId = exchange.headers["last-event-id"] ?? exchange.query.get("after") ?? "0";
     if (!/^\d{1,9}$/.test(lastEventId)) {
       const detail = "not a piece number";
-      return Http.problem(exchange, { tag: "invalid", step: "read Last-Event-ID", member: "caller", detail });
+      return Http.sendProblem(exchange, { tag: "invalid", step: "read Last-Event-ID", member: "caller", detail });
     }
     counters.resumes += 1;
-    const untilMono = env.mono() + Constants.requestDeadlineMs;
+    const untilMono = env.monotonicMs() + Constants.requestDeadlineMs;
     yield* new StreamRelay(this.operations, exchange, requestId, +lastEventId, untilMono).run(false);
   }
 }
--- a/src/adapters/http.ts
+++ b/src/adapters/http.ts
@@ -73,12 +73,12 @@
  */
 export const Http = {
   /** Responds with JSON. */
-  json(exchange: HttpExchange, status: number, body: unknown, headers: Record<string, string> = {}): void {
+  sendJson(exchange: HttpExchange, status: number, body: unknown, headers: Record<string, string> = {}): void {
     exchange.send(status, { "content-type": "application/json", ...headers }, JSON.stringify(body));
   },
 
   /** Responds with a problem object. @example Http.problem(exchange, fault, 422) */
-  problem(
+  sendProblem(
     exchange: HttpExchange,
     fault: Fault,
     status = statuses[fault.tag],
@@ -113,17 +113,17 @@
    * const body = yield* Http.body(exchange, 1000);
    * if (!body) return;
    */
-  *body(exchange: HttpExchange, limitBytes: number): Task<JsonBody | undefined> {
+  *readJsonBody(exchange: HttpExchange, limitBytes: number): Task<JsonBody | undefined> {
     const read: Result<Buffer> = yield* exchange.body(limitBytes);
     if (!read.ok) {
-      Http.problem(exchange, read.fault, read.fault.tag === "invalid" ? payloadTooLarge : 400);
+      Http.sendProblem(exchange, read.fault, read.fault.tag === "invalid" ? payloadTooLarge : 400);
       return undefined;
     }
     const text = read.value.toString("utf8");
     try {
       return { value: JSON.parse(text), text };
     } catch {
-      Http.problem(exchange, { tag: "invalid", step: "read body", member: "caller", detail: "body is not JSON" });
+      Http.sendProblem(exchange, { tag: "invalid", step: "read body", member: "caller", detail: "body is not JSON" });
       return undefined;
     }
   },
@@ -138,7 +138,7 @@
       const parts = decodeParts(chosen.match);
       if (parts) return yield* chosen.route.run(exchange, parts);
       const detail = "path is not well encoded";
-      return Http.problem(exchange, { tag: "invalid", step: "read path", member: "caller", detail });
+      return Http.sendProblem(exchange, { tag: "invalid", step: "read path", member: "caller", detail });
     }
     if (matching.length > 0)
       return rejectMethod(
@@ -146,7 +146,7 @@
         matching.map(({ route }) => route),
       );
     const detail = `no ${exchange.path}`;
-    Http.problem(exchange, { tag: "notFound", step: "find path", member: "caller", detail });
+    Http.sendProblem(exchange, { tag: "notFound", step: "find path", member: "caller", detail });
   },
 
   /** Metrics as lines of text. @example Http.metricLines({ puts: 3 }) // "petrelbeam_puts 3\n" */
--- a/src/adapters/ledgerReader.ts
+++ b/src/adapters/ledgerReader.ts
@@ -148,7 +148,7 @@
   },
 
   /** All that bears on a request, job, item, move, change, shard or endpoint. Faults: busy if a shard doesn't respond. */
-  *why(context: NodeContext, id: string): Task<Result<LedgerExplanation>> {
+  *explain(context: NodeContext, id: string): Task<Result<LedgerExplanation>> {
     const subjects = [id, ...SUBJECT_KINDS.map((kind) => `${kind} ${id}`)];
     const entries = yield* entriesAbout(context, subjects, id);
     if (!entries.ok) return entries;
--- a/src/adapters/operator/announcementRoutes.ts
+++ b/src/adapters/operator/announcementRoutes.ts
@@ -22,16 +22,16 @@
   exchange: HttpExchange,
   parse: (candidate: unknown) => Result<Announcement>,
 ): Task<object | undefined> {
-  const body = yield* Http.body(exchange, bodyLimitBytes);
+  const body = yield* Http.readJsonBody(exchange, bodyLimitBytes);
   if (!body) return undefined;
   const announcement = parse(body.value);
   if (!announcement.ok) {
-    Http.problem(exchange, announcement.fault);
+    Http.sendProblem(exchange, announcement.fault);
     return undefined;
   }
   const published = yield* node.announce(announcement.value);
   if (published.ok) return published.value;
-  Http.problem(exchange, published.fault, published.fault.tag === "conflict" ? 409 : undefined);
+  Http.sendProblem(exchange, published.fault, published.fault.tag === "conflict" ? 409 : undefined);
   return undefined;
 }
 
@@ -40,13 +40,13 @@
     const announcement = parseAnnouncement(candidate);
     return announcement.ok ? { ok: true, value: { ...announcement.value, id } } : announcement;
   });
-  if (published) Http.json(exchange, 200, { ...published, grantMs: Constants.endpointLeaseMs });
+  if (published) Http.sendJson(exchange, 200, { ...published, grantMs: Constants.endpointLeaseMs });
 }
 
 function* withdraw(node: NodeContext, exchange: HttpExchange, id: string): Task<void> {
   const withdrawn = yield* node.goodbye(id);
-  if (!withdrawn.ok) return Http.problem(exchange, withdrawn.fault);
-  Http.json(exchange, 200, { goodbye: id });
+  if (!withdrawn.ok) return Http.sendProblem(exchange, withdrawn.fault);
+  Http.sendJson(exchange, 200, { goodbye: id });
 }
 
 /**
--- a/src/adapters/operator/calendarRoutes.ts
+++ b/src/adapters/operator/calendarRoutes.ts
@@ -11,10 +11,10 @@
 const changePath = /^\/v1\/calendar\/([A-Za-z0-9._-]{1,80})$/;
 
 function* putEntry(node: NodeContext, exchange: HttpExchange, id: string): Task<void> {
-  const body = yield* Http.body(exchange, Constants.configurationLimitBytes);
+  const body = yield* Http.readJsonBody(exchange, Constants.configurationLimitBytes);
   if (!body) return;
-  const entry = parseCalendarEntry(body.value, node.env.wall());
-  if (!entry.ok) return Http.problem(exchange, entry.fault);
+  const entry = parseCalendarEntry(body.value, node.env.wallClockMs());
+  if (!entry.ok) return Http.sendProblem(exchange, entry.fault);
   const { due, move } = entry.value;
   yield* submitChange(node, exchange, body.text, (base) => ({ tag: "pencil", ...base, id, due, move }));
 }
--- a/src/adapters/operator/changePreconditions.ts
+++ b/src/adapters/operator/changePreconditions.ts
@@ -22,7 +22,11 @@
     const version = (exchange.headers["if-match"] ?? "").replace(/^W\//, "").replace(/"/g, "");
     if (/^\d+$/.test(version)) return +version;
     const detail = "name the version the change was made against in If-Match";
-    Http.problem(exchange, { tag: "invalid", step: "read If-Match", member: "operator", detail }, preconditionRequired);
+    Http.sendProblem(
+      exchange,
+      { tag: "invalid", step: "read If-Match", member: "operator", detail },
+      preconditionRequired,
+    );
     return undefined;
   },
 
@@ -34,8 +38,8 @@
    * Whether the caller is still connected. A process that was frozen reads a request and the end of its connection at
    * once: a change that names no version must not be carried out for a caller that left before.
    */
-  *callerStillWaits(env: Environment, exchange: HttpExchange): Task<boolean> {
-    const disconnected = yield* EnvironmentTools.takeWithin(env, exchange.gone, Constants.callerGoneLookMs);
+  *isCallerConnected(env: Environment, exchange: HttpExchange): Task<boolean> {
+    const disconnected = yield* EnvironmentTools.takeWithin(env, exchange.disconnected, Constants.callerGoneLookMs);
     return disconnected === undefined;
   },
 };
--- a/src/adapters/operator/configurationRoutes.ts
+++ b/src/adapters/operator/configurationRoutes.ts
@@ -16,9 +16,9 @@
 
 function* readDocument(node: NodeContext, exchange: HttpExchange, what: VersionedDocument): Task<void> {
   const document = yield* node.control.request<{ version: number }>({ op: "read", what }, controlReadTimeoutMs);
-  if (!document.ok) return Http.problem(exchange, document.fault);
+  if (!document.ok) return Http.sendProblem(exchange, document.fault);
   const { version } = document.value;
-  Http.json(exchange, 200, document.value, { etag: `"${version}"` });
+  Http.sendJson(exchange, 200, document.value, { etag: `"${version}"` });
 }
 
 /** Reads a body, parses it, and submits the command that is made of it. */
@@ -29,10 +29,10 @@
   parse: (candidate: unknown) => Result<T>,
   makeCommand: (base: VersionedChange, change: T) => Command,
 ): Task<void> {
-  const body = yield* Http.body(exchange, limitBytes);
+  const body = yield* Http.readJsonBody(exchange, limitBytes);
   if (!body) return;
   const change = parse(body.value);
-  if (!change.ok) return Http.problem(exchange, change.fault);
+  if (!change.ok) return Http.sendProblem(exchange, change.fault);
   yield* submitChange(node, exchange, body.text, (base) => makeCommand(base, change.value));
 }
 
--- a/src/adapters/operator/ledgerRoutes.ts
+++ b/src/adapters/operator/ledgerRoutes.ts
@@ -14,7 +14,7 @@
 const totalGraceMs = 1000;
 
 function* readWhy({ node }: OperatorContext, id: string): Task<Result<unknown>> {
-  const why = yield* LedgerReader.why(node, id);
+  const why = yield* LedgerReader.explain(node, id);
   if (why.ok && why.value.entries.length === 0)
     return Fault.fail("notFound", "why", node.id, `nothing in the ledger bears on ${id}`);
   return why;
@@ -29,7 +29,7 @@
     "temporal.get",
     () => ({
       subject,
-      time: queryNumberOr(exchange, "time", node.env.wall(), Number.MAX_SAFE_INTEGER),
+      time: queryNumberOr(exchange, "time", node.env.wallClockMs(), Number.MAX_SAFE_INTEGER),
       waitMs: queryNumberOr(exchange, "waitMs", Constants.readWaitMs, Constants.readWaitMs),
     }),
     Constants.readWaitMs + totalGraceMs,
--- a/src/adapters/operator/operatorChanges.ts
+++ b/src/adapters/operator/operatorChanges.ts
@@ -46,9 +46,9 @@
   const command = makeCommand({ changeId, ifVersion, by: ChangePreconditions.operatorOf(exchange) });
   const request: ControlRequest = { op: "change", command };
   const applied = yield* node.control.request<AppliedChange>(request, Constants.changeWaitMs);
-  if (!applied.ok) return Http.problem(exchange, applied.fault, undefined, { changeId });
+  if (!applied.ok) return Http.sendProblem(exchange, applied.fault, undefined, { changeId });
   const { version } = applied.value;
-  Http.json(exchange, 200, { version, changeId }, { etag: `"${version}"` });
+  Http.sendJson(exchange, 200, { version, changeId }, { etag: `"${version}"` });
 }
 
 /**
@@ -63,8 +63,8 @@
   makeRequest: (base: UnversionedOrder) => ControlRequest,
 ): Task<void> {
   const givenId = exchange.headers["x-change-id"];
-  const changeId = givenId || EnvironmentTools.id(node.env, "change");
-  if (!(yield* ChangePreconditions.callerStillWaits(node.env, exchange))) return;
+  const changeId = givenId || EnvironmentTools.randomId(node.env, "change");
+  if (!(yield* ChangePreconditions.isCallerConnected(node.env, exchange))) return;
   const request = makeRequest({
     changeId,
     by: ChangePreconditions.operatorOf(exchange),
@@ -73,7 +73,7 @@
   const applied = yield* node.control.request<AppliedChange>(request, Constants.changeWaitMs);
   if (!applied.ok) {
     const status = applied.fault.tag === "conflict" ? 409 : undefined;
-    return Http.problem(exchange, applied.fault, status, { changeId });
+    return Http.sendProblem(exchange, applied.fault, status, { changeId });
   }
-  Http.json(exchange, 200, { version: applied.value.version, changeId });
+  Http.sendJson(exchange, 200, { version: applied.value.version, changeId });
 }
--- a/src/adapters/operator/orderRoutes.ts
+++ b/src/adapters/operator/orderRoutes.ts
@@ -15,27 +15,27 @@
 function* orderDrain(node: NodeContext, exchange: HttpExchange, tag: "drain" | "undrain", zone: string): Task<void> {
   yield* submitOrder(node, exchange, (base) => ({
     op: "change",
-    command: { tag, ...base, district: zone, at: node.env.wall() },
+    command: { tag, ...base, district: zone, at: node.env.wallClockMs() },
   }));
 }
 
 /** Recovery of the control group from one voter, which that voter itself carries out. */
 function* recover(node: NodeContext, exchange: HttpExchange): Task<void> {
-  const body = yield* Http.body(exchange, Constants.bodyLimitBytes);
+  const body = yield* Http.readJsonBody(exchange, Constants.bodyLimitBytes);
   if (!body) return;
   const recovery = parseRecovery(body.value);
-  if (!recovery.ok) return Http.problem(exchange, recovery.fault);
+  if (!recovery.ok) return Http.sendProblem(exchange, recovery.fault);
   const { voter } = recovery.value;
   const { members } = node.snapshot();
   const address = members.find((member) => member.id === voter && member.program === "control")?.address;
   if (!address) {
     const detail = `no living control member ${voter}`;
-    return Http.problem(exchange, { tag: "notFound", step: "recover", member: node.id, detail });
+    return Http.sendProblem(exchange, { tag: "notFound", step: "recover", member: node.id, detail });
   }
   const order = { ...recovery.value, by: ChangePreconditions.operatorOf(exchange) };
   const recovered = yield* node.rpc.call<unknown>(address, "control.recover", order, Constants.changeWaitMs);
-  if (!recovered.ok) return Http.problem(exchange, recovered.fault);
-  Http.json(exchange, 200, recovered.value);
+  if (!recovered.ok) return Http.sendProblem(exchange, recovered.fault);
+  Http.sendJson(exchange, 200, recovered.value);
 }
 
 /**
--- a/src/adapters/operator/processRoutes.ts
+++ b/src/adapters/operator/processRoutes.ts
@@ -6,9 +6,9 @@
 
 function* readiness({ node, hooks }: OperatorContext, exchange: HttpExchange): Task<void> {
   const unreadyReason = hooks.unreadyReason();
-  if (!unreadyReason) return Http.json(exchange, 200, { ready: true });
+  if (!unreadyReason) return Http.sendJson(exchange, 200, { ready: true });
   const { retryAfterMs } = Constants;
-  Http.problem(exchange, { tag: "busy", step: "ready", member: node.id, detail: unreadyReason, retryAfterMs });
+  Http.sendProblem(exchange, { tag: "busy", step: "ready", member: node.id, detail: unreadyReason, retryAfterMs });
 }
 
 /**
@@ -22,7 +22,7 @@
     method: "GET",
     path: /^\/livez$/,
     *run(exchange) {
-      Http.json(exchange, 200, { live: true });
+      Http.sendJson(exchange, 200, { live: true });
     },
   },
   { method: "GET", path: /^\/readyz$/, run: (exchange) => readiness(context, exchange) },
--- a/src/adapters/operator/readRoute.ts
+++ b/src/adapters/operator/readRoute.ts
@@ -22,10 +22,10 @@
     path,
     *run(exchange, parts) {
       const resource = yield* read(exchange, parts);
-      if (!resource.ok) return Http.problem(exchange, resource.fault);
-      if (resource.value !== null && resource.value !== undefined) return Http.json(exchange, 200, resource.value);
+      if (!resource.ok) return Http.sendProblem(exchange, resource.fault);
+      if (resource.value !== null && resource.value !== undefined) return Http.sendJson(exchange, 200, resource.value);
       const detail = `no ${exchange.path}`;
-      Http.problem(exchange, { tag: "notFound", step: "read", member: selfId, detail });
+      Http.sendProblem(exchange, { tag: "notFound", step: "read", member: selfId, detail });
     },
   };
 }
--- a/src/adapters/protocolAdapters.ts
+++ b/src/adapters/protocolAdapters.ts
@@ -5,7 +5,7 @@
 import type { CallerOperations } from "./caller/callerOperations";
 
 /** A further HTTP surface of a process, at an address of its own. */
-export interface HttpSurface {
+export interface HttpListener {
   /** HOST:PORT to listen on. */
   address: string;
   serve: (exchange: HttpExchange) => Task<void>;
@@ -24,7 +24,7 @@
   /** The header names between callers, ingress and endpoints; the product's own by default. */
   names?: HeaderNames;
   /** Surfaces of an ingress. */
-  ingress?: (operations: CallerOperations) => HttpSurface[];
+  ingress?: (operations: CallerOperations) => HttpListener[];
   /** Surfaces of a control node. */
-  control?: (context: NodeContext) => HttpSurface[];
+  control?: (context: NodeContext) => HttpListener[];
 }
--- a/src/adapters/schemas/announcementSchemas.ts
+++ b/src/adapters/schemas/announcementSchemas.ts
@@ -18,7 +18,7 @@
     waiting: { ...count, default: 0 },
     instance: { type: "string", minLength: 1, maxLength: 80 },
     leaving: { type: "boolean" },
-    warmLeftMs: CommonSchemas.atLeast0,
+    warmLeftMs: CommonSchemas.nonNegative,
     sequence: { type: "integer", minimum: 0 },
   },
 };
--- a/src/adapters/schemas/calendarSchemas.ts
+++ b/src/adapters/schemas/calendarSchemas.ts
@@ -46,7 +46,7 @@
 const parseSchema = schemaParser<{ due: string; move: PlannedOperation }>(resource, calendarSchema);
 
 /** A change that is due at a time. */
-export interface PlannedMove {
+export interface ParsedCalendarEntry {
   /** Wall-clock ms. */
   due: number;
   move: PlannedOperation;
@@ -58,7 +58,7 @@
  * @example
  * const entry = parseCalendarEntry({ due: "now", move: { kind: "drain", district: "north" } }, env.wall());
  */
-export function parseCalendarEntry(candidate: unknown, now: number): Result<PlannedMove> {
+export function parseCalendarEntry(candidate: unknown, now: number): Result<ParsedCalendarEntry> {
   const parsed = parseSchema(candidate);
   if (!parsed.ok) return parsed;
   const { due: dueText, move } = parsed.value;
--- a/src/adapters/schemas/commonSchemas.ts
+++ b/src/adapters/schemas/commonSchemas.ts
@@ -6,11 +6,11 @@
   /** HOST:PORT by IPv4 address. */
   address: { type: "string", pattern: "^[0-9.]+:[0-9]{1,5}$" },
   positive: { type: "number", exclusiveMinimum: 0 },
-  atLeast0: { type: "number", minimum: 0 },
+  nonNegative: { type: "number", minimum: 0 },
   positiveInteger: { type: "integer", minimum: 1 },
 
   /** An object whose keys are names. */
-  byName: (item: unknown): unknown => ({
+  mapByName: (item: unknown): unknown => ({
     type: "object",
     propertyNames: { pattern: CommonSchemas.name.pattern },
     additionalProperties: item,
--- a/src/adapters/schemas/configurationSchemas.ts
+++ b/src/adapters/schemas/configurationSchemas.ts
@@ -14,7 +14,7 @@
     type: "object",
     additionalProperties: false,
     required: ["pool", "weight"],
-    properties: { pool: CommonSchemas.name, weight: CommonSchemas.atLeast0 },
+    properties: { pool: CommonSchemas.name, weight: CommonSchemas.nonNegative },
   },
 };
 const routeSchema = {
@@ -39,7 +39,7 @@
     affinity: { type: "boolean" },
     completionMs: CommonSchemas.positive,
     giveUpMs: CommonSchemas.positive,
-    maxWaitingTokens: CommonSchemas.atLeast0,
+    maxWaitingTokens: CommonSchemas.nonNegative,
     origin: {},
   },
   dependentRequired: { host: ["prefix"], prefix: ["host"] },
@@ -50,8 +50,8 @@
   properties: {
     probePath: { type: "string", pattern: "^/" },
     connections: { type: "integer", minimum: 1 },
-    warmMs: CommonSchemas.atLeast0,
-    warmPerSecond: CommonSchemas.atLeast0,
+    warmMs: CommonSchemas.nonNegative,
+    warmPerSecond: CommonSchemas.nonNegative,
     engine: {
       type: "object",
       additionalProperties: false,
@@ -83,7 +83,7 @@
       type: "object",
       additionalProperties: false,
       default: {},
-      properties: { bindings: CommonSchemas.byName(routeSchema), pools: CommonSchemas.byName(poolSchema) },
+      properties: { bindings: CommonSchemas.mapByName(routeSchema), pools: CommonSchemas.mapByName(poolSchema) },
     },
     remove: {
       type: "object",
@@ -99,8 +99,8 @@
   additionalProperties: false,
   required: ["bindings"],
   properties: {
-    bindings: CommonSchemas.byName(routeSchema),
-    pools: CommonSchemas.byName(poolSchema),
+    bindings: CommonSchemas.mapByName(routeSchema),
+    pools: CommonSchemas.mapByName(poolSchema),
     limits: limitsSchema,
     origin: {},
     retention: {
--- a/src/agent/agentNode.ts
+++ b/src/agent/agentNode.ts
@@ -55,8 +55,8 @@
   /** Handles a long poll: returns the snapshot once it differs from the caller's, or when the wait time has passed. */
   private *feed(request: FeedRequest): Task<Result<FeedResponse>> {
     this.feedCount += 1;
-    const deadline = this.env.mono() + Constants.feedWaitMs;
-    while (this.node.snapshot().revision === request.seen && this.env.mono() < deadline)
+    const deadline = this.env.monotonicMs() + Constants.feedWaitMs;
+    while (this.node.snapshot().revision === request.seen && this.env.monotonicMs() < deadline)
       yield* EnvironmentTools.sleep(this.env, Constants.feedTickMs);
     return Fault.ok(SnapshotFeed.encode(this.node.snapshot(), request.controlIndex, this.node.stopping));
   }
--- a/src/cli/fleetCommand.ts
+++ b/src/cli/fleetCommand.ts
@@ -42,7 +42,7 @@
   yield* fleet.startProxies();
   fleet.startAll();
   yield* fleet.startEndpoints();
-  const startedAt = env.mono();
+  const startedAt = env.monotonicMs();
   if (!(yield* fleet.operator.configure(deployment, CONFIGURE_TIMEOUT_MS))) {
     printLine("no configuration was taken in 30 s; see the logs in the folder");
     return false;
@@ -51,7 +51,7 @@
     printLine("fleet was not ready in 45 s; see the logs in the folder");
     return false;
   }
-  const seconds = ((env.mono() - startedAt) / 1000).toFixed(1);
+  const seconds = ((env.monotonicMs() - startedAt) / 1000).toFixed(1);
   const { plan, endpoints } = fleet;
   printLine(`ready after ${seconds} s: ${plan.processes.length} processes, ${endpoints.length} stand-in replicas`);
   printLine(`ingresses: ${plan.ingressHttp.join(" ")}`);
--- a/src/consensus/appendEntriesHandler.ts
+++ b/src/consensus/appendEntriesHandler.ts
@@ -115,7 +115,7 @@
     if (!stored.ok) return stored;
     const matchIndex = Math.max(request.prevLogIndex + request.entries.length, log.snapshotIndex);
     log.syncedIndex = log.lastIndex();
-    replica.env.point(ConsensusFaultPoint.entriesStored);
+    replica.env.faultPoint(ConsensusFaultPoint.entriesStored);
     const committed = Math.min(request.leaderCommit, matchIndex);
     if (committed > replica.commitIndex) {
       replica.commitIndex = committed;
@@ -153,7 +153,7 @@
     const { replica } = this;
     const { log } = replica;
     if (term > log.currentTerm || replica.role !== "follower") if (!(yield* replica.stepDown(term, true))) return false;
-    replica.lastLeaderContactAt = replica.env.mono();
+    replica.lastLeaderContactAt = replica.env.monotonicMs();
     replica.startedRecently = false;
     replica.resetElectionTimer();
     replica.leaderId = leaderId;
--- a/src/consensus/catchUp.ts
+++ b/src/consensus/catchUp.ts
@@ -22,7 +22,7 @@
   isCaughtUp(id: string): boolean {
     const follower = this.replica.followers.get(id);
     if (!follower || follower.matchIndex === 0) return false;
-    const sinceContactMs = this.replica.env.mono() - follower.lastContactAt;
+    const sinceContactMs = this.replica.env.monotonicMs() - follower.lastContactAt;
     if (sinceContactMs > CONTACT_HEARTBEATS * Constants.heartbeatMs) return false;
     return this.lag(id) <= Constants.standbyMaxLag;
   }
--- a/src/consensus/consensusGroup.ts
+++ b/src/consensus/consensusGroup.ts
@@ -80,10 +80,10 @@
     rpc.handle(ConsensusMethod.timeoutNow, (body) => votes.onTimeoutNow(body));
     // A restarted voter may have acknowledged a leader shortly before it stopped, so it votes only after that lease has
     // expired.
-    replica.lastLeaderContactAt = env.mono();
+    replica.lastLeaderContactAt = env.monotonicMs();
     replica.resetRestartElectionTimer();
-    EnvironmentTools.keep(env, env.scope, "election", () => this.election.run());
-    EnvironmentTools.keep(env, env.scope, "log writer", () => logWriter.run());
+    EnvironmentTools.runSupervised(env, env.scope, "election", () => this.election.run());
+    EnvironmentTools.runSupervised(env, env.scope, "log writer", () => logWriter.run());
   }
 
   // ---------- state ----------
--- a/src/consensus/consensusReplica.ts
+++ b/src/consensus/consensusReplica.ts
@@ -75,7 +75,7 @@
     readonly log: ReplicatedLog,
     readonly hooks: ConsensusGroupHooks,
   ) {
-    this.lastLeaderContactAt = env.mono();
+    this.lastLeaderContactAt = env.monotonicMs();
   }
 
   /** Loads the persistent state. Only a leader can tell which entries after the snapshot are committed. Fault: disk. */
@@ -169,7 +169,7 @@
    * 5.2).
    */
   resetElectionTimer(minMs: number = Constants.electionTimeoutMinMs): void {
-    this.electionDueAt = this.env.mono() + minMs + this.env.random() * Constants.electionTimeoutSpreadMs;
+    this.electionDueAt = this.env.monotonicMs() + minMs + this.env.random() * Constants.electionTimeoutSpreadMs;
   }
   /**
    * Sets the timer for an election after a restart of all voters. It is much shorter, because no lease has to expire
@@ -177,14 +177,16 @@
    */
   resetRestartElectionTimer(): void {
     const factor = RESTART_ELECTION_FACTOR_MIN + RESTART_ELECTION_FACTOR_SPREAD * this.env.random();
-    this.electionDueAt = this.env.mono() + Constants.restartElectionMs * factor;
+    this.electionDueAt = this.env.monotonicMs() + Constants.restartElectionMs * factor;
   }
   /**
    * Whether no leader has contacted this server for the minimum election time-out. A leader's lease has expired by
    * then.
    */
   hasLeaderTimedOut(): boolean {
-    return this.role !== "leader" && this.env.mono() - this.lastLeaderContactAt >= Constants.electionTimeoutMinMs;
+    return (
+      this.role !== "leader" && this.env.monotonicMs() - this.lastLeaderContactAt >= Constants.electionTimeoutMinMs
+    );
   }
 
   // ---------- state machine ----------
@@ -229,7 +231,7 @@
     senderId: unknown,
     reason: string,
   ): Result<never> {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     if (now - (this.rejectionLoggedAt.get(reason) ?? -Infinity) >= Constants.rejectionLogPeriodMs) {
       this.rejectionLoggedAt.set(reason, now);
       this.env.log(event, { step, from: senderId, cause: reason });
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -58,7 +58,7 @@
     if (replica.startedRecently) return CHECK_AFTER_START_MS;
     if (replica.role === "leader") return Constants.heartbeatMs;
     if (!replica.log.isBootstrapped()) return CHECK_BEFORE_BOOTSTRAP_MS;
-    const msUntilDue = replica.electionDueAt - replica.env.mono();
+    const msUntilDue = replica.electionDueAt - replica.env.monotonicMs();
     return Math.min(Constants.electionCheckMaxMs, Math.max(MIN_CHECK_MS, msUntilDue));
   }
   private *stepDownWithoutMajority(): Task<void> {
@@ -66,7 +66,7 @@
     const windowMs = MAJORITY_LOST_TIMEOUTS * Constants.electionTimeoutMinMs;
     const inContact = this.lease.votersInContactWithin(windowMs);
     if (inContact.length >= replica.majority()) return;
-    if (replica.env.mono() - replica.leaderSince <= windowMs) return;
+    if (replica.env.monotonicMs() - replica.leaderSince <= windowMs) return;
     replica.env.log(ConsensusEvent.majorityLost, { heard: inContact });
     replica.leaderId = "";
     yield* replica.stepDown(replica.log.currentTerm, false);
@@ -74,7 +74,7 @@
   private isElectionDue(): boolean {
     const { replica } = this;
     const { log } = replica;
-    const isDue = replica.env.mono() >= replica.electionDueAt;
+    const isDue = replica.env.monotonicMs() >= replica.electionDueAt;
     return isDue && log.isBootstrapped() && replica.isVoter() && !log.hasDiskFailed();
   }
   private *startElection(): Task<void> {
@@ -118,7 +118,7 @@
       Csp.offer(log.diskLock, true);
     }
     replica.role = "candidate";
-    replica.env.point(ConsensusFaultPoint.termAndOwnVoteSaved);
+    replica.env.faultPoint(ConsensusFaultPoint.termAndOwnVoteSaved);
     const hasWon = yield* this.collectVotes(ConsensusMethod.requestVote, term, afterFullRestart, replica.majority());
     if (!this.isCandidate()) return true;
     if (hasWon && log.currentTerm === term) this.becomeLeader();
@@ -191,11 +191,11 @@
     replica.role = "leader";
     replica.startedRecently = false;
     replica.leaderId = replica.selfId;
-    replica.leaderSince = replica.env.mono();
+    replica.leaderSince = replica.env.monotonicMs();
     replica.followers.clear();
     replica.env.log(ConsensusEvent.electedLeader, { term });
     this.replication.append({ tag: "noop" });
-    replica.env.point(ConsensusFaultPoint.elected);
+    replica.env.faultPoint(ConsensusFaultPoint.elected);
     Csp.go(replica.env.scope, `replication of term ${term}`, () => this.replication.replicateToAll(term));
   }
 }
--- a/src/consensus/followerReplicator.ts
+++ b/src/consensus/followerReplicator.ts
@@ -49,7 +49,7 @@
         continue;
       }
       const payload = this.nextPayload(follower);
-      const sentAt = replica.env.mono();
+      const sentAt = replica.env.monotonicMs();
       const response = this.needsChunks(payload)
         ? yield* this.sendInChunks(follower, payload)
         : yield* this.send(address, { ...this.header(), ...payload });
@@ -171,7 +171,7 @@
       const address = replica.hooks.addressOf(this.followerId);
       if (!address) return Fault.fail("refused", "append", this.followerId, "no address");
       const chunk = ChunkedPayload.chunk(transferId, packed, receivedBytes, chunkBytes);
-      const sentAt = replica.env.mono();
+      const sentAt = replica.env.monotonicMs();
       const response = yield* this.send(address, { ...this.header(), ...prevEntry, entries: [], chunk });
       if (!replica.isLeaderOf(this.term)) return response;
       if (!response.ok) {
--- a/src/consensus/leaderLease.ts
+++ b/src/consensus/leaderLease.ts
@@ -20,7 +20,7 @@
    * counts.
    */
   votersInContactWithin(ms: number): string[] {
-    const now = this.replica.env.mono();
+    const now = this.replica.env.monotonicMs();
     return this.replica.log.voters().filter((id) => id === this.replica.selfId || now - this.lastContactAt(id) < ms);
   }
   /**
@@ -33,7 +33,7 @@
     if (!this.replica.hasAppliedOwnTerm()) return -Infinity;
     const contacts = this.replica.log
       .voters()
-      .map((id) => (id === this.replica.selfId ? this.replica.env.mono() : this.lastContactAt(id)))
+      .map((id) => (id === this.replica.selfId ? this.replica.env.monotonicMs() : this.lastContactAt(id)))
       .sort((left, right) => right - left);
     return contacts[this.replica.majority() - 1] ?? -Infinity;
   }
--- a/src/consensus/leadershipTransfer.ts
+++ b/src/consensus/leadershipTransfer.ts
@@ -40,8 +40,8 @@
   }
   private *waitForSuccessor(): Task<void> {
     const { env } = this.replica;
-    const deadline = env.mono() + Constants.leadershipTransferTimeoutMs;
-    while (this.lease.isHeld() && !this.isSuccessorReady() && env.mono() < deadline)
+    const deadline = env.monotonicMs() + Constants.leadershipTransferTimeoutMs;
+    while (this.lease.isHeld() && !this.isSuccessorReady() && env.monotonicMs() < deadline)
       yield* EnvironmentTools.sleep(env, CHECK_PERIOD_MS);
   }
   private isSuccessorReady(): boolean {
--- a/src/consensus/replication.ts
+++ b/src/consensus/replication.ts
@@ -78,7 +78,7 @@
     const majorityIndex = matches[this.replica.majority() - 1];
     if (majorityIndex <= replica.commitIndex || log.termAt(majorityIndex) !== log.currentTerm) return;
     replica.commitIndex = majorityIndex;
-    replica.env.point(ConsensusFaultPoint.commitIndexAdvanced);
+    replica.env.faultPoint(ConsensusFaultPoint.commitIndexAdvanced);
     replica.applyCommitted();
     this.wakeFollowers();
     if (!replica.state.voters.includes(replica.selfId)) replica.becomeFollower();
--- a/src/consensus/voteHandler.ts
+++ b/src/consensus/voteHandler.ts
@@ -51,7 +51,7 @@
         if (!saved.ok) return saved;
         replica.resetElectionTimer();
       }
-      replica.env.point(ConsensusFaultPoint.voteDecided);
+      replica.env.faultPoint(ConsensusFaultPoint.voteDecided);
       return this.response(isGranted);
     } finally {
       Csp.offer(log.diskLock, true);
--- a/src/control/calendarRunner.ts
+++ b/src/control/calendarRunner.ts
@@ -44,7 +44,7 @@
 
   /** @example calendar.start(); */
   start(): void {
-    EnvironmentTools.keep(this.env, this.env.scope, "calendar", () => this.loop());
+    EnvironmentTools.runSupervised(this.env, this.env.scope, "calendar", () => this.loop());
   }
 
   private *loop(): Task<void> {
@@ -59,7 +59,7 @@
   }
 
   private isRunnable({ id, due, fate: state }: CalendarEntry): boolean {
-    const isDue = due <= this.env.wall();
+    const isDue = due <= this.env.wallClockMs();
     const isActive = state === CalendarEntryState.started || (state === CalendarEntryState.scheduled && isDue);
     return isActive && !this.running.has(id);
   }
@@ -96,7 +96,7 @@
   private *advanceDrain(entry: CalendarEntry, { district: zone, until }: DrainOperation): Task<void> {
     if (entry.fate === CalendarEntryState.scheduled) return yield* this.transition(entry, CalendarEntryState.started);
     if (until !== undefined) {
-      if (this.env.wall() >= until) yield* this.transition(entry, CalendarEntryState.finished, "time is up");
+      if (this.env.wallClockMs() >= until) yield* this.transition(entry, CalendarEntryState.finished, "time is up");
       return;
     }
     const isBusy = this.node.snapshot().endpoints.some((endpoint) => endpoint.district === zone && endpoint.active > 0);
@@ -115,7 +115,7 @@
       return;
     }
     const startedAt = this.group.state.releases[pool]?.startedAt ?? 0;
-    if (this.env.wall() >= startedAt + overMs)
+    if (this.env.wallClockMs() >= startedAt + overMs)
       yield* this.transition(entry, CalendarEntryState.finished, "all new work goes to the version");
   }
 
@@ -132,9 +132,9 @@
 
   /** Proposes a transition. Its operation may fail as it is applied, so that the entry ends in another state. */
   private *transition(entry: CalendarEntry, to: CalendarEntryState, detail = ""): Task<void> {
-    this.env.point(61);
+    this.env.faultPoint(61);
     const outcome = yield* this.group.propose(
-      { tag: "move", id: entry.id, from: entry.fate, to, detail, at: this.env.wall() },
+      { tag: "move", id: entry.id, from: entry.fate, to, detail, at: this.env.wallClockMs() },
       Constants.proposeTimeoutMs,
     );
     if (outcome.ok && outcome.value.tag === "done") {
@@ -142,6 +142,6 @@
       this.env.log(transitionEvent(reached), { move: entry.id, kind: entry.move.kind, detail });
       if (reached !== CalendarEntryState.started) this.completedCount += 1;
     }
-    this.env.point(62);
+    this.env.faultPoint(62);
   }
 }
--- a/src/control/changeProposals.ts
+++ b/src/control/changeProposals.ts
@@ -47,7 +47,7 @@
 
   /** The age of an order is measured by one clock, the leader's. */
   private withLeaderTime(command: Command): Command {
-    return command.tag === "drain" || command.tag === "undrain" ? { ...command, at: this.env.wall() } : command;
+    return command.tag === "drain" || command.tag === "undrain" ? { ...command, at: this.env.wallClockMs() } : command;
   }
 
   private response(command: Command, outcome: Outcome): Result<AcceptedChange> {
--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -147,9 +147,9 @@
   private startTasks(): void {
     const { env } = this;
     this.group.start();
-    EnvironmentTools.keep(env, env.scope, "bootstrap", () => this.bootstrap.run());
-    EnvironmentTools.keep(env, env.scope, "voter management", () => this.voterManager.run());
-    EnvironmentTools.keep(env, env.scope, "ledger delivery", () => this.ledgerDelivery.run());
+    EnvironmentTools.runSupervised(env, env.scope, "bootstrap", () => this.bootstrap.run());
+    EnvironmentTools.runSupervised(env, env.scope, "voter management", () => this.voterManager.run());
+    EnvironmentTools.runSupervised(env, env.scope, "ledger delivery", () => this.ledgerDelivery.run());
     this.shardPlacement.start();
     this.calendar.start();
   }
--- a/src/control/controlRequestHandler.ts
+++ b/src/control/controlRequestHandler.ts
@@ -42,7 +42,7 @@
     private readonly proposals: ChangeProposals,
     private readonly retirementOrders: RetirementOrders,
   ) {
-    this.clockId = `${node.self.id}@${env.wall()}/${env.mono()}`;
+    this.clockId = `${node.self.id}@${env.wallClockMs()}/${env.monotonicMs()}`;
   }
 
   /** @example requestHandler.serve(); */
@@ -68,7 +68,7 @@
     if (late) return late;
     switch (request.op) {
       case "clock":
-        return Fault.ok<LeaderClock>({ clockId: this.clockId, now: this.env.mono() });
+        return Fault.ok<LeaderClock>({ clockId: this.clockId, now: this.env.monotonicMs() });
       case "read":
         if (request.what === "retirement") return Fault.ok(yield* this.retirementOrders.read(request.id ?? ""));
         return Fault.ok(readState(this.group.state, request));
@@ -84,7 +84,7 @@
     if (!deadline) return undefined;
     const { id } = this.node.self;
     if (deadline.clockId !== this.clockId) return Fault.fail("late", "control op", id, OrderDeadline.otherClock);
-    if (this.env.mono() <= deadline.at) return undefined;
+    if (this.env.monotonicMs() <= deadline.at) return undefined;
     return Fault.fail("late", "control op", id, "its caller no longer waits");
   }
 }
--- a/src/control/groupBootstrap.ts
+++ b/src/control/groupBootstrap.ts
@@ -157,7 +157,7 @@
   }
 
   private *bootstrap(ids: string[]): Task<void> {
-    const group = EnvironmentTools.id(this.env, "group");
+    const group = EnvironmentTools.randomId(this.env, "group");
     const voters = ids.slice(0, this.voterCount);
     const own = yield* this.group.bootstrap(group, voters);
     if (!own.ok) {
--- a/src/control/ledgerDelivery.ts
+++ b/src/control/ledgerDelivery.ts
@@ -43,7 +43,7 @@
       if (!isDelivered) break;
       upTo = decision.index;
     }
-    this.env.point(37);
+    this.env.faultPoint(37);
     if (upTo > 0) yield* this.group.propose({ tag: "told", upTo }, Constants.proposeTimeoutMs);
   }
 
--- a/src/control/rebalancing.ts
+++ b/src/control/rebalancing.ts
@@ -26,7 +26,7 @@
 
   /** The move that the shard needs now, if any; the caller carries it out. @example rebalancing.nextMove(view) */
   nextMove(view: ShardView): ReplicaMove | undefined {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     if (now - this.lastMoveAt < MOVE_INTERVAL_MS) return undefined;
     const [target] = this.selection.candidates(view.shard, view.members);
     if (!target) return undefined;
--- a/src/control/replicaJoin.ts
+++ b/src/control/replicaJoin.ts
@@ -39,7 +39,7 @@
     );
     if (!filled.ok || filled.value.tag !== "ok") return;
     if (!this.group.hasLeaderLease() || this.group.state.views[shard].epoch !== epoch) return;
-    this.env.point(40, { shard, joiners: [target.id] });
+    this.env.faultPoint(40, { shard, joiners: [target.id] });
     yield* this.viewChange.run(shard, `${reason}: ${target.id} filled`, [target.id]);
   }
 }
--- a/src/control/retirementOrders.ts
+++ b/src/control/retirementOrders.ts
@@ -35,7 +35,7 @@
     const needed = this.retirement.replicationFactor;
     const remaining = store ? this.retirement.machinesWithout(store) : 0;
     // a leader that was just elected may not have discovered every node yet
-    const isIncomplete = this.env.mono() - this.group.leaderSince < Constants.storeDiscoveryAfterElectionMs;
+    const isIncomplete = this.env.monotonicMs() - this.group.leaderSince < Constants.storeDiscoveryAfterElectionMs;
     if (!isRetiring && (!store || remaining < needed) && isIncomplete)
       return this.busy("the stores are not all known here yet");
     const earlier = live ? undefined : this.latest(request.store);
@@ -45,7 +45,14 @@
     if (!isRetiring && remaining < needed)
       return Fault.fail("conflict", "retire", member, `too few stores would stay: ${remaining}, needed ${needed}`);
     const { changeId, by, store: name } = request;
-    return yield* this.proposals.propose({ tag: "retire", changeId, store: store.id, name, by, at: this.env.wall() });
+    return yield* this.proposals.propose({
+      tag: "retire",
+      changeId,
+      store: store.id,
+      name,
+      by,
+      at: this.env.wallClockMs(),
+    });
   }
 
   /**
@@ -87,7 +94,7 @@
    * mean a successor of the same name that is not known here yet.
    */
   private acceptedEarlier({ fate: state, due, version }: CalendarEntry): Result<AcceptedChange> {
-    const ageMs = this.env.wall() - due;
+    const ageMs = this.env.wallClockMs() - due;
     const maybeRetry = ageMs >= 0 && ageMs < Constants.orderRetryMs;
     if (state === CalendarEntryState.started || maybeRetry) return Fault.ok({ version });
     return this.busy("the machine was retired before, and isn't known here now");
--- a/src/control/shardPlacement.ts
+++ b/src/control/shardPlacement.ts
@@ -63,7 +63,7 @@
 
   /** @example placement.start(); */
   start(): void {
-    EnvironmentTools.keep(this.env, this.env.scope, "shard placement", () => this.loop());
+    EnvironmentTools.runSupervised(this.env, this.env.scope, "shard placement", () => this.loop());
   }
 
   /** Checks all shards now, not with the next poll; a storage node calls it when a replica has a fault. @example placement.requestCheck(); */
@@ -79,9 +79,9 @@
         continue;
       }
       yield* this.statuses.poll();
-      const polledAt = this.env.mono();
+      const polledAt = this.env.monotonicMs();
       for (let shard = 0; shard < Constants.shardCount; shard += 1) this.checkShard(shard);
-      yield* EnvironmentTools.sleep(this.env, polledAt + Constants.statusPollGapMs - this.env.mono());
+      yield* EnvironmentTools.sleep(this.env, polledAt + Constants.statusPollGapMs - this.env.monotonicMs());
     }
   }
 
@@ -112,7 +112,7 @@
   }
 
   private checkFirstView(shard: number): void {
-    const isSettled = this.env.mono() - this.statuses.firstStoreAt > Constants.storeDiscoveryMs;
+    const isSettled = this.env.monotonicMs() - this.statuses.firstStoreAt > Constants.storeDiscoveryMs;
     if (isSettled && this.selection.candidates(shard, []).length > 0)
       this.startChange(shard, "first view of", () => this.proposeFirstView(shard));
   }
--- a/src/control/storeStatuses.ts
+++ b/src/control/storeStatuses.ts
@@ -49,7 +49,7 @@
 
   /** Asks every live storage node, and waits a little for the slowest; a later response counts for the next poll. @example yield* statuses.poll(); */
   *poll(): Task<void> {
-    const startedAt = this.env.mono();
+    const startedAt = this.env.monotonicMs();
     const stores = this.node.membership.alive("store");
     const done = Csp.chan<true>(Math.max(1, stores.length));
     const statuses = this;
@@ -64,15 +64,15 @@
         if (response.ok) statuses.store(id, response.value);
         Csp.offer(done, true);
       });
-    const deadline = this.env.mono() + Constants.statusWaitMs;
-    for (let received = 0; received < stores.length && this.env.mono() < deadline; received += 1)
-      yield* EnvironmentTools.takeWithin(this.env, done, deadline - this.env.mono());
+    const deadline = this.env.monotonicMs() + Constants.statusWaitMs;
+    for (let received = 0; received < stores.length && this.env.monotonicMs() < deadline; received += 1)
+      yield* EnvironmentTools.takeWithin(this.env, done, deadline - this.env.monotonicMs());
     this.lastPollAt = startedAt;
-    if (stores.length > 0 && this.firstStoreAt === Infinity) this.firstStoreAt = this.env.mono();
+    if (stores.length > 0 && this.firstStoreAt === Infinity) this.firstStoreAt = this.env.monotonicMs();
   }
 
   private store(id: string, { shards: replicas, stopping: isStopping, vouches: mayLead }: StoreStatusResponse): void {
-    this.byId.set(id, { replicas, isStopping, mayLead, receivedAt: this.env.mono() });
+    this.byId.set(id, { replicas, isStopping, mayLead, receivedAt: this.env.monotonicMs() });
   }
 
   /** Forgets everything: this node leads no more. @example statuses.clear(); */
@@ -93,7 +93,7 @@
 
   /** Time since the last status of a storage node, ms; 0 where there is none. @example statuses.silentMs("store-17") */
   silentMs(id: string): number {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     return now - (this.byId.get(id)?.receivedAt ?? now);
   }
 
@@ -104,7 +104,7 @@
     return (
       (member?.state === "alive" || member?.state === "suspect") &&
       status !== undefined &&
-      this.env.mono() - status.receivedAt < Constants.statusFreshMs
+      this.env.monotonicMs() - status.receivedAt < Constants.statusFreshMs
     );
   }
 
--- a/src/control/viewChange.ts
+++ b/src/control/viewChange.ts
@@ -98,12 +98,12 @@
     const view = this.group.state.views[shard];
     const epoch = Math.max(view.epoch, this.group.state.epochFloor) + 1;
     const change: Reconfiguration = { view, epoch, reason, joiners };
-    const startedAt = this.env.mono();
+    const startedAt = this.env.monotonicMs();
     const silentMs = Math.round(Math.max(...view.members.map((id) => this.statuses.silentMs(id))));
     const responses = yield* this.seal(change);
     const sealed = responses.flatMap((replica) => (replica.tag === "sealed" ? [replica] : []));
-    const sealedAt = this.env.mono();
-    this.env.point(39, { shard, joiners });
+    const sealedAt = this.env.monotonicMs();
+    this.env.faultPoint(39, { shard, joiners });
     if (sealed.length === 0) {
       this.block(view);
       return false;
@@ -111,9 +111,9 @@
     this.blocked.delete(shard);
     const levelled = yield* this.level(change, sealed);
     if (!levelled) return false;
-    this.env.point(36, { shard, joiners });
+    this.env.faultPoint(36, { shard, joiners });
     const next = this.chooseMembers(view, levelled, joiners);
-    const levelledAt = this.env.mono();
+    const levelledAt = this.env.monotonicMs();
     // a leader that was sealed has stopped; else its lease ends with the first member that does not renew it
     const isLeaderSealed = responses.some((replica) => replica.id === view.lead);
     const leaseLeftMs = isLeaderSealed
@@ -177,7 +177,7 @@
         reason,
         joiners,
         members: next.members,
-        stages: { ...stages, commitMs: Math.round(this.env.mono() - levelledAt) },
+        stages: { ...stages, commitMs: Math.round(this.env.monotonicMs() - levelledAt) },
       });
     return isDone;
   }
@@ -188,7 +188,7 @@
     const outcome = yield* this.group.propose({ tag: "view", view, reason }, Constants.proposeTimeoutMs);
     if (!outcome.ok || outcome.value.tag !== "done") return false;
     this.committedCount += 1;
-    this.env.point(38, { shard, joiners });
+    this.env.faultPoint(38, { shard, joiners });
     yield* this.calls.callAll({
       members,
       method: "shard.install",
--- a/src/control/viewChangeTrigger.ts
+++ b/src/control/viewChangeTrigger.ts
@@ -39,7 +39,7 @@
 
   private isLost(id: string): boolean {
     const member = this.node.membership.find(id);
-    if (!member) return this.env.mono() - this.group.leaderSince > Constants.storeDiscoveryAfterElectionMs;
+    if (!member) return this.env.monotonicMs() - this.group.leaderSince > Constants.storeDiscoveryAfterElectionMs;
     return member.state === "dead" || member.state === "left";
   }
 
@@ -69,7 +69,7 @@
       this.idleSince.delete(shard);
       return undefined;
     }
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     const since = this.idleSince.get(shard) ?? now;
     this.idleSince.set(shard, since);
     if (now - since <= IDLE_LEADER_MS) return undefined;
--- a/src/control/voterManager.ts
+++ b/src/control/voterManager.ts
@@ -16,7 +16,7 @@
     private readonly group: ConsensusGroup,
     readonly voterCount: number,
   ) {
-    this.startedAt = env.mono();
+    this.startedAt = env.monotonicMs();
   }
 
   /** @example EnvironmentTools.keep(env, env.scope, "voters", () => voterManager.run()); */
@@ -40,7 +40,7 @@
     const { manifest: configuration, policies, calendar, voters } = this.group.state;
     const isUnchanged = configuration.version === 0 && policies.version === 0 && Object.keys(calendar).length === 0;
     if (!isUnchanged || voters.length >= this.voterCount) return false;
-    const isWaiting = this.env.mono() - this.group.leaderSince < Constants.groupGrowMs;
+    const isWaiting = this.env.monotonicMs() - this.group.leaderSince < Constants.groupGrowMs;
     if (!isWaiting) this.env.log(1309, { voters: voters.length, wanted: this.voterCount });
     return isWaiting;
   }
@@ -90,7 +90,7 @@
 
   /** How long a node that this leader never received anything from had time to be discovered, ms. */
   private undiscoveredMs(): number {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     const hasLedLongEnough = now - this.group.leaderSince > Constants.voterUnknownLeaderMs;
     return hasLedLongEnough ? now - this.startedAt : 0;
   }
--- a/src/forwarding/directHttp.ts
+++ b/src/forwarding/directHttp.ts
@@ -92,13 +92,13 @@
     headTimeoutMs: number,
     cancellation?: HttpRequest["cancellation"],
   ): Task<Result<DirectResponse>> {
-    const sent = yield* env.http(endpoint.address, {
+    const sent = yield* env.httpRequest(endpoint.address, {
       method: request.method,
       path: request.target,
       headers: requestHeaders(names, endpoint, request),
       body: request.body,
       timeoutMs: Math.max(1, headTimeoutMs),
-      connectMs: Constants.connectMs,
+      connectTimeoutMs: Constants.connectMs,
       cancellation,
     });
     if (!sent.ok) return sent;
@@ -109,7 +109,7 @@
       return Fault.fail("broken", "check reply", endpoint.id, "the reply is another request's");
     }
     if (response.headers[names.notExecuted] !== undefined || response.status === MISDIRECTED_REQUEST) {
-      response.finish();
+      response.discardBody();
       return Fault.fail("refused", "deliver", endpoint.id, `replica replied ${response.status}: not run`);
     }
     return Fault.ok({ status: response.status, headers: responseHeaders(request, response), response });
@@ -117,5 +117,5 @@
 
   /** Reads the entire body; returns undefined if it was truncated, too long or too slow. */
   readBody: (env: Environment, opened: DirectResponse, withinMs: number): Task<Buffer | undefined> =>
-    EnvironmentTools.bytesOf(env, opened.response, Constants.responseLimitBytes, withinMs),
+    EnvironmentTools.readBody(env, opened.response, Constants.responseLimitBytes, withinMs),
 };
--- a/src/forwarding/endpointHttp.ts
+++ b/src/forwarding/endpointHttp.ts
@@ -61,13 +61,13 @@
 export const EndpointHttp = {
   /** Opens a stream; returns a fault with the step "deliver" if the endpoint does not respond with status 200. */
   *stream(env: Environment, endpoint: Endpoint, request: ForwardedRequest): Task<Result<EndpointStream>> {
-    const response = yield* env.http(endpoint.address, {
+    const response = yield* env.httpRequest(endpoint.address, {
       method: "POST",
       path: request.path,
       headers: { ...headersOf(request), accept: "application/x-ndjson" },
       body: bodyOf(request),
       timeoutMs: Math.min(request.deadlineMs, Constants.firstPieceMs),
-      fresh: !request.idempotent,
+      newConnection: !request.idempotent,
     });
     if (!response.ok) return response;
     const { status } = response.value;
@@ -79,13 +79,13 @@
 
   /** Sends a request and reads the response body; statuses from 500, and those of impliesNotExecuted, become faults. */
   *single(env: Environment, endpoint: Endpoint, request: ForwardedRequest): Task<Result<SingleResponse>> {
-    const sent = yield* env.http(endpoint.address, {
+    const sent = yield* env.httpRequest(endpoint.address, {
       method: "POST",
       path: request.path,
       headers: headersOf(request),
       body: request.body,
       timeoutMs: request.deadlineMs,
-      fresh: !request.idempotent,
+      newConnection: !request.idempotent,
     });
     if (!sent.ok) return sent;
     const response = sent.value;
@@ -93,7 +93,7 @@
       response.abort();
       return Fault.fail("refused", "deliver", endpoint.id, "not accepted");
     }
-    const body = yield* EnvironmentTools.bodyOf(env, response, Constants.responseLimitBytes, request.deadlineMs);
+    const body = yield* EnvironmentTools.readBodyText(env, response, Constants.responseLimitBytes, request.deadlineMs);
     if (body === undefined)
       return Fault.fail("broken", "read replica", endpoint.id, "reply broken, too long or too slow");
     const { status } = response;
--- a/src/forwarding/endpointStream.ts
+++ b/src/forwarding/endpointStream.ts
@@ -39,13 +39,13 @@
    * if no chunk arrives in time, "broken" if the stream was truncated, "invalid" if it is malformed or too long.
    */
   *next(withinMs: number): Task<Result<string[] | undefined>> {
-    const deadline = this.env.mono() + withinMs;
+    const deadline = this.env.monotonicMs() + withinMs;
     for (;;) {
       const chunks = this.readLines();
       if (!chunks.ok) return chunks;
       if (chunks.value.length > 0) return chunks;
       if (this.hasEnded) return Fault.ok(undefined);
-      const received = yield* this.receiveData(deadline - this.env.mono());
+      const received = yield* this.receiveData(deadline - this.env.monotonicMs());
       if (!received.ok) return received;
     }
   }
--- a/src/forwarding/eventStreamReader.ts
+++ b/src/forwarding/eventStreamReader.ts
@@ -55,11 +55,15 @@
    * no event arrives in time, "broken" if the stream was truncated or an id is out of sequence, "invalid" if it is too long.
    */
   *next(withinMs: number): Task<Result<StreamEvent[] | undefined>> {
-    const deadline = this.env.mono() + withinMs;
+    const deadline = this.env.monotonicMs() + withinMs;
     for (;;) {
       const events = this.readEvents();
       if (!events.ok || events.value.length > 0) return events;
-      const chunk = yield* EnvironmentTools.takeWithin(this.env, this.response.chunks, deadline - this.env.mono());
+      const chunk = yield* EnvironmentTools.takeWithin(
+        this.env,
+        this.response.chunks,
+        deadline - this.env.monotonicMs(),
+      );
       if (chunk === undefined) return this.fail("timeout", "replica fell silent");
       if (chunk === null) return this.checkEnd();
       this.receivedBytes += chunk.length;
@@ -88,7 +92,7 @@
   }
 
   private checkEnd(): Result<undefined> {
-    if (this.response.broken()) return this.fail("broken", "reply ended early");
+    if (this.response.isIncomplete()) return this.fail("broken", "reply ended early");
     if (this.buffer.length > 0) return this.fail("broken", "reply ended inside an event");
     return Fault.ok(undefined);
   }
--- a/src/ingress/batchJobReader.ts
+++ b/src/ingress/batchJobReader.ts
@@ -45,14 +45,14 @@
   *results(id: string, after: number, limit: number, waitMs: number): Task<Result<JobResultsResponse>> {
     const { env, rpc, shardClient } = this.context;
     const shard = shardClient.shardOf(id);
-    const deadline = env.mono() + Math.max(waitMs, RESULTS_MIN_WAIT_MS) + RESULTS_RETRY_MS;
+    const deadline = env.monotonicMs() + Math.max(waitMs, RESULTS_MIN_WAIT_MS) + RESULTS_RETRY_MS;
     let lastResponse: Result<JobResultsResponse> = Fault.fail(
       "timeout",
       "lot results",
       `shard ${shard}`,
       "no view is known",
     );
-    while (env.mono() < deadline) {
+    while (env.monotonicMs() < deadline) {
       for (const address of this.leaderFirst(shard)) {
         const body = { shard, id, after, limit, waitMs };
         lastResponse = yield* rpc.call(address, "lot.results", body, waitMs + RESULTS_GRACE_MS);
@@ -85,20 +85,20 @@
   ): Task<Result<ResponseOf<Method>>> {
     const { env, rpc, shardClient } = this.context;
     const shard = shardClient.shardOf(id);
-    const deadline = env.mono() + waitMs + Constants.jobReadMs;
+    const deadline = env.monotonicMs() + waitMs + Constants.jobReadMs;
     const currentView = () => this.context.snapshot().control?.views[shard];
     let lastResponse: Result<ResponseOf<Method>> = Fault.fail("timeout", method, `shard ${shard}`, "no view is known");
     for (let attempt = 0; ; attempt += 1) {
       const epoch = currentView()?.epoch;
       for (const address of this.replicaAddresses(shard, attempt === 0 ? nearZone : undefined)) {
-        const leftMs = deadline - env.mono();
+        const leftMs = deadline - env.monotonicMs();
         if (leftMs <= 0) continue;
         const timeoutMs = Math.min(leftMs, waitMs + Constants.jobReadAttemptMs);
         const request = { ...body, shard, id, anyAge: attempt > 0 } as RequestOf<Method>;
         lastResponse = yield* rpc.call(address, method, request, timeoutMs, () => currentView()?.epoch !== epoch);
         if (lastResponse.ok || isDefinitive(lastResponse.fault)) return lastResponse;
       }
-      if (env.mono() + RETRY_DELAY_MS >= deadline) break;
+      if (env.monotonicMs() + RETRY_DELAY_MS >= deadline) break;
       yield* EnvironmentTools.sleep(env, RETRY_DELAY_MS);
     }
     return lastResponse.ok
--- a/src/ingress/batchSubmission.ts
+++ b/src/ingress/batchSubmission.ts
@@ -42,9 +42,9 @@
     withinMs: number,
   ): Task<Result<SubmitJobResponse>> {
     const { env, shardClient } = this.context;
-    const arrival = shardClient.stamp(env.wall());
+    const arrival = shardClient.stamp(env.wallClockMs());
     const bounds = this.context.snapshot().control?.manifest.doc.clock ?? Stamp.defaults;
-    if (!Stamp.admits(arrival.time, env.wall(), bounds))
+    if (!Stamp.admits(arrival.time, env.wallClockMs(), bounds))
       return Fault.busy("stamp", "ingress", "our stamps are ahead of our clock", Constants.retryAfterMs);
     const { job, cause } = this.prepare(id, routeName, route, items);
     const incarnation = Stamp.text(arrival);
@@ -54,7 +54,12 @@
       "lot.handIn",
       () => {
         attempts += 1;
-        return { stamp: attempts === 1 ? arrival : shardClient.stamp(env.wall()), life: incarnation, lot: job, cause };
+        return {
+          stamp: attempts === 1 ? arrival : shardClient.stamp(env.wallClockMs()),
+          life: incarnation,
+          lot: job,
+          cause,
+        };
       },
       withinMs,
       Constants.jobAttemptMs,
@@ -120,7 +125,7 @@
     const response = yield* shardClient.callLeader(
       shardClient.shardOf(id),
       "lot.refuse",
-      () => ({ id, stamp: shardClient.stamp(env.wall()) }),
+      () => ({ id, stamp: shardClient.stamp(env.wallClockMs()) }),
       Constants.jobRefuseMs,
     );
     if (!response.ok) return Fault.fail("unknown", "hand in", fault.member, fault.detail);
@@ -145,7 +150,7 @@
       "lot.accept",
       () => {
         attempts += 1;
-        return { stamp: attempts === 1 ? arrival : shardClient.stamp(env.wall()), lot: job, cause: route.cause };
+        return { stamp: attempts === 1 ? arrival : shardClient.stamp(env.wallClockMs()), lot: job, cause: route.cause };
       },
       Constants.jobPatienceMs,
       JSON_ITEMS_ATTEMPT_TIMEOUT_MS,
@@ -160,7 +165,7 @@
     const response = yield* shardClient.callLeader(
       shardClient.shardOf(id),
       "lot.end",
-      () => ({ id, stamp: shardClient.stamp(env.wall()), by }),
+      () => ({ id, stamp: shardClient.stamp(env.wallClockMs()), by }),
       Constants.jobCallMs,
     );
     if (response.ok) return response;
@@ -171,6 +176,6 @@
 
   endNow(id: string, by: string): Task<Result<EndJobResponse>> {
     const { env, shardClient } = this.context;
-    return callJobLeader(shardClient, "lot.end", id, () => ({ stamp: shardClient.stamp(env.wall()), by }));
+    return callJobLeader(shardClient, "lot.end", id, () => ({ stamp: shardClient.stamp(env.wallClockMs()), by }));
   }
 }
--- a/src/ingress/directRequestHandler.ts
+++ b/src/ingress/directRequestHandler.ts
@@ -31,7 +31,7 @@
 
   *serve(exchange: HttpExchange, submitJob?: BatchJobHandler): Task<void> {
     const { admission, env, id: member, readiness } = this.context;
-    const arrivedAt = env.mono();
+    const arrivedAt = env.monotonicMs();
     const rejectReason = readiness.rejectReason();
     if (rejectReason)
       return this.responses.reject(exchange, "accept", member, rejectReason, Constants.comeBackUnreadyMs);
@@ -85,8 +85,8 @@
     const maxAttempts = route.rounds ?? Constants.lookupAttempts;
     let lastFault: Fault | undefined;
     for (let deliveries = 0; ;) {
-      if (exchange.gone.isClosed()) return;
-      const leftMs = pending.deadlineAt - this.context.env.mono();
+      if (exchange.disconnected.isClosed()) return;
+      const leftMs = pending.deadlineAt - this.context.env.monotonicMs();
       const endpoint =
         leftMs > 0 && deliveries < maxAttempts ? yield* this.acquire(pending, exclude, leftMs) : undefined;
       if (!endpoint) return this.giveUp(pending, lastFault);
@@ -113,7 +113,7 @@
   private *acquire(pending: PendingDirectRequest, exclude: Set<string>, leftMs: number): Task<Endpoint | undefined> {
     const { admissionQueue, counters, env } = this.context;
     const { arrivedAt, pool, responseOpen, route } = pending;
-    const waitedMs = env.mono() - arrivedAt;
+    const waitedMs = env.monotonicMs() - arrivedAt;
     const maxWaitMs = responseOpen
       ? Constants.resumeWaitMs
       : (route.targetMs ?? Constants.liveWaitMs) * Constants.refuseShare - waitedMs;
@@ -141,7 +141,7 @@
     if (pending.responseOpen) return exchange.abort();
     if (!pending.mayHaveRun) return this.responses.reject(exchange, step, member, detail, Constants.comeBackMs);
     counters.failures += 1;
-    this.responses.fail(exchange, fault, env.mono() >= pending.deadlineAt ? 504 : 502);
+    this.responses.fail(exchange, fault, env.monotonicMs() >= pending.deadlineAt ? 504 : 502);
   }
 
   private note({ forwarded, cause }: PendingDirectRequest, decision: string): void {
--- a/src/ingress/endpointAttempt.ts
+++ b/src/ingress/endpointAttempt.ts
@@ -53,12 +53,12 @@
       route.safe && mayRetry ? Math.min(leftMs, Math.max(Constants.headMs, 2 * (route.targetMs ?? 0))) : leftMs;
     const cancellation: NonNullable<HttpRequest["cancellation"]> = {};
     // The endpoint should stop working on a request whose caller has disconnected.
-    exchange.onGone = () => cancellation.cancel?.();
+    exchange.onDisconnect = () => cancellation.cancel?.();
     const request = { ...forwarded, remainingMs: leftMs };
     const opened = yield* DirectHttp.open(env, headerNames, endpoint, request, headTimeoutMs, cancellation);
     if (!opened.ok) return this.openFailed(opened.fault);
     const outcome = yield* this.relay(opened.value, headTimeoutMs);
-    exchange.onGone = undefined;
+    exchange.onDisconnect = undefined;
     const isFailure = outcome.tag === "failed";
     admissionQueue.release(endpoint, !isFailure, isFailure && outcome.fault.tag === "timeout");
     return outcome;
@@ -126,7 +126,7 @@
       }
       if (!received.ok) return { tag: "failed", fault: received.fault };
       if (!pending.responseOpen) {
-        exchange.open(opened.status, { ...opened.headers, ...this.responses.closeHeader() });
+        exchange.startStream(opened.status, { ...opened.headers, ...this.responses.closeHeader() });
         pending.responseOpen = true;
       }
       if (received.value === undefined) {
@@ -147,10 +147,10 @@
   }
 
   private leftMs(): number {
-    return this.pending.deadlineAt - this.context.env.mono();
+    return this.pending.deadlineAt - this.context.env.monotonicMs();
   }
 
   private callerDisconnected(): boolean {
-    return this.pending.exchange.gone.isClosed();
+    return this.pending.exchange.disconnected.isClosed();
   }
 }
--- a/src/ingress/ingressNode.ts
+++ b/src/ingress/ingressNode.ts
@@ -2,7 +2,7 @@
 import { CallerRoutes } from "../adapters/caller/callerRoutes";
 import { Http, HttpRoute } from "../adapters/http";
 import { OperatorHttp } from "../adapters/operatorHttp";
-import { HttpSurface, ProtocolAdapters } from "../adapters/protocolAdapters";
+import { HttpListener, ProtocolAdapters } from "../adapters/protocolAdapters";
 import { Constants } from "../common/constants";
 import { Fault, Result } from "../common/fault";
 import { Settings } from "../common/settings";
@@ -128,12 +128,12 @@
   private startTasks(): void {
     const { env, link, notes, readiness } = this;
     link.start(() => this.admissionQueue.endpointsChanged());
-    EnvironmentTools.keep(env, env.scope, "ledger notes", () => notes.flushLoop());
-    EnvironmentTools.keep(env, env.scope, "clock watch", () => readiness.watchLoop());
+    EnvironmentTools.runSupervised(env, env.scope, "ledger notes", () => notes.flushLoop());
+    EnvironmentTools.runSupervised(env, env.scope, "clock watch", () => readiness.watchLoop());
   }
 
   /** The default HTTP surface: paths under /v1/ take precedence over routes by host and path. */
-  private defaultSurface(): HttpSurface {
+  private defaultSurface(): HttpListener {
     const routes: HttpRoute[] = [
       ...CallerRoutes.of(this),
       ...WarmUpRequests.routes(this.headerNames),
@@ -153,7 +153,7 @@
     };
   }
 
-  private serve(surface: HttpSurface): Task<Result<true>> {
+  private serve(surface: HttpListener): Task<Result<true>> {
     const countInFlight = (exchange: HttpExchange): Task<void> => this.countInFlight(() => surface.serve(exchange));
     return this.env.serveHttp(surface.address, countInFlight, () => this.admission.httpLimits());
   }
@@ -178,12 +178,12 @@
     this.env.log(1002);
     this.readiness.stopping = true;
     this.link.prepareStop();
-    const startedAt = this.env.mono();
+    const startedAt = this.env.monotonicMs();
     // Callers keep sending until they have seen that this ingress is unready; those requests are served.
     yield* EnvironmentTools.sleep(this.env, Constants.stopListenMs);
     // From here on callers find no listener and go elsewhere, so the end of the process interrupts no request.
     this.env.stopServing();
-    while (this.env.mono() < startedAt + Constants.stopGraceMs && this.inFlight > 0)
+    while (this.env.monotonicMs() < startedAt + Constants.stopGraceMs && this.inFlight > 0)
       yield* EnvironmentTools.sleep(this.env, DRAIN_POLL_MS);
     yield* EnvironmentTools.sleep(this.env, Constants.ledgerFlushMs + LAST_NOTES_MS);
     yield* this.link.leaveCluster();
--- a/src/ingress/ingressReadiness.ts
+++ b/src/ingress/ingressReadiness.ts
@@ -47,11 +47,11 @@
 
   /** Detects freezes of the process, by jumps of the monotonic clock, and stale snapshots; never returns. */
   *watchLoop(): Task<void> {
-    let lastCheckAt = this.env.mono();
+    let lastCheckAt = this.env.monotonicMs();
     let wasStale = false;
     for (;;) {
       yield* EnvironmentTools.sleep(this.env, Constants.clockWatchMs);
-      const now = this.env.mono();
+      const now = this.env.monotonicMs();
       if (now - lastCheckAt > Constants.clockJumpMs + Constants.clockWatchMs) {
         this.env.log(1005, { forMs: Math.round(now - lastCheckAt) });
         this.link.processResumed();
--- a/src/ingress/lookupForwarder.ts
+++ b/src/ingress/lookupForwarder.ts
@@ -75,7 +75,7 @@
   *run(handle: RequestHandle, id: string, request: AdmittedRequest, body: string): Task<void> {
     const { counters, env, notes, requestTable } = this.context;
     counters.lookups += 1;
-    const startedAt = env.mono();
+    const startedAt = env.monotonicMs();
     const outcome = yield* this.attemptAll({
       id,
       request,
@@ -100,7 +100,7 @@
     const { admissionQueue, env, id: selfId, requestTable } = this.context;
     const { pool } = lookup.request.route;
     while (lookup.attempt <= lookup.maxAttempts) {
-      const leftMs = lookup.deadlineAt - env.mono();
+      const leftMs = lookup.deadlineAt - env.monotonicMs();
       if (leftMs <= 0) break;
       const endpoint = yield* this.acquire(lookup, leftMs);
       if (!endpoint) {
@@ -130,7 +130,7 @@
     const hasOtherEndpoint = endpointSelector
       .eligible(makeCriteria())
       .some((endpoint) => !lookup.exclude.has(endpoint.key));
-    const waitMs = Constants.liveWaitMs - (env.mono() - lookup.startedAt);
+    const waitMs = Constants.liveWaitMs - (env.monotonicMs() - lookup.startedAt);
     const maxWaitMs = hasOtherEndpoint ? Math.min(leftMs, waitMs) : 0;
     return yield* admissionQueue.acquire(makeCriteria, lookup.request.order, lookup.startedAt, maxWaitMs);
   }
--- a/src/ingress/overloadSignal.ts
+++ b/src/ingress/overloadSignal.ts
@@ -18,7 +18,7 @@
 
   /** Signals that requests are waiting for the pool; repeats within the minimum interval are dropped. */
   signal(pool: string): void {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     if (now - (this.lastSignalAt.get(pool) ?? -Infinity) < MIN_INTERVAL_MS) return;
     this.lastSignalAt.set(pool, now);
     this.publish(`crowd/${this.selfId}/${pool}`, { pool }, Constants.jobOverloadHoldMs);
--- a/src/ingress/pendingDirectRequest.ts
+++ b/src/ingress/pendingDirectRequest.ts
@@ -63,7 +63,7 @@
     target: exchange.target,
     headers: DirectHttp.endToEnd(headers),
     body,
-    id: headers[headerNames.requestId] ?? EnvironmentTools.id(env, "req"),
+    id: headers[headerNames.requestId] ?? EnvironmentTools.randomId(env, "req"),
     remainingMs: leftMs,
     lastEventId: +lastEventId,
     priority: Math.min(LOWEST_PRIORITY, route.order ?? DEFAULT_PRIORITY),
--- a/src/ingress/remoteAgent.ts
+++ b/src/ingress/remoteAgent.ts
@@ -42,7 +42,7 @@
     cluster: string,
     private readonly address: string,
   ) {
-    this.id = EnvironmentTools.id(env, "ingress");
+    this.id = EnvironmentTools.randomId(env, "ingress");
     this.rpc = new Rpc(env, cluster, this.id);
     this.confirmation = new ReadIndexConfirmation(env, this.rpc, {
       own: () => undefined,
@@ -57,7 +57,7 @@
   }
 
   isStale(): boolean {
-    return this.env.mono() - this.latestRequestedAt > Constants.frameStaleMs;
+    return this.env.monotonicMs() - this.latestRequestedAt > Constants.frameStaleMs;
   }
 
   isConfirmed(): boolean {
@@ -66,7 +66,7 @@
 
   start(onChange: () => void): void {
     this.confirmation.start();
-    EnvironmentTools.keep(this.env, this.env.scope, "feed", () => this.feedLoop(onChange));
+    EnvironmentTools.runSupervised(this.env, this.env.scope, "feed", () => this.feedLoop(onChange));
   }
 
   processResumed(): void {
@@ -104,7 +104,7 @@
 
   private *feedLoop(onChange: () => void): Task<void> {
     for (;;) {
-      const requestedAt = this.env.mono();
+      const requestedAt = this.env.monotonicMs();
       const request = { seen: this.latest.revision, controlIndex: this.latest.control?.index ?? 0 };
       const timeoutMs = Constants.feedWaitMs + FEED_GRACE_MS;
       const response = yield* this.rpc.call(this.address, "agent.feed", request, timeoutMs);
--- a/src/ingress/shardLiveRequests.ts
+++ b/src/ingress/shardLiveRequests.ts
@@ -38,9 +38,9 @@
 
   /** Checks the clock bounds as well, since the ingress is the first node that a request reaches. */
   stampArrival(): Result<Stamp> {
-    const stamp = this.shardClient.stamp(this.env.wall());
+    const stamp = this.shardClient.stamp(this.env.wallClockMs());
     const bounds = this.link.snapshot().control?.manifest.doc.clock ?? Stamp.defaults;
-    if (!Stamp.admits(stamp.time, this.env.wall(), bounds))
+    if (!Stamp.admits(stamp.time, this.env.wallClockMs(), bounds))
       return this.admission.reject("stamp", "our stamps are ahead of our clock");
     return Fault.ok(stamp);
   }
@@ -60,7 +60,7 @@
       keyed,
       safe: request.route.safe,
       exact: request.route.continues === "exact",
-      deadlineAt: this.env.wall() + request.deadlineMs,
+      deadlineAt: this.env.wallClockMs() + request.deadlineMs,
       order: request.order,
     };
     let attempts = 0;
@@ -69,7 +69,7 @@
       "work.open",
       () => {
         attempts += 1;
-        const stamp = attempts === 1 ? arrival : this.shardClient.stamp(this.env.wall());
+        const stamp = attempts === 1 ? arrival : this.shardClient.stamp(this.env.wallClockMs());
         return {
           stamp,
           work: { ...liveRequest, life: Stamp.text(stamp) },
@@ -99,7 +99,7 @@
     const refused = yield* this.shardClient.callLeader(
       this.shardClient.shardOf(id),
       "work.refuse",
-      () => ({ id, stamp: this.shardClient.stamp(this.env.wall()) }),
+      () => ({ id, stamp: this.shardClient.stamp(this.env.wallClockMs()) }),
       REFUSE_TIMEOUT_MS,
     );
     if (!refused.ok || !refused.value.refused) return undefined;
--- a/src/ingress/warmUpRequests.ts
+++ b/src/ingress/warmUpRequests.ts
@@ -57,7 +57,7 @@
 function* respondWithStream(headerNames: HeaderNames, exchange: HttpExchange): Task<void> {
   const body = yield* exchange.body(Constants.bodyLimitBytes);
   if (!body.ok) return;
-  exchange.open(200, {
+  exchange.startStream(200, {
     "content-type": "text/event-stream",
     [headerNames.requestId]: exchange.headers[headerNames.requestId] ?? "",
   });
@@ -81,16 +81,20 @@
 
   /** Sends the requests to `address` until all have ended, the time limit is reached, or `shouldStop` returns true. */
   *run(env: Environment, headerNames: HeaderNames, address: string, shouldStop: () => boolean): Task<void> {
-    const deadline = env.mono() + Constants.warmUpMs;
+    const deadline = env.monotonicMs() + Constants.warmUpMs;
     const self = selfEndpoint(address);
     const finished = Csp.chan<true>(CONCURRENCY);
     for (let worker = 0; worker < CONCURRENCY; worker += 1)
       Csp.go(env.scope, "rehearsal", function* () {
-        for (let n = worker; n < Constants.warmUpRequests && env.mono() < deadline && !shouldStop(); n += CONCURRENCY)
+        for (
+          let n = worker;
+          n < Constants.warmUpRequests && env.monotonicMs() < deadline && !shouldStop();
+          n += CONCURRENCY
+        )
           if (!(yield* sendOne(env, headerNames, self, `rehearsal-${n}`))) break;
         Csp.offer(finished, true);
       });
     for (let worker = 0; worker < CONCURRENCY; worker += 1)
-      yield* EnvironmentTools.takeWithin(env, finished, deadline - env.mono());
+      yield* EnvironmentTools.takeWithin(env, finished, deadline - env.monotonicMs());
   },
 };
--- a/src/membership/antiEntropy.ts
+++ b/src/membership/antiEntropy.ts
@@ -46,7 +46,7 @@
 
   /** Exchanges digests with the member at the address and repairs both sides; false if it didn't respond. */
   *exchangeWith(address: string): Task<boolean> {
-    const startedAt = this.env.mono();
+    const startedAt = this.env.monotonicMs();
     const response = yield* this.rpc.call(address, "news.digest", this.digest(), Constants.digestTimeoutMs);
     if (!response.ok) return false;
     const { renewed, memberSums, sums, frameIndex } = response.value;
@@ -69,7 +69,7 @@
   }
 
   private *onDigest(digest: Digest, sender: string): Task<Result<DigestResponse>> {
-    this.lastExchangeAt = this.env.mono();
+    this.lastExchangeAt = this.env.monotonicMs();
     const address = this.membership.find(sender)?.address;
     if (address && digest.frameIndex > this.transfer.index) {
       const { transfer } = this;
--- a/src/membership/clockSkew.ts
+++ b/src/membership/clockSkew.ts
@@ -33,7 +33,7 @@
    * @param theirTime the other's clock in between, ms
    */
   addRoundTrip(memberId: string, sentAt: number, theirTime: number): void {
-    const now = this.env.wall();
+    const now = this.env.wallClockMs();
     const error = (now - sentAt) / 2;
     if (!(error >= 0 && error < Constants.epsilonMs)) return;
     this.samples.push({ memberId, offset: now - error - theirTime, error });
--- a/src/membership/factStore.ts
+++ b/src/membership/factStore.ts
@@ -102,12 +102,12 @@
   /** Time since the publication of the version that is known, ms; Infinity for an unknown key. */
   ageMs(key: string): number {
     const known = this.facts.get(key);
-    return known ? this.env.mono() - known.publishedAt : Infinity;
+    return known ? this.env.monotonicMs() - known.publishedAt : Infinity;
   }
 
   /** Facts whose lease runs, in order of their keys. */
   live(prefix: string): GossipFact[] {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     const found: GossipFact[] = [];
     for (const key of (this.sortedKeys ??= [...this.facts.keys()].sort())) {
       if (!key.startsWith(prefix)) continue;
@@ -121,7 +121,7 @@
   publish(key: string, value: unknown, leaseMs: number, inFull: boolean): void {
     const known = this.facts.get(key);
     const version = this.nextVersion(known);
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     const renewable =
       known && !known.removed && !inFull && known.leaseMs === leaseMs && now - known.publishedAt < leaseMs;
     const patch = renewable ? changedFields(known.baseValue, value) : undefined;
@@ -172,7 +172,7 @@
 
   /** Reports leases that have run out, and forgets what is older than a tombstone must be remembered. */
   expire(): void {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     for (const fact of this.facts.values()) {
       const ageMs = now - fact.publishedAt;
       if (ageMs <= (fact.removed ? Constants.tombstoneMs : fact.leaseMs)) continue;
@@ -210,7 +210,7 @@
 
   /** Facts of other members' that should have been renewed by now though their lease runs, with their versions. */
   staleVersions(): Record<string, number> {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     const stale: Record<string, number> = {};
     let count = 0;
     for (const { key, version, removed, publishedAt, leaseMs } of this.facts.values()) {
@@ -254,7 +254,7 @@
   }
 
   private nextVersion(known: StoredFact | undefined): number {
-    return Math.max(Math.floor(this.env.wall()), (known?.version ?? 0) + 1);
+    return Math.max(Math.floor(this.env.wallClockMs()), (known?.version ?? 0) + 1);
   }
 
   private apply(update: FactUpdate, ageMs = 0): boolean {
@@ -262,7 +262,7 @@
     if (!FactStore.isApplicable(update, ageMs, known)) return false;
     const patched = Object.keys(update.patch).length > 0;
     const value = patched ? { ...(update.baseValue as object), ...update.patch } : update.baseValue;
-    const publishedAt = this.env.mono() - ageMs;
+    const publishedAt = this.env.monotonicMs() - ageMs;
     const fact: StoredFact = { ...update, value, publishedAt, checksum: checksumOf(update) };
     this.bucketChecksums[bucketOf(fact.key)] ^= (known?.checksum ?? 0) ^ fact.checksum;
     if (!known) this.sortedKeys = undefined;
@@ -312,6 +312,6 @@
   }
 
   private roundedAgeMs(fact: StoredFact): number {
-    return Math.max(0, Math.round(this.env.mono() - fact.publishedAt));
+    return Math.max(0, Math.round(this.env.monotonicMs() - fact.publishedAt));
   }
 }
--- a/src/membership/failureDetector.ts
+++ b/src/membership/failureDetector.ts
@@ -45,10 +45,10 @@
   /** Probes one member a period, for ever. */
   *probeLoop(): Task<void> {
     for (;;) {
-      const startedAt = this.env.mono();
+      const startedAt = this.env.monotonicMs();
       yield* this.probeNext();
       this.members.expire();
-      const spentMs = this.env.mono() - startedAt;
+      const spentMs = this.env.monotonicMs() - startedAt;
       // After a freeze our own suspicions mean nothing.
       if (spentMs > Constants.clockJumpMs + Constants.probePeriodMs) this.members.restartSuspicions();
       const jitter = PERIOD_JITTER_LOW + PERIOD_JITTER_SPREAD * this.env.random();
@@ -67,7 +67,7 @@
       sequence,
       targetId: target.id,
       sender: this.self,
-      sentAt: this.env.wall(),
+      sentAt: this.env.wallClockMs(),
       updates: this.members.takeUpdates(),
       wantsMembers,
     });
@@ -101,7 +101,7 @@
       type: "ack",
       sequence: ping.sequence,
       sender: this.self,
-      sentAt: this.env.wall(),
+      sentAt: this.env.wallClockMs(),
       pingSentAt: ping.sentAt,
       updates,
     });
@@ -140,12 +140,12 @@
   private *probeNext(): Task<void> {
     const target = this.nextTarget();
     if (!target) return;
-    const startedAt = this.env.mono();
+    const startedAt = this.env.monotonicMs();
     const isAlive = (yield* this.ping(target, Constants.probeTimeoutMs)) || (yield* this.probeIndirectly(target));
     if (isAlive) return this.members.resendSuspicion(target.id);
     // A process whose own timers fire late wasn't able to receive an acknowledgement either.
     const allowedMs = Constants.probeTimeoutMs + Constants.indirectTimeoutMs + Constants.ownLateMs;
-    if (this.env.mono() - startedAt > allowedMs) this.inconclusiveProbeCount += 1;
+    if (this.env.monotonicMs() - startedAt > allowedMs) this.inconclusiveProbeCount += 1;
     else this.members.suspect(target);
   }
 
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -70,8 +70,8 @@
   start(): void {
     this.rpc.handle("news.push", (push, sender) => this.onPush(push, sender));
     this.antiEntropy.serve();
-    EnvironmentTools.keep(this.env, this.env.scope, "news push", () => this.pushLoop());
-    EnvironmentTools.keep(this.env, this.env.scope, "news digest", () => this.digestLoop());
+    EnvironmentTools.runSupervised(this.env, this.env.scope, "news push", () => this.pushLoop());
+    EnvironmentTools.runSupervised(this.env, this.env.scope, "news digest", () => this.digestLoop());
   }
 
   /** Calls the listener after every change of a fact or of the snapshot. @example gossip.onChange(() => rebuild()); */
--- a/src/membership/memberList.ts
+++ b/src/membership/memberList.ts
@@ -35,7 +35,7 @@
     private readonly env: Environment,
     private readonly self: Member,
   ) {
-    this.records.set(self.id, { member: self, changedAt: env.mono(), sentCount: 0 });
+    this.records.set(self.id, { member: self, changedAt: env.monotonicMs(), sentCount: 0 });
   }
 
   /** Calls the listener after every change, with the member that it is about. */
@@ -67,7 +67,7 @@
   /** Time since the member's record changed, ms; Infinity for an unknown id. */
   stateAgeMs(id: string): number {
     const record = this.records.get(id);
-    return record ? this.env.mono() - record.changedAt : Infinity;
+    return record ? this.env.monotonicMs() - record.changedAt : Infinity;
   }
 
   /** One checksum for each bucket of ids: equal if two members know the same incarnations as active. */
@@ -131,7 +131,7 @@
   /** Suspects become dead after their time, and the dead are forgotten after theirs. */
   expire(): void {
     for (const [id, record] of this.records) {
-      const ageMs = this.env.mono() - record.changedAt;
+      const ageMs = this.env.monotonicMs() - record.changedAt;
       if (record.member.state === "suspect" && ageMs > Constants.suspicionMs) this.setState(record, "dead");
       else if (!isActive(record.member) && ageMs > Constants.deadKeepMs) this.records.delete(id);
     }
@@ -140,7 +140,7 @@
   /** Starts the time of every suspicion anew. */
   restartSuspicions(): void {
     for (const record of this.records.values())
-      if (record.member.state === "suspect") record.changedAt = this.env.mono();
+      if (record.member.state === "suspect") record.changedAt = this.env.monotonicMs();
   }
 
   /** Records to piggyback on the next datagram: those that were sent least, each a limited number of times. */
@@ -178,13 +178,13 @@
     if (!isActive(member)) {
       this.records.set(member.id, {
         member,
-        changedAt: this.env.mono(),
+        changedAt: this.env.monotonicMs(),
         sentCount: Constants.piggybackAttempts,
       });
       return;
     }
     this.replaceAt(member.address);
-    this.records.set(member.id, { member, changedAt: this.env.mono(), sentCount: 0 });
+    this.records.set(member.id, { member, changedAt: this.env.monotonicMs(), sentCount: 0 });
     this.logState(member);
     this.changed(member.id);
   }
@@ -207,7 +207,7 @@
     const record = this.records.get(id);
     if (record) {
       record.sentCount = 0;
-      record.changedAt = this.env.mono();
+      record.changedAt = this.env.monotonicMs();
     }
     this.active = undefined;
     this.checksums = undefined;
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -42,7 +42,7 @@
     private readonly seeds: () => string[],
     private readonly bind: string,
   ) {
-    this.startedAt = env.mono();
+    this.startedAt = env.monotonicMs();
     this.members = new MemberList(env, self);
     this.skewEstimator = new ClockSkewEstimator(env);
     this.detector = new FailureDetector(
@@ -57,16 +57,16 @@
 
   /** Binds the socket and starts to probe; false if the socket can't be had. @example yield* membership.start(); */
   *start(): Task<boolean> {
-    const bound = yield* this.env.datagrams(this.bind);
+    const bound = yield* this.env.bindDatagrams(this.bind);
     if (!bound.ok) {
       this.env.log(1004, { task: "bind", fault: bound.fault });
       return false;
     }
     this.socket = bound.value;
     const { scope } = this.env;
-    EnvironmentTools.keep(this.env, scope, "datagrams", () => this.receive());
-    EnvironmentTools.keep(this.env, scope, "probes", () => this.detector.probeLoop());
-    EnvironmentTools.keep(this.env, scope, "join", () => this.joinLoop());
+    EnvironmentTools.runSupervised(this.env, scope, "datagrams", () => this.receive());
+    EnvironmentTools.runSupervised(this.env, scope, "probes", () => this.detector.probeLoop());
+    EnvironmentTools.runSupervised(this.env, scope, "join", () => this.joinLoop());
     return true;
   }
 
@@ -160,7 +160,7 @@
         type: "ping",
         sequence: 0,
         sender: this.self,
-        sentAt: this.env.wall(),
+        sentAt: this.env.wallClockMs(),
         updates: [this.self],
       });
   }
@@ -170,7 +170,7 @@
   }
 
   private hasJustStarted(): boolean {
-    return this.env.mono() - this.startedAt < Constants.youthMs;
+    return this.env.monotonicMs() - this.startedAt < Constants.youthMs;
   }
 
   private send(address: string, message: SwimMessage): void {
--- a/src/membership/snapshotTransfer.ts
+++ b/src/membership/snapshotTransfer.ts
@@ -42,7 +42,7 @@
     if (known && !SnapshotTransfer.isNewer(snapshot, known)) return false;
     this.rememberSteps(known, snapshot, steps);
     this.current = snapshot;
-    this.env.point(21);
+    this.env.faultPoint(21);
     this.onReplaced();
     return true;
   }
--- a/src/model/faultyNetwork.ts
+++ b/src/model/faultyNetwork.ts
@@ -56,7 +56,7 @@
   }
   private wrapLink(link: Link): Link {
     return {
-      member: link.member,
+      remoteAddress: link.remoteAddress,
       incoming: link.incoming,
       send: (message) => this.send(link, message),
       close: () => link.close(),
--- a/src/node/clockWatch.ts
+++ b/src/node/clockWatch.ts
@@ -25,28 +25,28 @@
     private readonly env: Environment,
     private readonly listener: ClockWatchListener,
   ) {
-    this.checkedAt = env.mono();
+    this.checkedAt = env.monotonicMs();
   }
 
   /** Whether the next check is so late that the process must have been frozen. */
-  isLate(now = this.env.mono()): boolean {
+  isLate(now = this.env.monotonicMs()): boolean {
     return now - this.checkedAt > Constants.clockJumpMs + Constants.clockWatchMs;
   }
 
   /** Checks for ever. */
   *run(): Task<void> {
-    let lastOffset = this.env.wall() - this.checkedAt;
+    let lastOffset = this.env.wallClockMs() - this.checkedAt;
     for (;;) {
       yield* EnvironmentTools.sleep(this.env, Constants.clockWatchMs);
-      const now = this.env.mono();
+      const now = this.env.monotonicMs();
       this.listener.checking(now);
-      const offset = this.env.wall() - now;
+      const offset = this.env.wallClockMs() - now;
       const stepMs = offset - lastOffset;
       lastOffset = offset;
       if (Math.abs(stepMs) > this.listener.maxWallStepMs()) this.listener.wallClockStepped();
       if (this.isLate(now)) this.listener.frozen(now - this.checkedAt);
       else if (stepMs > Constants.clockJumpMs) this.listener.suspended();
-      this.checkedAt = this.env.mono();
+      this.checkedAt = this.env.monotonicMs();
     }
   }
 }
--- a/src/node/clusterSnapshotCache.ts
+++ b/src/node/clusterSnapshotCache.ts
@@ -48,7 +48,7 @@
 
   /** The same object until something has changed. */
   get(): ClusterSnapshot {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     const clockTrusted = this.health.isClockTrusted();
     const { cached } = this;
     if (
--- a/src/node/controlClient.ts
+++ b/src/node/controlClient.ts
@@ -65,11 +65,11 @@
    * @param timeoutMs for all attempts together
    */
   *request<Response = unknown>(request: ControlRequest, timeoutMs: number): Task<Result<Response>> {
-    const deadline = this.env.mono() + timeoutMs;
+    const deadline = this.env.monotonicMs() + timeoutMs;
     let redirect = this.leaderAddress;
     let mayHaveRun = false;
     let last: Failure = Fault.fail("refused", "control", "control", "no control member is known");
-    for (let attempt = 0; this.env.mono() < deadline; attempt += 1) {
+    for (let attempt = 0; this.env.monotonicMs() < deadline; attempt += 1) {
       const members = this.memberAddresses();
       const address = redirect || members[attempt % Math.max(1, members.length)];
       redirect = "";
@@ -104,7 +104,7 @@
   private pause(deadline: number): Task<void> {
     return EnvironmentTools.sleep(
       this.env,
-      Math.max(0, Math.min(Constants.controlRetryMs, deadline - this.env.mono())),
+      Math.max(0, Math.min(Constants.controlRetryMs, deadline - this.env.monotonicMs())),
     );
   }
 
@@ -115,12 +115,16 @@
     Csp.go(this.env.scope, "ask control", function* () {
       Csp.offer(response, yield* client.send<Response>(address, request, deadline));
     });
-    const inTime = yield* EnvironmentTools.takeWithin(this.env, response, Math.max(0, deadline - this.env.mono()));
+    const inTime = yield* EnvironmentTools.takeWithin(
+      this.env,
+      response,
+      Math.max(0, deadline - this.env.monotonicMs()),
+    );
     return inTime ?? Fault.fail("timeout", "control", address, "no response while its caller waits");
   }
 
   private *send<Response>(address: string, request: ControlRequest, deadline: number): Task<Result<Response>> {
-    const timeoutMs = (): number => Math.min(Constants.controlAskMs, deadline - this.env.mono());
+    const timeoutMs = (): number => Math.min(Constants.controlAskMs, deadline - this.env.monotonicMs());
     if (isRead(request)) return yield* this.call<Response>(address, request, timeoutMs());
     const leaderDeadline = yield* this.deadlines.at(address, deadline, timeoutMs());
     if (!leaderDeadline.ok)
--- a/src/node/endpointAnnouncements.ts
+++ b/src/node/endpointAnnouncements.ts
@@ -72,7 +72,7 @@
   const key = keyOf(announcement.id, instance);
   const mayRestart = announcement.instance === undefined && !announcement.leaving;
   const hasRestarted = mayRestart && gossip.isRemoved(key) && !(gossip.ageMs(key) < Constants.goodbyeHoldMs);
-  return hasRestarted ? `i${Math.floor(env.wall())}` : instance;
+  return hasRestarted ? `i${Math.floor(env.wallClockMs())}` : instance;
 }
 
 /** @param now wall clock, ms */
@@ -97,7 +97,7 @@
       return announceWithdrawn(announcement, key, gossip.find(key)?.value as EndpointFact | undefined);
     const before = gossip.live(key)[0]?.value as EndpointFact | undefined;
     if (!isLater(announcement, before)) return Fault.ok({ instance, late: true as const });
-    const value = factOf(announcement, instance, before, env.wall());
+    const value = factOf(announcement, instance, before, env.wallClockMs());
     if (announcement.leaving) {
       env.log(1202, { replica: key });
       yield* gossip.removeAndReplicate([key], value);
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -26,7 +26,7 @@
 
 /** The id of the node: from its data folder, or a new one. */
 function* openIdentity(env: Environment, settings: Settings, program: Program): Task<Result<string>> {
-  const newId = EnvironmentTools.id(env, program);
+  const newId = EnvironmentTools.randomId(env, program);
   if (!settings.data) return Fault.ok(newId);
   const identity = { id: newId, cluster: settings.cluster, program };
   return yield* DataFolder.open(env, settings.data, settings.address, identity);
@@ -67,7 +67,7 @@
     readonly membership: Membership,
     readonly gossip: Gossip,
   ) {
-    this.connectionsCheckedAt = env.mono();
+    this.connectionsCheckedAt = env.monotonicMs();
     this.clockWatch = new ClockWatch(env, {
       checking: (now) => this.closeUnusedConnections(now),
       maxWallStepMs: () => this.clockBounds().deltaMs,
@@ -99,7 +99,7 @@
       district: settings.district,
       address: settings.address,
       http: settings.http,
-      incarnation: Math.floor(env.wall()),
+      incarnation: Math.floor(env.wallClockMs()),
       state: "alive",
     };
     const bind = settings.bind ?? settings.address;
@@ -145,7 +145,7 @@
    * @example node.isCurrent()
    */
   isCurrent(): boolean {
-    return this.isConfirmed() && this.env.mono() - this.gossip.lastExchangeAt < Constants.frameStaleMs;
+    return this.isConfirmed() && this.env.monotonicMs() - this.gossip.lastExchangeAt < Constants.frameStaleMs;
   }
 
   /** Whether this node may give timestamps and hold leases. @example if (!node.mayHoldLeases()) return busy; */
@@ -173,7 +173,7 @@
     this.gossip.onChange(() => this.snapshots.invalidate());
     this.confirmation.serve();
     this.confirmation.start();
-    EnvironmentTools.keep(this.env, this.env.scope, "clock watch", () => this.clockWatch.run());
+    EnvironmentTools.runSupervised(this.env, this.env.scope, "clock watch", () => this.clockWatch.run());
   }
 
   private closeUnusedConnections(now: number): void {
--- a/src/node/orderDeadline.ts
+++ b/src/node/orderDeadline.ts
@@ -52,12 +52,12 @@
    */
   *at(address: string, until: number, timeoutMs: number): Task<Result<OrderDeadline>> {
     const known = this.reading;
-    if (known?.address === address && this.env.mono() - known.localTime < Constants.leaderClockMaxAgeMs)
+    if (known?.address === address && this.env.monotonicMs() - known.localTime < Constants.leaderClockMaxAgeMs)
       return { ok: true, value: { clockId: known.clockId, at: known.leaderTime + (until - known.localTime) } };
     const read = yield* this.rpc.call(address, "control.op", { op: "clock" }, timeoutMs);
     if (!read.ok) return read;
     const { clockId, now: leaderTime } = read.value as LeaderClock;
-    const localTime = this.env.mono();
+    const localTime = this.env.monotonicMs();
     this.reading = { address, clockId, leaderTime, localTime };
     return { ok: true, value: { clockId, at: leaderTime + (until - localTime) } };
   }
--- a/src/node/readIndexConfirmation.ts
+++ b/src/node/readIndexConfirmation.ts
@@ -84,13 +84,13 @@
     private readonly rpc: Rpc,
     private readonly hooks: ReadIndexConfirmationHooks,
   ) {
-    this.requiredAfter = env.mono();
+    this.requiredAfter = env.monotonicMs();
   }
 
   /** Starts to ask for a read index, and does so again after each freeze. @example confirmation.start(); */
   start(): void {
     Csp.offer(this.confirmationDue, true);
-    EnvironmentTools.keep(this.env, this.env.scope, "configuration confirmation", () => this.confirmLoop());
+    EnvironmentTools.runSupervised(this.env, this.env.scope, "configuration confirmation", () => this.confirmLoop());
   }
 
   /** Responds to other processes that ask. @example confirmation.serve(); */
@@ -100,7 +100,7 @@
 
   /** From now on only a read index taken later than this confirms. @example confirmation.invalidate(); */
   invalidate(): void {
-    this.requiredAfter = this.env.mono();
+    this.requiredAfter = this.env.monotonicMs();
     this.wasConfirmed = false;
     Csp.offer(this.confirmationDue, true);
   }
@@ -115,7 +115,10 @@
     if (!latest || !configuration || latest.at <= this.requiredAfter) return false;
     if (latest.group !== configuration.group || latest.index > configuration.index) return false;
     this.wasConfirmed = true;
-    this.env.log(1603, { index: configuration.index, afterMs: Math.round(this.env.mono() - this.requiredAfter) });
+    this.env.log(1603, {
+      index: configuration.index,
+      afterMs: Math.round(this.env.monotonicMs() - this.requiredAfter),
+    });
     return true;
   }
 
@@ -145,7 +148,7 @@
   private *askAt(address: string): Task<void> {
     this.pendingAddresses.add(address);
     try {
-      const maxAgeMs = this.env.mono() - this.requiredAfter;
+      const maxAgeMs = this.env.monotonicMs() - this.requiredAfter;
       const readIndex = yield* this.request(address, { maxAgeMs, hops: Constants.confirmHops });
       if (readIndex && readIndex.index > (this.hooks.configuration()?.index ?? 0))
         yield* this.hooks.fetch(address, readIndex.index);
@@ -156,7 +159,7 @@
   }
 
   private *request(address: string, request: ReadIndexRequest): Task<ReadIndex | undefined> {
-    const sentAt = this.env.mono();
+    const sentAt = this.env.monotonicMs();
     const response = yield* this.rpc.call(address, "config.readIndex", request, Constants.confirmAskMs);
     if (!response.ok) return undefined;
     const { group, index, ageMs } = response.value;
@@ -178,24 +181,24 @@
 
   /** As the leader: the contact with a majority that began late enough comes with the next heartbeats. */
   private *awaitOwn(maxAgeMs: number): Task<ReadIndex | undefined> {
-    const requiredAfter = this.env.mono() - maxAgeMs;
-    const deadline = this.env.mono() + Constants.readIndexWaitMs;
+    const requiredAfter = this.env.monotonicMs() - maxAgeMs;
+    const deadline = this.env.monotonicMs() + Constants.readIndexWaitMs;
     for (let own = this.hooks.own(); own; own = this.hooks.own()) {
       if (own.at > requiredAfter) return own;
-      if (this.env.mono() > deadline) return undefined;
+      if (this.env.monotonicMs() > deadline) return undefined;
       yield* EnvironmentTools.sleep(this.env, Constants.readIndexTickMs);
     }
     return undefined;
   }
 
   private youngEnough(maxAgeMs: number): ReadIndex | undefined {
-    return this.latest && this.env.mono() - this.latest.at < maxAgeMs ? this.latest : undefined;
+    return this.latest && this.env.monotonicMs() - this.latest.at < maxAgeMs ? this.latest : undefined;
   }
 
   private responseOf = ({ group, index, at }: ReadIndex): ReadIndexResponse => ({
     group,
     index,
-    ageMs: Math.ceil(this.env.mono() - at),
+    ageMs: Math.ceil(this.env.monotonicMs() - at),
   });
   /** Forwards a request; those that come meanwhile wait for the same response. */
   private *refresh(request: ReadIndexRequest): Task<void> {
--- a/src/routing/admissionQueue.ts
+++ b/src/routing/admissionQueue.ts
@@ -71,7 +71,7 @@
     const insertAt = queue.findIndex((other) => precedes(request, other));
     queue.splice(insertAt < 0 ? queue.length : insertAt, 0, request);
     try {
-      return yield* this.waitForEndpoint(queue, request, makeCriteria, this.env.mono() + withinMs);
+      return yield* this.waitForEndpoint(queue, request, makeCriteria, this.env.monotonicMs() + withinMs);
     } finally {
       queue.splice(queue.indexOf(request), 1);
       this.wakeHead(pool);
@@ -84,9 +84,9 @@
     makeCriteria: () => SelectionCriteria,
     deadline: number,
   ): Task<Endpoint | undefined> {
-    while (this.env.mono() < deadline) {
+    while (this.env.monotonicMs() < deadline) {
       // Nothing signals that slow start allows another request or that an ejection ends, so the head polls for both.
-      const leftMs = deadline - this.env.mono();
+      const leftMs = deadline - this.env.monotonicMs();
       const waitMs = queue[0] === request ? Math.min(Constants.roomTurnMs, leftMs) : leftMs;
       yield* EnvironmentTools.takeWithin(this.env, request.wake, waitMs);
       const endpoint = queue[0] === request ? this.select(makeCriteria()) : undefined;
--- a/src/routing/endpointEligibility.ts
+++ b/src/routing/endpointEligibility.ts
@@ -32,7 +32,8 @@
     );
     const candidates = notWithdrawn.length > 0 ? notWithdrawn : announced;
     if (!release || !candidates.some((endpoint) => endpoint.version === release.version)) return candidates;
-    const releasedShare = release.overMs <= 0 ? 1 : Math.min(1, (env.wall() - release.startedAt) / release.overMs);
+    const releasedShare =
+      release.overMs <= 0 ? 1 : Math.min(1, (env.wallClockMs() - release.startedAt) / release.overMs);
     const useNewVersion = env.random() < releasedShare;
     const chosen = candidates.filter((endpoint) => (endpoint.version === release.version) === useNewVersion);
     return chosen.length > 0 ? chosen : candidates;
--- a/src/routing/endpointSelector.ts
+++ b/src/routing/endpointSelector.ts
@@ -64,7 +64,7 @@
 
   /** Returns the eligible endpoints that can accept another request now. */
   private available(criteria: SelectionCriteria, eligible: Endpoint[]): Endpoint[] {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     const senderIds = RequestSenders.ids(criteria.snapshot);
     const senderCount = Math.max(1, senderIds.length);
     const pool = criteria.snapshot.control?.manifest.doc.pools?.[criteria.pool];
@@ -104,7 +104,7 @@
     const state = this.states.getOrCreate(endpoint);
     state.inFlight += 1;
     state.startedSinceAnnouncement += 1;
-    state.lastStartAt = this.env.mono();
+    state.lastStartAt = this.env.monotonicMs();
     if (endpoint.warmAt) state.lastWarmUpStartAt = state.lastStartAt;
   }
 
--- a/src/routing/outlierEjection.ts
+++ b/src/routing/outlierEjection.ts
@@ -21,7 +21,7 @@
   recordFailure(state: EndpointState, endpointKey: string, decisive: boolean): void {
     state.consecutiveFailures += 1;
     if (!decisive && state.consecutiveFailures < Constants.ejectFailures) return;
-    state.ejectedUntil = this.env.mono() + Constants.ejectMs;
+    state.ejectedUntil = this.env.monotonicMs() + Constants.ejectMs;
     state.consecutiveFailures = Constants.ejectFailures - 1;
     this.env.log(1204, { replica: endpointKey });
   }
--- a/src/routing/slowStart.ts
+++ b/src/routing/slowStart.ts
@@ -20,20 +20,20 @@
     private readonly senderId: string,
     private readonly states: EndpointStates,
   ) {
-    this.startedAt = env.mono();
+    this.startedAt = env.monotonicMs();
   }
 
   /** Returns the share of an endpoint's capacity that may be used, from Constants.slowStartFloor to 1. */
   weight(endpoint: Endpoint): number {
     if (endpoint.warmAt !== undefined) return 1;
-    const age = this.env.wall() - endpoint.bornAt;
+    const age = this.env.wallClockMs() - endpoint.bornAt;
     return Math.min(1, Math.max(Constants.slowStartFloor, age / Constants.slowStartMs));
   }
 
   /** Whether the endpoint may still be warming up by its announcement; without a trusted clock the end cannot be told. */
   isWarmingUp(endpoint: Endpoint, clockTrusted: boolean): boolean {
     if (!endpoint.warmAt) return false;
-    return !clockTrusted || endpoint.warmAt + Constants.coldMarginMs > this.env.wall();
+    return !clockTrusted || endpoint.warmAt + Constants.coldMarginMs > this.env.wallClockMs();
   }
 
   /** Whether this node may send the endpoint a warm-up request now; `perSecond` is the pool's rate for all senders. */
--- a/src/rpc/envelopeCodec.ts
+++ b/src/rpc/envelopeCodec.ts
@@ -115,7 +115,7 @@
     return Buffer.from(layout.toBuffer({ ...envelope, magic: MAGIC, version, kind, body: bytes }));
   },
   /** Encodes a body once that goes to several members unchanged, and returns it. @example EnvelopeCodec.shared(entry) */
-  shared<T extends object>(body: T): T {
+  preEncode<T extends object>(body: T): T {
     encodedAhead.set(body, encodeBody(body));
     return body;
   },
--- a/src/rpc/rpcClient.ts
+++ b/src/rpc/rpcClient.ts
@@ -45,12 +45,12 @@
     timeoutMs: number,
     isCancelled?: () => boolean,
   ): Task<Result<unknown>> {
-    const startedAt = this.env.mono();
+    const startedAt = this.env.monotonicMs();
     this.callCount += 1;
     const connected = yield* this.connect(address);
     if (!connected.ok) return connected;
     const connection = connected.value;
-    connection.lastUsedAt = this.env.mono();
+    connection.lastUsedAt = this.env.monotonicMs();
     const correlationId = this.nextCorrelationId();
     const pending = connection.addPending(correlationId, method);
     if (!connection.link.send(this.encodeRequest(correlationId, method, body))) {
@@ -89,7 +89,7 @@
 
   /** See `Rpc.closeUnused`. */
   closeUnused(unusedMs: number): void {
-    const usedBefore = this.env.mono() - unusedMs;
+    const usedBefore = this.env.monotonicMs() - unusedMs;
     for (const [address, connection] of this.connections)
       if (connection.lastUsedAt < usedBefore) this.closeIfIdle(address);
   }
@@ -100,9 +100,9 @@
     isCancelled: (() => boolean) | undefined,
   ): Task<Result<unknown> | null | undefined> {
     const waitMs = (): number =>
-      Math.min(deadline - this.env.mono(), isCancelled ? Constants.leaderChangedMs : Infinity);
+      Math.min(deadline - this.env.monotonicMs(), isCancelled ? Constants.leaderChangedMs : Infinity);
     let response = yield* EnvironmentTools.takeWithin(this.env, pending.result, waitMs());
-    while (!response && isCancelled && !isCancelled() && this.env.mono() < deadline)
+    while (!response && isCancelled && !isCancelled() && this.env.monotonicMs() < deadline)
       response = yield* EnvironmentTools.takeWithin(this.env, pending.result, waitMs());
     return response;
   }
@@ -127,7 +127,7 @@
       attempt.done.close();
       return linked;
     }
-    const connection = new RpcConnection(address, linked.value, this.env.mono());
+    const connection = new RpcConnection(address, linked.value, this.env.monotonicMs());
     this.connections.set(address, connection);
     attempt.done.close();
     const client = this;
@@ -140,7 +140,7 @@
     for (;;) {
       const bytes = yield* Csp.take(connection.link.incoming);
       if (bytes === null) break;
-      connection.lastReceivedAt = this.env.mono();
+      connection.lastReceivedAt = this.env.monotonicMs();
       const envelope: Envelope | undefined = EnvelopeCodec.decode(bytes, this.cluster);
       if (!envelope || (envelope.kind !== "response" && envelope.kind !== "error")) {
         this.malformedCount += 1;
@@ -154,7 +154,7 @@
 
   private sendNotification(connection: RpcConnection, bytes: Buffer): void {
     this.notificationCount += 1;
-    connection.lastUsedAt = this.env.mono();
+    connection.lastUsedAt = this.env.monotonicMs();
     if (!connection.link.send(bytes)) this.close(connection);
   }
 
--- a/src/rpc/rpcServer.ts
+++ b/src/rpc/rpcServer.ts
@@ -33,7 +33,7 @@
       for (;;) {
         const link = yield* Csp.take(links.value);
         if (link === null) return;
-        Csp.go(server.env.scope, `link from ${link.member}`, () => server.serveLink(link));
+        Csp.go(server.env.scope, `link from ${link.remoteAddress}`, () => server.serveLink(link));
       }
     });
     return Fault.ok(true as const);
@@ -47,7 +47,7 @@
       const request = EnvelopeCodec.decode(bytes, this.cluster);
       if (!request || request.kind !== "request") {
         this.malformedCount += 1;
-        this.env.log(1105, { from: link.member });
+        this.env.log(1105, { from: link.remoteAddress });
         link.close();
         return;
       }
--- a/src/runtime/checkpointedLog.ts
+++ b/src/runtime/checkpointedLog.ts
@@ -4,7 +4,7 @@
 import { decodeFrame, decodeFrames, encodeFrame, scanLog } from "./recordFrames";
 
 /** What a start finds. */
-export interface Opened {
+export interface RecoveredLog {
   /** The newest checkpoint; undefined before the first. */
   readonly state: unknown;
   /** The records since, oldest first. */
@@ -12,7 +12,7 @@
 }
 
 /** What a disk holds, as bytes. */
-export interface Inspected {
+export interface InspectedLog {
   readonly state: Buffer | undefined;
   readonly records: Buffer[];
 }
@@ -78,7 +78,7 @@
    * What the files hold, as a start would find it, without touching them.
    * @example CheckpointedLog.inspect((name) => files.get(name), names, 2)
    */
-  static inspect(read: (name: string) => Buffer | undefined, names: string[], format = 1): Inspected {
+  static inspect(read: (name: string) => Buffer | undefined, names: string[], format = 1): InspectedLog {
     const magics = MAGICS[format];
     const contentOf = (name: string): Buffer => read(name) ?? Buffer.alloc(0);
     const checkpoints = names
@@ -97,7 +97,7 @@
    * another format; they are left as they are.
    * @example yield* log.open()
    */
-  *open(): Task<Result<Opened>> {
+  *open(): Task<Result<RecoveredLog>> {
     const names = yield* this.env.disk.list(this.folder);
     if (!names.ok) return names;
     if (names.value.length > 0) {
@@ -138,7 +138,7 @@
     const frames = Buffer.concat(
       records.map((record) => encodeFrame(magic, number, Buffer.from(JSON.stringify(record), "utf8"))),
     );
-    this.env.point(11);
+    this.env.faultPoint(11);
     const file = this.logFile(this.generation);
     const { disk } = this.env;
     const done = this.hasLogFile ? yield* disk.append(file, frames) : yield* disk.write(file, frames);
@@ -147,7 +147,7 @@
     this.logEnd += frames.length;
     this.syncCount += 1;
     if (!done.ok) this.hasFailed = true;
-    this.env.point(12);
+    this.env.faultPoint(12);
     return done;
   }
 
@@ -158,7 +158,7 @@
     const body = Buffer.from(JSON.stringify(state), "utf8");
     const frame = encodeFrame(MAGICS[this.format].checkpoint, next, body);
     const written = yield* this.env.disk.write(this.checkpointFile(next), frame);
-    this.env.point(13);
+    this.env.faultPoint(13);
     const started = written.ok ? yield* this.env.disk.write(this.logFile(next), Buffer.alloc(0)) : written;
     if (!started.ok) {
       this.hasFailed = true;
@@ -169,7 +169,7 @@
     this.logEnd = 0;
     this.generation = next;
     this.hasLogFile = true;
-    this.env.point(14);
+    this.env.faultPoint(14);
     if (superseded >= 0) yield* this.env.disk.remove(this.logFile(superseded));
     return Fault.ok(true as const);
   }
--- a/src/runtime/csp.ts
+++ b/src/runtime/csp.ts
@@ -21,7 +21,7 @@
 type Instruction = { op: "take"; chans: Chan<unknown>[] } | { op: "put"; chan: Chan<unknown>; value: unknown };
 /** A task's code: a generator that yields to channels. */
 export type Task<T> = Generator<Instruction, T, unknown>;
-export type Picked<T> = { index: number; value: T | null };
+export type SelectResult<T> = { index: number; value: T | null };
 
 type Handler = { isActive(): boolean; isBlockable(): boolean; commit(): (value: unknown) => void };
 
@@ -70,7 +70,7 @@
     return new Scope(name, this.onError, this);
   }
   /** Runs when the branch ends. @example scope.whenStopped(() => socket.destroy()); */
-  whenStopped(ender: () => void): void {
+  onStop(ender: () => void): void {
     if (this.alive) this.enders.push(ender);
     else ender();
   }
@@ -132,14 +132,14 @@
 }
 
 function* takeOne<T>(chan: Chan<T>): Task<T | null> {
-  const picked = (yield { op: "take", chans: [chan] }) as Picked<T>;
+  const picked = (yield { op: "take", chans: [chan] }) as SelectResult<T>;
   return picked.value;
 }
 function* putOne<T>(chan: Chan<T>, value: T): Task<boolean> {
   return (yield { op: "put", chan, value }) as boolean;
 }
-function* selectFirst<T>(chans: Chan<T>[]): Task<Picked<T>> {
-  return (yield { op: "take", chans }) as Picked<T>;
+function* selectFirst<T>(chans: Chan<T>[]): Task<SelectResult<T>> {
+  return (yield { op: "take", chans }) as SelectResult<T>;
 }
 
 /**
@@ -156,7 +156,7 @@
   /** Keeps the newest. @example Csp.sliding<number>(1) */
   sliding: <T>(size: number): Chan<T> => lib.chan(lib.buffers.sliding(size)),
   /** Only ever closed, and its takers go on at once: to be closed by what runs no task. @example Csp.alarm() */
-  alarm: (): Chan<never> => new Alarm(),
+  closeSignal: (): Chan<never> => new Alarm(),
   take: takeOne,
   put: putOne,
   select: selectFirst,
--- a/src/runtime/disk.ts
+++ b/src/runtime/disk.ts
@@ -19,7 +19,7 @@
   /** Makes the names durable that a former process created, renamed or removed. */
   syncFolder(folder: string): Task<Result<true>>;
   /** Free bytes. */
-  free(folder: string): Task<Result<number>>;
+  freeBytes(folder: string): Task<Result<number>>;
   /**
    * Takes the folder for this process. One with the same owner (its address, which only one process can listen on) is the
    * same one, started again.
--- a/src/runtime/diskSteps.ts
+++ b/src/runtime/diskSteps.ts
@@ -26,7 +26,7 @@
   rename(from: string, to: string): Task<Result<true>>;
   /** Ok if it isn't there. */
   remove(file: string): Task<Result<true>>;
-  free(folder: string): Task<Result<number>>;
+  freeBytes(folder: string): Task<Result<number>>;
   /** Keeps other processes out of the folder, which is there. */
   lock(folder: string, owner: string): Task<Result<true>>;
 }
--- a/src/runtime/durableDisk.ts
+++ b/src/runtime/durableDisk.ts
@@ -29,7 +29,7 @@
 
   read = (file: string): Task<Result<Buffer | undefined>> => this.steps.read(file);
   list = (folder: string): Task<Result<string[]>> => this.steps.list(folder);
-  free = (folder: string): Task<Result<number>> => this.steps.free(folder);
+  freeBytes = (folder: string): Task<Result<number>> => this.steps.freeBytes(folder);
   syncFile = (file: string): Task<Result<true>> => this.steps.syncFile(file);
   syncFolder = (folder: string): Task<Result<true>> => this.steps.syncFolder(folder);
   append = (file: string, data: Buffer): Task<Result<true>> => this.steps.writeAndSync(file, "append", data);
--- a/src/runtime/environment.ts
+++ b/src/runtime/environment.ts
@@ -28,9 +28,9 @@
   readonly scope: Scope;
   readonly disk: Disk;
   /** Wall clock, ms since 1970. It may jump. */
-  wall(): number;
+  wallClockMs(): number;
   /** Monotonic clock, ms from an arbitrary start. */
-  mono(): number;
+  monotonicMs(): number;
   /** From 0 to less than 1. */
   random(): number;
   timer(ms: number): Timer;
@@ -38,7 +38,7 @@
   listen(address: string): Task<Result<Chan<Link>>>;
   /** Faults: "refused" if no connection was made. */
   connect(address: string, timeoutMs: number): Task<Result<Link>>;
-  datagrams(address: string): Task<Result<DatagramSocket>>;
+  bindDatagrams(address: string): Task<Result<DatagramSocket>>;
   /** Serves HTTP; the limits are read again as requests and connections come. */
   serveHttp(
     address: string,
@@ -48,9 +48,9 @@
   /** Accepts no new connection from now on and closes idle ones; each further response ends its connection. */
   stopServing(): void;
   /** Sends an HTTP request. Faults: "refused" if nothing was sent, "timeout" and "broken" if it may have arrived. */
-  http(address: string, out: HttpRequest): Task<Result<HttpResponse>>;
+  httpRequest(address: string, out: HttpRequest): Task<Result<HttpResponse>>;
   /** A numbered fault point: the simulator may end the process here. */
-  point(number: number, about?: FaultPointContext): void;
+  faultPoint(number: number, about?: FaultPointContext): void;
   /** Logs an event of `LogEvents`. */
   log(event: number, fields?: Record<string, unknown>): void;
 }
--- a/src/runtime/environmentTools.ts
+++ b/src/runtime/environmentTools.ts
@@ -1,4 +1,4 @@
-import { Chan, Csp, Picked, Scope, Task } from "./csp";
+import { Chan, Csp, SelectResult, Scope, Task } from "./csp";
 import { Environment } from "./environment";
 import { HttpResponse } from "./http";
 
@@ -16,12 +16,12 @@
 function* takeWithin<T>(env: Environment, chan: Chan<T>, ms: number): Task<T | null | undefined> {
   if (ms <= 0) return Csp.poll(chan);
   const timer = env.timer(ms);
-  const picked: Picked<T> = yield* Csp.select<T>([chan, timer.chan]);
+  const picked: SelectResult<T> = yield* Csp.select<T>([chan, timer.chan]);
   timer.cancel();
   return picked.index === 0 ? picked.value : undefined;
 }
 
-function* bytesOf(
+function* readBody(
   env: Environment,
   response: HttpResponse,
   limit: number,
@@ -29,10 +29,10 @@
 ): Task<Buffer | undefined> {
   const chunks: Buffer[] = [];
   let size = 0;
-  const deadline = env.mono() + timeoutMs;
+  const deadline = env.monotonicMs() + timeoutMs;
   for (;;) {
-    const chunk = yield* takeWithin(env, response.chunks, deadline - env.mono());
-    if (chunk === null) return response.broken() ? undefined : Buffer.concat(chunks);
+    const chunk = yield* takeWithin(env, response.chunks, deadline - env.monotonicMs());
+    if (chunk === null) return response.isIncomplete() ? undefined : Buffer.concat(chunks);
     size += chunk?.length ?? 0;
     if (chunk === undefined || size > limit) {
       response.abort();
@@ -42,8 +42,13 @@
   }
 }
 
-function* bodyOf(env: Environment, response: HttpResponse, limit: number, timeoutMs: number): Task<string | undefined> {
-  return (yield* bytesOf(env, response, limit, timeoutMs))?.toString("utf8");
+function* readBodyText(
+  env: Environment,
+  response: HttpResponse,
+  limit: number,
+  timeoutMs: number,
+): Task<string | undefined> {
+  return (yield* readBody(env, response, limit, timeoutMs))?.toString("utf8");
 }
 
 const digits = (env: Environment, range: number): string => Math.floor(env.random() * range).toString(ID_RADIX);
@@ -60,14 +65,14 @@
   /** The next item of a channel; undefined after `ms` without one, null if the channel is closed. */
   takeWithin,
   /** The complete body, or undefined if it is broken, longer than `limit` bytes or slower than `timeoutMs`. */
-  bytesOf,
+  readBody: readBody,
   /** The same as text. */
-  bodyOf,
+  readBodyText: readBodyText,
   /** A random id. @example EnvironmentTools.id(env, "req") // "req-2k8f0…" */
-  id: (env: Environment, prefix: string): string =>
+  randomId: (env: Environment, prefix: string): string =>
     `${prefix}-${digits(env, ID_HIGH_RANGE)}${digits(env, ID_LOW_RANGE)}`,
   /** Starts a supervised task: whenever it ends or fails, it starts again. @example EnvironmentTools.keep(env, scope, "probes", run) */
-  keep(env: Environment, scope: Scope, name: string, body: () => Task<unknown>): void {
+  runSupervised(env: Environment, scope: Scope, name: string, body: () => Task<unknown>): void {
     Csp.go(scope, name, function* () {
       for (;;) {
         try {
--- a/src/runtime/http.ts
+++ b/src/runtime/http.ts
@@ -22,11 +22,11 @@
   /** By lower-case name. */
   readonly headers: Record<string, string>;
   /** Address of the caller. */
-  readonly caller: string;
+  readonly callerAddress: string;
   /** Closed when the caller has disconnected. */
-  readonly gone: Chan<true>;
+  readonly disconnected: Chan<true>;
   /** Called when the caller disconnects before the response is complete; set by whoever works for it. */
-  onGone?: () => void;
+  onDisconnect?: () => void;
   /** The complete body; a fault if it is longer than `limit` bytes or the caller disconnects. */
   body(limit: number): Task<Result<Buffer>>;
   /** Sends a complete response. */
@@ -37,7 +37,7 @@
    */
   sendUntilClose?(status: number, headers: Record<string, string>, body: Buffer): void;
   /** Starts a streamed response, which `write` continues and `end` completes. */
-  open(status: number, headers: Record<string, string>): void;
+  startStream(status: number, headers: Record<string, string>): void;
   write(chunk: string | Buffer): void;
   end(): void;
   /** Cuts the connection, so that the caller can tell that the response is incomplete. */
@@ -52,10 +52,10 @@
   /** The body; closed at its end. */
   readonly chunks: Chan<Buffer>;
   /** Whether the body is incomplete; known once `chunks` is closed. */
-  broken(): boolean;
+  isIncomplete(): boolean;
   abort(): void;
   /** Discards the rest of the body, so that the connection can be used again. */
-  finish(): void;
+  discardBody(): void;
 }
 
 /** A request that our client sends. */
@@ -67,9 +67,9 @@
   /** Until the headers of the response have arrived, ms. */
   timeoutMs: number;
   /** Uses a connection of its own, so that "refused" certainly means that nothing was sent. */
-  fresh?: boolean;
+  newConnection?: boolean;
   /** The environment sets `cancel`: it ends the request, and the response too if that has begun. */
   cancellation?: { cancel?: () => void };
   /** A connection that takes longer is given up, and certainly nothing was sent, ms. */
-  connectMs?: number;
+  connectTimeoutMs?: number;
 }
--- a/src/runtime/httpClient.ts
+++ b/src/runtime/httpClient.ts
@@ -3,7 +3,7 @@
 import { Constants } from "../common/constants";
 import { Csp, Task } from "./csp";
 import { Fault, Result } from "../common/fault";
-import { addressParts, pump, pumpScope, wait } from "./callbacks";
+import { parseAddress, forwardToChannel, streamScope, awaitCallback } from "./callbacks";
 import { HttpRequest, HttpResponse } from "./env";
 import { NodeLibs } from "./nodeLibs";
 
@@ -38,11 +38,11 @@
 function responseOf(response: http.IncomingMessage): HttpResponse {
   const chunks = Csp.chan<Buffer>(64);
   let whole = false;
-  const put = pump(response, chunks);
+  const put = forwardToChannel(response, chunks);
   response.on("data", put);
   response.on("end", () => {
     whole = true;
-    Csp.go(pumpScope, "end", function* () {
+    Csp.go(streamScope, "end", function* () {
       chunks.close();
     });
   });
@@ -52,9 +52,9 @@
     status: response.statusCode ?? 0,
     headers: response.headers as Record<string, string>,
     chunks,
-    broken: () => !whole,
+    isIncomplete: () => !whole,
     abort: () => void response.destroy(),
-    finish: () => {
+    discardBody: () => {
       response.removeListener("data", put);
       response.resume();
     },
@@ -75,13 +75,13 @@
  */
 export const HttpClient = {
   *request(address: string, out: HttpRequest): Task<Result<HttpResponse>> {
-    const { host, port } = addressParts(address);
-    return yield* wait<Result<HttpResponse>>((done) => {
+    const { host, port } = parseAddress(address);
+    return yield* awaitCallback<Result<HttpResponse>>((done) => {
       let sent = false;
       const request = NodeLibs.http().request({
         host,
         port,
-        agent: out.fresh ? false : patientAgent(),
+        agent: out.newConnection ? false : patientAgent(),
         method: out.method,
         path: out.path,
         headers: headersOf(out),
@@ -104,9 +104,9 @@
           return;
         }
         const slow =
-          out.connectMs === undefined
+          out.connectTimeoutMs === undefined
             ? undefined
-            : setTimeout(() => request.destroy(new Error("no connection in time")), out.connectMs);
+            : setTimeout(() => request.destroy(new Error("no connection in time")), out.connectTimeoutMs);
         socket.once("connect", () => {
           sent = true;
           clearTimeout(slow);
--- a/src/runtime/httpServer.ts
+++ b/src/runtime/httpServer.ts
@@ -3,7 +3,7 @@
 import { Constants } from "../common/constants";
 import { Csp, Scope, Task } from "./csp";
 import { Fault, Result } from "../common/fault";
-import { addressParts, wait } from "./callbacks";
+import { parseAddress, awaitCallback } from "./callbacks";
 import { HttpExchange, HttpLimits } from "./env";
 import { NodeLibs } from "./nodeLibs";
 
@@ -85,13 +85,13 @@
   /** @example yield* server.listen("10.0.0.1:80"); */
   *listen(address: string): Task<Result<true>> {
     const { server } = this;
-    const { host, port } = addressParts(address);
-    const failed = yield* wait<Error | undefined>((done) => {
+    const { host, port } = parseAddress(address);
+    const failed = yield* awaitCallback<Error | undefined>((done) => {
       server.once("error", done);
       server.listen(port, host, () => done(undefined));
     });
     if (failed) return Fault.fail("internal", "serve http", address, failed.message);
-    this.scope.whenStopped(() => {
+    this.scope.onStop(() => {
       server.close();
       server.closeAllConnections();
     });
@@ -158,7 +158,7 @@
     const incoming = this.incoming(request, response, gone);
     const over = (): void => {
       gone.close();
-      if (!response.writableFinished) incoming.onGone?.();
+      if (!response.writableFinished) incoming.onDisconnect?.();
     };
     response.on("close", () => {
       connection.underWay -= 1;
@@ -182,7 +182,7 @@
   private incoming(
     request: http.IncomingMessage,
     response: http.ServerResponse,
-    gone: HttpExchange["gone"],
+    gone: HttpExchange["disconnected"],
   ): HttpExchange & { onGone?: () => void } {
     const target = originForm(request.url ?? "/");
     const queryAt = target.indexOf("?");
@@ -199,8 +199,8 @@
         return new URLSearchParams(queryAt < 0 ? "" : target.slice(queryAt));
       },
       headers: request.headers as Record<string, string>,
-      caller: `${request.socket.remoteAddress}:${request.socket.remotePort}`,
-      gone,
+      callerAddress: `${request.socket.remoteAddress}:${request.socket.remotePort}`,
+      disconnected: gone,
       body: (limit) => bodyOf(request, limit),
       send(status, headers, body) {
         if (response.headersSent || response.destroyed) return;
@@ -216,7 +216,7 @@
         begin(status, headers);
         response.end(body);
       },
-      open(status, headers) {
+      startStream(status, headers) {
         if (response.headersSent || response.destroyed) return;
         begin(status, headers);
         response.flushHeaders();
@@ -237,7 +237,7 @@
   const overLimit = (): Result<Buffer> => Fault.fail("invalid", "read body", "caller", "body over the limit");
   const most = limit + Constants.bodyDrainBytes;
   if (Number(request.headers["content-length"]) > most) return overLimit();
-  return yield* wait<Result<Buffer>>((done) => {
+  return yield* awaitCallback<Result<Buffer>>((done) => {
     let chunks: Buffer[] = [];
     let size = 0;
     request.on("data", (chunk: Buffer) => {
--- a/src/runtime/network.ts
+++ b/src/runtime/network.ts
@@ -3,7 +3,7 @@
 /** One TCP connection that carries frames: each arrives in full, in order, or the connection ends. */
 export interface Link {
   /** Address of the other end. */
-  readonly member: string;
+  readonly remoteAddress: string;
   /** Frames that arrive; closed when the connection has ended. */
   readonly incoming: Chan<Buffer>;
   /** Queues a frame; false if the connection is down or its queue is full. */
--- a/src/runtime/nodeDisk.ts
+++ b/src/runtime/nodeDisk.ts
@@ -104,7 +104,7 @@
       syncFolder: (folder) => change(`sync ${folder}`, () => withFile(folder, "r", (handle) => handle.sync())),
       rename: (from, to) => change(`rename ${from}`, () => fs.promises.rename(from, to)),
       remove: (file) => change(`remove ${file}`, () => fs.promises.rm(file, { force: true })),
-      free: (folder) =>
+      freeBytes: (folder) =>
         guard(`free ${folder}`, async () => {
           const stats = await fs.promises.statfs(folder);
           return stats.bavail * stats.bsize;
--- a/src/runtime/nodeEnvironment.ts
+++ b/src/runtime/nodeEnvironment.ts
@@ -5,14 +5,14 @@
 import { DurableDisk } from "./durableDisk";
 import { NodeDisk } from "./nodeDisk";
 import { NodeLibs } from "./nodeLibs";
-import { addressParts, pump, wait } from "./callbacks";
+import { parseAddress, forwardToChannel, awaitCallback } from "./callbacks";
 import { DatagramSocket, Environment, Link } from "./env";
 import { HttpClient } from "./httpClient";
 import { HttpServer } from "./httpServer";
 
 function linkOf(socket: net.Socket, member: string): Link {
   const incoming = Csp.chan<Buffer>(64);
-  const put = pump(socket, incoming);
+  const put = forwardToChannel(socket, incoming);
   let held: Buffer = Buffer.alloc(0);
   let closed = false;
   const close = (): void => {
@@ -35,7 +35,7 @@
   socket.on("error", close);
   socket.on("close", close);
   return {
-    member,
+    remoteAddress: member,
     incoming,
     send(frame) {
       if (closed || socket.writableLength > Constants.frameLimitBytes) return false;
@@ -61,16 +61,16 @@
   make(name: string, scope: Scope, log: Environment["log"]): Environment {
     const timers = new Set<NodeJS.Timeout>();
     const servers: HttpServer[] = [];
-    scope.whenStopped(() => timers.forEach((handle) => clearTimeout(handle)));
+    scope.onStop(() => timers.forEach((handle) => clearTimeout(handle)));
     return {
       name,
       scope,
       disk: new DurableDisk(NodeDisk.steps(name)),
-      wall: () => Date.now(),
-      mono: () => performance.now(),
+      wallClockMs: () => Date.now(),
+      monotonicMs: () => performance.now(),
       random: () => NodeLibs.crypto().randomBytes(6).readUIntBE(0, 6) / 2 ** 48,
       timer(ms) {
-        const chan = Csp.alarm();
+        const chan = Csp.closeSignal();
         const handle = setTimeout(
           () => {
             timers.delete(handle);
@@ -90,18 +90,18 @@
         const server = NodeLibs.net().createServer((socket) => {
           if (!Csp.offer(links, linkOf(socket, `${socket.remoteAddress}:${socket.remotePort}`))) socket.destroy();
         });
-        const { host, port } = addressParts(address);
-        const failed = yield* wait<Error | undefined>((done) => {
+        const { host, port } = parseAddress(address);
+        const failed = yield* awaitCallback<Error | undefined>((done) => {
           server.once("error", done);
           server.listen(port, host, () => done(undefined));
         });
         if (failed) return Fault.fail("internal", "listen", address, failed.message);
-        scope.whenStopped(() => server.close());
+        scope.onStop(() => server.close());
         return Fault.ok(links);
       },
       *connect(address, timeoutMs) {
-        return yield* wait<Result<Link>>((done) => {
-          const socket = NodeLibs.net().connect(addressParts(address));
+        return yield* awaitCallback<Result<Link>>((done) => {
+          const socket = NodeLibs.net().connect(parseAddress(address));
           const timer = setTimeout(() => {
             socket.destroy();
             done(Fault.fail("refused", "connect", address, "no connection in time"));
@@ -117,25 +117,25 @@
           });
         });
       },
-      *datagrams(address) {
-        const { host, port } = addressParts(address);
+      *bindDatagrams(address) {
+        const { host, port } = parseAddress(address);
         const socket = NodeLibs.dgram().createSocket("udp4");
         const incoming = Csp.chan<{ from: string; data: Buffer }>(512);
         socket.on(
           "message",
           (data, sender) => void Csp.offer(incoming, { from: `${sender.address}:${sender.port}`, data }),
         );
-        const failed = yield* wait<Error | undefined>((done) => {
+        const failed = yield* awaitCallback<Error | undefined>((done) => {
           socket.once("error", done);
           socket.bind(port, host, () => done(undefined));
         });
         if (failed) return Fault.fail("internal", "bind", address, failed.message);
         socket.on("error", (error) => log(1004, { task: "datagrams", error: error.message }));
-        scope.whenStopped(() => socket.close());
+        scope.onStop(() => socket.close());
         const out: DatagramSocket = {
           incoming,
           send: (to, data) => {
-            const target = addressParts(to);
+            const target = parseAddress(to);
             socket.send(data, target.port, target.host, () => undefined);
           },
         };
@@ -147,8 +147,8 @@
         return yield* server.listen(address);
       },
       stopServing: () => servers.forEach((server) => server.stopServing()),
-      http: HttpClient.request,
-      point: () => undefined,
+      httpRequest: HttpClient.request,
+      faultPoint: () => undefined,
       log,
     };
   },
--- a/src/shard/messages/repairMessages.ts
+++ b/src/shard/messages/repairMessages.ts
@@ -1,5 +1,5 @@
 /** Messages of anti-entropy repair between the replicas of a shard. */
-import { isCount, isObject, isShardIndex, isText } from "../../rpc/bodyChecks";
+import { isNonNegativeInteger, isJsonObject, isShardIndex, isString } from "../../rpc/bodyChecks";
 import type { BatchJob } from "../state/batchJob";
 import type { LiveRequest } from "../state/liveRequest";
 
@@ -51,15 +51,15 @@
 }
 
 export const isDigestRequest = (body: unknown): body is DigestRequest =>
-  isObject(body) && isShardIndex(body.shard) && isCount(body.seq);
+  isJsonObject(body) && isShardIndex(body.shard) && isNonNegativeInteger(body.seq);
 
 export const isRepairRequest = (body: unknown): body is RepairRequest =>
-  isObject(body) &&
+  isJsonObject(body) &&
   isShardIndex(body.shard) &&
-  isCount(body.epoch) &&
-  isCount(body.seq) &&
+  isNonNegativeInteger(body.epoch) &&
+  isNonNegativeInteger(body.seq) &&
   Array.isArray(body.works) &&
   Array.isArray(body.lots);
 
 export const isRepairSegmentsRequest = (body: unknown): body is RepairSegmentsRequest =>
-  isObject(body) && isShardIndex(body.shard) && isText(body.from);
+  isJsonObject(body) && isShardIndex(body.shard) && isString(body.from);
--- a/src/shard/messages/replicationMessages.ts
+++ b/src/shard/messages/replicationMessages.ts
@@ -1,14 +1,14 @@
 /** Messages by which the leader of a shard replicates its log. */
 import type { ShardView } from "../../controlState/shardView";
 import {
-  isCount,
+  isNonNegativeInteger,
   isInteger,
-  isListOf,
-  isNumber,
-  isObject,
+  isArrayOf,
+  isFiniteNumber,
+  isJsonObject,
   isOptional,
   isShardIndex,
-  isText,
+  isString,
 } from "../../rpc/bodyChecks";
 import type { ShardLogEntry } from "../replica/shardLog";
 
@@ -65,35 +65,35 @@
 }
 
 const isLogEntry = (value: unknown): value is ShardLogEntry =>
-  isObject(value) &&
-  isCount(value.seq) &&
-  isCount(value.epoch) &&
-  isNumber(value.frontier) &&
+  isJsonObject(value) &&
+  isNonNegativeInteger(value.seq) &&
+  isNonNegativeInteger(value.epoch) &&
+  isFiniteNumber(value.frontier) &&
   Array.isArray(value.puts);
 
 /** Whether a value is a shard's view. */
 export const isView = (value: unknown): value is ShardView =>
-  isObject(value) &&
+  isJsonObject(value) &&
   isShardIndex(value.shard) &&
-  isCount(value.epoch) &&
-  isListOf(value.members, isText) &&
-  isText(value.lead);
+  isNonNegativeInteger(value.epoch) &&
+  isArrayOf(value.members, isString) &&
+  isString(value.lead);
 
 export const isReplicateRequest = (body: unknown): body is ReplicateRequest =>
-  isObject(body) &&
+  isJsonObject(body) &&
   isShardIndex(body.shard) &&
-  isCount(body.epoch) &&
+  isNonNegativeInteger(body.epoch) &&
   isView(body.view) &&
-  isCount(body.prevSeq) &&
+  isNonNegativeInteger(body.prevSeq) &&
   isInteger(body.prevEpoch) &&
-  isListOf(body.entries, isLogEntry) &&
-  isNumber(body.frontier) &&
-  isCount(body.stable);
+  isArrayOf(body.entries, isLogEntry) &&
+  isFiniteNumber(body.frontier) &&
+  isNonNegativeInteger(body.stable);
 
 export const isCatchUpRequest = (body: unknown): body is CatchUpRequest =>
-  isObject(body) &&
+  isJsonObject(body) &&
   isShardIndex(body.shard) &&
-  isCount(body.epoch) &&
-  isCount(body.prevSeq) &&
+  isNonNegativeInteger(body.epoch) &&
+  isNonNegativeInteger(body.prevSeq) &&
   isOptional(body.prevEpoch, isInteger) &&
-  isListOf(body.entries, isLogEntry);
+  isArrayOf(body.entries, isLogEntry);
--- a/src/shard/messages/stateTransferMessages.ts
+++ b/src/shard/messages/stateTransferMessages.ts
@@ -1,5 +1,12 @@
 /** Messages by which a replica copies a shard from another one. */
-import { isCount, isInteger, isObject, isOptional, isShardIndex, isText } from "../../rpc/bodyChecks";
+import {
+  isNonNegativeInteger,
+  isInteger,
+  isJsonObject,
+  isOptional,
+  isShardIndex,
+  isString,
+} from "../../rpc/bodyChecks";
 import type { ReplicaSnapshot } from "../replica/replicaSnapshot";
 import { SEGMENT_KINDS, SegmentChecksum, SegmentCounts, SegmentKind, SegmentPart } from "../segments/segmentTypes";
 
@@ -72,20 +79,21 @@
 const isSegmentPart = (value: unknown): value is SegmentPart => value === "seg" || value === "idx";
 
 export const isCanExtendRequest = (body: unknown): body is CanExtendRequest =>
-  isObject(body) &&
+  isJsonObject(body) &&
   isShardIndex(body.shard) &&
   isOptional(body.seq, isInteger) &&
   isOptional(body.lastEpoch, isInteger);
 
-export const isSegmentsRequest = (body: unknown): body is SegmentsRequest => isObject(body) && isShardIndex(body.shard);
+export const isSegmentsRequest = (body: unknown): body is SegmentsRequest =>
+  isJsonObject(body) && isShardIndex(body.shard);
 
 export const isSegmentChunkRequest = (body: unknown): body is SegmentChunkRequest =>
-  isObject(body) &&
+  isJsonObject(body) &&
   isShardIndex(body.shard) &&
   isSegmentKind(body.kind) &&
-  isCount(body.number) &&
+  isNonNegativeInteger(body.number) &&
   isSegmentPart(body.part) &&
-  isCount(body.from);
+  isNonNegativeInteger(body.from);
 
 export const isOpenStateRequest = (body: unknown): body is OpenStateRequest =>
-  isObject(body) && isShardIndex(body.shard) && isText(body.member);
+  isJsonObject(body) && isShardIndex(body.shard) && isString(body.member);
--- a/src/shard/messages/viewChangeMessages.ts
+++ b/src/shard/messages/viewChangeMessages.ts
@@ -1,6 +1,13 @@
 /** Messages that control, which decides on views, sends to the replicas of shards, and what these report. */
 import type { ShardView } from "../../controlState/shardView";
-import { isCount, isListOf, isNumber, isObject, isShardIndex, isText } from "../../rpc/bodyChecks";
+import {
+  isNonNegativeInteger,
+  isArrayOf,
+  isFiniteNumber,
+  isJsonObject,
+  isShardIndex,
+  isString,
+} from "../../rpc/bodyChecks";
 import { isView } from "./replicationMessages";
 
 /** "lead": serves as leader; "starting": leader of its view, waits for leases; "out": not in the view, or disk failed. */
@@ -103,16 +110,19 @@
 }
 
 const isTarget = (value: unknown): value is LogSyncRequest["targets"][number] =>
-  isObject(value) && isText(value.id) && isText(value.address);
+  isJsonObject(value) && isString(value.id) && isString(value.address);
 
 export const isSealRequest = (body: unknown): body is SealRequest =>
-  isObject(body) && isShardIndex(body.shard) && isCount(body.epoch);
+  isJsonObject(body) && isShardIndex(body.shard) && isNonNegativeInteger(body.epoch);
 
 export const isLogSyncRequest = (body: unknown): body is LogSyncRequest =>
-  isObject(body) && isShardIndex(body.shard) && isCount(body.epoch) && isListOf(body.targets, isTarget);
+  isJsonObject(body) &&
+  isShardIndex(body.shard) &&
+  isNonNegativeInteger(body.epoch) &&
+  isArrayOf(body.targets, isTarget);
 
 export const isInstallRequest = (body: unknown): body is InstallRequest =>
-  isObject(body) && isShardIndex(body.shard) && isView(body.view) && isNumber(body.waitMs);
+  isJsonObject(body) && isShardIndex(body.shard) && isView(body.view) && isFiniteNumber(body.waitMs);
 
 export const isStateTransferRequest = (body: unknown): body is StateTransferRequest =>
-  isObject(body) && isShardIndex(body.shard) && isText(body.from);
+  isJsonObject(body) && isShardIndex(body.shard) && isString(body.from);
--- a/src/shard/replica/follower.ts
+++ b/src/shard/replica/follower.ts
@@ -41,7 +41,7 @@
     if (mismatch) return Fault.ok(mismatch);
     const newEntries = request.entries.filter((entry) => entry.seq > state.log.lastSeq);
     for (const entry of newEntries) records.push({ tag: "entry", entry });
-    env.point(41);
+    env.faultPoint(41);
     if (records.length > 0) {
       const written = yield* this.storage.write(records);
       if (!written.ok) return Fault.ok({ tag: "broken" });
@@ -53,9 +53,9 @@
     state.applyLog();
     if (state.appliedSeq >= request.stable && state.log.epochAt(request.stable) !== undefined)
       state.advanceFrontier(request.frontier);
-    state.grantedLeaseEnd = env.mono() + Constants.shardLeaseMs;
+    state.grantedLeaseEnd = env.monotonicMs() + Constants.shardLeaseMs;
     yield* this.storage.compactIfLong();
-    env.point(42);
+    env.faultPoint(42);
     return Fault.ok({ tag: "ok", seq: state.log.lastSeq, lowDisk: state.isDiskLow });
   }
   private mismatchOf(request: ReplicateRequest): ReplicateResponse | undefined {
--- a/src/shard/replica/leader.ts
+++ b/src/shard/replica/leader.ts
@@ -24,10 +24,10 @@
     const { env, hooks, shard } = state.context;
     leadership.reset();
     yield* this.acquireLeases(epoch);
-    while (env.mono() < leadership.mayStartAt && leadership.isLeaderOf(epoch))
-      yield* EnvironmentTools.takeWithin(env, leadership.wake, leadership.mayStartAt - env.mono());
+    while (env.monotonicMs() < leadership.mayStartAt && leadership.isLeaderOf(epoch))
+      yield* EnvironmentTools.takeWithin(env, leadership.wake, leadership.mayStartAt - env.monotonicMs());
     if (!leadership.isLeaderOf(epoch)) return;
-    env.point(44);
+    env.faultPoint(44);
     state.applyLog();
     this.stablePrefix.startLeading();
     state.viewChangeReason = "";
@@ -59,11 +59,12 @@
       this.stablePrefix.advance();
       if (leadership.needsViewChange()) hooks.viewChangeNeeded();
       // Entries renew the lease as well: only members that got none lately are sent a renewal.
-      const dueBefore = env.mono() + Constants.shardLeaseMs - Constants.shardLeaseMarginMs - Constants.leaseRenewMs / 2;
+      const dueBefore =
+        env.monotonicMs() + Constants.shardLeaseMs - Constants.shardLeaseMarginMs - Constants.leaseRenewMs / 2;
       for (const id of state.otherMembers().filter((other) => leadership.leaseEnd(other) < dueBefore))
         Csp.go(env.scope, "renew", function* () {
           const outcome = yield* sender.renewLease(id, epoch, state.appliedSeq);
-          if (outcome === "behind") leadership.memberFailed(id, env.mono());
+          if (outcome === "behind") leadership.memberFailed(id, env.monotonicMs());
         });
       yield* EnvironmentTools.sleep(env, Constants.leaseRenewMs);
     }
--- a/src/shard/replica/leadership.ts
+++ b/src/shard/replica/leadership.ts
@@ -26,7 +26,7 @@
 
   /** Whether this replica leads right now. @example if (!leadership.holdsLease()) return notLead; */
   holdsLease(): boolean {
-    const now = this.state.context.env.mono();
+    const now = this.state.context.env.monotonicMs();
     return this.state.role === "lead" && this.state.otherMembers().every((id) => this.leaseEnd(id) > now);
   }
   /** Until when a member's lease counts, monotonic ms; 0 for none. @example leadership.leaseEnd("node-2") */
@@ -89,7 +89,7 @@
   }
   /** Members that have not synced for too long. @example leadership.silentMembers() */
   silentMembers(): string[] {
-    const now = this.state.context.env.mono();
+    const now = this.state.context.env.monotonicMs();
     return [...this.failingSince].filter(([, since]) => now - since > Constants.memberSilentMs).map(([id]) => id);
   }
   /** Whether the disk of any member is nearly full. @example if (leadership.isAnyDiskLow()) return busy; */
@@ -99,7 +99,7 @@
 
   /** Since when the leader was not heard by this member, ms. @example leadership.leaderSilenceMs() */
   leaderSilenceMs(): number {
-    return this.state.context.env.mono() - (this.state.grantedLeaseEnd - Constants.shardLeaseMs);
+    return this.state.context.env.monotonicMs() - (this.state.grantedLeaseEnd - Constants.shardLeaseMs);
   }
   /** Whether a view change seems to be called for. @example if (leadership.needsViewChange()) hooks.viewChangeNeeded(); */
   needsViewChange(): boolean {
--- a/src/shard/replica/logReplication.ts
+++ b/src/shard/replica/logReplication.ts
@@ -48,7 +48,7 @@
     if (earlier) return Fault.ok(earlier.outcome);
     const refusal = this.refusalOf(put);
     if (refusal) return refusal;
-    const response = leadership.puts.add(put, env.mono());
+    const response = leadership.puts.add(put, env.monotonicMs());
     Csp.offer(leadership.wake, true);
     const outcome = yield* EnvironmentTools.takeWithin(env, response, withinMs);
     return outcome ?? Fault.fail("unknown", "put", selfId, "not on every copy in time");
@@ -98,20 +98,20 @@
       Csp.go(env.scope, `replicate to ${id}`, function* () {
         Csp.offer(acknowledgements, yield* sender.sendUntilSynced(id, request));
       });
-    env.point(45);
+    env.faultPoint(45);
     const written = yield* state.locked(() => this.appendOwn(epoch, entry));
     if (!written.ok) {
       leadership.stop("entry not written");
       return false;
     }
-    env.point(46);
+    env.faultPoint(46);
     for (let acknowledged = 0; acknowledged < members.length; acknowledged += 1) {
       const isSynced = yield* Csp.take(acknowledgements);
       if (!isSynced || !leadership.isLeaderOf(epoch)) return false;
     }
     if (!leadership.isLeaderOf(epoch)) return false;
     this.completeBatch(batch);
-    env.point(47);
+    env.faultPoint(47);
     return true;
   }
   private requestFor(entry: ShardLogEntry): ReplicateRequest {
@@ -126,7 +126,7 @@
       frontier: entry.frontier,
       stable: log.lastSeq,
     };
-    return EnvelopeCodec.shared(request);
+    return EnvelopeCodec.preEncode(request);
   }
   private *appendOwn(epoch: number, entry: ShardLogEntry): Task<Result<true>> {
     const { state } = this;
@@ -139,11 +139,11 @@
     const { state } = this;
     const { env, hooks, shard } = state.context;
     const outcomes = state.applyLog();
-    const now = env.wall();
+    const now = env.wallClockMs();
     const { bigDeltaMs, epsilonMs, deltaMs } = hooks.bounds();
     batch.forEach(({ put, response, queuedAt }, index) => {
       const tookMs = now - put.stamp.time;
-      hooks.putCompleted(env.mono() - queuedAt);
+      hooks.putCompleted(env.monotonicMs() - queuedAt);
       if (tookMs > bigDeltaMs + epsilonMs + deltaMs) {
         state.counts.overrunPuts += 1;
         env.log(1406, { shard, putId: put.putId, tookMs: Math.round(tookMs) });
--- a/src/shard/replica/memberSender.ts
+++ b/src/shard/replica/memberSender.ts
@@ -32,7 +32,7 @@
     const { env, rpc, shard, hooks } = state.context;
     const address = hooks.addressOf(id);
     if (!address || !state.view) return "failed";
-    const sentAt = env.mono();
+    const sentAt = env.monotonicMs();
     const request: ReplicateRequest = {
       shard,
       epoch,
@@ -57,7 +57,7 @@
     for (;;) {
       if (!this.leadership.isLeaderOf(epoch)) return false;
       const address = hooks.addressOf(id);
-      const sentAt = env.mono();
+      const sentAt = env.monotonicMs();
       const response = address
         ? yield* rpc.call(address, "shard.replicate", request, Constants.replicateTimeoutMs)
         : undefined;
--- a/src/shard/replica/replicaReads.ts
+++ b/src/shard/replica/replicaReads.ts
@@ -40,7 +40,7 @@
     const change = state.addReader();
     // At the leader the frontier moves with the time itself: it passes the next put that isn't stable yet by then.
     const nextTime = Math.min(...state.data.unstablePuts.map((put) => put.stamp.time));
-    const dueMs = state.role === "lead" ? nextTime + Stamp.delay(hooks.bounds()) - env.wall() + 1 : Infinity;
+    const dueMs = state.role === "lead" ? nextTime + Stamp.delay(hooks.bounds()) - env.wallClockMs() + 1 : Infinity;
     yield* EnvironmentTools.takeWithin(env, change, Math.min(ms, dueMs > 0 ? dueMs : Constants.statusPeriodMs));
     state.removeReader(change);
   }
--- a/src/shard/replica/replicaState.ts
+++ b/src/shard/replica/replicaState.ts
@@ -105,7 +105,7 @@
     this.segments = new SegmentStore(env, folder);
     this.data = ShardData.empty(this.segments);
     this.segments.trimmedCounts = this.data.trimmedCounts;
-    this.grantedLeaseEnd = env.mono() + Constants.shardLeaseMs;
+    this.grantedLeaseEnd = env.monotonicMs() + Constants.shardLeaseMs;
     Csp.offer(this.lock, true);
   }
 
--- a/src/shard/replica/replicaStorage.ts
+++ b/src/shard/replica/replicaStorage.ts
@@ -22,7 +22,7 @@
     private readonly leadership: Leadership,
   ) {
     const { env, shard } = state.context;
-    EnvironmentTools.keep(env, env.scope, `segments of shard ${shard}`, () => this.segmentLoop());
+    EnvironmentTools.runSupervised(env, env.scope, `segments of shard ${shard}`, () => this.segmentLoop());
   }
 
   /** Whether the disk failed, and has not been read and written anew since. */
--- a/src/shard/replica/sealedLogSync.ts
+++ b/src/shard/replica/sealedLogSync.ts
@@ -26,10 +26,10 @@
     const fault = this.faultFor(epoch);
     if (fault) return fault;
     const targetIds = targets.map(({ id }) => id);
-    env.point(50, { shard, joiners: targetIds.filter((id) => !state.view?.members.includes(id)) });
+    env.faultPoint(50, { shard, joiners: targetIds.filter((id) => !state.view?.members.includes(id)) });
     const syncedIds = [selfId];
     const done = Csp.chan<true>(MEMBERS_MAX);
-    const deadline = env.mono() + Constants.logSyncTimeoutMs;
+    const deadline = env.monotonicMs() + Constants.logSyncTimeoutMs;
     const sync = this;
     for (const { id, address } of targets)
       Csp.go(env.scope, `level ${id}`, function* () {
@@ -51,7 +51,7 @@
     const { log, context } = this.state;
     const { env, rpc, shard } = context;
     let from = log.lastSeq;
-    while (env.mono() < deadline && !this.faultFor(epoch)) {
+    while (env.monotonicMs() < deadline && !this.faultFor(epoch)) {
       const request: CatchUpRequest = {
         shard,
         epoch,
@@ -59,7 +59,7 @@
         prevEpoch: log.epochAt(from),
         entries: log.entriesAfter(from, Constants.catchUpEntriesMax),
       };
-      const timeoutMs = Math.min(Constants.sealTimeoutMs, deadline - env.mono());
+      const timeoutMs = Math.min(Constants.sealTimeoutMs, deadline - env.monotonicMs());
       const response = yield* rpc.call(address, "shard.catchUp", request, timeoutMs);
       if (!response.ok) {
         if (response.fault.tag !== "timeout" && response.fault.tag !== "broken") return false;
@@ -99,7 +99,7 @@
     this.leadership.stop("sealed", true);
     log.append(entries);
     state.applyLog();
-    env.point(49, { shard, joiners: state.isMember ? [] : [selfId] });
+    env.faultPoint(49, { shard, joiners: state.isMember ? [] : [selfId] });
     return Fault.ok({ tag: "ok", seq: log.lastSeq, lastEpoch: log.lastEpoch });
   }
 }
--- a/src/shard/replica/segmentTransfer.ts
+++ b/src/shard/replica/segmentTransfer.ts
@@ -54,7 +54,7 @@
       state.counts.transferredBytes += bytes.length;
       yield* EnvironmentTools.sleep(env, (bytes.length * 1000) / Constants.segmentBytesPerSecond);
     }
-    env.point(17);
+    env.faultPoint(17);
     return yield* state.segments.files.writeReceived(kind, number, part, Buffer.concat(chunks));
   }
 }
--- a/src/shard/replica/stablePrefix.ts
+++ b/src/shard/replica/stablePrefix.ts
@@ -25,13 +25,13 @@
    */
   startLeading(): void {
     const { env, hooks } = this.state.context;
-    this.published = Math.max(this.state.data.frontier, env.wall() + hooks.bounds().deltaMs);
+    this.published = Math.max(this.state.data.frontier, env.wallClockMs() + hooks.bounds().deltaMs);
   }
   /** At the leader: advances to Δ + 2δ + ε into the past, held back by puts under way. @example stablePrefix.advance(); */
   advance(): void {
     const { env, hooks } = this.state.context;
     if (this.state.role !== "lead" || !hooks.isClockTrusted()) return;
-    let candidate = env.wall() - Stamp.delay(hooks.bounds());
+    let candidate = env.wallClockMs() - Stamp.delay(hooks.bounds());
     for (const time of this.leadership.puts.stampTimes()) candidate = Math.min(candidate, time - PUT_MARGIN_MS);
     if (candidate > this.published) this.published = candidate;
     this.state.advanceFrontier(this.published);
--- a/src/shard/replica/stateTransfer.ts
+++ b/src/shard/replica/stateTransfer.ts
@@ -111,7 +111,7 @@
     const { state } = this;
     const { env, selfId, shard } = state.context;
     if (!this.leadership.holdsLease() || !state.view) return Fault.fail("notLead", "fill", selfId, "");
-    env.point(48, { shard, joiners: [member] });
+    env.faultPoint(48, { shard, joiners: [member] });
     return Fault.ok({ epoch: state.view.epoch, saved: this.storage.snapshot() });
   }
 }
--- a/src/shard/replica/viewChange.ts
+++ b/src/shard/replica/viewChange.ts
@@ -39,19 +39,19 @@
     state.sealedEpochOfProcess = epoch;
     this.leadership.stop("sealed", true);
     state.applyLog();
-    env.point(43);
+    env.faultPoint(43);
     return Fault.ok({
       tag: "sealed",
       seq: state.log.lastSeq,
       lastEpoch: state.log.lastEpoch,
       tailFrom: state.log.firstSeq,
-      grantLeftMs: Math.max(0, state.grantedLeaseEnd - env.mono()),
+      grantLeftMs: Math.max(0, state.grantedLeaseEnd - env.monotonicMs()),
     });
   }
 
   /** Handles "shard.install": the leader among the view's members starts. @example yield* viewChange.onInstall({ shard, view, waitMs: 0 }) */
   *onInstall({ view, waitMs }: InstallRequest): Task<Result<true>> {
-    const mayStartAt = this.state.context.env.mono() + waitMs;
+    const mayStartAt = this.state.context.env.monotonicMs() + waitMs;
     const installed = yield* this.state.locked(() => this.install(view));
     if (installed.ok && this.state.view?.epoch === view.epoch) this.startLeader(view, mayStartAt);
     return installed;
--- a/src/shard/segments/segmentStore.ts
+++ b/src/shard/segments/segmentStore.ts
@@ -117,11 +117,11 @@
       const written = yield* this.files.write(kind, number, "seg", body);
       if (!written.ok) return written;
     }
-    this.env.point(15);
+    this.env.faultPoint(15);
     const index = SegmentFormat.encodeIndex(SegmentFormat.indexOf(segment, body));
     const indexed = yield* this.files.write(kind, number, "idx", index);
     if (!indexed.ok) return indexed;
-    this.env.point(16);
+    this.env.faultPoint(16);
     this.pending.delete(this.files.name(kind, number, "seg"));
     return Fault.ok(true as const);
   }
--- a/src/simulation/simDiskSteps.ts
+++ b/src/simulation/simDiskSteps.ts
@@ -105,7 +105,7 @@
       if (place?.folder.names.has(place.name)) place.folder.change({ tag: "removed", name: place.name });
       return Fault.ok(true as const);
     },
-    *free() {
+    *freeBytes() {
       return Fault.ok(disk.full ? 0 : UNLIMITED_BYTES);
     },
     /** Each simulated process has its own disk; the file stands for what a lock leaves behind. */
--- a/src/simulation/simEnvironment.ts
+++ b/src/simulation/simEnvironment.ts
@@ -58,15 +58,15 @@
       name: process.name,
       scope: process.scope,
       disk: process.disk.of(process),
-      wall: () => WALL_CLOCK_START_MS + host.now + process.skewMs,
-      mono: () => MONOTONIC_START_MS + host.now,
+      wallClockMs: () => WALL_CLOCK_START_MS + host.now + process.skewMs,
+      monotonicMs: () => MONOTONIC_START_MS + host.now,
       random: () => host.random(),
       timer: (ms) => this.timer(process, ms),
       *listen(address) {
         return environments.listen(process, address);
       },
       connect: (address, timeoutMs) => this.connect(process, address, timeoutMs),
-      *datagrams(address) {
+      *bindDatagrams(address) {
         return Fault.ok(environments.bind(process, address));
       },
       *serveHttp(address, handler) {
@@ -75,14 +75,14 @@
           : Fault.fail("internal", "serve http", address, "address in use");
       },
       stopServing: () => host.http.stopServing(process),
-      http: (address, out) => host.http.request(process, address, out),
-      point: (number, context) => host.reachPoint(process, number, context),
+      httpRequest: (address, out) => host.http.request(process, address, out),
+      faultPoint: (number, context) => host.reachPoint(process, number, context),
       log: (event, fields) => this.log(process, event, fields),
     };
   }
 
   private timer(process: SimProcess, ms: number): Timer {
-    const chan = Csp.alarm();
+    const chan = Csp.closeSignal();
     let cancelled = false;
     this.host.at(ms, () => {
       if (!cancelled) process.deliver(() => chan.close());
--- a/src/simulation/simHttp.ts
+++ b/src/simulation/simHttp.ts
@@ -82,7 +82,7 @@
       breakServer: () =>
         http.network.send(client, server, () => {
           this.gone.close();
-          this.incoming.onGone?.();
+          this.incoming.onDisconnect?.();
           http.exchanges.delete(this.open);
         }),
     };
@@ -98,8 +98,8 @@
       status,
       headers,
       chunks: this.chunks,
-      broken: () => !this.complete,
-      finish: () => undefined,
+      isIncomplete: () => !this.complete,
+      discardBody: () => undefined,
       abort: () => {
         this.request.state = "closed";
         this.chunks.close();
@@ -128,8 +128,8 @@
       target: out.path,
       query: url.searchParams,
       headers: out.headers ?? {},
-      caller: client.name,
-      gone: this.gone,
+      callerAddress: client.name,
+      disconnected: this.gone,
       *body(limit) {
         const data = typeof out.body === "string" ? Buffer.from(out.body, "utf8") : (out.body ?? Buffer.alloc(0));
         return data.length > limit
@@ -141,7 +141,7 @@
         this.sendChunk(body);
         this.sendEnd();
       },
-      open: (status, headers) => void this.sendHead(status, headers),
+      startStream: (status, headers) => void this.sendHead(status, headers),
       write: (chunk) => this.sendChunk(chunk),
       end: () => this.sendEnd(),
       abort: () => this.toClient(() => this.open.breakClient()),
--- a/src/simulation/simNetwork.ts
+++ b/src/simulation/simNetwork.ts
@@ -120,7 +120,7 @@
     };
     this.linkPairs.add(pair);
     const linkEnd = (member: string, incoming: Chan<Buffer>, send: PipeSend, outgoing: Chan<Buffer>): Link => ({
-      member,
+      remoteAddress: member,
       incoming,
       send: (frame) => {
         if (incoming.isClosed()) return false;
--- a/src/simulation/simOperator.ts
+++ b/src/simulation/simOperator.ts
@@ -96,7 +96,7 @@
   *request(request: OperatorRequest): Task<NodeResponse | undefined> {
     const { env } = this.process;
     const { method, path, body, headers = {}, address, timeoutMs } = request;
-    const response = yield* env.http(address, {
+    const response = yield* env.httpRequest(address, {
       method,
       path,
       body: body === undefined ? undefined : JSON.stringify(body),
@@ -104,7 +104,7 @@
       timeoutMs,
     });
     if (!response.ok) return undefined;
-    const text = yield* EnvironmentTools.bodyOf(env, response.value, RESPONSE_LIMIT_BYTES, timeoutMs);
+    const text = yield* EnvironmentTools.readBodyText(env, response.value, RESPONSE_LIMIT_BYTES, timeoutMs);
     if (text === undefined) return undefined;
     return { status: response.value.status, headers: response.value.headers, body: parseBody(text) };
   }
--- a/src/storage/abandonedClaims.ts
+++ b/src/storage/abandonedClaims.ts
@@ -63,7 +63,7 @@
   ) {}
 
   start(): void {
-    EnvironmentTools.keep(this.env, this.env.scope, "orphans", () => this.recoveryLoop());
+    EnvironmentTools.runSupervised(this.env, this.env.scope, "orphans", () => this.recoveryLoop());
   }
 
   /** Recovers, in tasks of their own, all claims of a shard that their owners have abandoned. */
@@ -100,13 +100,14 @@
   /** Polls an owner until it executes none of the claims any more, and recovers each that it doesn't. */
   private *recoverFrom(owner: string, replica: ShardReplica, epoch: number, claims: Claim[]): Task<void> {
     let remaining = claims;
-    let respondedAt = this.env.mono();
+    let respondedAt = this.env.monotonicMs();
     while (remaining.length > 0 && replica.holdsLease() && replica.view?.epoch === epoch) {
       const names = remaining.map(({ name }) => name);
       const poll = yield* this.pollOwner(owner, names);
       let executed = new Set<string>(poll.running);
-      if (poll.running !== undefined) respondedAt = this.env.mono();
-      else if (poll.isReachable && this.env.mono() - respondedAt < OWNER_SILENCE_MAX_MS) executed = new Set(names);
+      if (poll.running !== undefined) respondedAt = this.env.monotonicMs();
+      else if (poll.isReachable && this.env.monotonicMs() - respondedAt < OWNER_SILENCE_MAX_MS)
+        executed = new Set(names);
       for (const claim of remaining) {
         if (executed.has(claim.name) || this.running.has(claim.name)) continue;
         if (claim.kind === "request") yield* this.recoverRequest(replica, claim.id);
@@ -137,7 +138,7 @@
     }
     const route = this.node.snapshot().control?.manifest.doc.bindings[request.binding];
     const canContinue = request.pieces.length === 0 || request.exact;
-    if (!route || request.deadlineAt < this.env.wall() || !canContinue) {
+    if (!route || request.deadlineAt < this.env.wallClockMs() || !canContinue) {
       const hasNotRun = request.state === "accepted" && request.pieces.length === 0;
       yield* this.closeRequest(replica, request, hasNotRun ? "refused" : "failed", OWNER_LOST);
       return;
@@ -168,7 +169,7 @@
       caller: "",
       body: spec.body,
       attempt: request.round,
-      claimedAt: this.env.mono(),
+      claimedAt: this.env.monotonicMs(),
       chunks: request.pieces.map((chunk) => chunk.data),
     };
     Csp.go(this.env.scope, `run ${id}`, () => this.execution.run(executing, undefined));
--- a/src/storage/batchJobs/batchJobReads.ts
+++ b/src/storage/batchJobs/batchJobReads.ts
@@ -35,23 +35,23 @@
 
   /** Results from a position on, as soon as there is one, all are there or the time is up. */
   *list(replica: ShardReplica, { id, from, waitMs, anyAge }: ListJobRequest): Task<Result<JobResultPage>> {
-    const until = this.env.mono() + Math.min(waitMs, Constants.readWaitMs);
+    const until = this.env.monotonicMs() + Math.min(waitMs, Constants.readWaitMs);
     for (;;) {
       if (!isInView(this.node, replica)) return notInViewFault(this.node, "list");
-      const oldest = this.env.wall() - Stamp.delay(this.node.clockBounds()) - Constants.jobListLagMs;
+      const oldest = this.env.wallClockMs() - Stamp.delay(this.node.clockBounds()) - Constants.jobListLagMs;
       if (replica.frontier() < oldest && !replica.holdsLease() && !anyAge)
         return Fault.fail("notLead", "list", this.node.self.id, "our frontier lags");
       const found = yield* replica.job(id);
       if (!found.ok) return found;
       const job = found.value;
-      const isTimeUp = this.env.mono() >= until;
+      const isTimeUp = this.env.monotonicMs() >= until;
       if (job) {
         if (job.positions.length > from || areAllStable(job) || isTimeUp) return Fault.ok(pageOf(job, from));
       } else if (replica.holdsLease() && !this.submissions.isLocked(id))
         return Fault.fail("notFound", "list", this.node.self.id, `no lot ${id}`);
       else if (isTimeUp || !replica.holdsLease())
         return Fault.fail("notLead", "list", this.node.self.id, "not known here");
-      yield* replica.waitForChange(until - this.env.mono());
+      yield* replica.waitForChange(until - this.env.monotonicMs());
     }
   }
 
@@ -73,20 +73,20 @@
   /** Results with their positions and stamps, of jobs of either kind. */
   *results(replica: ShardReplica, body: JobResultsRequest): Task<Result<JobResultsResponse>> {
     if (!isInView(this.node, replica)) return notInViewFault(this.node, "read");
-    const until = this.env.mono() + Math.min(body.waitMs, Constants.readWaitMs);
+    const until = this.env.monotonicMs() + Math.min(body.waitMs, Constants.readWaitMs);
     for (;;) {
       const frontier = replica.frontier();
       const found = yield* replica.job(body.id);
       if (!found.ok) return found;
       const job = found.value;
-      const isTimeUp = this.env.mono() >= until;
+      const isTimeUp = this.env.monotonicMs() >= until;
       if (job) {
         const response = resultsOf(job, body, frontier);
         if (response.results.length > 0 || areAllStable(job) || isTimeUp) return Fault.ok(response);
       } else if (replica.holdsLease())
         return Fault.fail("notFound", "lot results", this.node.self.id, `no lot ${body.id}`);
       else if (isTimeUp) return Fault.fail("notLead", "lot results", this.node.self.id, "not here yet");
-      yield* replica.waitForChange(until - this.env.mono());
+      yield* replica.waitForChange(until - this.env.monotonicMs());
     }
   }
 }
--- a/src/storage/batchJobs/batchJobs.ts
+++ b/src/storage/batchJobs/batchJobs.ts
@@ -46,7 +46,7 @@
       this.openJobs.add(replica, id);
       return Fault.ok(existing);
     }
-    if (!Stamp.admits(body.stamp.time, this.env.wall(), this.node.clockBounds()))
+    if (!Stamp.admits(body.stamp.time, this.env.wallClockMs(), this.node.clockBounds()))
       return Fault.fail("late", "hand in", this.node.self.id, "stamp outside the bounds");
     if (replica.view!.members.length < Constants.minReplicasForJobs) return this.busy("too few copies");
     this.submissions.acquire(id);
--- a/src/storage/batchJobs/itemExecution.ts
+++ b/src/storage/batchJobs/itemExecution.ts
@@ -49,7 +49,7 @@
   *attempt(open: OpenJob, job: BatchJob, item: number, endpoint: Endpoint): Task<ItemAttemptOutcome> {
     const after = open.progress.get(item)?.lastEventId ?? 0;
     const request = this.requestFor(job, item, after);
-    this.env.point(57);
+    this.env.faultPoint(57);
     const opened = yield* DirectHttp.open(this.env, this.names, endpoint, request, Constants.itemResponseHeadMs);
     if (!opened.ok) {
       const { tag, step, detail } = opened.fault;
@@ -64,14 +64,14 @@
     if (after > 0) this.counters.resumed += 1;
     open.running.set(item, opened.value.response);
     const outcome = yield* this.readResponse(open, item, endpoint, opened.value);
-    this.env.point(58);
+    this.env.faultPoint(58);
     this.endpointSelector.requestEnded(endpoint, outcome.tag !== "interrupted" || !this.openJobs.mayContinue(open));
     return this.openJobs.mayContinue(open) || outcome.tag === "done" ? outcome : { tag: "cancelled" };
   }
 
   private requestFor(job: BatchJob, item: number, after: number): Parameters<typeof DirectHttp.open>[3] {
     const { id, target, headers } = job.requests![item];
-    const remainingMs = Math.max(REMAINING_MIN_MS, giveUpAt(job, job.kept) - this.env.wall());
+    const remainingMs = Math.max(REMAINING_MIN_MS, giveUpAt(job, job.kept) - this.env.wallClockMs());
     return {
       method: "POST",
       target,
@@ -92,7 +92,7 @@
   ): Task<ItemAttemptOutcome> {
     const { status, headers, response } = opened;
     if (status < 200 || status >= 300) {
-      response.finish();
+      response.discardBody();
       return failureFor(status, `replica ${endpoint.id} replied ${status}`);
     }
     if (this.names.endpointSignature !== "" && headers[this.names.endpointSignature] === undefined) {
--- a/src/storage/batchJobs/itemResults.ts
+++ b/src/storage/batchJobs/itemResults.ts
@@ -70,7 +70,7 @@
       this.pendingByShard.delete(shard);
       if (batch.length === 0) return;
       this.batchNumber += 1;
-      const putId = `results-${this.node.self.id}-${this.batchNumber}-${Math.floor(this.env.wall())}`;
+      const putId = `results-${this.node.self.id}-${this.batchNumber}-${Math.floor(this.env.wallClockMs())}`;
       const put = yield* this.writer.put(shard, putId, operationsOf(batch), {}, PUT_WITHIN_MS);
       for (const { open, outcome } of batch) {
         open.running.delete(outcome.item);
--- a/src/storage/batchJobs/itemScheduler.ts
+++ b/src/storage/batchJobs/itemScheduler.ts
@@ -57,22 +57,22 @@
   }
 
   start(): void {
-    EnvironmentTools.keep(this.env, this.env.scope, "items of lots", () => this.scheduleLoop());
+    EnvironmentTools.runSupervised(this.env, this.env.scope, "items of lots", () => this.scheduleLoop());
   }
 
   /** Items that run now. */
   runningCount = (): number => this.endpointUsage.total();
 
   private *scheduleLoop(): Task<void> {
-    for (let searchedAt = this.env.mono(); ;) {
+    for (let searchedAt = this.env.monotonicMs(); ;) {
       const hasWaiting = this.openJobs.all().some((open) => open.ready.length + open.delayed.length > 0);
       yield* EnvironmentTools.takeWithin(
         this.env,
         this.openJobs.changed,
         hasWaiting ? Constants.jobSchedulingPeriodMs : IDLE_PASS_MS,
       );
-      if (this.env.mono() - searchedAt > Constants.abandonedClaimSearchMs) {
-        searchedAt = this.env.mono();
+      if (this.env.monotonicMs() - searchedAt > Constants.abandonedClaimSearchMs) {
+        searchedAt = this.env.monotonicMs();
         // a job may have been accepted by a put that took longer than its request waited
         for (const replica of this.replicas.values()) if (replica.holdsLease()) this.openJobs.addJobsOf(replica);
       }
@@ -82,7 +82,7 @@
   }
 
   private schedulingPass(snapshot: ClusterSnapshot): void {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     const schedulable = this.schedulableJobs();
     this.demand.announce();
     const pass: SchedulingPass = {
@@ -94,7 +94,7 @@
     for (const each of schedulable) {
       const route = routeOf(snapshot, each.job);
       if (!route) this.giveUp(each.open, "its binding was taken out of the manifest");
-      else if (this.env.wall() > giveUpAt(each.job, route))
+      else if (this.env.wallClockMs() > giveUpAt(each.job, route))
         this.giveUp(each.open, "not done in the time that its binding gives");
       else {
         makeDelayedReady(each.open, now);
@@ -109,7 +109,7 @@
     for (const open of this.openJobs.all()) {
       const job = this.openJobs.find(open);
       if (!this.openJobs.mayContinue(open)) this.openJobs.abort(open);
-      else if (job) jobs.push({ open, job, dueInMs: dueInMs(job, this.env.wall()) });
+      else if (job) jobs.push({ open, job, dueInMs: dueInMs(job, this.env.wallClockMs()) });
     }
     // results that are late already have lost most of their value: they come last
     const lateness = ({ dueInMs: remainingMs }: SchedulableJob): number => (remainingMs > 0 ? 0 : 1);
@@ -195,7 +195,10 @@
 
   private retryLater(open: OpenJob, item: number, endpoint: Endpoint, backoffMs: number): void {
     const jitter = BACKOFF_JITTER.least + BACKOFF_JITTER.spread * this.env.random();
-    Object.assign(progressOf(open, item), { notBefore: this.env.mono() + backoffMs * jitter, avoid: endpoint.key });
+    Object.assign(progressOf(open, item), {
+      notBefore: this.env.monotonicMs() + backoffMs * jitter,
+      avoid: endpoint.key,
+    });
     open.running.delete(item);
     open.delayed.push(item);
   }
--- a/src/storage/batchJobs/jobDemand.ts
+++ b/src/storage/batchJobs/jobDemand.ts
@@ -32,7 +32,7 @@
 
   /** Announces the demand if it has changed or its announcement runs out; a small demand isn't worth a message. */
   announce(): void {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     const items = this.ownItems();
     const ageMs = now - this.announced.at;
     const hasChanged = Math.abs(items - this.announced.items) > this.announced.items * SIGNIFICANT_CHANGE;
--- a/src/storage/batchJobs/openJobs.ts
+++ b/src/storage/batchJobs/openJobs.ts
@@ -66,7 +66,7 @@
    */
   leadershipStopped(replica: ShardReplica): void {
     for (const open of this.jobs.values())
-      if (open.replica === replica) open.leadershipLostAt = Math.min(open.leadershipLostAt, this.env.mono());
+      if (open.replica === replica) open.leadershipLostAt = Math.min(open.leadershipLostAt, this.env.monotonicMs());
   }
 
   /** The job has been ended: what runs of it is aborted. */
@@ -91,7 +91,7 @@
     const { view, data } = open.replica;
     const job = data.jobs.get(open.id);
     const leads =
-      view?.lead === this.node.self.id && this.env.mono() - open.leadershipLostAt < Constants.leadershipRegainMs;
+      view?.lead === this.node.self.id && this.env.monotonicMs() - open.leadershipLostAt < Constants.leadershipRegainMs;
     return !!job && job.open > 0 && !job.ended && leads && this.jobs.get(open.id) === open;
   }
 
--- a/src/storage/claimedItems/claimedItemExecution.ts
+++ b/src/storage/claimedItems/claimedItemExecution.ts
@@ -58,7 +58,7 @@
   /** Claims, forwards and reports the item; false if it has no result, so that it is tried again. */
   *run(attempt: ClaimedItemAttempt): Task<boolean> {
     const { name, endpoint, route, shard } = attempt;
-    const claimedAt = this.env.mono();
+    const claimedAt = this.env.monotonicMs();
     const claimed = yield* this.claim(attempt);
     if (!claimed.ok || claimed.value.tag !== "done") {
       this.queue.release(endpoint, true);
@@ -66,7 +66,7 @@
       if (!claimed.ok) yield* this.release(attempt, "claim not confirmed in time");
       return false;
     }
-    this.env.point(55);
+    this.env.faultPoint(55);
     if (this.isClaimStale(attempt, claimedAt)) {
       this.queue.release(endpoint, true);
       yield* this.release(attempt, "lot ended, replica left, or the claim was too old");
@@ -82,7 +82,7 @@
       deadlineMs: route.deadlineMs,
       idempotent: route.safe,
     });
-    this.env.point(56);
+    this.env.faultPoint(56);
     this.queue.release(endpoint, response.ok || response.fault.step === "deliver");
     const operation = this.operationFor(attempt, response);
     yield* this.writer.put(shard, `result-${name}-${attempt.number}`, [operation], {}, RESULT_WITHIN_MS);
@@ -105,7 +105,7 @@
     const replica = this.replicas.get(shard);
     const job = replica?.data.jobs.get(jobId);
     return (
-      this.env.mono() - claimedAt > Constants.claimMaxAgeMs ||
+      this.env.monotonicMs() - claimedAt > Constants.claimMaxAgeMs ||
       !replica?.holdsLease() ||
       !job ||
       job.ended ||
--- a/src/storage/claimedItems/claimedItemJobs.ts
+++ b/src/storage/claimedItems/claimedItemJobs.ts
@@ -37,7 +37,7 @@
     }
     const known = replica.data.jobs.get(job.id);
     if (known) return Fault.ok({ tag: "exists", same: known.bodyHash === job.bodyHash, state: "" });
-    if (!Stamp.admits(stamp.time, this.env.wall(), this.node.clockBounds()))
+    if (!Stamp.admits(stamp.time, this.env.wallClockMs(), this.node.clockBounds()))
       return Fault.fail("late", "accept lot", this.node.self.id, "stamp outside the bounds");
     if (replica.view!.members.length < Constants.minReplicasForJobs)
       return Fault.busy("accept lot", this.node.self.id, "too few copies", 3 * Constants.retryAfterMs);
--- a/src/storage/claimedItems/claimedItemScheduler.ts
+++ b/src/storage/claimedItems/claimedItemScheduler.ts
@@ -47,7 +47,7 @@
   ) {}
 
   start(): void {
-    EnvironmentTools.keep(this.env, this.env.scope, "lot dispatch", () => this.scheduleLoop());
+    EnvironmentTools.runSupervised(this.env, this.env.scope, "lot dispatch", () => this.scheduleLoop());
   }
 
   get openJobCount(): number {
@@ -82,7 +82,7 @@
 
   private schedulingPass(): void {
     const snapshot = this.node.snapshot();
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     const schedulable = this.schedulableJobs();
     const pools = new Set(schedulable.map(({ job }) => this.routeOf(job).pool));
     for (const pool of pools) this.window.update(pool, snapshot);
@@ -139,7 +139,7 @@
       Csp.go(this.env.scope, `item ${name}`, function* () {
         try {
           if (yield* scheduler.execution.run(attempt)) scheduler.backoffUntil.delete(name);
-          else scheduler.backoffUntil.set(name, scheduler.env.mono() + BACKOFF_MS);
+          else scheduler.backoffUntil.set(name, scheduler.env.monotonicMs() + BACKOFF_MS);
         } finally {
           scheduler.execution.running.delete(name);
           scheduler.inFlightByPool.set(route.pool, (scheduler.inFlightByPool.get(route.pool) ?? 1) - 1);
--- a/src/storage/claimedItems/claimedItemWindow.ts
+++ b/src/storage/claimedItems/claimedItemWindow.ts
@@ -25,7 +25,7 @@
 
   /** Live requests wait for the pool: the window closes, and the other nodes are notified. */
   reportOverload(pool: string): void {
-    const now = this.env.mono();
+    const now = this.env.monotonicMs();
     if (now - this.lastOverload(pool) > ANNOUNCE_PAUSE_MS)
       this.node.gossip.publish(`crowd/${this.node.self.id}/${pool}`, { pool }, Constants.jobOverloadHoldMs, true);
     this.overloadedAt.set(pool, now);
@@ -35,7 +35,7 @@
   /** One scheduling pass has come. */
   update(pool: string, snapshot: ClusterSnapshot): void {
     const isOverloaded =
-      snapshot.overloadedPools[pool] || this.env.mono() - this.lastOverload(pool) < Constants.jobOverloadHoldMs;
+      snapshot.overloadedPools[pool] || this.env.monotonicMs() - this.lastOverload(pool) < Constants.jobOverloadHoldMs;
     const grown = Math.min(Constants.jobWindowMax, this.sizeOf(pool) + 1);
     this.sizes.set(pool, isOverloaded ? Constants.jobWindowMin : grown);
   }
--- a/src/storage/ledgerReads.ts
+++ b/src/storage/ledgerReads.ts
@@ -67,7 +67,7 @@
   *nearestVersion(replica: ShardReplica, body: TemporalGetRequest): Task<Result<TemporalGetResponse>> {
     if (!isInView(this.node, replica)) return notInViewFault(this.node, "read");
     const { subject, time } = body;
-    const until = this.env.mono() + Math.min(body.waitMs, Constants.readWaitMs);
+    const until = this.env.monotonicMs() + Math.min(body.waitMs, Constants.readWaitMs);
     const isCandidate = (entry: LedgerEntry): boolean => entry.subject === subject && entry.stamp.time >= time;
     for (;;) {
       const frontier = replica.frontier();
@@ -77,12 +77,12 @@
       if (!sealed.ok) return sealed;
       const version = sealed.value[0] ?? LedgerIndex.nearest(replica.data, subject, time);
       if (version) return Fault.ok({ version, frontier });
-      if (this.env.mono() >= until) {
+      if (this.env.monotonicMs() >= until) {
         const retryAfterMs = Math.round(Math.max(Constants.retryAfterMs, time - frontier));
         const detail = `no stable version not prior to ${time} yet`;
         return Fault.busy("temporal get", this.node.self.id, detail, retryAfterMs);
       }
-      yield* replica.waitForChange(until - this.env.mono());
+      yield* replica.waitForChange(until - this.env.monotonicMs());
     }
   }
 }
--- a/src/storage/liveRequests/liveRequestAdmission.ts
+++ b/src/storage/liveRequests/liveRequestAdmission.ts
@@ -59,7 +59,7 @@
       return notLeaderFault(this.node, replica, "open");
     const existing = findExisting(replica, body);
     if (existing) return Fault.ok(existing);
-    if (!Stamp.admits(body.stamp.time, this.env.wall(), this.node.clockBounds()))
+    if (!Stamp.admits(body.stamp.time, this.env.wallClockMs(), this.node.clockBounds()))
       return Fault.fail("late", "open", this.node.self.id, `stamp ${Stamp.text(body.stamp)} outside the bounds`);
     const route = this.node.snapshot().control?.manifest.doc.bindings[body.work.binding];
     if (!route) return Fault.fail("notFound", "open", this.node.self.id, `no binding ${body.work.binding}`);
@@ -79,17 +79,17 @@
       () => liveRequestCriteria(this.node.snapshot(), routed, exclude),
       body.work.order,
       body.stamp.time,
-      Math.min(remainingWaitMs(this.env, body.work), body.work.deadlineAt - this.env.wall()),
+      Math.min(remainingWaitMs(this.env, body.work), body.work.deadlineAt - this.env.wallClockMs()),
     );
     if (!endpoint) {
       this.counters.busies += 1;
       const retryAfterMs = this.queue.retryAfterMs(route.pool);
       return Fault.busy("open", this.node.self.id, `no room in pool ${route.pool}`, retryAfterMs);
     }
-    const claimedAt = this.env.mono();
+    const claimedAt = this.env.monotonicMs();
     this.execution.running.add(id);
     const put = yield* this.putOpening(replica, body, endpoint);
-    this.env.point(51);
+    this.env.faultPoint(51);
     if (!put.ok || put.value.tag !== "done") {
       this.execution.running.delete(id);
       this.queue.release(endpoint, true);
@@ -116,12 +116,12 @@
       const cause = { ...body.cause, view: replica.view?.epoch };
       put = yield* replica.put({ putId, stamp, ops, cause }, OPEN_PUT_MS);
       if (put.ok || put.fault.tag !== "late" || attempt >= Constants.restampAttempts) break;
-      stamp = this.shardClient.stamp(this.env.wall());
+      stamp = this.shardClient.stamp(this.env.wallClockMs());
       yield* EnvironmentTools.sleep(this.env, RESTAMP_PAUSE_MS);
     }
     if (put.ok || put.fault.tag !== "unknown") return put;
     // a view change cut in: as nothing was forwarded yet, the same put is repeated until its outcome is known
-    const outcomeWithinMs = Math.max(OUTCOME_MIN_MS, deadlineAt - this.env.wall());
+    const outcomeWithinMs = Math.max(OUTCOME_MIN_MS, deadlineAt - this.env.wallClockMs());
     return yield* this.writer.put(replica.shard, putId, ops, body.cause, outcomeWithinMs);
   }
 
--- a/src/storage/liveRequests/liveRequestExecution.ts
+++ b/src/storage/liveRequests/liveRequestExecution.ts
@@ -19,7 +19,7 @@
 
 /** For how much longer a request may wait for capacity, all its attempts together, ms; then it is refused. */
 export const remainingWaitMs = (env: Environment, spec: LiveRequestSpec): number =>
-  Constants.liveWaitMs - (env.wall() - Stamp.parse(spec.life)!.time);
+  Constants.liveWaitMs - (env.wallClockMs() - Stamp.parse(spec.life)!.time);
 
 /**
  * Executes live requests from their claim to their close, in as many attempts as are safe. A request that was forwarded
@@ -56,7 +56,7 @@
         let release: ShardOperation[] = [];
         if (endpoint) {
           const outcome = yield* this.forwarder.forward(request, endpoint, this.remainingMs(request));
-          this.env.point(54);
+          this.env.faultPoint(54);
           if (outcome.tag === "closed" || outcome.tag === "takenOver") return;
           exclude.add(endpoint.key);
           if (!(yield* this.mayRetry(request, endpoint, outcome))) return;
@@ -73,7 +73,7 @@
     }
   }
 
-  private remainingMs = ({ spec }: ExecutingRequest): number => spec.deadlineAt - this.env.wall();
+  private remainingMs = ({ spec }: ExecutingRequest): number => spec.deadlineAt - this.env.wallClockMs();
 
   /** Whether a further attempt is safe; if not, the request is closed. */
   private *mayRetry(
@@ -110,14 +110,14 @@
     return yield* this.queue.acquire(
       () => liveRequestCriteria(this.node.snapshot(), request, exclude),
       request.spec.order,
-      this.env.wall(),
+      this.env.wallClockMs(),
       Math.min(this.remainingMs(request), waitMs),
     );
   }
 
   private *claimNextAttempt(request: ExecutingRequest, endpoint: Endpoint, release: ShardOperation[]): Task<boolean> {
     const { spec, shard } = request;
-    request.claimedAt = this.env.mono();
+    request.claimedAt = this.env.monotonicMs();
     request.attempt += 1;
     const claimed = yield* this.writer.put(
       shard,
