--- a/src/rpc/envelopeCodec.ts
+++ b/src/rpc/envelopeCodec.ts
@@ -1,25 +1,25 @@
 import { constants, deflateRawSync, inflateRawSync } from "zlib";
 import { Constants } from "../common/constants";
 
-/** What an envelope is: a request and its response or error by RPC, or a datagram of the failure detector. */
+/** An RPC request, its response or error, or a datagram of the failure detector. */
 export type EnvelopeKind = "request" | "response" | "error" | "datagram";
 
 /** One message between two processes of a cluster. */
 export interface Envelope {
   readonly kind: EnvelopeKind;
-  /** Pairs a response with its request; 0 where no response is wanted. 32 bits. */
+  /** Matches a response to its request; 0 if no response is expected. 32 bits. */
   readonly correlationId: number;
-  /** Name of the cluster; messages of other clusters are dropped. At most 255 bytes. */
+  /** The name of the cluster; messages of other clusters are dropped. At most 255 bytes. */
   readonly cluster: string;
-  /** Name of the remote method, or tag of the datagram. At most 255 bytes. */
+  /** The name of the remote method, or the tag of the datagram. At most 255 bytes. */
   readonly method: string;
-  /** Id of the member that sends. At most 255 bytes. */
+  /** The id of the sending member. At most 255 bytes. */
   readonly sender: string;
   /** Sent as JSON; undefined becomes null. */
   readonly body: unknown;
 }
 
-/** The fields of an envelope as the binary layout has them; the names don't go over the wire. */
+/** An envelope in the binary layout; the field names are not sent. */
 interface BinaryEnvelope {
   readonly magic: number;
   readonly version: number;
@@ -31,7 +31,7 @@
   readonly body: Uint8Array;
 }
 
-/** The part of restructure (which has no types of its own) that is used here. */
+/** The part of restructure that is used here; the package has no type declarations. */
 interface Restructure {
   readonly uint8: unknown;
   readonly uint16: unknown;
@@ -51,12 +51,12 @@
 
 const binary = require("restructure") as Restructure;
 
-/** "PB": the first two bytes of each envelope. */
+/** The first two bytes of each envelope, "PB". */
 const MAGIC = 0x5042;
-/** Version 1 carries its body as plain JSON, version 2 deflated. */
+/** Version 1 carries the body as plain JSON, version 2 as deflated JSON. */
 const PLAIN_VERSION = 1;
 const DEFLATED_VERSION = 2;
-/** The position of a kind is its code on the wire. */
+/** The index of a kind is its code on the wire. */
 const KINDS: readonly EnvelopeKind[] = ["request", "response", "error", "datagram"];
 
 const layout = new binary.Struct({
@@ -70,16 +70,16 @@
   body: new binary.Buffer(binary.uint32),
 });
 
-/** Bodies that were encoded ahead because they go to several members. */
-const encodedAhead = new WeakMap<object, EncodedBody>();
+/** Encodings of bodies that are sent to several members. */
+const preEncodedBodies = new WeakMap<object, EncodedBody>();
 
 function encodeBody(body: unknown): EncodedBody {
-  const ahead = typeof body === "object" && body !== null ? encodedAhead.get(body) : undefined;
-  if (ahead) return ahead;
+  const preEncoded = typeof body === "object" && body !== null ? preEncodedBodies.get(body) : undefined;
+  if (preEncoded) return preEncoded;
   const json = Buffer.from(JSON.stringify(body ?? null), "utf8");
   if (json.length < Constants.deflateBytes) return { version: PLAIN_VERSION, bytes: json };
-  // Long bodies consist mostly of callers' own bytes in base64: a search for repeats there takes four times as long
-  // and finds none.
+  // Long bodies consist mostly of callers' data in base64, in which a search for repeated strings takes four times
+  // as long and finds none.
   const strategy = json.length < Constants.deflateSearchBytes ? constants.Z_DEFAULT_STRATEGY : constants.Z_HUFFMAN_ONLY;
   const deflated = deflateRawSync(json, { level: 1, strategy });
   return deflated.length < json.length * Constants.deflateShare
@@ -94,13 +94,15 @@
   return JSON.parse(json.toString("utf8"));
 }
 
-function isOwn(read: BinaryEnvelope, cluster: string): boolean {
-  const versionKnown = read.version === PLAIN_VERSION || read.version === DEFLATED_VERSION;
-  return read.magic === MAGIC && versionKnown && read.cluster === cluster && KINDS[read.kind] !== undefined;
+function isValid(envelope: BinaryEnvelope, cluster: string): boolean {
+  const isKnownVersion = envelope.version === PLAIN_VERSION || envelope.version === DEFLATED_VERSION;
+  return (
+    envelope.magic === MAGIC && isKnownVersion && envelope.cluster === cluster && KINDS[envelope.kind] !== undefined
+  );
 }
 
 /**
- * Envelopes as bytes: a fixed binary header (restructure) around a JSON body, which is deflated where it is long.
+ * Encodes envelopes as a binary header, laid out by restructure, and a JSON body, which is deflated if it is long.
  *
  * @example
  * const bytes = EnvelopeCodec.encode({
@@ -114,26 +116,26 @@
     const kind = KINDS.indexOf(envelope.kind);
     return Buffer.from(layout.toBuffer({ ...envelope, magic: MAGIC, version, kind, body: bytes }));
   },
-  /** Encodes a body once that goes to several members unchanged, and returns it. @example EnvelopeCodec.shared(entry) */
+  /** Encodes a body that is sent unchanged to several members, so that this is done only once, and returns the body. */
   preEncode<T extends object>(body: T): T {
-    encodedAhead.set(body, encodeBody(body));
+    preEncodedBodies.set(body, encodeBody(body));
     return body;
   },
   /**
-   * Undefined for malformed data and for another cluster's envelope.
+   * Returns undefined for malformed data and for envelopes of other clusters.
    * @example EnvelopeCodec.decode(Buffer.from("x"), "kiln") // undefined
    */
   decode(data: Buffer, cluster: string): Envelope | undefined {
     try {
-      const read = layout.fromBuffer(data);
-      if (!isOwn(read, cluster)) return undefined;
+      const envelope = layout.fromBuffer(data);
+      if (!isValid(envelope, cluster)) return undefined;
       return {
-        kind: KINDS[read.kind],
-        correlationId: read.correlationId,
+        kind: KINDS[envelope.kind],
+        correlationId: envelope.correlationId,
         cluster,
-        method: read.method,
-        sender: read.sender,
-        body: decodeBody(read.version, read.body),
+        method: envelope.method,
+        sender: envelope.sender,
+        body: decodeBody(envelope.version, envelope.body),
       };
     } catch {
       return undefined;
--- a/src/rpc/methods.ts
+++ b/src/rpc/methods.ts
@@ -1,20 +1,20 @@
 import { Result } from "../common/fault";
 import { Task } from "../runtime/csp";
 
-/** Types of the two bodies of a remote method; both must survive a way through JSON. */
+/** The types of the bodies of a remote method; both must be representable in JSON. */
 export interface RpcMethod<Request, Response> {
   readonly request: Request;
   readonly response: Response;
 }
 
 /**
- * All remote methods, by the name that goes over the wire. The module that handles a method declares it here by
- * declaration merging; from then on `Rpc.call`, `Rpc.notify` and `Rpc.handle` check its bodies. The doc comment of an
- * entry says which faults it gives, and whether a repeated request is harmless and why (the table of all methods is in
- * docs/notes/calls.md). Types are a promise of the sender: a handler still checks what it reads, and one that throws at
- * a malformed body responds with the fault "internal".
+ * All remote methods, by their names on the wire. The module that handles a method adds it here by declaration
+ * merging; the compiler then checks the bodies passed to `Rpc.call`, `Rpc.notify` and `Rpc.handle`. The doc comment of
+ * an entry lists the faults it returns, and says whether the method is idempotent and why (docs/notes/calls.md has a
+ * table of all methods). The types are not verified at run time: a handler must still validate the body, and a handler
+ * that throws on a malformed body responds with the fault "internal".
  *
- * Inside the declaration the names of this module are in scope without an import.
+ * The names of this module are in scope in the merged declaration without an import.
  *
  * @example
  * declare module "../rpc/methods" {
@@ -27,24 +27,24 @@
 // eslint-disable-next-line @typescript-eslint/no-empty-object-type -- filled by declaration merging
 export interface RpcMethods {}
 
-/** Names of the methods that have an entry. */
+/** The names of the methods that have an entry. */
 export type TypedMethod = keyof RpcMethods;
 
-/** Body of a request, by method name. */
+/** The request body of a method. */
 export type RequestOf<Method extends TypedMethod> =
   RpcMethods[Method] extends RpcMethod<infer Request, unknown> ? Request : never;
 
-/** Body of a response, by method name. */
+/** The response body of a method. */
 export type ResponseOf<Method extends TypedMethod> =
   RpcMethods[Method] extends RpcMethod<unknown, infer Response> ? Response : never;
 
-/** A method without an entry: its name is any other text. */
+/** The name of a method without an entry, which is any other string. */
 export type UntypedMethod<Method extends string> = Method extends TypedMethod ? never : Method;
 
-/** A handler whose method has no entry: the type that it gives its parameter isn't checked. */
+/** The handler of a method without an entry; the declared type of its parameter is not checked. */
 export type UntypedHandler = (body: never, sender: string) => Task<Result<unknown>>;
 
-/** Handles a request of a member; `sender` is the id of that member. */
+/** Handles a request; `sender` is the id of the member that sent it. */
 export type RpcHandler<Method extends string> = Method extends TypedMethod
   ? (body: RequestOf<Method>, sender: string) => Task<Result<ResponseOf<Method>>>
   : UntypedHandler;
--- a/src/rpc/rpc.ts
+++ b/src/rpc/rpc.ts
@@ -6,8 +6,8 @@
 import { RpcServer } from "./rpcServer";
 
 /**
- * Requests and responses between the members of a cluster: a client and a server in one, over one connection a pair and
- * direction. Bodies are checked by the compiler where the method has an entry in `RpcMethods`.
+ * The RPC client and server of a process. Each member opens one connection to each member that it calls. The compiler
+ * checks the bodies of methods that have an entry in `RpcMethods`.
  *
  * @example
  * const rpc = new Rpc(env, "kiln", "node-1");
@@ -24,21 +24,21 @@
     this.server = new RpcServer(env, cluster, selfId);
   }
 
-  /** Calls sent since the start. */
+  /** The number of calls since the process started. */
   get callCount(): number {
     return this.client.callCount;
   }
-  /** Responses that no call waited for any more. */
+  /** The number of responses that arrived after their calls had ended. */
   get lateResponseCount(): number {
     return this.client.lateResponseCount;
   }
 
-  /** Sets the handler of a method. @example rpc.handle("shard.seal", (body) => replica.onSeal(body)); */
+  /** Sets the handler of a method and replaces any earlier one. */
   handle<Method extends string>(method: Method, handler: RpcHandler<Method>): void {
     this.server.handle(method, handler);
   }
 
-  /** Listens at the address; a fault where that fails. @example yield* rpc.serve("127.0.0.1:7001"); */
+  /** Starts to accept requests at an address. Fault: "internal" if the process cannot listen there. */
   serve(address: string): Task<Result<true>> {
     return this.server.serve(address);
   }
@@ -46,11 +46,11 @@
   /**
    * Sends a request and waits for its response.
    *
-   * Faults besides the handler's own: "refused" if no connection was made or the process has no handler of the method, so
-   * that nothing ran; "timeout" and "broken" if the request may have arrived. A request is never sent twice.
+   * Returns the faults of the handler, and: "refused" if no connection was made or the process has no handler for the
+   * method, so that nothing ran; "timeout" and "broken" if the request may have arrived. A request is never sent twice.
    *
-   * @param timeoutMs from now on, connecting included
-   * @param isCancelled asked now and then; once true, the wait ends as by a time-out
+   * @param timeoutMs includes the time to connect
+   * @param isCancelled polled while the call waits; once it returns true, the call fails with "timeout"
    * @example const status = yield* rpc.call(address, "control.status", {}, 500);
    */
   call<Method extends TypedMethod>(
@@ -60,7 +60,7 @@
     timeoutMs: number,
     isCancelled?: () => boolean,
   ): Task<Result<ResponseOf<Method>>>;
-  /** The same for a method without an entry in `RpcMethods`: the response's type is the caller's claim. */
+  /** The same for a method without an entry in `RpcMethods`; the type of the response is not checked. */
   call<Response = unknown, Method extends string = string>(
     address: string,
     method: UntypedMethod<Method>,
@@ -79,7 +79,7 @@
   }
 
   /**
-   * Sends a request that wants no response to several members. It may be lost with its connection.
+   * Sends a request without a response to several members. It is lost if its connection ends.
    * @example rpc.notify([address], "news.push", push);
    */
   notify<Method extends string>(
@@ -91,14 +91,14 @@
   }
 
   /**
-   * Closes the connection to a member that may be unreachable, unless a call is pending on it: that ends it by itself.
-   * @example rpc.closeIfIdle(address);
+   * Closes the connection to a member that may be unreachable, unless a call is pending on it: the time-out of that
+   * call closes the connection.
    */
   closeIfIdle(address: string): void {
     this.client.closeIfIdle(address);
   }
 
-  /** Closes connections that were not used for so long. @example rpc.closeUnused(30_000); */
+  /** Closes connections that have carried no request for `unusedMs`. */
   closeUnused(unusedMs: number): void {
     this.client.closeUnused(unusedMs);
   }
--- a/src/rpc/rpcClient.ts
+++ b/src/rpc/rpcClient.ts
@@ -5,28 +5,28 @@
 import { Envelope, EnvelopeCodec } from "./envelopeCodec";
 import { PendingCall, RpcConnection } from "./rpcConnection";
 
-/** Correlation id of a request that wants no response. */
+/** The correlation id of a request that expects no response. */
 export const NO_RESPONSE = 0;
-/** Correlation ids run from 1 to this, then start again. */
+/** Correlation ids run from 1 to this number and then start again at 1. */
 const MAX_CORRELATION_ID = 0xfffffffe;
 
-type Failed = Extract<Result<never>, { ok: false }>;
+type Failure = Extract<Result<never>, { ok: false }>;
 
-/** A connection being made; whoever wants it meanwhile shares the outcome. */
+/** An attempt to connect; concurrent calls to the same address share its outcome. */
 interface ConnectionAttempt {
   /** Closed when the attempt has ended. */
   readonly done: Chan<true>;
-  failure: Failed | undefined;
+  failure: Failure | undefined;
 }
 
-/** Sends requests to other members, over one connection a member, and matches the responses. */
+/** Sends requests to other members, over one connection per member, and matches responses to calls. */
 export class RpcClient {
   private readonly connections = new Map<string, RpcConnection>();
   private readonly attempts = new Map<string, ConnectionAttempt>();
   private lastCorrelationId = 0;
-  /** Connections ended because of an envelope that is no response. */
+  /** The number of connections closed because they carried something other than a response. */
   malformedCount = 0;
-  /** Responses that no call waited for any more. */
+  /** The number of responses that arrived after their calls had ended. */
   lateResponseCount = 0;
   callCount = 0;
   notificationCount = 0;
@@ -61,7 +61,7 @@
     const response = yield* this.awaitResponse(pending, startedAt + timeoutMs, isCancelled);
     connection.removePending(correlationId);
     if (response) return response;
-    // Nothing arrived for as long as this call ran: the connection may be dead without having been closed.
+    // Nothing arrived on the connection during the call: its peer may be gone without having closed it.
     if (connection.lastReceivedAt < startedAt) this.close(connection);
     return Fault.fail("timeout", method, address, `no reply in ${Math.round(timeoutMs)} ms`);
   }
@@ -71,8 +71,8 @@
     const client = this;
     const bytes = this.encodeRequest(NO_RESPONSE, method, body);
     for (const address of addresses) {
-      const open = this.connections.get(address);
-      if (open) this.sendNotification(open, bytes);
+      const connection = this.connections.get(address);
+      if (connection) this.sendNotification(connection, bytes);
       else
         Csp.go(this.env.scope, `notify ${method}`, function* () {
           const connected = yield* client.connect(address);
@@ -83,8 +83,8 @@
 
   /** See `Rpc.closeIfIdle`. */
   closeIfIdle(address: string): void {
-    const open = this.connections.get(address);
-    if (open?.isIdle) this.close(open);
+    const connection = this.connections.get(address);
+    if (connection?.isIdle) this.close(connection);
   }
 
   /** See `Rpc.closeUnused`. */
@@ -108,15 +108,16 @@
   }
 
   private *connect(address: string): Task<Result<RpcConnection>> {
-    const open = this.connections.get(address);
-    if (open) return Fault.ok(open);
-    // Callers that come while a connection is being made share its outcome: one after another they would never end.
-    const underWay = this.attempts.get(address);
-    if (underWay) {
-      yield* Csp.take(underWay.done);
-      const made = this.connections.get(address);
-      if (made) return Fault.ok(made);
-      return underWay.failure ?? Fault.fail("refused", "connect", address, "connection ended as it was made");
+    const existing = this.connections.get(address);
+    if (existing) return Fault.ok(existing);
+    // Calls that start during an attempt to connect share its outcome: if each made an attempt of its own in turn,
+    // calls to an unreachable member would queue up without end.
+    const ongoing = this.attempts.get(address);
+    if (ongoing) {
+      yield* Csp.take(ongoing.done);
+      const established = this.connections.get(address);
+      if (established) return Fault.ok(established);
+      return ongoing.failure ?? Fault.fail("refused", "connect", address, "connection ended as it was made");
     }
     const attempt: ConnectionAttempt = { done: Csp.chan<true>(1), failure: undefined };
     this.attempts.set(address, attempt);
@@ -135,7 +136,7 @@
     return Fault.ok(connection);
   }
 
-  /** Takes in responses until the connection ends. */
+  /** Receives responses until the connection ends. */
   private *receive(connection: RpcConnection): Task<void> {
     for (;;) {
       const bytes = yield* Csp.take(connection.link.incoming);
--- a/src/rpc/rpcConnection.ts
+++ b/src/rpc/rpcConnection.ts
@@ -3,27 +3,27 @@
 import { Link } from "../runtime/env";
 import { Envelope } from "./envelopeCodec";
 
-/** A request whose response has not arrived. */
+/** A call whose response has not arrived yet. */
 export interface PendingCall {
   readonly method: string;
-  /** Gets the result once. */
+  /** Receives the result, exactly once. */
   readonly result: Chan<Result<unknown>>;
 }
 
-/** The result that a response or error envelope carries. */
+/** Returns the result that a response or error envelope carries. */
 function resultOf(address: string, envelope: Envelope): Result<unknown> {
   if (envelope.kind === "response") return Fault.ok(envelope.body);
   if (Fault.is(envelope.body)) return { ok: false, fault: envelope.body };
   return Fault.fail("broken", envelope.method, address, "the response's fault is none");
 }
 
-/** The client's end of one connection, with the calls that wait for a response on it. */
+/** The client side of a connection, with the calls that are pending on it. */
 export class RpcConnection {
-  /** By correlation id. */
+  /** The pending calls by correlation id. */
   private readonly pending = new Map<number, PendingCall>();
-  /** When the last envelope arrived, monotonic ms. */
+  /** When the last data arrived, in monotonic ms. */
   lastReceivedAt: number;
-  /** When it last carried a request, monotonic ms. */
+  /** When the last request was sent, in monotonic ms. */
   lastUsedAt: number;
 
   constructor(
@@ -35,7 +35,7 @@
     this.lastUsedAt = now;
   }
 
-  /** Whether no call waits for a response. */
+  /** Whether no call is pending. */
   get isIdle(): boolean {
     return this.pending.size === 0;
   }
@@ -51,8 +51,9 @@
   }
 
   /**
-   * Gives a response to the call that waits for it; false if none does. Ids are matched on this very connection only: a
-   * process that was restarted at the address has other connections, so it never gets what its predecessor was sent.
+   * Completes the call that a response belongs to; returns false if there is none. Correlation ids are matched only
+   * within one connection: a process that was restarted at the same address has other connections, so its responses
+   * cannot complete calls that were sent to its predecessor.
    */
   resolve(envelope: Envelope): boolean {
     const call = this.pending.get(envelope.correlationId);
@@ -62,7 +63,7 @@
     return true;
   }
 
-  /** Closes the connection; every pending call fails with "broken". */
+  /** Closes the connection and fails every pending call with "broken". */
   close(): void {
     this.link.close();
     for (const call of this.pending.values())
--- a/src/rpc/rpcServer.ts
+++ b/src/rpc/rpcServer.ts
@@ -8,9 +8,9 @@
 /** Accepts connections of other members and runs a handler for each request. */
 export class RpcServer {
   private readonly handlers = new Map<string, UntypedHandler>();
-  /** Connections ended because of an envelope that is no request. */
+  /** The number of connections closed because they carried something other than a request. */
   malformedCount = 0;
-  /** Notifications whose handler failed: nobody else gets to know. */
+  /** The number of notifications whose handler returned a fault; their senders are not told. */
   failedNotificationCount = 0;
 
   constructor(
@@ -19,19 +19,19 @@
     private readonly selfId: string,
   ) {}
 
-  /** The handler of a method; a second one replaces the first. */
+  /** Sets the handler of a method and replaces any earlier one. */
   handle(method: string, handler: UntypedHandler): void {
     this.handlers.set(method, handler);
   }
 
-  /** Listens at the address; a fault where that fails. */
+  /** See `Rpc.serve`. */
   *serve(address: string): Task<Result<true>> {
-    const links = yield* this.env.listen(address);
-    if (!links.ok) return links;
+    const accepted = yield* this.env.listen(address);
+    if (!accepted.ok) return accepted;
     const server = this;
     Csp.go(this.env.scope, "rpc listener", function* () {
       for (;;) {
-        const link = yield* Csp.take(links.value);
+        const link = yield* Csp.take(accepted.value);
         if (link === null) return;
         Csp.go(server.env.scope, `link from ${link.remoteAddress}`, () => server.serveLink(link));
       }
@@ -39,7 +39,7 @@
     return Fault.ok(true as const);
   }
 
-  /** Requests of one connection run side by side; responses go out as they are ready. */
+  /** Runs the requests of one connection concurrently; responses are sent in the order of completion. */
   private *serveLink(link: Link): Task<void> {
     for (;;) {
       const bytes = yield* Csp.take(link.incoming);
@@ -77,10 +77,10 @@
   private *runHandler(request: Envelope): Task<Result<unknown>> {
     const { method, body, sender } = request;
     const handler = this.handlers.get(method);
-    // a process that starts listens before all its handlers are set: what comes then has certainly not run
+    // A process starts to listen before all its handlers are set; a request that arrives in between has not run.
     if (!handler) return Fault.fail("refused", method, this.selfId, "no handler, or none yet");
     try {
-      // The body's type is the promise of the method's entry; a handler that meets another body may throw.
+      // The body has not been checked against the type of the method's entry, so the handler may throw.
       return yield* handler(body as never, sender);
     } catch (error) {
       if (!this.env.scope.alive) throw error;
@@ -91,4 +91,4 @@
   }
 }
 
-const taskName = (request: Envelope): string => `ask ${request.method}`;
+const taskName = (request: Envelope): string => `request ${request.method}`;
--- a/src/runtime/callbacks.ts
+++ b/src/runtime/callbacks.ts
@@ -1,38 +1,38 @@
 import { Chan, Csp, Scope, Task } from "./csp";
 
-/** Host and port of an address. @example addressParts("10.0.0.1:80") // { host: "10.0.0.1", port: 80 } */
+/** Splits HOST:PORT. @example parseAddress("10.0.0.1:80") // { host: "10.0.0.1", port: 80 } */
 export const parseAddress = (address: string): { host: string; port: number } => {
-  const at = address.lastIndexOf(":");
-  return { host: address.slice(0, at), port: +address.slice(at + 1) };
+  const colon = address.lastIndexOf(":");
+  return { host: address.slice(0, colon), port: +address.slice(colon + 1) };
 };
 
-/** Puts what streams in on a bounded channel and pauses the source while it is full. */
+/** Returns a data listener that forwards chunks to a bounded channel, and pauses the source while the channel is full. */
 export function forwardToChannel(
   source: { pause(): unknown; resume(): unknown },
   chan: Chan<Buffer>,
 ): (chunk: Buffer) => void {
-  const waiting: Buffer[] = [];
-  let moving = false;
-  const move = (scope: { go(body: () => Task<unknown>): void }): void => {
-    if (moving) return;
-    moving = true;
-    scope.go(function* () {
-      while (waiting.length > 0) yield* Csp.put(chan, waiting.shift()!);
-      moving = false;
+  const pending: Buffer[] = [];
+  let isFlushing = false;
+  const flush = (starter: { go(body: () => Task<unknown>): void }): void => {
+    if (isFlushing) return;
+    isFlushing = true;
+    starter.go(function* () {
+      while (pending.length > 0) yield* Csp.put(chan, pending.shift()!);
+      isFlushing = false;
       source.resume();
     });
   };
   return (chunk) => {
-    if (waiting.length === 0 && Csp.offer(chan, chunk)) return;
-    waiting.push(chunk);
+    if (pending.length === 0 && Csp.offer(chan, chunk)) return;
+    pending.push(chunk);
     source.pause();
-    move({ go: (body) => void Csp.go(streamScope, "pump", body) });
+    flush({ go: (body) => void Csp.go(streamScope, "pump", body) });
   };
 }
-/** Tasks that move bytes between Node's streams and channels; they outlive the scope of any one process part. */
+/** The scope of the tasks that forward Node.js streams to channels; it is never stopped. */
 export const streamScope = new Scope("pumps", (task, error) => process.stderr.write(`${task}: ${String(error)}\n`));
 
-/** Turns a callback of Node's into a take. */
+/** Waits for the first value that `start` passes to its callback. */
 export function* awaitCallback<T>(start: (done: (value: T) => void) => void): Task<T> {
   const chan = Csp.chan<{ value: T }>(1);
   start((value) => Csp.offer(chan, { value }));
--- a/src/runtime/checkpointedLog.ts
+++ b/src/runtime/checkpointedLog.ts
@@ -3,15 +3,15 @@
 import { Environment } from "./env";
 import { decodeFrame, decodeFrames, encodeFrame, scanLog } from "./recordFrames";
 
-/** What a start finds. */
+/** The content of a log when it is opened. */
 export interface RecoveredLog {
-  /** The newest checkpoint; undefined before the first. */
+  /** The state in the newest checkpoint; undefined before the first checkpoint. */
   readonly state: unknown;
-  /** The records since, oldest first. */
+  /** The records after the checkpoint, oldest first. */
   readonly records: unknown[];
 }
 
-/** What a disk holds, as bytes. */
+/** The undecoded content of a log, as read by `CheckpointedLog.inspect`. */
 export interface InspectedLog {
   readonly state: Buffer | undefined;
   readonly records: Buffer[];
@@ -22,20 +22,20 @@
   readonly state: unknown;
 }
 
-/** First four bytes of the records of a log and of a checkpoint, by format: "PBRE" and "PBS1", "PBR2" and "PBS2". */
+/** The first four bytes of log records and checkpoints by format: "PBRE" and "PBS1" in format 1, "PBR2" and "PBS2" in 2. */
 const MAGICS: Readonly<Record<number, { readonly record: number; readonly checkpoint: number }>> = {
   1: { record: 0x50425245, checkpoint: 0x50425331 },
   2: { record: 0x50425232, checkpoint: 0x50425332 },
 };
 const MAGIC_BYTES = 4;
-/** What the magics of all formats begin with. */
+/** The first bytes of the magics of all formats. */
 const MAGIC_PREFIXES = ["PBR", "PBS"];
 const CHECKPOINT_FILES = ["slot-a", "slot-b"];
 const LOG_PREFIX = "log-";
 
 const generationOf = (logFile: string): number => +logFile.slice(LOG_PREFIX.length);
 
-/** Generations of the logs among these names, lowest first. */
+/** Returns the generations of the log files among these names, lowest first. */
 const logGenerations = (names: readonly string[]): number[] =>
   names
     .filter((name) => /^log-\d+$/.test(name))
@@ -43,9 +43,10 @@
     .sort((left, right) => left - right);
 
 /**
- * State on disk as a write-ahead log with checkpoints. Checkpoints go in turn to two files, so that a torn one costs
- * nothing: checkpoint n comes before log n, and log n − 1 stays until checkpoint n + 1 is written. The files of a folder
- * are `slot-a` and `slot-b` for the checkpoints, and `log-<n>`.
+ * State on disk as a write-ahead log with checkpoints. Generation n consists of checkpoint n and of log n, which holds
+ * the records after it; generation 0 has no checkpoint. Checkpoints are written alternately to two files, so that a torn
+ * checkpoint loses nothing: log n − 1 is kept until checkpoint n + 1 is written. The files in the folder are `slot-a`
+ * and `slot-b` for the checkpoints, and `log-<n>`.
  *
  * @example
  * const log = new CheckpointedLog(env, "data/shard-3");
@@ -54,20 +55,20 @@
  * yield* log.checkpoint({ everything: true });
  */
 export class CheckpointedLog {
-  /** Number of the current log. */
+  /** The generation of the current log. */
   private generation = 0;
-  /** Whether the file of the current log exists, with its name synced. */
+  /** Whether the current log file exists and its directory entry is synced. */
   private hasLogFile = false;
-  /** Size of the current log's file, bytes. */
+  /** The size of the current log file in bytes. */
   private logEnd = 0;
-  /** A write has failed: what is on disk isn't certain, so nothing more is written. */
+  /** Whether a write has failed. The content on disk is then uncertain, so nothing more is written. */
   hasFailed = false;
-  /** Appends that were synced. */
+  /** The number of appends, each of which syncs the file. */
   syncCount = 0;
-  /** Appended by this process since the last checkpoint, bytes. */
+  /** The number of bytes that this process has appended since the last checkpoint. */
   logBytes = 0;
 
-  /** @param format number of the format of the files; a file of another format is refused */
+  /** @param format the format of the files; `open` fails on files of another format */
   constructor(
     private readonly env: Environment,
     private readonly folder: string,
@@ -75,7 +76,7 @@
   ) {}
 
   /**
-   * What the files hold, as a start would find it, without touching them.
+   * Reads the files as `open` would, but does not verify or change them.
    * @example CheckpointedLog.inspect((name) => files.get(name), names, 2)
    */
   static inspect(read: (name: string) => Buffer | undefined, names: string[], format = 1): InspectedLog {
@@ -93,9 +94,8 @@
   }
 
   /**
-   * The newest readable checkpoint and every record since. Faults: disk, also where files are damaged, missing or of
-   * another format; they are left as they are.
-   * @example yield* log.open()
+   * Reads the newest undamaged checkpoint and all records after it. Fault: "disk", also if files are damaged, missing or
+   * of another format; such files are not changed.
    */
   *open(): Task<Result<RecoveredLog>> {
     const names = yield* this.env.disk.list(this.folder);
@@ -125,12 +125,12 @@
     return Fault.ok({ state: base.state, records });
   }
 
-  /** Whether the disk takes a write now. @example const probed = yield* log.probe(); */
+  /** Tests whether the disk accepts writes. */
   probe(): Task<Result<true>> {
     return this.env.disk.write(`${this.folder}/probe`, Buffer.from("probe"));
   }
 
-  /** Appends records; they are durable once this returns ok. Fault: disk. @example yield* log.append([record]) */
+  /** Appends records; they are durable once this returns ok. Fault: "disk". */
   *append(records: unknown[]): Task<Result<true>> {
     if (this.hasFailed) return Fault.fail("disk", "append", this.env.name, "an earlier write failed");
     const { record: magic } = MAGICS[this.format];
@@ -141,17 +141,17 @@
     this.env.faultPoint(11);
     const file = this.logFile(this.generation);
     const { disk } = this.env;
-    const done = this.hasLogFile ? yield* disk.append(file, frames) : yield* disk.write(file, frames);
+    const written = this.hasLogFile ? yield* disk.append(file, frames) : yield* disk.write(file, frames);
     this.hasLogFile = true;
     this.logBytes += frames.length;
     this.logEnd += frames.length;
     this.syncCount += 1;
-    if (!done.ok) this.hasFailed = true;
+    if (!written.ok) this.hasFailed = true;
     this.env.faultPoint(12);
-    return done;
+    return written;
   }
 
-  /** Writes a checkpoint and starts the next log. Fault: disk. @example yield* log.checkpoint(state) */
+  /** Writes a checkpoint of the state and starts the next log. Fault: "disk". */
   *checkpoint(state: unknown): Task<Result<true>> {
     if (this.hasFailed) return Fault.fail("disk", "rotate", this.env.name, "an earlier write failed");
     const next = this.generation + 1;
@@ -164,17 +164,17 @@
       this.hasFailed = true;
       return started;
     }
-    const superseded = this.generation - 1;
+    const obsolete = this.generation - 1;
     this.logBytes = 0;
     this.logEnd = 0;
     this.generation = next;
     this.hasLogFile = true;
     this.env.faultPoint(14);
-    if (superseded >= 0) yield* this.env.disk.remove(this.logFile(superseded));
+    if (obsolete >= 0) yield* this.env.disk.remove(this.logFile(obsolete));
     return Fault.ok(true as const);
   }
 
-  /** The newest readable checkpoint; adds the files that aren't readable to `damaged`. */
+  /** Returns the newest undamaged checkpoint, and adds damaged checkpoint files to `damaged`. */
   private *openCheckpoints(names: readonly string[], damaged: string[]): Task<Result<Checkpoint | undefined>> {
     const checkpoints: Checkpoint[] = [];
     for (const name of CHECKPOINT_FILES.filter((each) => names.includes(each))) {
@@ -191,7 +191,10 @@
     return Fault.ok(checkpoints.at(0));
   }
 
-  /** The records of one log; a torn tail is cut off, and the rest synced: a killed process may not have done that. */
+  /**
+   * Returns the records of one log. Truncates a torn tail and syncs the file, since a process that was killed may not
+   * have synced it.
+   */
   private *openLog(file: string): Task<Result<unknown[]>> {
     const { disk } = this.env;
     const data = yield* disk.read(file);
@@ -199,9 +202,9 @@
     const bytes = data.value ?? Buffer.alloc(0);
     const otherFormat = this.checkFormat(file, bytes);
     if (otherFormat) return otherFormat;
-    if (this.startsOtherwise(bytes)) return this.refuse(`${file} is damaged at byte 0, or not ours`);
+    if (this.hasForeignStart(bytes)) return this.openFault(`${file} is damaged at byte 0, or not ours`);
     const { bodies, end, damaged } = scanLog(MAGICS[this.format].record, bytes);
-    if (damaged) return this.refuse(`${file} is damaged at byte ${end}`);
+    if (damaged) return this.openFault(`${file} is damaged at byte ${end}`);
     const isTorn = end < bytes.length;
     if (isTorn) this.env.log(1409, { file, bytes: bytes.length - end });
     const synced = isTorn ? yield* disk.truncate(file, end) : yield* disk.syncFile(file);
@@ -210,19 +213,19 @@
     return Fault.ok(bodies.map((body): unknown => JSON.parse(body.toString("utf8"))));
   }
 
-  /** A fault if a checkpoint or a log is missing between the base and the newest log. */
+  /** Returns a fault if a checkpoint or a log is missing between generation `base` and the newest log. */
   private checkComplete(base: number, logs: readonly number[], damaged: readonly string[]): Result<never> | undefined {
     const newest = logs.at(-1) ?? 0;
     if (base === 0 && damaged.length > 0 && !logs.includes(0))
-      return this.refuse(`no readable slot: ${damaged.join(", ")}`);
+      return this.openFault(`no readable slot: ${damaged.join(", ")}`);
     for (let generation = Math.max(1, base); generation < newest; generation += 1)
-      if (!logs.includes(generation)) return this.refuse(`${this.logFile(generation)} is missing`);
+      if (!logs.includes(generation)) return this.openFault(`${this.logFile(generation)} is missing`);
     if (base === 0 && newest > 0 && !logs.includes(0) && !logs.includes(1))
-      return this.refuse(`no slot before ${this.logFile(newest)}`);
+      return this.openFault(`no slot before ${this.logFile(newest)}`);
     return undefined;
   }
 
-  /** A fault for a file of another format, which is never cut or overwritten. */
+  /** Returns a fault if a file has another format; such a file is never truncated or overwritten. */
   private checkFormat(file: string, data: Buffer): Result<never> | undefined {
     if (data.length < MAGIC_BYTES) return undefined;
     const text = data.toString("latin1", 0, MAGIC_BYTES);
@@ -232,17 +235,20 @@
     if (matches(MAGICS[this.format])) return undefined;
     const known = Object.entries(MAGICS).find(([, magics]) => matches(magics));
     const format = known ? known[0] : `unknown (${JSON.stringify(text)})`;
-    return this.refuse(`${file} has format ${format}; this version reads format ${this.format}`);
+    return this.openFault(`${file} has format ${format}; this version reads format ${this.format}`);
   }
 
-  /** Whether a log begins with what no torn write of ours can leave there: neither our bytes nor zeros. */
-  private startsOtherwise(data: Buffer): boolean {
-    const ours = Buffer.alloc(MAGIC_BYTES);
-    ours.writeUInt32BE(MAGICS[this.format].record);
-    return [...data.subarray(0, MAGIC_BYTES)].some((byte, index) => byte !== 0 && byte !== ours[index]);
+  /**
+   * Returns whether the first bytes of a log cannot come from a torn write of this class, which leaves only bytes of the
+   * magic or zeros there.
+   */
+  private hasForeignStart(data: Buffer): boolean {
+    const magic = Buffer.alloc(MAGIC_BYTES);
+    magic.writeUInt32BE(MAGICS[this.format].record);
+    return [...data.subarray(0, MAGIC_BYTES)].some((byte, index) => byte !== 0 && byte !== magic[index]);
   }
 
-  private refuse(detail: string): Result<never> {
+  private openFault(detail: string): Result<never> {
     return Fault.fail("disk", "open", this.env.name, detail);
   }
 
--- a/src/runtime/csp.ts
+++ b/src/runtime/csp.ts
@@ -1,7 +1,7 @@
-// The one place that knows js-csp, which is old and untyped: our typings and our task runner.
-// js-csp's own process starts each step with a timer turn and lets a throw escape into its dispatcher;
-// our runner steps generators over js-csp channels, keeps every error, and counts its turns so that
-// the simulator knows when nothing more can run.
+// Type declarations and a task runner for js-csp, which is old and untyped; only this module uses the package directly.
+// The processes of js-csp start each step with a timer turn, and an exception escapes into their dispatcher.
+// This runner steps generators over js-csp channels, reports every error, and counts its steps so that the simulator
+// can tell when nothing more can run.
 const lib = require("js-csp") as {
   chan(buffer?: unknown): Chan<never>;
   buffers: { fixed(n: number): unknown; sliding(n: number): unknown; dropping(n: number): unknown };
@@ -12,24 +12,28 @@
 };
 
 declare const valueType: unique symbol;
-/** A js-csp channel; null means closed, so null is never a value. */
+/** A js-csp channel. A take from a closed channel returns null, so null cannot be sent. */
 export interface Chan<T> {
   readonly [valueType]?: T;
   close(): void;
   isClosed(): boolean;
 }
 type Instruction = { op: "take"; chans: Chan<unknown>[] } | { op: "put"; chan: Chan<unknown>; value: unknown };
-/** A task's code: a generator that yields to channels. */
+/** The body of a task: a generator that yields channel operations to the runner. */
 export type Task<T> = Generator<Instruction, T, unknown>;
+/** The index of the channel that was taken from, and the value; null if that channel is closed. */
 export type SelectResult<T> = { index: number; value: T | null };
 
 type Handler = { isActive(): boolean; isBlockable(): boolean; commit(): (value: unknown) => void };
 
-/** The side of a channel that our runner uses. */
+/** The internal js-csp interface that the runner takes values through. */
 type TakeableChan = Chan<unknown> & { take(handler: Handler): { value: unknown } | null };
 
-/** A channel that carries nothing and is closed once: what a timer is, at a tenth of the memory and work of a full one. */
-class Alarm {
+/**
+ * A channel without values that is closed once, such as that of a timer. It needs a tenth of the memory and processor
+ * time of a js-csp channel.
+ */
+class CloseSignal {
   private handlers: Handler[] = [];
   private closed = false;
   isClosed(): boolean {
@@ -38,9 +42,9 @@
   close(): void {
     if (this.closed) return;
     this.closed = true;
-    const waiting = this.handlers;
+    const takers = this.handlers;
     this.handlers = [];
-    for (const handler of waiting) if (handler.isActive()) handler.commit()(null);
+    for (const handler of takers) if (handler.isActive()) handler.commit()(null);
   }
   take(handler: Handler): { value: null } | null {
     if (!handler.isActive()) return null;
@@ -53,44 +57,45 @@
   }
 }
 
-/** A branch of the supervisor tree: tasks and further branches that end together. */
+/** A node of the supervision tree: its tasks and child scopes end together. */
 export class Scope {
   alive = true;
-  private readonly branches = new Set<Scope>();
-  private readonly enders: (() => void)[] = [];
+  private readonly children = new Set<Scope>();
+  private readonly stopCallbacks: (() => void)[] = [];
   constructor(
     readonly name: string,
     readonly onError: (task: string, error: unknown) => void,
     private readonly parent?: Scope,
   ) {
-    parent?.branches.add(this);
+    parent?.children.add(this);
   }
-  /** @example const connectionScope = nodeScope.branch("connection 7"); */
+  /** Creates a child scope. */
   branch(name: string): Scope {
     return new Scope(name, this.onError, this);
   }
-  /** Runs when the branch ends. @example scope.whenStopped(() => socket.destroy()); */
-  onStop(ender: () => void): void {
-    if (this.alive) this.enders.push(ender);
-    else ender();
+  /** Calls the callback when the scope stops, or at once if it has stopped. */
+  onStop(callback: () => void): void {
+    if (this.alive) this.stopCallbacks.push(callback);
+    else callback();
   }
-  /** Ends every task of this branch and below. @example connectionScope.stop(); */
+  /** Stops the child scopes and this one; their tasks do not resume. */
   stop(): void {
     if (!this.alive) return;
     this.alive = false;
-    for (const branch of [...this.branches]) branch.stop();
-    for (const ender of this.enders) ender();
-    this.parent?.branches.delete(this);
+    for (const child of [...this.children]) child.stop();
+    for (const callback of this.stopCallbacks) callback();
+    this.parent?.children.delete(this);
   }
 }
 
-let turns = 0;
+/** Counts every step of a task and every operation that may let a task continue. */
+let stepCount = 0;
 
 function step(scope: Scope, name: string, task: Task<unknown>, first: unknown): void {
   let value = first;
   for (;;) {
     if (!scope.alive) return;
-    turns += 1;
+    stepCount += 1;
     let stepped: IteratorResult<Instruction, unknown>;
     try {
       stepped = task.next(value);
@@ -100,40 +105,41 @@
     }
     if (stepped.done) return;
     const instruction = stepped.value;
-    let inCall = true;
-    let ready = false;
-    const resume = (resumedWith: unknown): void => {
-      turns += 1;
-      if (inCall) {
-        ready = true;
-        value = resumedWith;
-      } else step(scope, name, task, resumedWith);
+    // While the operation is being started: a result that is available at once continues the loop instead of recursing.
+    let isSynchronous = true;
+    let hasResult = false;
+    const resume = (result: unknown): void => {
+      stepCount += 1;
+      if (isSynchronous) {
+        hasResult = true;
+        value = result;
+      } else step(scope, name, task, result);
     };
     if (instruction.op === "put") {
       lib.putAsync(instruction.chan, instruction.value, resume);
     } else {
-      let open = true;
-      for (let index = 0; index < instruction.chans.length && open; index += 1) {
+      let isPending = true;
+      for (let index = 0; index < instruction.chans.length && isPending; index += 1) {
         const handler: Handler = {
-          isActive: () => open,
+          isActive: () => isPending,
           isBlockable: () => true,
           commit: () => {
-            open = false;
+            isPending = false;
             return (taken) => resume({ index, value: taken });
           },
         };
-        const box = (instruction.chans[index] as TakeableChan).take(handler);
-        if (box) resume({ index, value: box.value });
+        const available = (instruction.chans[index] as TakeableChan).take(handler);
+        if (available) resume({ index, value: available.value });
       }
     }
-    inCall = false;
-    if (!ready) return;
+    isSynchronous = false;
+    if (!hasResult) return;
   }
 }
 
 function* takeOne<T>(chan: Chan<T>): Task<T | null> {
-  const picked = (yield { op: "take", chans: [chan] }) as SelectResult<T>;
-  return picked.value;
+  const selected = (yield { op: "take", chans: [chan] }) as SelectResult<T>;
+  return selected.value;
 }
 function* putOne<T>(chan: Chan<T>, value: T): Task<boolean> {
   return (yield { op: "put", chan, value }) as boolean;
@@ -143,7 +149,7 @@
 }
 
 /**
- * Channels and tasks.
+ * Channels and tasks in the style of communicating sequential processes.
  *
  * @example
  * const numbers = Csp.chan<number>(8);
@@ -151,32 +157,35 @@
  * Csp.offer(numbers, 3);
  */
 export const Csp = {
-  /** A bounded buffer; a putter waits when it is full. @example Csp.chan<string>(16) */
+  /** Creates a channel with a bounded buffer; a put waits while the buffer is full. */
   chan: <T>(size: number): Chan<T> => lib.chan(lib.buffers.fixed(size)),
-  /** Keeps the newest. @example Csp.sliding<number>(1) */
+  /** Creates a channel whose buffer drops the oldest value when it is full. */
   sliding: <T>(size: number): Chan<T> => lib.chan(lib.buffers.sliding(size)),
-  /** Only ever closed, and its takers go on at once: to be closed by what runs no task. @example Csp.alarm() */
-  closeSignal: (): Chan<never> => new Alarm(),
+  /**
+   * Creates a channel without values that is only closed. Closing it resumes the takers synchronously, so only code
+   * outside tasks may close it.
+   */
+  closeSignal: (): Chan<never> => new CloseSignal(),
   take: takeOne,
   put: putOne,
   select: selectFirst,
-  /** Puts without waiting; false if full or closed. @example if (!Csp.offer(ch, 1)) dropped += 1; */
+  /** Puts without waiting; returns false if the channel is full or closed. */
   offer: <T>(chan: Chan<T>, value: T): boolean => {
-    turns += 1;
+    stepCount += 1;
     return !chan.isClosed() && lib.offer(chan, value);
   },
-  /** Takes without waiting. @example const next = Csp.poll(ch); */
+  /** Takes without waiting; returns undefined if the channel is empty or closed. */
   poll: <T>(chan: Chan<T>): T | undefined => {
     const polled = lib.poll(chan);
     return polled === lib.NO_VALUE || polled === null ? undefined : (polled as T);
   },
-  /** Starts a task in a branch of the tree. @example Csp.go(scope, "pump", function* () { ... }); */
+  /** Starts a task in a scope. `name` identifies the task in error reports. */
   go(scope: Scope, name: string, body: () => Task<unknown>): void {
-    turns += 1;
+    stepCount += 1;
     setImmediate(() => {
       if (scope.alive) step(scope, name, body(), undefined);
     });
   },
-  /** Grows with every step any task takes; the simulator reads it. @example Csp.turns() */
-  turns: (): number => turns,
+  /** Returns a number that grows with every step of any task; the simulator detects idleness by it. */
+  turns: (): number => stepCount,
 };
--- a/src/runtime/disk.ts
+++ b/src/runtime/disk.ts
@@ -1,28 +1,27 @@
 import { Result } from "../common/fault";
 import { Task } from "./csp";
 
-/** The local disk. All operations give the fault "disk" where the system refuses them. */
+/** The local disk. All operations return the fault "disk" if the operating system reports an error. */
 export interface Disk {
-  /** Undefined if there is no such file. */
+  /** Returns undefined if the file does not exist. */
   read(path: string): Task<Result<Buffer | undefined>>;
-  /** Replaces a file atomically and durably; after a loss of power before ok, it has its former content or this. */
+  /** Replaces a file atomically and durably. After a power loss during the write, it has its former content or the new. */
   write(path: string, data: Buffer): Task<Result<true>>;
-  /** Appends durably to a file that exists. After a loss of power before ok, any part of the data may be there. */
+  /** Appends durably to an existing file. After a power loss during the write, any part of the data may be in the file. */
   append(path: string, data: Buffer): Task<Result<true>>;
   truncate(path: string, size: number): Task<Result<true>>;
-  /** Names in a folder; none if there is no such folder. */
+  /** Returns the names in a folder; none if the folder does not exist. */
   list(folder: string): Task<Result<string[]>>;
-  /** The name may come back after a loss of power, until its folder is synced. */
+  /** Removes a file, which may reappear after a power loss until its folder is synced. */
   remove(path: string): Task<Result<true>>;
-  /** Makes what a former process wrote durable: it may have been killed before it synced. */
+  /** Makes the content durable that an earlier process wrote: it may have been killed before it synced the file. */
   syncFile(path: string): Task<Result<true>>;
-  /** Makes the names durable that a former process created, renamed or removed. */
+  /** Makes the names durable that an earlier process created, renamed or removed. */
   syncFolder(folder: string): Task<Result<true>>;
-  /** Free bytes. */
   freeBytes(folder: string): Task<Result<number>>;
   /**
-   * Takes the folder for this process. One with the same owner (its address, which only one process can listen on) is the
-   * same one, started again.
+   * Locks the folder for this process. The owner is the address of the process; since only one process can listen there,
+   * a lock of the same owner is that of an earlier run, and is replaced.
    */
   lock(folder: string, owner: string): Task<Result<true>>;
 }
--- a/src/runtime/diskSteps.ts
+++ b/src/runtime/diskSteps.ts
@@ -2,9 +2,10 @@
 import { Result } from "../common/fault";
 
 /**
- * The single steps that a disk is made of. After a loss of power a file's content is sure only up to its last sync, and a
- * name that was made, renamed or removed only once its folder was synced after; each by itself. DurableDisk puts the steps
- * in order; production and the simulator differ in the steps alone, so that the simulator proves the order itself.
+ * The primitive operations that `DurableDisk` combines. After a power loss only the content of a file up to its last
+ * sync is certain, and the creation, renaming or removal of a name only if its folder was synced afterwards; the two are
+ * independent of each other. Production and the simulator have the same `DurableDisk` and differ only in these steps, so
+ * that simulated power losses test the order of the steps.
  *
  * @example
  * yield* steps.writeAndSync("data/slot-a.new", "replace", bytes);
@@ -13,20 +14,20 @@
  */
 export interface DiskSteps {
   read(file: string): Task<Result<Buffer | undefined>>;
-  /** Names in a folder; none if it isn't there. */
+  /** Returns the names in a folder; none if the folder does not exist. */
   list(folder: string): Task<Result<string[]>>;
   exists(folder: string): Task<Result<boolean>>;
-  /** One folder, whose parent is there; ok if it is there already. */
+  /** Creates a folder whose parent exists; ok if the folder exists already. */
   makeFolder(folder: string): Task<Result<true>>;
-  /** Makes the file if need be, empties it for "replace", writes and syncs the content. Its name isn't synced. */
+  /** Creates the file if it does not exist, or empties it for "replace"; writes and syncs the content, but not the name. */
   writeAndSync(file: string, mode: "replace" | "append", data: Buffer): Task<Result<true>>;
   truncateAndSync(file: string, size: number): Task<Result<true>>;
   syncFile(file: string): Task<Result<true>>;
   syncFolder(folder: string): Task<Result<true>>;
   rename(from: string, to: string): Task<Result<true>>;
-  /** Ok if it isn't there. */
+  /** Ok if the file does not exist. */
   remove(file: string): Task<Result<true>>;
   freeBytes(folder: string): Task<Result<number>>;
-  /** Keeps other processes out of the folder, which is there. */
+  /** Locks an existing folder against other processes. */
   lock(folder: string, owner: string): Task<Result<true>>;
 }
--- a/src/runtime/durableDisk.ts
+++ b/src/runtime/durableDisk.ts
@@ -4,15 +4,15 @@
 import { Disk } from "./env";
 
 const parentOf = (path: string): string => {
-  const cut = path.lastIndexOf("/");
-  return cut > 0 ? path.slice(0, cut) : cut === 0 ? "/" : ".";
+  const slash = path.lastIndexOf("/");
+  return slash > 0 ? path.slice(0, slash) : slash === 0 ? "/" : ".";
 };
-const isTop = (path: string): boolean => path === "/" || path === "." || path === "";
+const isRoot = (path: string): boolean => path === "/" || path === "." || path === "";
 
 /**
- * Writes that last: each operation that changes something puts the single steps of the disk in such an order that after a
- * loss of power at any point the file holds either what it held before or all of what was written, and, once the operation
- * returned ok, the latter, under its name, with every folder above it up to the data folder's parent.
+ * A disk whose writes are atomic and durable. The order of the steps of each write ensures that after a power loss at any
+ * point the file has either its former content or all of the new content. Once the write has returned ok, the new
+ * content, the name of the file, and the names of all folders above it from the data folder on are durable.
  *
  * @example
  * const disk = new DurableDisk(steps);
@@ -21,9 +21,9 @@
  */
 export class DurableDisk implements Disk {
   private dataFolder: string | undefined;
-  /** Folders that are there, with their names synced by this process. */
+  /** Folders that exist and whose names this process has synced. */
   private readonly prepared = new Set<string>();
-  /** Temporary files that are being written. */
+  /** Names of the temporary files that are being written. */
   private readonly writing = new Set<string>();
   constructor(private readonly steps: DiskSteps) {}
 
@@ -35,19 +35,19 @@
   append = (file: string, data: Buffer): Task<Result<true>> => this.steps.writeAndSync(file, "append", data);
   truncate = (file: string, size: number): Task<Result<true>> => this.steps.truncateAndSync(file, size);
   remove = (file: string): Task<Result<true>> => this.steps.remove(file);
-  // own properties, all of them: a disk is at times wrapped by spreading it
-  write = (file: string, data: Buffer): Task<Result<true>> => this.writeWhole(file, data);
+  // All operations are own properties, so that a disk can be wrapped with the spread syntax.
+  write = (file: string, data: Buffer): Task<Result<true>> => this.writeAtomically(file, data);
   lock = (folder: string, owner: string): Task<Result<true>> => this.lockFolder(folder, owner);
 
-  private *writeWhole(file: string, data: Buffer): Task<Result<true>> {
+  private *writeAtomically(file: string, data: Buffer): Task<Result<true>> {
     const prepared = yield* this.prepareFolder(parentOf(file));
     if (!prepared.ok) return prepared;
     const temporary = this.temporaryName(file);
     this.writing.add(temporary);
     try {
-      const done = yield* this.replace(file, temporary, data);
-      if (!done.ok) this.prepared.clear(); // a folder may have been taken away
-      return done;
+      const replaced = yield* this.replace(file, temporary, data);
+      if (!replaced.ok) this.prepared.clear(); // A prepared folder may have been removed.
+      return replaced;
     } finally {
       this.writing.delete(temporary);
     }
@@ -59,7 +59,10 @@
     if (!renamed.ok) return renamed;
     return yield* this.steps.syncFolder(parentOf(file));
   }
-  /** A file left by a former process is overwritten by the next write of the same name. */
+  /**
+   * Returns a name that no concurrent write uses. A temporary file that an earlier process left behind is overwritten by
+   * the next write of the same file.
+   */
   private temporaryName(file: string): string {
     let name = `${file}.new`;
     while (this.writing.has(name)) name = `${name}.new`;
@@ -73,25 +76,25 @@
     return yield* this.steps.lock(folder, owner);
   }
   /**
-   * Makes a folder and syncs its name in its parent. A folder below the data folder that is there already may have been
-   * made by a process that was killed before it synced the name, so the name is synced once by each process. A folder above
-   * the data folder that is there already is the operator's.
+   * Creates a folder, with its parents, and syncs its name. The data folder and the folders below it may have been
+   * created by a process that was killed before it synced their names, so each process syncs them once even if they
+   * exist. An existing folder above the data folder was created by the operator and is not synced.
    */
   private *prepareFolder(folder: string): Task<Result<true>> {
-    if (isTop(folder) || this.prepared.has(folder)) return Fault.ok(true as const);
+    if (isRoot(folder) || this.prepared.has(folder)) return Fault.ok(true as const);
     const exists = yield* this.steps.exists(folder);
     if (!exists.ok) return exists;
-    if (exists.value && !this.isOurs(folder)) return Fault.ok(true as const);
+    if (exists.value && !this.isInDataFolder(folder)) return Fault.ok(true as const);
     const parent = parentOf(folder);
-    const above = yield* this.prepareFolder(parent);
-    if (!above.ok) return above;
-    const made = yield* this.steps.makeFolder(folder);
-    if (!made.ok) return made;
+    const parentPrepared = yield* this.prepareFolder(parent);
+    if (!parentPrepared.ok) return parentPrepared;
+    const created = yield* this.steps.makeFolder(folder);
+    if (!created.ok) return created;
     const synced = yield* this.steps.syncFolder(parent);
     if (!synced.ok) return synced;
     this.prepared.add(folder);
     return Fault.ok(true as const);
   }
-  private isOurs = (folder: string): boolean =>
+  private isInDataFolder = (folder: string): boolean =>
     this.dataFolder !== undefined && (folder === this.dataFolder || folder.startsWith(`${this.dataFolder}/`));
 }
--- a/src/runtime/env.ts
+++ b/src/runtime/env.ts
@@ -1,4 +1,4 @@
-/** The environment of a process and the interfaces that it consists of. */
+/** Exports the environment of a process and the interfaces that it consists of. */
 export type { Disk } from "./disk";
 export type { Environment, FaultPointContext, Timer } from "./environment";
 export { EnvironmentTools } from "./environmentTools";
--- a/src/runtime/environment.ts
+++ b/src/runtime/environment.ts
@@ -4,53 +4,54 @@
 import { HttpExchange, HttpLimits, HttpRequest, HttpResponse } from "./http";
 import { DatagramSocket, Link } from "./network";
 
-/** What a fault point is about, for scenarios that lose the disks which belong to it. */
+/** What happens at a fault point; scenarios select the disks to lose by it. */
 export interface FaultPointContext {
   readonly shard: number;
-  /** Ids of the members that join the shard's view. */
+  /** The ids of the members that join the shard's view. */
   readonly joiners: string[];
 }
 
 export interface Timer {
-  /** Closed when the time is over. */
+  /** Closed when the time has elapsed. */
   readonly chan: Chan<never>;
   cancel(): void;
 }
 
 /**
- * All of the outside world that a task may use: clocks, random numbers, network, HTTP, disk and log. Production binds it
- * to Node.js, the simulator to virtual time and simulated machines.
+ * Everything outside the process that a task may use: clocks, random numbers, network, HTTP, disk and log. Production
+ * implements it with Node.js, the simulator with virtual time and simulated machines.
  */
 export interface Environment {
-  /** Name of the process, in logs. */
+  /** The name of the process in log lines and faults. */
   readonly name: string;
-  /** The process: all its tasks end with it. */
+  /** The root scope of the process; stopping it ends all tasks. */
   readonly scope: Scope;
   readonly disk: Disk;
-  /** Wall clock, ms since 1970. It may jump. */
+  /** The wall clock in ms since 1970; it may jump. */
   wallClockMs(): number;
-  /** Monotonic clock, ms from an arbitrary start. */
+  /** The monotonic clock in ms since an arbitrary time. */
   monotonicMs(): number;
-  /** From 0 to less than 1. */
+  /** Returns a random number of at least 0 and less than 1. */
   random(): number;
   timer(ms: number): Timer;
-  /** Accepts connections of other members. */
+  /** Listens at an address; the channel receives the connections of other members. Fault: "internal". */
   listen(address: string): Task<Result<Chan<Link>>>;
-  /** Faults: "refused" if no connection was made. */
+  /** Connects to a member. Fault: "refused" if no connection was made. */
   connect(address: string, timeoutMs: number): Task<Result<Link>>;
+  /** Binds a UDP socket. Fault: "internal". */
   bindDatagrams(address: string): Task<Result<DatagramSocket>>;
-  /** Serves HTTP; the limits are read again as requests and connections come. */
+  /** Serves HTTP at an address. The limits are read again for each new request and connection. */
   serveHttp(
     address: string,
-    handler: (incoming: HttpExchange) => Task<void>,
+    handler: (exchange: HttpExchange) => Task<void>,
     limits?: () => HttpLimits,
   ): Task<Result<true>>;
-  /** Accepts no new connection from now on and closes idle ones; each further response ends its connection. */
+  /** Stops accepting HTTP connections and closes idle ones; the others are closed after their next response. */
   stopServing(): void;
   /** Sends an HTTP request. Faults: "refused" if nothing was sent, "timeout" and "broken" if it may have arrived. */
-  httpRequest(address: string, out: HttpRequest): Task<Result<HttpResponse>>;
-  /** A numbered fault point: the simulator may end the process here. */
-  faultPoint(number: number, about?: FaultPointContext): void;
+  httpRequest(address: string, request: HttpRequest): Task<Result<HttpResponse>>;
+  /** Marks a numbered fault point, at which the simulator may kill the process. Does nothing in production. */
+  faultPoint(number: number, context?: FaultPointContext): void;
   /** Logs an event of `LogEvents`. */
   log(event: number, fields?: Record<string, unknown>): void;
 }
--- a/src/runtime/environmentTools.ts
+++ b/src/runtime/environmentTools.ts
@@ -2,9 +2,9 @@
 import { Environment } from "./environment";
 import { HttpResponse } from "./http";
 
-/** A supervised task that has ended or failed starts again after this time. */
-const RESTART_MS = 100;
-/** Random ids have 48 and 24 bits, written in base 36. */
+/** The delay before a supervised task is restarted. */
+const RESTART_DELAY_MS = 100;
+/** A random id consists of a number of 48 bits and one of 24 bits, both in base 36. */
 const ID_HIGH_RANGE = 2 ** 48;
 const ID_LOW_RANGE = 2 ** 24;
 const ID_RADIX = 36;
@@ -16,9 +16,9 @@
 function* takeWithin<T>(env: Environment, chan: Chan<T>, ms: number): Task<T | null | undefined> {
   if (ms <= 0) return Csp.poll(chan);
   const timer = env.timer(ms);
-  const picked: SelectResult<T> = yield* Csp.select<T>([chan, timer.chan]);
+  const selected: SelectResult<T> = yield* Csp.select<T>([chan, timer.chan]);
   timer.cancel();
-  return picked.index === 0 ? picked.value : undefined;
+  return selected.index === 0 ? selected.value : undefined;
 }
 
 function* readBody(
@@ -51,10 +51,10 @@
   return (yield* readBody(env, response, limit, timeoutMs))?.toString("utf8");
 }
 
-const digits = (env: Environment, range: number): string => Math.floor(env.random() * range).toString(ID_RADIX);
+const randomDigits = (env: Environment, range: number): string => Math.floor(env.random() * range).toString(ID_RADIX);
 
 /**
- * What tasks do with an environment again and again.
+ * Common operations on an environment.
  *
  * @example
  * yield* EnvironmentTools.sleep(env, 100);
@@ -62,16 +62,16 @@
  */
 export const EnvironmentTools = {
   sleep,
-  /** The next item of a channel; undefined after `ms` without one, null if the channel is closed. */
+  /** Returns the next value of a channel: undefined if none arrives within `ms`, null if the channel is closed. */
   takeWithin,
-  /** The complete body, or undefined if it is broken, longer than `limit` bytes or slower than `timeoutMs`. */
-  readBody: readBody,
-  /** The same as text. */
-  readBodyText: readBodyText,
-  /** A random id. @example EnvironmentTools.id(env, "req") // "req-2k8f0…" */
+  /** Returns a body, or undefined if it is incomplete, longer than `limit` bytes or not received within `timeoutMs`. */
+  readBody,
+  /** The same, decoded as UTF-8. */
+  readBodyText,
+  /** @example EnvironmentTools.randomId(env, "req") // "req-2k8f0…" */
   randomId: (env: Environment, prefix: string): string =>
-    `${prefix}-${digits(env, ID_HIGH_RANGE)}${digits(env, ID_LOW_RANGE)}`,
-  /** Starts a supervised task: whenever it ends or fails, it starts again. @example EnvironmentTools.keep(env, scope, "probes", run) */
+    `${prefix}-${randomDigits(env, ID_HIGH_RANGE)}${randomDigits(env, ID_LOW_RANGE)}`,
+  /** Starts a supervised task, which is restarted whenever it ends or fails. */
   runSupervised(env: Environment, scope: Scope, name: string, body: () => Task<unknown>): void {
     Csp.go(scope, name, function* () {
       for (;;) {
@@ -81,7 +81,7 @@
           if (!scope.alive) return;
           scope.onError(name, error);
         }
-        yield* sleep(env, RESTART_MS);
+        yield* sleep(env, RESTART_DELAY_MS);
       }
     });
   },
--- a/src/runtime/http.ts
+++ b/src/runtime/http.ts
@@ -1,75 +1,74 @@
 import { Result } from "../common/fault";
 import { Chan, Task } from "./csp";
 
-/** Limits on what callers may send, and how long they may take. */
+/** Limits on the requests and connections of callers. */
 export interface HttpLimits {
-  /** All headers of a request together, bytes. */
+  /** The maximum total size of the headers of a request, in bytes. */
   readonly headerBytes: number;
-  /** From the start of a request until its headers are complete, ms. */
+  /** The maximum time from the start of a request until its headers are complete, in ms. */
   readonly headerMs: number;
-  /** How long a connection may be idle, ms. */
+  /** The maximum time that a connection may be idle, in ms. */
   readonly idleMs: number;
 }
 
-/** A request that arrived at our server, and the response to it. */
+/** A request that the server received, and the response to it. */
 export interface HttpExchange {
   readonly method: string;
-  /** Without the query. */
+  /** The path without the query. */
   readonly path: string;
-  /** Path and query as they came. */
+  /** The path and the query as received. */
   readonly target: string;
   readonly query: URLSearchParams;
-  /** By lower-case name. */
+  /** The headers by lower-case name. */
   readonly headers: Record<string, string>;
-  /** Address of the caller. */
   readonly callerAddress: string;
   /** Closed when the caller has disconnected. */
   readonly disconnected: Chan<true>;
-  /** Called when the caller disconnects before the response is complete; set by whoever works for it. */
+  /** Called if the caller disconnects before the response is complete; set by the handler. */
   onDisconnect?: () => void;
-  /** The complete body; a fault if it is longer than `limit` bytes or the caller disconnects. */
+  /** Reads the body. Faults: "invalid" if it is longer than `limit` bytes, "broken" if the caller disconnects. */
   body(limit: number): Task<Result<Buffer>>;
   /** Sends a complete response. */
   send(status: number, headers: Record<string, string>, body: string | Buffer): void;
   /**
-   * Sends a response whose end is that of the connection (RFC 9112, section 6.3): its length is not known for certain, so it
-   * must not be framed as complete. Absent where there are no real connections.
+   * Sends a response that is delimited by the end of the connection (RFC 9112, section 6.3), for a body that may be
+   * incomplete and so must not be framed as complete. Undefined in environments without real connections.
    */
   sendUntilClose?(status: number, headers: Record<string, string>, body: Buffer): void;
   /** Starts a streamed response, which `write` continues and `end` completes. */
   startStream(status: number, headers: Record<string, string>): void;
   write(chunk: string | Buffer): void;
   end(): void;
-  /** Cuts the connection, so that the caller can tell that the response is incomplete. */
+  /** Closes the connection, so that the caller can tell that the response is incomplete. */
   abort(): void;
 }
 
-/** A response that our client receives. */
+/** A response that the client received. */
 export interface HttpResponse {
   readonly status: number;
-  /** By lower-case name. */
+  /** The headers by lower-case name. */
   readonly headers: Record<string, string>;
-  /** The body; closed at its end. */
+  /** The chunks of the body; closed at its end. */
   readonly chunks: Chan<Buffer>;
-  /** Whether the body is incomplete; known once `chunks` is closed. */
+  /** Returns whether the body is incomplete; valid once `chunks` is closed. */
   isIncomplete(): boolean;
   abort(): void;
-  /** Discards the rest of the body, so that the connection can be used again. */
+  /** Discards the rest of the body, so that the connection can be reused. */
   discardBody(): void;
 }
 
-/** A request that our client sends. */
+/** A request that the client sends. */
 export interface HttpRequest {
   method: string;
   path: string;
   headers?: Record<string, string>;
   body?: string | Buffer;
-  /** Until the headers of the response have arrived, ms. */
+  /** The maximum time until the headers of the response have arrived, in ms. */
   timeoutMs: number;
-  /** Uses a connection of its own, so that "refused" certainly means that nothing was sent. */
+  /** Whether to open a connection for this request alone, so that "refused" guarantees that nothing was sent. */
   newConnection?: boolean;
-  /** The environment sets `cancel`: it ends the request, and the response too if that has begun. */
+  /** The environment sets `cancel`, which aborts the request, and the response if that has begun. */
   cancellation?: { cancel?: () => void };
-  /** A connection that takes longer is given up, and certainly nothing was sent, ms. */
+  /** The time-out of a new connection in ms; if it expires, nothing was sent. */
   connectTimeoutMs?: number;
 }
--- a/src/runtime/httpClient.ts
+++ b/src/runtime/httpClient.ts
@@ -8,40 +8,45 @@
 import { NodeLibs } from "./nodeLibs";
 
 let sharedAgent: http.Agent | undefined;
-/** Connections to replicas are kept for less time than the replica says, so that none is used as it closes. */
-function patientAgent(): http.Agent {
-  const unasked = new WeakMap<net.Socket, () => void>();
-  class PatientAgent extends NodeLibs.http().Agent {
+/**
+ * Returns the agent that keeps connections to endpoints for reuse. It keeps an idle connection for at most half of the
+ * keep-alive time-out that the endpoint announces, so that no request is sent while the endpoint closes the connection.
+ */
+function keepAliveAgent(): http.Agent {
+  const idleDataListeners = new WeakMap<net.Socket, () => void>();
+  class KeepAliveAgent extends NodeLibs.http().Agent {
     keepSocketAlive(socket: net.Socket & { _httpMessage?: { res?: http.IncomingMessage } }): boolean {
-      const told = /timeout=(\d+)/.exec(String(socket._httpMessage?.res?.headers["keep-alive"] ?? ""))?.[1];
-      const keptMs =
-        told === undefined ? Constants.idleConnectionMs : Math.min(Constants.idleConnectionMs, +told * 500);
-      if (keptMs <= 0) return false;
+      const announcedSeconds = /timeout=(\d+)/.exec(String(socket._httpMessage?.res?.headers["keep-alive"] ?? ""))?.[1];
+      const idleMs =
+        announcedSeconds === undefined
+          ? Constants.idleConnectionMs
+          : Math.min(Constants.idleConnectionMs, +announcedSeconds * 500);
+      if (idleMs <= 0) return false;
       socket.setKeepAlive(true, 1000);
       socket.unref();
-      socket.setTimeout(keptMs);
-      // what comes while nothing was asked belongs to no request: the next one goes over another connection
-      const end = (): void => void socket.destroy();
-      unasked.set(socket, end);
-      socket.once("data", end);
+      socket.setTimeout(idleMs);
+      // Data on an idle connection belongs to no request, so the connection must not be reused.
+      const destroy = (): void => void socket.destroy();
+      idleDataListeners.set(socket, destroy);
+      socket.once("data", destroy);
       return true;
     }
     reuseSocket(socket: net.Socket, request: http.ClientRequest): void {
       socket.setTimeout(0);
-      socket.removeListener("data", unasked.get(socket)!);
+      socket.removeListener("data", idleDataListeners.get(socket)!);
       super.reuseSocket(socket, request);
     }
   }
-  return (sharedAgent ??= new PatientAgent({ keepAlive: true, maxSockets: 512, maxFreeSockets: 24 }));
+  return (sharedAgent ??= new KeepAliveAgent({ keepAlive: true, maxSockets: 512, maxFreeSockets: 24 }));
 }
 
 function responseOf(response: http.IncomingMessage): HttpResponse {
   const chunks = Csp.chan<Buffer>(64);
-  let whole = false;
+  let isComplete = false;
   const put = forwardToChannel(response, chunks);
   response.on("data", put);
   response.on("end", () => {
-    whole = true;
+    isComplete = true;
     Csp.go(streamScope, "end", function* () {
       chunks.close();
     });
@@ -52,7 +57,7 @@
     status: response.statusCode ?? 0,
     headers: response.headers as Record<string, string>,
     chunks,
-    isIncomplete: () => !whole,
+    isIncomplete: () => !isComplete,
     abort: () => void response.destroy(),
     discardBody: () => {
       response.removeListener("data", put);
@@ -60,40 +65,40 @@
     },
   };
 }
-function headersOf(out: HttpRequest): Record<string, string | number> {
-  if (out.body === undefined) return { ...out.headers };
-  const type: Record<string, string> = typeof out.body === "string" ? { "content-type": "application/json" } : {};
-  return { ...out.headers, ...type, "content-length": Buffer.byteLength(out.body) };
+function headersOf(options: HttpRequest): Record<string, string | number> {
+  if (options.body === undefined) return { ...options.headers };
+  const type: Record<string, string> = typeof options.body === "string" ? { "content-type": "application/json" } : {};
+  return { ...options.headers, ...type, "content-length": Buffer.byteLength(options.body) };
 }
 
 /**
- * Requests over kept connections. A fault tells whether the request may have been sent: "refused" means that the
- * connection was never made.
+ * Sends HTTP requests over persistent connections. The tag of a fault tells whether the request may have been sent:
+ * "refused" means that no connection was made.
  *
  * @example
- * const replied = yield* HttpClient.request("10.0.0.2:80", { method: "GET", path: "/", timeoutMs: 500 });
+ * const response = yield* HttpClient.request("10.0.0.2:80", { method: "GET", path: "/", timeoutMs: 500 });
  */
 export const HttpClient = {
-  *request(address: string, out: HttpRequest): Task<Result<HttpResponse>> {
+  *request(address: string, options: HttpRequest): Task<Result<HttpResponse>> {
     const { host, port } = parseAddress(address);
     return yield* awaitCallback<Result<HttpResponse>>((done) => {
       let sent = false;
       const request = NodeLibs.http().request({
         host,
         port,
-        agent: out.newConnection ? false : patientAgent(),
-        method: out.method,
-        path: out.path,
-        headers: headersOf(out),
+        agent: options.newConnection ? false : keepAliveAgent(),
+        method: options.method,
+        path: options.path,
+        headers: headersOf(options),
       });
       const fail = (detail: string): void =>
         done(Fault.fail(sent ? "broken" : "refused", "http request", address, detail));
       const timer = setTimeout(() => {
         done(Fault.fail(sent ? "timeout" : "refused", "http request", address, "no reply in time"));
         request.destroy();
-      }, out.timeoutMs);
-      if (out.cancellation)
-        out.cancellation.cancel = () => {
+      }, options.timeoutMs);
+      if (options.cancellation)
+        options.cancellation.cancel = () => {
           clearTimeout(timer);
           fail("given up by whoever asked");
           request.destroy();
@@ -103,21 +108,22 @@
           sent = true;
           return;
         }
-        const slow =
-          out.connectTimeoutMs === undefined
+        const connectTimer =
+          options.connectTimeoutMs === undefined
             ? undefined
-            : setTimeout(() => request.destroy(new Error("no connection in time")), out.connectTimeoutMs);
+            : setTimeout(() => request.destroy(new Error("no connection in time")), options.connectTimeoutMs);
         socket.once("connect", () => {
           sent = true;
-          clearTimeout(slow);
+          clearTimeout(connectTimer);
         });
-        socket.once("close", () => clearTimeout(slow));
+        socket.once("close", () => clearTimeout(connectTimer));
       });
       request.on("error", (error) => {
         clearTimeout(timer);
         fail(error.message);
       });
-      // also without an error, as after a change of protocol that nobody asked for; the first outcome counts
+      // A request can also end without an error, such as after an unrequested protocol upgrade. Only the first outcome
+      // counts.
       request.on("close", () => {
         clearTimeout(timer);
         fail("connection ended without a reply");
@@ -126,7 +132,7 @@
         clearTimeout(timer);
         done(Fault.ok(responseOf(response)));
       });
-      request.end(out.body);
+      request.end(options.body);
     });
   },
 };
--- a/src/runtime/httpServer.ts
+++ b/src/runtime/httpServer.ts
@@ -7,17 +7,25 @@
 import { HttpExchange, HttpLimits } from "./env";
 import { NodeLibs } from "./nodeLibs";
 
-type Handler = (incoming: HttpExchange) => Task<void>;
-/** What is known of one connection: the requests that have no whole response yet, and since when it rests. */
-type Connection = { underWay: number; newest?: http.IncomingMessage; restingSince: number; refused: boolean };
+type Handler = (exchange: HttpExchange) => Task<void>;
+type Connection = {
+  /** The number of requests without a complete response. */
+  pendingCount: number;
+  /** The last request that began. */
+  newest?: http.IncomingMessage;
+  /** The time since which the connection is idle, in ms of `performance.now()`. */
+  idleSince: number;
+  /** Whether a request had invalid framing; further requests on the connection are ignored. */
+  isRejected: boolean;
+};
 
-/** Limits where nobody sets others. */
+/** The limits of a server that is given no others. */
 export const defaultHttpLimits: HttpLimits = {
   headerBytes: Constants.headerLimitBytes,
   headerMs: Constants.headerLimitMs,
   idleMs: Constants.callerIdleMs,
 };
-const reasons: Record<number, string> = {
+const REASON_PHRASES: Record<number, string> = {
   400: "Bad Request",
   408: "Request Timeout",
   413: "Payload Too Large",
@@ -40,7 +48,7 @@
   for (const part of rawHeaders) size += part.length;
   return size;
 };
-/** Path and query of a request's target, which may be a whole URL. */
+/** Returns the path and the query of a request's target, which may be an absolute URL. */
 function originForm(target: string): string {
   if (target.startsWith("/")) return target;
   const rest = /^https?:\/\/[^/?#]*(.*)$/i.exec(target)?.[1];
@@ -49,8 +57,8 @@
 }
 
 /**
- * An HTTP server on one address. Its limits are asked for anew, so that a change of configuration holds for open
- * connections too. What is wrong with a request's framing ends its connection before anything is passed on.
+ * An HTTP server at one address. It reads its limits again for each request, so that a changed configuration applies to
+ * open connections too. Invalid framing of a request ends its connection before the request is passed on.
  *
  * @example
  * const server = new HttpServer(scope, handler, () => limits);
@@ -59,9 +67,10 @@
 export class HttpServer {
   private readonly server: http.Server;
   private readonly connections = new WeakMap<net.Socket, Connection>();
-  private applied: HttpLimits | undefined;
-  private keepAlive = "";
-  private closing = false;
+  private appliedLimits: HttpLimits | undefined;
+  /** The value of the Keep-Alive header; empty if connections are not kept. */
+  private keepAliveHeader = "";
+  private isStopping = false;
   constructor(
     private readonly scope: Scope,
     private readonly handler: Handler,
@@ -82,7 +91,7 @@
     this.refreshLimits();
   }
 
-  /** @example yield* server.listen("10.0.0.1:80"); */
+  /** Listens at an address. Fault: "internal". */
   *listen(address: string): Task<Result<true>> {
     const { server } = this;
     const { host, port } = parseAddress(address);
@@ -97,134 +106,134 @@
     });
     return Fault.ok(true as const);
   }
-  /** No new connection, and each response ends its own. @example server.stopServing(); */
+  /** Stops accepting connections and closes idle ones; each further response closes its connection. */
   stopServing(): void {
-    this.closing = true;
+    this.isStopping = true;
     this.server.close();
     this.server.closeIdleConnections();
   }
 
-  // ---------- limits ----------
+  // ---------- Limits ----------
   private refreshLimits(): void {
     const limits = this.limits();
-    if (limits === this.applied) return;
-    this.applied = limits;
+    if (limits === this.appliedLimits) return;
+    this.appliedLimits = limits;
     this.server.headersTimeout = limits.headerMs;
-    // never closed before its time: the margin covers a request that is on its way as the time ends
+    // A connection is never closed before the announced time; the margin covers a request that is in flight at its end.
     this.server.keepAliveTimeout = limits.idleMs + Constants.idleMarginMs;
     const seconds = Math.floor(limits.idleMs / 1000);
-    this.keepAlive = seconds > 0 ? `timeout=${seconds}` : "";
+    this.keepAliveHeader = seconds > 0 ? `timeout=${seconds}` : "";
   }
   private connectionOf(socket: net.Socket): Connection {
-    const known = this.connections.get(socket);
-    if (known) return known;
-    const connection: Connection = { underWay: 0, restingSince: performance.now(), refused: false };
+    const existing = this.connections.get(socket);
+    if (existing) return existing;
+    const connection: Connection = { pendingCount: 0, idleSince: performance.now(), isRejected: false };
     this.connections.set(socket, connection);
     return connection;
   }
-  /** A connection rested for as long as the limits said when its last response ended; by now they may give it more time. */
+  /** Closes an idle connection, unless the limits were raised since its last response and now allow it more time. */
   private onTimeout(socket: net.Socket): void {
     this.refreshLimits();
-    const rested = performance.now() - this.connectionOf(socket).restingSince;
-    const left = this.server.keepAliveTimeout - rested;
-    if (left > 1) socket.setTimeout(left);
+    const idleMs = performance.now() - this.connectionOf(socket).idleSince;
+    const leftMs = this.server.keepAliveTimeout - idleMs;
+    if (leftMs > 1) socket.setTimeout(leftMs);
     else socket.destroy();
   }
   private onClientError(error: NodeJS.ErrnoException, socket: net.Socket): void {
     const connection = this.connectionOf(socket);
-    if (connection.refused) return;
+    if (connection.isRejected) return;
     if (!socket.writable || error.code === "ECONNRESET") return void socket.destroy();
-    // a new connection that has sent nothing rests: it has the idle time, not the time for a header
+    // A new connection without any data counts as idle: the idle time applies to it, not the time for the headers.
     if (error.code === "ERR_HTTP_REQUEST_TIMEOUT" && socket.bytesRead === 0)
       return void socket.setTimeout(Math.max(1, this.server.keepAliveTimeout - this.server.headersTimeout));
-    connection.refused = true;
+    connection.isRejected = true;
     const status = statusOfParseError(error.code);
-    const newestIsBroken = connection.newest?.complete === false;
-    // a response to an earlier request is still due on this connection: no other may come in its place
-    if (connection.underWay > (newestIsBroken ? 1 : 0)) return void socket.destroy();
-    socket.end(`HTTP/1.1 ${status} ${reasons[status]}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
+    const isNewestIncomplete = connection.newest?.complete === false;
+    // If an earlier request on the connection has no response yet, the caller would take this one for its response.
+    if (connection.pendingCount > (isNewestIncomplete ? 1 : 0)) return void socket.destroy();
+    socket.end(`HTTP/1.1 ${status} ${REASON_PHRASES[status]}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
     setTimeout(() => socket.destroy(), Constants.refusedLingerMs).unref();
   }
 
-  // ---------- requests ----------
+  // ---------- Requests ----------
   private onRequest(request: http.IncomingMessage, response: http.ServerResponse): void {
     this.refreshLimits();
     const { socket } = request;
     const connection = this.connectionOf(socket);
-    if (connection.refused) return;
-    connection.underWay += 1;
+    if (connection.isRejected) return;
+    connection.pendingCount += 1;
     connection.newest = request;
-    const gone = Csp.chan<true>(1);
-    const incoming = this.incoming(request, response, gone);
-    const over = (): void => {
-      gone.close();
-      if (!response.writableFinished) incoming.onDisconnect?.();
+    const disconnected = Csp.chan<true>(1);
+    const exchange = this.makeExchange(request, response, disconnected);
+    const onEnd = (): void => {
+      disconnected.close();
+      if (!response.writableFinished) exchange.onDisconnect?.();
     };
     response.on("close", () => {
-      connection.underWay -= 1;
-      connection.restingSince = performance.now();
-      over();
+      connection.pendingCount -= 1;
+      connection.idleSince = performance.now();
+      onEnd();
     });
-    response.on("error", over);
-    if (headerBytes(request.rawHeaders) > this.applied!.headerBytes) return incoming.send(431, {}, "");
+    response.on("error", onEnd);
+    if (headerBytes(request.rawHeaders) > this.appliedLimits!.headerBytes) return exchange.send(431, {}, "");
     const { handler } = this;
-    Csp.go(this.scope, `${incoming.method} ${incoming.path}`, function* () {
+    Csp.go(this.scope, `${exchange.method} ${exchange.path}`, function* () {
       try {
-        yield* handler(incoming);
+        yield* handler(exchange);
       } catch (error) {
-        // the caller must not wait for what nobody works on any more
+        // Without a response, the caller would wait for a handler that has failed.
         if (response.headersSent) response.destroy();
-        else incoming.send(500, {}, "");
+        else exchange.send(500, {}, "");
         throw error;
       }
     });
   }
-  private incoming(
+  private makeExchange(
     request: http.IncomingMessage,
     response: http.ServerResponse,
-    gone: HttpExchange["disconnected"],
-  ): HttpExchange & { onGone?: () => void } {
+    disconnected: HttpExchange["disconnected"],
+  ): HttpExchange & { onDisconnect?: () => void } {
     const target = originForm(request.url ?? "/");
-    const queryAt = target.indexOf("?");
-    const begin = (status: number, headers: Record<string, string>): void => {
-      if (this.closing) response.shouldKeepAlive = false;
-      const resting = response.shouldKeepAlive && headers.connection === undefined && this.keepAlive !== "";
-      response.writeHead(status, resting ? { ...headers, "keep-alive": this.keepAlive } : headers);
+    const queryStart = target.indexOf("?");
+    const writeHead = (status: number, headers: Record<string, string>): void => {
+      if (this.isStopping) response.shouldKeepAlive = false;
+      const isKept = response.shouldKeepAlive && headers.connection === undefined && this.keepAliveHeader !== "";
+      response.writeHead(status, isKept ? { ...headers, "keep-alive": this.keepAliveHeader } : headers);
     };
     return {
       method: request.method ?? "GET",
-      path: queryAt < 0 ? target : target.slice(0, queryAt),
+      path: queryStart < 0 ? target : target.slice(0, queryStart),
       target,
       get query() {
-        return new URLSearchParams(queryAt < 0 ? "" : target.slice(queryAt));
+        return new URLSearchParams(queryStart < 0 ? "" : target.slice(queryStart));
       },
       headers: request.headers as Record<string, string>,
       callerAddress: `${request.socket.remoteAddress}:${request.socket.remotePort}`,
-      disconnected: gone,
+      disconnected,
       body: (limit) => bodyOf(request, limit),
       send(status, headers, body) {
         if (response.headersSent || response.destroyed) return;
         if (status === 413 || status === 431) response.shouldKeepAlive = false;
-        const bodiless = request.method === "HEAD" || status === 204 || status === 304;
-        begin(status, bodiless ? headers : { ...headers, "content-length": String(Buffer.byteLength(body)) });
+        const isBodyless = request.method === "HEAD" || status === 204 || status === 304;
+        writeHead(status, isBodyless ? headers : { ...headers, "content-length": String(Buffer.byteLength(body)) });
         response.end(body);
       },
       sendUntilClose(status, headers, body) {
         if (response.headersSent || response.destroyed) return;
         response.shouldKeepAlive = false;
         response.useChunkedEncodingByDefault = false;
-        begin(status, headers);
+        writeHead(status, headers);
         response.end(body);
       },
       startStream(status, headers) {
         if (response.headersSent || response.destroyed) return;
-        begin(status, headers);
+        writeHead(status, headers);
         response.flushHeaders();
       },
       write: (chunk) => void (response.destroyed || response.write(chunk)),
       end: () => void (response.destroyed || response.end()),
       abort() {
-        // without chunks a mere close would look like the end of the body
+        // HTTP/1.0 has no chunked encoding, so an ordinary close would look like the end of the body.
         if (request.httpVersion === "1.0") request.socket.resetAndDestroy();
         response.destroy();
       },
@@ -232,11 +241,14 @@
   }
 }
 
-/** The whole body; one over the limit is read on for a while, so that its sender sees the refusal, and then given up. */
+/**
+ * Reads a body. Up to `bodyDrainBytes` beyond the limit are read and discarded, so that the sender of a longer body
+ * receives the response that rejects it.
+ */
 function* bodyOf(request: http.IncomingMessage, limit: number): Task<Result<Buffer>> {
   const overLimit = (): Result<Buffer> => Fault.fail("invalid", "read body", "caller", "body over the limit");
-  const most = limit + Constants.bodyDrainBytes;
-  if (Number(request.headers["content-length"]) > most) return overLimit();
+  const readLimit = limit + Constants.bodyDrainBytes;
+  if (Number(request.headers["content-length"]) > readLimit) return overLimit();
   return yield* awaitCallback<Result<Buffer>>((done) => {
     let chunks: Buffer[] = [];
     let size = 0;
@@ -244,7 +256,7 @@
       size += chunk.length;
       if (size <= limit) chunks.push(chunk);
       else chunks = [];
-      if (size > most) done(overLimit());
+      if (size > readLimit) done(overLimit());
     });
     request.on("end", () => done(size > limit ? overLimit() : Fault.ok(Buffer.concat(chunks))));
     request.on("close", () => done(Fault.fail("broken", "read body", "caller", "caller went away")));
--- a/src/runtime/nodeDisk.ts
+++ b/src/runtime/nodeDisk.ts
@@ -6,14 +6,15 @@
 
 type LockHolder = { pid: number; startTime: string; owner: string };
 /**
- * Who a lock file names, if it can be read in full. The file is written without a sync, since no holder outlives a loss
- * of power; what such a loss leaves of it (nothing, a number, an address cut short) is no lock.
+ * Returns the holder that a lock file names; undefined if the file is incomplete. The file is written without a sync,
+ * since no holder survives a power loss. What such a loss leaves of it (nothing, a number, a truncated address) does not
+ * count as a lock.
  */
-function lockHolder(text: string): LockHolder | undefined {
-  const whole = /^(\d+) (\d+) (\S+)\n$/.exec(text);
-  return whole ? { pid: +whole[1], startTime: whole[2], owner: whole[3] } : undefined;
+function parseLock(text: string): LockHolder | undefined {
+  const match = /^(\d+) (\d+) (\S+)\n$/.exec(text);
+  return match ? { pid: +match[1], startTime: match[2], owner: match[3] } : undefined;
 }
-/** When a process started, which tells it from a later one of the same number. */
+/** Returns the start time of a process, which distinguishes it from a later process with the same id. */
 function startTimeOf(pid: number): string | undefined {
   try {
     const stat = fs.readFileSync(`/proc/${pid}/stat`, "utf8");
@@ -24,18 +25,18 @@
 }
 async function writeLock(folder: string, owner: string): Promise<void> {
   const file = path.join(folder, "lock");
-  const holder = lockHolder(await fs.promises.readFile(file, "utf8").catch(() => ""));
+  const holder = parseLock(await fs.promises.readFile(file, "utf8").catch(() => ""));
   const heldByAnother =
     holder && holder.owner !== owner && holder.pid !== process.pid && startTimeOf(holder.pid) === holder.startTime;
   if (heldByAnother) throw new Error(`${folder} is in use by process ${holder.pid}`);
   await fs.promises.writeFile(file, `${process.pid} ${startTimeOf(process.pid)} ${owner}\n`);
 }
 
-/** What is used instead where there is no such file or folder; any other error is thrown on. */
+/** Returns an error handler that gives a default if a file or folder does not exist, and rethrows all other errors. */
 const ifMissing =
-  <T>(instead: T) =>
+  <T>(defaultValue: T) =>
   (error: NodeJS.ErrnoException): T => {
-    if (error.code === "ENOENT") return instead;
+    if (error.code === "ENOENT") return defaultValue;
     throw error;
   };
 async function withFile(file: string, flags: string, body: (handle: fs.promises.FileHandle) => Promise<void>) {
@@ -48,32 +49,32 @@
 }
 
 /**
- * The steps of a disk, done by Node's file system calls.
+ * The steps of a disk on the file system of the operating system.
  *
  * @example
  * const disk = new DurableDisk(NodeDisk.steps("store-1"));
  */
 export const NodeDisk = {
-  /** @example const steps = NodeDisk.steps("store-1"); */
+  /** Returns the steps; their faults name `name` as the member. */
   steps(name: string): DiskSteps {
-    const guard = function* <T>(step: string, work: () => Promise<T>): Task<Result<T>> {
+    const attempt = function* <T>(step: string, operation: () => Promise<T>): Task<Result<T>> {
       const chan = Csp.chan<Result<T>>(1);
-      work().then(
+      operation().then(
         (value) => Csp.offer(chan, Fault.ok(value)),
         (error: Error) => Csp.offer(chan, Fault.fail("disk", step, name, error.message)),
       );
       return (yield* Csp.take(chan))!;
     };
-    const change = (step: string, work: () => Promise<unknown>): Task<Result<true>> =>
-      guard(step, async () => {
-        await work();
+    const change = (step: string, operation: () => Promise<unknown>): Task<Result<true>> =>
+      attempt(step, async () => {
+        await operation();
         return true as const;
       });
     return {
-      read: (file) => guard(`read ${file}`, () => fs.promises.readFile(file).catch(ifMissing(undefined))),
-      list: (folder) => guard(`list ${folder}`, () => fs.promises.readdir(folder).catch(ifMissing<string[]>([]))),
+      read: (file) => attempt(`read ${file}`, () => fs.promises.readFile(file).catch(ifMissing(undefined))),
+      list: (folder) => attempt(`list ${folder}`, () => fs.promises.readdir(folder).catch(ifMissing<string[]>([]))),
       exists: (folder) =>
-        guard(`look for ${folder}`, () =>
+        attempt(`look for ${folder}`, () =>
           fs.promises
             .stat(folder)
             .then((stats) => stats.isDirectory())
@@ -105,7 +106,7 @@
       rename: (from, to) => change(`rename ${from}`, () => fs.promises.rename(from, to)),
       remove: (file) => change(`remove ${file}`, () => fs.promises.rm(file, { force: true })),
       freeBytes: (folder) =>
-        guard(`free ${folder}`, async () => {
+        attempt(`free ${folder}`, async () => {
           const stats = await fs.promises.statfs(folder);
           return stats.bavail * stats.bsize;
         }),
--- a/src/runtime/nodeEnvironment.ts
+++ b/src/runtime/nodeEnvironment.ts
@@ -10,39 +10,40 @@
 import { HttpClient } from "./httpClient";
 import { HttpServer } from "./httpServer";
 
-function linkOf(socket: net.Socket, member: string): Link {
+function makeLink(socket: net.Socket, remoteAddress: string): Link {
   const incoming = Csp.chan<Buffer>(64);
   const put = forwardToChannel(socket, incoming);
-  let held: Buffer = Buffer.alloc(0);
-  let closed = false;
+  // The bytes received after the last complete frame; each frame is preceded by its length as a 32-bit integer.
+  let received: Buffer = Buffer.alloc(0);
+  let isClosed = false;
   const close = (): void => {
-    if (closed) return;
-    closed = true;
+    if (isClosed) return;
+    isClosed = true;
     socket.destroy();
     incoming.close();
   };
   socket.setNoDelay(true);
   socket.on("data", (chunk: Buffer) => {
-    held = held.length === 0 ? chunk : Buffer.concat([held, chunk]);
-    while (held.length >= 4) {
-      const size = held.readUInt32BE(0);
+    received = received.length === 0 ? chunk : Buffer.concat([received, chunk]);
+    while (received.length >= 4) {
+      const size = received.readUInt32BE(0);
       if (size > Constants.frameLimitBytes) return close();
-      if (held.length < 4 + size) break;
-      put(Buffer.from(held.subarray(4, 4 + size)));
-      held = held.subarray(4 + size);
+      if (received.length < 4 + size) break;
+      put(Buffer.from(received.subarray(4, 4 + size)));
+      received = received.subarray(4 + size);
     }
   });
   socket.on("error", close);
   socket.on("close", close);
   return {
-    remoteAddress: member,
+    remoteAddress,
     incoming,
     send(frame) {
-      if (closed || socket.writableLength > Constants.frameLimitBytes) return false;
-      const head = Buffer.alloc(4);
-      head.writeUInt32BE(frame.length, 0);
+      if (isClosed || socket.writableLength > Constants.frameLimitBytes) return false;
+      const header = Buffer.alloc(4);
+      header.writeUInt32BE(frame.length, 0);
       socket.cork();
-      socket.write(head);
+      socket.write(header);
       socket.write(frame);
       socket.uncork();
       return true;
@@ -52,7 +53,7 @@
 }
 
 /**
- * The environment of production: Node's clocks, sockets and files.
+ * The production environment, which uses the clocks, sockets and files of the machine.
  *
  * @example
  * const env = NodeEnvironment.make("store-1", scope, Logger.make("store-1", "info"));
@@ -88,14 +89,14 @@
       *listen(address) {
         const links = Csp.chan<Link>(256);
         const server = NodeLibs.net().createServer((socket) => {
-          if (!Csp.offer(links, linkOf(socket, `${socket.remoteAddress}:${socket.remotePort}`))) socket.destroy();
+          if (!Csp.offer(links, makeLink(socket, `${socket.remoteAddress}:${socket.remotePort}`))) socket.destroy();
         });
         const { host, port } = parseAddress(address);
-        const failed = yield* awaitCallback<Error | undefined>((done) => {
+        const listenError = yield* awaitCallback<Error | undefined>((done) => {
           server.once("error", done);
           server.listen(port, host, () => done(undefined));
         });
-        if (failed) return Fault.fail("internal", "listen", address, failed.message);
+        if (listenError) return Fault.fail("internal", "listen", address, listenError.message);
         scope.onStop(() => server.close());
         return Fault.ok(links);
       },
@@ -113,7 +114,7 @@
           socket.once("connect", () => {
             clearTimeout(timer);
             socket.removeAllListeners("error");
-            done(Fault.ok(linkOf(socket, address)));
+            done(Fault.ok(makeLink(socket, address)));
           });
         });
       },
@@ -125,21 +126,21 @@
           "message",
           (data, sender) => void Csp.offer(incoming, { from: `${sender.address}:${sender.port}`, data }),
         );
-        const failed = yield* awaitCallback<Error | undefined>((done) => {
+        const bindError = yield* awaitCallback<Error | undefined>((done) => {
           socket.once("error", done);
           socket.bind(port, host, () => done(undefined));
         });
-        if (failed) return Fault.fail("internal", "bind", address, failed.message);
+        if (bindError) return Fault.fail("internal", "bind", address, bindError.message);
         socket.on("error", (error) => log(1004, { task: "datagrams", error: error.message }));
         scope.onStop(() => socket.close());
-        const out: DatagramSocket = {
+        const datagramSocket: DatagramSocket = {
           incoming,
           send: (to, data) => {
             const target = parseAddress(to);
             socket.send(data, target.port, target.host, () => undefined);
           },
         };
-        return Fault.ok(out);
+        return Fault.ok(datagramSocket);
       },
       *serveHttp(address, handler, limits) {
         const server = new HttpServer(scope, handler, limits);
--- a/src/runtime/nodeLibs.ts
+++ b/src/runtime/nodeLibs.ts
@@ -6,7 +6,8 @@
 };
 
 /**
- * Node's libraries that hold handles of the system, loaded when first used: a start-up snapshot can't hold them.
+ * Built-in modules that hold handles of the operating system. They are loaded on first use, since a start-up snapshot
+ * cannot contain such handles.
  *
  * @example
  * NodeLibs.net().createServer(serve);
--- a/src/runtime/recordFrames.ts
+++ b/src/runtime/recordFrames.ts
@@ -1,24 +1,24 @@
 import { crc32 } from "zlib";
 
 /**
- * Records in a file, each in a frame: magic, length of the body, a number, and a CRC-32 over these and the body, all of 32
- * bits and big-endian; then the body.
+ * Records in a file, each in a frame. A frame consists of a magic, the length of the body, a number, and a CRC-32 of
+ * these and the body, each a big-endian 32-bit integer, followed by the body.
  */
 
 /** One record read from a file. */
 export interface Frame {
   readonly number: number;
   readonly body: Buffer;
-  /** Offset behind it, bytes. */
+  /** The offset in bytes at which the frame ends. */
   readonly end: number;
 }
 
-/** What a log file holds. */
+/** The content of a log file. */
 export interface ScannedLog {
   readonly bodies: Buffer[];
-  /** Offset behind the last complete record, bytes. */
+  /** The offset in bytes at which the last complete record ends. */
   readonly end: number;
-  /** Whether a record behind the end shows that something synced was lost. */
+  /** Whether a record after `end` shows that synced data was lost. */
   readonly damaged: boolean;
 }
 
@@ -30,7 +30,7 @@
 const checksumOf = (header: Buffer, body: Buffer): number =>
   (crc32 as (data: Buffer) => number)(Buffer.concat([header.subarray(0, CHECKSUM_OFFSET), body])) >>> 0;
 
-/** The frame around a body. */
+/** Encodes a body as a frame. */
 export function encodeFrame(magic: number, number: number, body: Buffer): Buffer {
   const header = Buffer.alloc(HEADER_BYTES);
   header.writeUInt32BE(magic, 0);
@@ -40,7 +40,7 @@
   return Buffer.concat([header, body]);
 }
 
-/** The frame at an offset; undefined unless it is complete and undamaged. */
+/** Returns the frame at an offset; undefined if it is incomplete or damaged. */
 export function decodeFrame(magic: number, data: Buffer, offset = 0): Frame | undefined {
   const bodyOffset = offset + HEADER_BYTES;
   if (bodyOffset > data.length || data.readUInt32BE(offset) !== magic) return undefined;
@@ -52,15 +52,16 @@
   return { number: header.readUInt32BE(NUMBER_OFFSET), body, end };
 }
 
-/** The frames from the start of a file up to the first that is incomplete or damaged. */
+/** Yields the frames from the start of a file up to the first that is incomplete or damaged. */
 export function* decodeFrames(magic: number, data: Buffer): Generator<Frame> {
   for (let frame = decodeFrame(magic, data); frame; frame = decodeFrame(magic, data, frame.end)) yield frame;
 }
 
 /**
- * Reads a log. The number of each record is the offset at which its append began, plus one. Appends are synced one by one,
- * so only the last can be torn, anywhere in it: a complete record of a later append behind the end means that something
- * synced was lost. Records of former versions have the number 0; one of them behind the end is damage as well.
+ * Reads a log. The number of a record is the offset at which its append began, plus one. Each append is synced before the
+ * next, so only the last append can be torn, at any place in it. A complete record of a later append after `end`
+ * therefore means that synced data was lost. Records of earlier versions have the number 0; such a record after `end`
+ * counts as damage as well.
  */
 export function scanLog(magic: number, data: Buffer): ScannedLog {
   const frames = [...decodeFrames(magic, data)];
