--- a/src/adapters/caller/callerOperations.ts
+++ b/src/adapters/caller/callerOperations.ts
@@ -15,52 +15,52 @@
 } from "../../storage/messages/batchJobMessages";
 import type { OpenResponse, ReadResponse } from "../../storage/messages/liveRequestMessages";
 
-/** What an endpoint responded to a lookup. */
+/** The response of an endpoint to a lookup. */
 export interface CallerResponse {
   status: number;
-  /** JSON text. */
+  /** The body as JSON text. */
   body: string;
 }
 
-/** A request that passed admission, with what the configuration and policies say of it. */
+/** A request that passed admission, with the settings that the configuration and the policies give it. */
 export interface AdmittedRequest {
   /** The name of its route. */
   name: string;
   route: Route;
-  /** The caller's name; empty where it gave none. */
+  /** The caller's name; empty if the caller gave none. */
   caller: string;
-  /** Priority; the lowest number is served first. */
+  /** The priority; the lowest number is served first. */
   order: number;
-  /** The configuration and policy that admitted it, for the ledger. */
+  /** The configuration and policy that it was admitted by, for the ledger. */
   cause: Cause;
-  /** Time for the entire request in ms. */
+  /** The time-out of the entire request in ms. */
   deadlineMs: number;
 }
 
-/** An item of a batch job as a caller submits it: a complete request, its body in base64. */
+/** An item of a batch job as submitted by a caller: a complete request with its body in base64. */
 export type SubmittedItem = ItemRequest & { body: string };
 
-/** A job whose items are JSON values of a named route. */
+/** A batch job whose items are JSON values. */
 export interface JsonItemsJob {
   id: string;
   route: AdmittedRequest;
-  /** The JSON texts of the items. */
+  /** The items as JSON text. */
   bodies: string[];
 }
 
-/** Decides which requests come in, by readiness, configuration, policies and limits. */
+/** Admits or rejects requests by readiness, configuration, policies and limits. */
 export interface RequestAdmission {
-  /** Faults: "busy" while the node is not ready or a limit is reached, "notFound" for an unknown route. */
+  /** Admits a request. Faults: "busy" if the node is not ready or a limit is reached, "notFound" for an unknown route. */
   admit(routeName: string, headers: Record<string, string>): Result<AdmittedRequest>;
-  /** Counts a request towards its route's limit while the task runs. */
+  /** Runs a task, and counts it towards the limit of its route meanwhile. */
   countLive<T>(routeName: string, task: () => Task<T>): Task<T>;
-  /** The largest request body by the configuration in force. */
+  /** Returns the maximum size of a request body by the configuration in force. */
   bodyLimitBytes(): number;
 }
 
-/** Idempotent single requests, which go to an endpoint without a shard. */
+/** Forwards lookups: idempotent single requests, which go to an endpoint without involving a shard. */
 export interface Lookups {
-  /** Calls `respond` at most once with the outcome; a fault "busy" if too many lookups are pending. */
+  /** Starts a lookup, which calls `respond` at most once. Fault: "busy" if too many lookups are pending. */
   start(
     id: string,
     request: AdmittedRequest,
@@ -69,26 +69,27 @@
   ): Result<{ cancel(): void }>;
 }
 
-/** Streams, and single requests that may not be repeated: a shard records what they do. */
+/** Streams, and single requests that are not idempotent; a shard records their progress. */
 export interface LiveRequests {
-  /** The request id that an idempotency key stands for. */
+  /** Returns the request id that an idempotency key maps to. */
   idOfKey(routeName: string, key: string): string;
-  /** The stamp of an arrival; a fault "busy" if this node's stamps are too far ahead of its clock. */
+  /** Returns the stamp of a request that arrives now. Fault: "busy" if this node's stamps are too far ahead of its clock. */
   stampArrival(): Result<Stamp>;
   /**
-   * Opens a request at its shard. "busy" promises that it never ran and never will; "unknown" promises nothing.
-   * `keyed` says that the id comes from an idempotency key.
+   * Opens a request at its shard. The fault "busy" guarantees that the request has not run and never will; "unknown"
+   * guarantees nothing.
+   * @param keyed whether the id comes from an idempotency key
    */
   open(id: string, request: AdmittedRequest, body: string, keyed: boolean, arrival: Stamp): Task<Result<OpenResponse>>;
-  /** Reads the chunks after a position; waits up to waitMs for a change, and tries for withinMs. */
+  /** Reads the chunks after a position; waits up to `waitMs` for a change, and retries for up to `withinMs`. */
   read(id: string, after: number, waitMs: number, withinMs: number): Task<Result<ReadResponse>>;
 }
 
 /** Submits and ends batch jobs at their shards. */
 export interface JobSubmission {
   /**
-   * Submits a job of complete requests; ok once every replica of its shard has it. "busy" promises that this submission never
-   * takes effect, with the step "quota" if it did not fit; "unknown" promises nothing.
+   * Submits a job of complete requests; ok once every replica of its shard has the job. The fault "busy" guarantees that
+   * this submission never takes effect; its step is "quota" if the job is over the quota. "unknown" guarantees nothing.
    */
   submit(
     id: string,
@@ -97,45 +98,48 @@
     items: SubmittedItem[],
     withinMs: number,
   ): Task<Result<SubmitJobResponse>>;
-  /** Submits a job of JSON items; "busy" promises that it was not accepted, "unknown" promises nothing. */
+  /** Submits a job of JSON items. The fault "busy" guarantees that it was not accepted; "unknown" guarantees nothing. */
   submitJsonItems(job: JsonItemsJob, arrival: Stamp): Task<Result<PutOutcome>>;
-  /** Ends a job, for as long as a submission is tried; idempotent. Faults: "notFound", "gone", "unknown", else "busy". */
+  /**
+   * Ends a job; idempotent. Has the same time-out as a submission. Faults: "notFound", "gone" or "unknown"; "busy" in all
+   * other cases.
+   */
   end(id: string, by: string): Task<Result<EndJobResponse>>;
-  /** The same with the shorter patience of a status query; a fault "busy" of the shard's leader is passed on as it is. */
+  /** The same with the shorter time-out of a status query. A fault "busy" of the shard's leader is returned unchanged. */
   endNow(id: string, by: string): Task<Result<EndJobResponse>>;
 }
 
-/** Reads batch jobs from the replicas of their shards. "notFound" and "gone" are certain, all else is "busy". */
+/** Reads batch jobs from the replicas of their shards. Faults: "notFound" and "gone" if certain; otherwise "busy". */
 export interface JobReader {
-  /** The results of a job of complete requests from a position on; waits up to waitMs for the first. */
+  /** Returns results of a job of complete requests from a position on; waits up to `waitMs` for the first. */
   list(id: string, from: number, waitMs: number): Task<Result<JobResultPage>>;
-  /** Results of a job of JSON items after a position, at most `limit`; waits up to waitMs for the first. */
+  /** Returns up to `limit` results of a job of JSON items after a position; waits up to `waitMs` for the first. */
   results(id: string, after: number, limit: number, waitMs: number): Task<Result<JobResultsResponse>>;
-  /** Counts and states, by the shard's leader, which may also respond "unknown". */
+  /** Returns the counts and states of a job from the shard's leader, which may also return the fault "unknown". */
   status(id: string): Task<Result<JobStatusResponse>>;
-  /** The body, in base64, of an item that is not listed yet. */
+  /** Returns the body, in base64, of an item whose result is not listed yet. */
   itemBody(id: string, itemId: string): Task<Result<ItemBodyResponse>>;
 }
 
-/** Handles the submission of a batch job that was posted under its route's host and path. */
+/** Handles a batch job that was submitted by POST to the host and path of its route. */
 export type BatchJobHandler = (exchange: HttpExchange, match: MatchedRoute, body: Buffer) => Task<void>;
 
-/** Requests that are forwarded unchanged, by host and path. */
+/** Forwards requests unchanged, by their host and path. */
 export interface DirectRequests {
-  /** Whether some route is reached by the request's host and path. */
+  /** Returns whether the host and the path of the request match a route. */
   matches(exchange: HttpExchange): boolean;
-  /** Serves a request to its end; without `submitJob`, batch jobs are rejected. */
+  /** Serves a request until its end. Batch jobs are rejected if `submitJob` is undefined. */
   serve(exchange: HttpExchange, submitJob?: BatchJobHandler): Task<void>;
 }
 
-/** What a node may serve now. */
+/** Whether a node accepts requests. */
 export interface Readiness {
   readonly stopping: boolean;
-  /** Why new work is rejected; undefined while the node is ready. */
+  /** Returns the reason why new requests are rejected; undefined while the node is ready. */
   unreadyReason(): string | undefined;
 }
 
-/** Counts of what callers did and got; see the metrics of the same meaning. */
+/** Counters of callers' requests and their outcomes, exported as metrics. */
 export interface CallerCounters {
   streams: number;
   jobs: number;
@@ -144,7 +148,7 @@
   resumes: number;
 }
 
-/** What the HTTP surfaces for callers need of the ingress they run in. */
+/** The operations of an ingress that the HTTP APIs for callers use. */
 export interface CallerOperations {
   readonly env: Environment;
   /** The member id of this node. */
@@ -157,6 +161,6 @@
   readonly jobSubmission: JobSubmission;
   readonly jobReader: JobReader;
   readonly directRequests: DirectRequests;
-  /** Records a decision that no shard records. */
+  /** Records a decision in the ledger that no shard records. */
   note(subject: string, decision: string, cause: Cause): void;
 }
--- a/src/adapters/caller/callerRoutes.ts
+++ b/src/adapters/caller/callerRoutes.ts
@@ -4,7 +4,7 @@
 import { RequestRoutes } from "./requestRoutes";
 
 /**
- * The callers' part of the product's own HTTP surface: requests, streams, batch jobs.
+ * The HTTP API for callers: requests, streams and batch jobs.
  *
  * @example
  * const routes = CallerRoutes.of(operations);
--- a/src/adapters/caller/closedRequest.ts
+++ b/src/adapters/caller/closedRequest.ts
@@ -1,15 +1,15 @@
 import { Constants } from "../../common/constants";
 import { Fault } from "../../common/fault";
 
-/** What a shard recorded on how a request failed. */
+/** The outcome that a shard recorded for a failed request. */
 interface RecordedOutcome {
   detail?: string;
-  /** The status that an endpoint responded with. */
+  /** The status of the endpoint's response. */
   status?: number;
   retryAfterMs?: number;
 }
 
-/** A fault with the status that a caller gets for it. */
+/** A fault and the HTTP status that it is reported with. */
 export interface FaultResponse {
   fault: Fault;
   status: number;
@@ -27,9 +27,9 @@
   status !== undefined && status >= 400 && status < 500;
 
 /**
- * The fault and status for a request that its shard closed in another state than "done"; `outcome` is what the shard
- * recorded on it, normally as JSON.
+ * Returns the fault and the status for a request that its shard closed in a state other than "done".
  *
+ * @param outcome the recorded outcome: normally JSON, otherwise text that becomes the detail of the fault
  * @example
  * closedRequestFault("refused", "", "req-1").status // 503
  */
--- a/src/adapters/caller/jobRequest.ts
+++ b/src/adapters/caller/jobRequest.ts
@@ -3,7 +3,7 @@
 import { schemaParser } from "../schemas/schemaParser";
 import type { SubmittedItem } from "./callerOperations";
 
-/** The body of a job submission; it has either items or requests. */
+/** The body of a job submission, with either items or requests. */
 export interface JobRequest {
   id?: string;
   /** The name of the route. */
@@ -43,5 +43,5 @@
   },
 };
 
-/** Parses the body of a job submission. @example parseJob({ binding: "audit", items: [{ n: 1 }] }) */
+/** @example parseJob({ binding: "audit", items: [{ n: 1 }] }) */
 export const parseJob = schemaParser<JobRequest>("lot", jobSchema);
--- a/src/adapters/caller/jobRoutes.ts
+++ b/src/adapters/caller/jobRoutes.ts
@@ -8,11 +8,11 @@
 import { parseJob } from "./jobRequest";
 import type { AdmittedRequest, CallerOperations, SubmittedItem } from "./callerOperations";
 
-const maxPosition = 1e9;
-const defaultResultsLimit = 500;
-const maxResultsLimit = 2000;
+const MAX_POSITION = 1e9;
+const DEFAULT_RESULTS_LIMIT = 500;
+const MAX_RESULTS_LIMIT = 2000;
 
-/** A number of the query, at most `max`; a fault "invalid" if it is none. */
+/** Returns a number from the query, limited to `max`. Fault: "invalid" if the parameter is not a number. */
 function queryNumber(exchange: HttpExchange, name: string, defaultValue: number, max: number): Result<number> {
   const text = exchange.query.get(name);
   if (text === null) return Fault.ok(defaultValue);
@@ -21,7 +21,7 @@
 }
 
 /**
- * Batch jobs: submitted, read, ended.
+ * Routes that submit, read and end batch jobs.
  *
  * @example
  * const routes = new JobRoutes(operations).routes();
@@ -61,7 +61,7 @@
     else yield* this.submitJsonItems(exchange, id, admitted.value, job.value.items!);
   }
 
-  /** A job of complete requests: 202 also for a repeat, since its caller may have lost the first response. */
+  /** Submits a job of complete requests. A repetition also gets 202, since the caller may have lost the first response. */
   private *submitRequests(
     exchange: HttpExchange,
     id: string,
@@ -91,7 +91,7 @@
     Http.sendJson(exchange, submitted.value.tag === "exists" ? 200 : 202, { id, items: bodies.length });
   }
 
-  /** Whether the id was used for a job that this submission does not repeat; the response has been sent then. */
+  /** Returns whether the id belongs to another or a trimmed job; the submission has then been rejected with a response. */
   private rejectKnownJob(exchange: HttpExchange, outcome: SubmitJobResponse | PutOutcome, step: string): boolean {
     if (outcome.tag !== "exists") return false;
     const member = this.operations.id;
@@ -113,9 +113,9 @@
   }
 
   private *results(exchange: HttpExchange, id: string): Task<void> {
-    const after = queryNumber(exchange, "after", 0, maxPosition);
+    const after = queryNumber(exchange, "after", 0, MAX_POSITION);
     if (!after.ok) return Http.sendProblem(exchange, after.fault);
-    const limit = queryNumber(exchange, "limit", defaultResultsLimit, maxResultsLimit);
+    const limit = queryNumber(exchange, "limit", DEFAULT_RESULTS_LIMIT, MAX_RESULTS_LIMIT);
     if (!limit.ok) return Http.sendProblem(exchange, limit.fault);
     const waitMs = queryNumber(exchange, "waitMs", 0, Constants.readWaitMs);
     if (!waitMs.ok) return Http.sendProblem(exchange, waitMs.fault);
--- a/src/adapters/caller/liveResponse.ts
+++ b/src/adapters/caller/liveResponse.ts
@@ -7,10 +7,10 @@
 import type { CallerOperations } from "./callerOperations";
 import { closedRequestFault } from "./closedRequest";
 
-/** How long a shard may wait for new chunks before it responds, in ms. */
-const readWaitMs = 800;
-/** The least time for a read, also when the request's deadline is near, in ms. */
-const minReadMs = 1000;
+/** The maximum time that a shard waits for new chunks before it responds to a read. */
+const READ_WAIT_MS = 800;
+/** The minimum time-out of a read, which applies even if the deadline of the request is nearer. */
+const MIN_READ_TIMEOUT_MS = 1000;
 
 const serverSentEvent = (event: string, data: unknown, id?: number): string =>
   `${id === undefined ? "" : `id: ${id}\n`}event: ${event}\ndata: ${JSON.stringify(data)}\n\n`;
@@ -21,46 +21,53 @@
   operations: CallerOperations,
   requestId: string,
   after: number,
-  untilMono: number,
+  deadline: number,
 ): Task<Result<ReadResponse>> => {
-  const leftMs = Math.min(Constants.streamPatienceMs, untilMono - operations.env.monotonicMs());
-  return operations.liveRequests.read(requestId, after, readWaitMs, Math.max(minReadMs, leftMs));
+  const leftMs = Math.min(Constants.streamPatienceMs, deadline - operations.env.monotonicMs());
+  return operations.liveRequests.read(requestId, after, READ_WAIT_MS, Math.max(MIN_READ_TIMEOUT_MS, leftMs));
 };
 
 /**
- * Relays the chunks of a live request from its shard to the caller as server-sent events, each once and in order.
+ * Relays the chunks of a live request from its shard to the caller as server-sent events, each exactly once and in
+ * order.
  *
  * @example
- * yield* new StreamRelay(operations, exchange, "req-1", 0, untilMono).run(true);
+ * yield* new StreamRelay(operations, exchange, "req-1", 0, deadline).run(true);
  */
 export class StreamRelay {
   private isOpen = false;
-  /** Starts after the chunk `position`; `untilMono` is the request's deadline. */
+  /**
+   * @param position the number of the last chunk that the caller has
+   * @param deadline the deadline of the request in monotonic ms
+   */
   constructor(
     private readonly operations: CallerOperations,
     private readonly exchange: HttpExchange,
     private readonly requestId: string,
     private position: number,
-    private readonly untilMono: number,
+    private readonly deadline: number,
   ) {}
 
-  /** Relays to the end. `isNew` says that the caller has just opened the request, so that the shard must know it. */
+  /**
+   * Relays until the request ends.
+   * @param isNew whether the caller has just opened the request, so that its shard must know it
+   */
   *run(isNew: boolean): Task<void> {
     const { operations } = this;
     for (;;) {
       if (this.exchange.disconnected.isClosed()) return;
-      if (operations.readiness.stopping && this.isOpen) return this.move();
-      const progress = yield* readProgress(operations, this.requestId, this.position, this.untilMono);
+      if (operations.readiness.stopping && this.isOpen) return this.redirect();
+      const progress = yield* readProgress(operations, this.requestId, this.position, this.deadline);
       if (!progress.ok) return this.readFailed(progress.fault, isNew);
       if (!this.relayChunks(progress.value)) return;
       if (progress.value.closed) return this.close(progress.value);
-      if (operations.env.monotonicMs() > this.untilMono + Constants.streamPatienceMs)
+      if (operations.env.monotonicMs() > this.deadline + Constants.streamPatienceMs)
         return this.fail({ tag: "unknown", step: "relay", member: operations.id, detail: "no end in time" });
     }
   }
 
-  /** Sends the caller to another node, since this one stops. */
-  private move(): void {
+  /** Tells the caller to resume at another node, since this one is stopping. */
+  private redirect(): void {
     const detail = "this node is stopping: go on elsewhere with Last-Event-ID";
     this.exchange.write(serverSentEvent("move", { requestId: this.requestId, after: this.position, detail }));
     this.exchange.end();
@@ -72,7 +79,7 @@
     this.fail(fault, statusOf(fault));
   }
 
-  /** False if a chunk is missing, which has ended the stream. */
+  /** Returns false if a chunk is missing; the stream has then ended with an error. */
   private relayChunks(progress: ReadResponse): boolean {
     for (const chunk of progress.pieces) {
       if (chunk.n !== this.position + 1) {
@@ -108,7 +115,7 @@
     this.isOpen = true;
   }
 
-  /** A problem as the response, or as the last event if the stream has begun. */
+  /** Sends a problem as the response, or as the last event if the stream has begun. */
   private fail(fault: Fault, status?: number): void {
     const { exchange, requestId } = this;
     this.operations.counters.failures += 1;
@@ -120,19 +127,19 @@
 }
 
 /**
- * Waits for the end of a live request that is no stream, and responds with its one chunk.
+ * Waits until a live request that is not a stream ends, and responds with its only chunk.
  *
  * @example
- * yield* respondWhenClosed(operations, exchange, "req-1", untilMono);
+ * yield* respondWhenClosed(operations, exchange, "req-1", deadline);
  */
 export function* respondWhenClosed(
   operations: CallerOperations,
   exchange: HttpExchange,
   requestId: string,
-  untilMono: number,
+  deadline: number,
 ): Task<void> {
   for (;;) {
-    const progress = yield* readProgress(operations, requestId, 0, untilMono);
+    const progress = yield* readProgress(operations, requestId, 0, deadline);
     if (!progress.ok) {
       const { step, member, detail } = progress.fault;
       return Http.sendProblem(exchange, { tag: "unknown", step, member, detail }, 504, { requestId });
@@ -144,7 +151,7 @@
       const { fault, status } = closedRequestFault(state, outcome, requestId);
       return Http.sendProblem(exchange, fault, status, { requestId });
     }
-    if (operations.env.monotonicMs() > untilMono + Constants.streamPatienceMs) {
+    if (operations.env.monotonicMs() > deadline + Constants.streamPatienceMs) {
       const member = operations.id;
       const fault: Fault = { tag: "unknown", step: "read", member, detail: "no end in time" };
       return Http.sendProblem(exchange, fault, 504, { requestId });
--- a/src/adapters/caller/requestRoutes.ts
+++ b/src/adapters/caller/requestRoutes.ts
@@ -11,7 +11,7 @@
 const isJsonObject = (value: unknown): boolean => typeof value === "object" && value !== null && !Array.isArray(value);
 
 /**
- * Requests by route name, and streams that go on after a lost connection.
+ * Routes that send requests by route name, and resume streams after a lost connection.
  *
  * @example
  * const routes = new RequestRoutes(operations).routes();
@@ -55,7 +55,7 @@
     );
   }
 
-  /** An idempotent single request: no shard takes part. */
+  /** Serves an idempotent single request, without involving a shard. */
   private *lookup(exchange: HttpExchange, request: AdmittedRequest, body: string): Task<void> {
     const requestId = EnvironmentTools.randomId(this.operations.env, "req");
     const responded = Csp.chan<true>(1);
@@ -72,13 +72,13 @@
     lookup.value.cancel();
   }
 
-  /** A stream, or a single request that may not be repeated: its shard records it. */
+  /** Serves a stream, or a single request that is not idempotent; its shard records it. */
   private *liveRequest(exchange: HttpExchange, request: AdmittedRequest, body: string, arrival: Stamp): Task<void> {
     const { operations } = this;
     const { env, liveRequests } = operations;
     const key = exchange.headers["idempotency-key"];
     const requestId = key ? liveRequests.idOfKey(request.name, key) : EnvironmentTools.randomId(env, "req");
-    const untilMono = env.monotonicMs() + request.deadlineMs;
+    const deadline = env.monotonicMs() + request.deadlineMs;
     operations.counters.streams += 1;
     const opened = yield* liveRequests.open(requestId, request, body, key !== undefined, arrival);
     if (!opened.ok) {
@@ -87,12 +87,14 @@
       return Http.sendProblem(exchange, opened.fault, undefined, { requestId });
     }
     if (this.rejectKnownKey(exchange, opened.value)) return;
-    if (request.route.kind === "stream")
-      yield* new StreamRelay(operations, exchange, requestId, 0, untilMono).run(true);
-    else yield* respondWhenClosed(operations, exchange, requestId, untilMono);
+    if (request.route.kind === "stream") yield* new StreamRelay(operations, exchange, requestId, 0, deadline).run(true);
+    else yield* respondWhenClosed(operations, exchange, requestId, deadline);
   }
 
-  /** Whether an idempotency key was used in a way that this request cannot join; the response has been sent then. */
+  /**
+   * Returns whether the idempotency key belongs to a trimmed request or one with another body; this request has then been
+   * rejected with a response.
+   */
   private rejectKnownKey(exchange: HttpExchange, opened: OpenResponse): boolean {
     if (opened.tag !== "exists") return false;
     const member = this.operations.id;
@@ -120,7 +122,7 @@
       return Http.sendProblem(exchange, { tag: "invalid", step: "read Last-Event-ID", member: "caller", detail });
     }
     counters.resumes += 1;
-    const untilMono = env.monotonicMs() + Constants.requestDeadlineMs;
-    yield* new StreamRelay(this.operations, exchange, requestId, +lastEventId, untilMono).run(false);
+    const deadline = env.monotonicMs() + Constants.requestDeadlineMs;
+    yield* new StreamRelay(this.operations, exchange, requestId, +lastEventId, deadline).run(false);
   }
 }
--- a/src/adapters/http.ts
+++ b/src/adapters/http.ts
@@ -2,8 +2,8 @@
 import { Task } from "../runtime/csp";
 import { HttpExchange } from "../runtime/env";
 
-/** The status of a response to each kind of fault, where a route gives no other. */
-const statuses: Record<Fault["tag"], number> = {
+/** The default status of a response to a fault, by the fault's tag. */
+const STATUS_BY_TAG: Record<Fault["tag"], number> = {
   timeout: 504,
   refused: 503,
   broken: 504,
@@ -18,31 +18,31 @@
   disk: 500,
   internal: 500,
 };
-const serviceUnavailable = 503;
-const payloadTooLarge = 413;
-const methodNotAllowed = 405;
-const problemType = "application/problem+json";
+const SERVICE_UNAVAILABLE = 503;
+const PAYLOAD_TOO_LARGE = 413;
+const METHOD_NOT_ALLOWED = 405;
+const PROBLEM_TYPE = "application/problem+json";
 
-/** A method and a path, and what handles them; `parts` are the path's captured groups, decoded. */
+/** A method, a path and their handler; `parts` are the captured groups of the path, decoded. */
 export interface HttpRoute {
   method: string;
   path: RegExp;
   run: (exchange: HttpExchange, parts: string[]) => Task<void>;
 }
 
-/** A body that was parsed as JSON, with its text. */
+/** A body parsed as JSON, and its text. */
 export interface JsonBody {
   value: unknown;
   text: string;
 }
 
-/** The seconds after which a rejected caller should retry, rounded up, at least one. */
+/** Returns the Retry-After header of a rejection, in seconds: rounded up, and at least 1. */
 function retryAfterHeader(fault: Fault, status: number): Record<string, string> {
   if (fault.tag === "busy") return { "retry-after": String(Math.max(1, Math.ceil(fault.retryAfterMs / 1000))) };
-  return status === serviceUnavailable ? { "retry-after": "1" } : {};
+  return status === SERVICE_UNAVAILABLE ? { "retry-after": "1" } : {};
 }
 
-/** The path's captured groups, decoded; undefined if they are malformed. */
+/** Returns the captured groups of a path, decoded; undefined if their encoding is malformed. */
 function decodeParts(match: RegExpExecArray): string[] | undefined {
   try {
     return match.slice(1).map(decodeURIComponent);
@@ -54,42 +54,41 @@
 function rejectMethod(exchange: HttpExchange, allowed: HttpRoute[]): void {
   const problem = {
     title: "method",
-    status: methodNotAllowed,
+    status: METHOD_NOT_ALLOWED,
     code: "method",
     detail: `${exchange.method} is not for ${exchange.path}`,
     step: "find path",
     member: "caller",
   };
   const allow = allowed.map(({ method }) => method).join(", ");
-  exchange.send(methodNotAllowed, { allow, "content-type": problemType }, JSON.stringify(problem));
+  exchange.send(METHOD_NOT_ALLOWED, { allow, "content-type": PROBLEM_TYPE }, JSON.stringify(problem));
 }
 
 /**
- * What all HTTP surfaces share: JSON responses, problem objects (RFC 9457), routes.
+ * Responses and routing for all HTTP APIs. Errors are sent as problem objects (RFC 9457).
  *
  * @example
- * Http.json(exchange, 200, { version: 3 });
- * Http.problem(exchange, fault);
+ * Http.sendJson(exchange, 200, { version: 3 });
+ * Http.sendProblem(exchange, fault);
  */
 export const Http = {
-  /** Responds with JSON. */
   sendJson(exchange: HttpExchange, status: number, body: unknown, headers: Record<string, string> = {}): void {
     exchange.send(status, { "content-type": "application/json", ...headers }, JSON.stringify(body));
   },
 
-  /** Responds with a problem object. @example Http.problem(exchange, fault, 422) */
+  /** Responds with the problem object of a fault, extended by the fields of `extra`. */
   sendProblem(
     exchange: HttpExchange,
     fault: Fault,
-    status = statuses[fault.tag],
+    status = STATUS_BY_TAG[fault.tag],
     extra: Record<string, unknown> = {},
   ): void {
-    const code = status === serviceUnavailable ? "busy" : fault.tag;
-    const headers = { "content-type": problemType, ...retryAfterHeader(fault, status) };
+    const code = status === SERVICE_UNAVAILABLE ? "busy" : fault.tag;
+    const headers = { "content-type": PROBLEM_TYPE, ...retryAfterHeader(fault, status) };
     exchange.send(status, headers, JSON.stringify(Http.problemOf(fault, status, code, extra)));
   },
 
-  /** The problem object of a fault: its code, where it happened, and the fields of `extra`. */
+  /** Returns the problem object of a fault, extended by the fields of `extra`. */
   problemOf: (
     fault: Fault,
     status: number,
@@ -108,15 +107,15 @@
   }),
 
   /**
-   * Reads a body of at most limitBytes as JSON; undefined on failure, and then the response has been sent.
+   * Reads a body of at most `limitBytes` as JSON. On failure it sends a problem as the response and returns undefined.
    * @example
-   * const body = yield* Http.body(exchange, 1000);
+   * const body = yield* Http.readJsonBody(exchange, 1000);
    * if (!body) return;
    */
   *readJsonBody(exchange: HttpExchange, limitBytes: number): Task<JsonBody | undefined> {
     const read: Result<Buffer> = yield* exchange.body(limitBytes);
     if (!read.ok) {
-      Http.sendProblem(exchange, read.fault, read.fault.tag === "invalid" ? payloadTooLarge : 400);
+      Http.sendProblem(exchange, read.fault, read.fault.tag === "invalid" ? PAYLOAD_TOO_LARGE : 400);
       return undefined;
     }
     const text = read.value.toString("utf8");
@@ -128,7 +127,7 @@
     }
   },
 
-  /** Runs the first route that matches: 404 for an unknown path, 405 for a known path with another method. */
+  /** Runs the first matching route. Responds 404 to an unknown path, and 405 to a known path with another method. */
   *dispatch(routes: HttpRoute[], exchange: HttpExchange): Task<void> {
     const matching = routes
       .map((route) => ({ route, match: route.path.exec(exchange.path) }))
@@ -149,7 +148,7 @@
     Http.sendProblem(exchange, { tag: "notFound", step: "find path", member: "caller", detail });
   },
 
-  /** Metrics as lines of text. @example Http.metricLines({ puts: 3 }) // "petrelbeam_puts 3\n" */
+  /** Formats metrics as lines of text. @example Http.metricLines({ puts: 3 }) // "petrelbeam_puts 3\n" */
   metricLines: (metrics: Record<string, number>): string =>
     Object.entries(metrics)
       .map(([name, value]) => `petrelbeam_${name} ${value}\n`)
--- a/src/adapters/ledgerReader.ts
+++ b/src/adapters/ledgerReader.ts
@@ -5,9 +5,9 @@
 import { Csp, Task } from "../runtime/csp";
 import { LedgerEntry } from "../common/ledgerEntry";
 
-/** An entry of the ledger as callers see it. */
+/** An entry of the ledger as sent to callers. */
 export interface LedgerRecord {
-  /** Text of its stamp. */
+  /** The stamp as text. */
   readonly stamp: string;
   readonly subject: string;
   readonly decision: string;
@@ -15,39 +15,42 @@
   readonly shard: number;
 }
 
-/** Records in the order of their stamps. */
+/** A page of the ledger; its entries are ordered by stamp. */
 export interface LedgerPage {
   readonly entries: LedgerRecord[];
-  /** Up to this time, wall clock ms, no shard adds entries any more. */
+  /** The wall-clock time in ms up to which no shard will add entries. */
   readonly frontier: number;
-  /** Where the next page begins. */
+  /** The stamp after which the next page begins. */
   readonly next: string;
 }
 
-/** What bears on an id, and the changes of configuration and views that caused it. */
+/** The entries about an id, and their causes. */
 export interface LedgerExplanation {
   readonly id: string;
   readonly entries: LedgerRecord[];
+  /** The changes of the configuration and of shard views that the entries name as causes. */
   readonly because: LedgerRecord[];
 }
 
-interface FromShard<Response> {
+interface ShardResponse<Response> {
   readonly shard: number;
   readonly response: Response;
 }
 type CallReplica<Response> = (address: string, shard: number) => Task<Result<Response>>;
 
+/** The time-out of a call to one replica. */
 const CALL_TIMEOUT_MS = 900;
 const CONFIGURATION_SUBJECT = "manifest";
+/** The kinds of ledger subjects; a subject is a kind and an id. */
 const SUBJECT_KINDS = ["request", "lot", "item", "move", "shard", "replica"];
 
-/** Calls the replicas of a shard, its leader first, until one responds. */
+/** Calls the replicas of a shard one after another, the leader first, until one responds. */
 function* callShard<Response>(
   context: NodeContext,
   method: string,
   shard: number,
   call: CallReplica<Response>,
-): Task<Result<FromShard<Response>>> {
+): Task<Result<ShardResponse<Response>>> {
   const snapshot = context.snapshot();
   const view = snapshot.control?.views[shard];
   const replicas = view ? [view.lead, ...view.members.filter((id) => id !== view.lead)] : [];
@@ -62,18 +65,18 @@
   return failure;
 }
 
-/** Calls a replica of every shard; all must respond, since the order would have gaps otherwise. */
+/** Calls a replica of every shard concurrently. All shards must respond, since the order would otherwise have gaps. */
 function* callEveryShard<Response>(
   context: NodeContext,
   method: string,
   call: CallReplica<Response>,
-): Task<Result<FromShard<Response>[]>> {
-  const results = Csp.chan<Result<FromShard<Response>>>(Constants.shardCount);
+): Task<Result<ShardResponse<Response>[]>> {
+  const results = Csp.chan<Result<ShardResponse<Response>>>(Constants.shardCount);
   for (let shard = 0; shard < Constants.shardCount; shard += 1)
     Csp.go(context.env.scope, method, function* () {
       Csp.offer(results, yield* callShard(context, method, shard, call));
     });
-  const responses: FromShard<Response>[] = [];
+  const responses: ShardResponse<Response>[] = [];
   let failure: Fault | undefined;
   for (let received = 0; received < Constants.shardCount; received += 1) {
     const result = (yield* Csp.take(results))!;
@@ -84,6 +87,7 @@
   return Fault.ok(responses);
 }
 
+/** Reads the entries about some subjects and a change from all shards, ordered by stamp. */
 function* entriesAbout(context: NodeContext, subjects: string[], change: string): Task<Result<LedgerRecord[]>> {
   const responses = yield* callEveryShard(context, "ledger.about", (address, shard) =>
     context.rpc.call(address, "ledger.about", { subjects, change, shard }, CALL_TIMEOUT_MS),
@@ -105,7 +109,7 @@
 const byStamp = (left: LedgerRecord, right: LedgerRecord): number =>
   Stamp.compare(Stamp.parse(left.stamp)!, Stamp.parse(right.stamp)!);
 
-/** Whether an entry is the acceptance of a configuration, or the installation of a view, that others name as a cause. */
+/** Returns a test for entries that record the configuration or the shard view that some of `entries` name as a cause. */
 function isCauseOf(entries: LedgerRecord[]): (candidate: LedgerRecord) => boolean {
   const versions = entries.flatMap((entry) => entry.cause.manifest ?? []);
   const views = entries.flatMap((entry) => (entry.cause.view === undefined ? [] : [viewPrefix(entry)]));
@@ -119,17 +123,17 @@
 const viewPrefix = (entry: LedgerRecord): string => `${entry.shard} view ${entry.cause.view}:`;
 
 /**
- * Reads the ledger of all shards in one order, up to the lowest of their frontiers, from any node.
+ * Reads the ledger of all shards in one total order, up to the lowest of their frontiers. Works on any node.
  *
  * @example
  * const page = yield* LedgerReader.read(context, "", 100);
- * const explanation = yield* LedgerReader.why(context, "lot-17");
+ * const explanation = yield* LedgerReader.explain(context, "lot-17");
  */
 export const LedgerReader = {
   /**
-   * A page of the ledger. Faults: busy if a shard doesn't respond.
-   * @param after text of the stamp after which it begins, or "" for the beginning
-   * @param limit entries; the entries of one put stay together all the same
+   * Reads a page of the ledger. Fault: "busy" if a shard does not respond.
+   * @param after the text of the stamp after which the page begins, or "" for the beginning of the ledger
+   * @param limit the maximum number of entries; it is exceeded so as not to separate the entries of one put
    */
   *read(context: NodeContext, after: string, limit: number): Task<Result<LedgerPage>> {
     const responses = yield* callEveryShard(context, "ledger.read", (address, shard) =>
@@ -147,7 +151,10 @@
     return Fault.ok({ entries, frontier, next: entries.at(-1)?.stamp ?? after });
   },
 
-  /** All that bears on a request, job, item, move, change, shard or endpoint. Faults: busy if a shard doesn't respond. */
+  /**
+   * Returns the entries about a request, job, item, planned operation, change, shard or endpoint, and their causes.
+   * Fault: "busy" if a shard does not respond.
+   */
   *explain(context: NodeContext, id: string): Task<Result<LedgerExplanation>> {
     const subjects = [id, ...SUBJECT_KINDS.map((kind) => `${kind} ${id}`)];
     const entries = yield* entriesAbout(context, subjects, id);
--- a/src/adapters/operator/announcementRoutes.ts
+++ b/src/adapters/operator/announcementRoutes.ts
@@ -8,11 +8,11 @@
 import { parseAnnouncement } from "../schemas/announcementSchemas";
 import type { OperatorContext } from "./operatorContext";
 
-const bodyLimitBytes = 65_536;
+const BODY_LIMIT_BYTES = 65_536;
 const endpointPath = /^\/v1\/replicas\/([A-Za-z0-9._-]{1,80})$/;
 
 /**
- * Reads an announcement by an endpoint and publishes it; undefined on failure, and then the response has been sent.
+ * Reads and publishes an endpoint's announcement. On failure it sends a problem as the response and returns undefined.
  *
  * @example
  * const published = yield* publishAnnouncement(node, exchange, (body) => parseAnnouncement(body));
@@ -22,7 +22,7 @@
   exchange: HttpExchange,
   parse: (candidate: unknown) => Result<Announcement>,
 ): Task<object | undefined> {
-  const body = yield* Http.readJsonBody(exchange, bodyLimitBytes);
+  const body = yield* Http.readJsonBody(exchange, BODY_LIMIT_BYTES);
   if (!body) return undefined;
   const announcement = parse(body.value);
   if (!announcement.ok) {
@@ -50,7 +50,7 @@
 }
 
 /**
- * Endpoints announce themselves here, and withdraw.
+ * Routes by which endpoints announce and withdraw themselves.
  *
  * @example
  * const routes = announcementRoutes(context);
--- a/src/adapters/operator/calendarRoutes.ts
+++ b/src/adapters/operator/calendarRoutes.ts
@@ -6,7 +6,7 @@
 import { parseCalendarEntry } from "../schemas/calendarSchemas";
 import type { OperatorContext } from "./operatorContext";
 import { submitChange } from "./operatorChanges";
-import { controlReadTimeoutMs, readRoute } from "./readRoute";
+import { CONTROL_READ_TIMEOUT_MS, readRoute } from "./readRoute";
 
 const changePath = /^\/v1\/calendar\/([A-Za-z0-9._-]{1,80})$/;
 
@@ -20,20 +20,20 @@
 }
 
 /**
- * The calendar of planned changes, and what became of a change.
+ * Routes for the calendar of planned operations, and for the outcome of a change.
  *
  * @example
  * const routes = calendarRoutes(context);
  */
 export const calendarRoutes = ({ node }: OperatorContext): HttpRoute[] => [
   readRoute(node.id, /^\/v1\/calendar$/, () =>
-    node.control.request({ op: "read", what: "calendar" }, controlReadTimeoutMs),
+    node.control.request({ op: "read", what: "calendar" }, CONTROL_READ_TIMEOUT_MS),
   ),
   readRoute(node.id, /^\/v1\/calendar\/([^/]+)$/, (_exchange, [id]) =>
-    node.control.request({ op: "read", what: "calendar", id }, controlReadTimeoutMs),
+    node.control.request({ op: "read", what: "calendar", id }, CONTROL_READ_TIMEOUT_MS),
   ),
   readRoute(node.id, /^\/v1\/changes\/([^/]+)$/, (_exchange, [id]) =>
-    node.control.request({ op: "read", what: "change", id }, controlReadTimeoutMs),
+    node.control.request({ op: "read", what: "change", id }, CONTROL_READ_TIMEOUT_MS),
   ),
   { method: "PUT", path: changePath, run: (exchange, [id]) => putEntry(node, exchange, id) },
   {
--- a/src/adapters/operator/changePreconditions.ts
+++ b/src/adapters/operator/changePreconditions.ts
@@ -4,20 +4,23 @@
 import { Environment, EnvironmentTools, HttpExchange } from "../../runtime/env";
 import { Http } from "../http";
 
-const preconditionRequired = 428;
+const PRECONDITION_REQUIRED = 428;
 
 /**
- * What is common to requests that change the control state.
+ * Helpers for requests that change the control state.
  *
  * @example
  * const ifVersion = ChangePreconditions.ifMatchVersion(exchange);
  * if (ifVersion === undefined) return;
  */
 export const ChangePreconditions = {
-  /** Who asks for the change, for the ledger. */
+  /** Returns the name of the operator who requests the change, for the ledger. */
   operatorOf: (exchange: HttpExchange): string => exchange.headers["x-operator"] || "operator",
 
-  /** The version in If-Match that the change was made against; undefined without one, and then the response has been sent. */
+  /**
+   * Returns the version in If-Match that the change is based on. Without a version it sends a problem as the response and
+   * returns undefined.
+   */
   ifMatchVersion(exchange: HttpExchange): number | undefined {
     const version = (exchange.headers["if-match"] ?? "").replace(/^W\//, "").replace(/"/g, "");
     if (/^\d+$/.test(version)) return +version;
@@ -25,18 +28,18 @@
     Http.sendProblem(
       exchange,
       { tag: "invalid", step: "read If-Match", member: "operator", detail },
-      preconditionRequired,
+      PRECONDITION_REQUIRED,
     );
     return undefined;
   },
 
-  /** The id of a change that came without one; a retry of the same change has the same id, and is applied once. */
+  /** Returns an id for a change without one. A retry of the same change has the same id, so the change is applied once. */
   derivedChangeId: (exchange: HttpExchange, ifVersion: number, body: string): string =>
     `change-${Hash.text(`${exchange.method} ${exchange.path} ${ifVersion} ${body}`)}`,
 
   /**
-   * Whether the caller is still connected. A process that was frozen reads a request and the end of its connection at
-   * once: a change that names no version must not be carried out for a caller that left before.
+   * Returns whether the caller is still connected. A process that resumes after a pause reads a request and the end of
+   * its connection at the same time; a change without a version must not be applied if its caller has disconnected.
    */
   *isCallerConnected(env: Environment, exchange: HttpExchange): Task<boolean> {
     const disconnected = yield* EnvironmentTools.takeWithin(env, exchange.disconnected, Constants.callerGoneLookMs);
--- a/src/adapters/operator/clusterRoutes.ts
+++ b/src/adapters/operator/clusterRoutes.ts
@@ -6,9 +6,10 @@
 import type { OperatorContext } from "./operatorContext";
 import { readRoute } from "./readRoute";
 
-const shardsTimeoutMs = 800;
+/** The time-out of a query of one storage node. */
+const SHARDS_TIMEOUT_MS = 800;
 
-/** Members, endpoints and placement as this node knows them. */
+/** Returns the members, the endpoints and the control state as this node knows them. */
 function* readMembers(node: NodeContext): Task<Result<unknown>> {
   const { control, endpoints, members } = node.snapshot();
   return Fault.ok({
@@ -31,7 +32,7 @@
   });
 }
 
-/** The configuration and policies that this node acts on; a node that rejects new work acts on none. */
+/** Returns the configuration and the policies that this node applies. Fault: "busy" if the node rejects new requests. */
 function* readInForce({ node, hooks }: OperatorContext): Task<Result<unknown>> {
   const unreadyReason = hooks.unreadyReason();
   if (unreadyReason) return Fault.busy("read what is in force", node.id, unreadyReason, Constants.retryAfterMs);
@@ -39,18 +40,18 @@
   return Fault.ok(control ? { frame: control.index, manifest: control.manifest, policies: control.policies } : null);
 }
 
-/** The shard replicas of all storage nodes that respond. */
+/** Returns the shard replicas of all storage nodes that respond. */
 function* readShards(node: NodeContext): Task<Result<unknown>> {
   const stores: unknown[] = [];
   for (const member of node.snapshot().members.filter((each) => each.program === "store")) {
-    const response = yield* node.rpc.call(member.address, "store.shards", {}, shardsTimeoutMs);
+    const response = yield* node.rpc.call(member.address, "store.shards", {}, SHARDS_TIMEOUT_MS);
     if (response.ok) stores.push({ store: member.id, ...response.value });
   }
   return Fault.ok({ stores });
 }
 
 /**
- * The cluster as this node sees it.
+ * Routes that return the state of the cluster as this node knows it.
  *
  * @example
  * const routes = clusterRoutes(context);
--- a/src/adapters/operator/configurationRoutes.ts
+++ b/src/adapters/operator/configurationRoutes.ts
@@ -9,19 +9,19 @@
 import { parsePolicies } from "../schemas/policySchemas";
 import type { OperatorContext } from "./operatorContext";
 import { submitChange, VersionedChange } from "./operatorChanges";
-import { controlReadTimeoutMs } from "./readRoute";
+import { CONTROL_READ_TIMEOUT_MS } from "./readRoute";
 
-/** The documents with a version. */
+/** The names of the versioned documents. */
 type VersionedDocument = "manifest" | "policies";
 
 function* readDocument(node: NodeContext, exchange: HttpExchange, what: VersionedDocument): Task<void> {
-  const document = yield* node.control.request<{ version: number }>({ op: "read", what }, controlReadTimeoutMs);
+  const document = yield* node.control.request<{ version: number }>({ op: "read", what }, CONTROL_READ_TIMEOUT_MS);
   if (!document.ok) return Http.sendProblem(exchange, document.fault);
   const { version } = document.value;
   Http.sendJson(exchange, 200, document.value, { etag: `"${version}"` });
 }
 
-/** Reads a body, parses it, and submits the command that is made of it. */
+/** Reads and parses a body, and submits the command made from it. */
 function* changeDocument<T>(
   node: NodeContext,
   exchange: HttpExchange,
@@ -37,7 +37,7 @@
 }
 
 /**
- * The configuration and the policies: read, replaced as a whole, and (the configuration) patched.
+ * Routes that read and replace the configuration and the policies, and patch the configuration.
  *
  * @example
  * const routes = configurationRoutes(context);
--- a/src/adapters/operator/ledgerRoutes.ts
+++ b/src/adapters/operator/ledgerRoutes.ts
@@ -7,20 +7,20 @@
 import type { OperatorContext } from "./operatorContext";
 import { queryNumberOr, readRoute } from "./readRoute";
 
-const defaultPage = 200;
-const maxPage = 2000;
-/** Time for one attempt and for all, beyond the wait that was asked for, in ms. */
-const attemptGraceMs = 500;
-const totalGraceMs = 1000;
+const DEFAULT_PAGE_ENTRIES = 200;
+const MAX_PAGE_ENTRIES = 2000;
+/** How much longer than the requested wait one attempt and all attempts together may take. */
+const ATTEMPT_GRACE_MS = 500;
+const TOTAL_GRACE_MS = 1000;
 
-function* readWhy({ node }: OperatorContext, id: string): Task<Result<unknown>> {
-  const why = yield* LedgerReader.explain(node, id);
-  if (why.ok && why.value.entries.length === 0)
+function* readExplanation({ node }: OperatorContext, id: string): Task<Result<unknown>> {
+  const explanation = yield* LedgerReader.explain(node, id);
+  if (explanation.ok && explanation.value.entries.length === 0)
     return Fault.fail("notFound", "why", node.id, `nothing in the ledger bears on ${id}`);
-  return why;
+  return explanation;
 }
 
-/** The state of a subject at a time, from the shard that has it. */
+/** Returns the state of a subject at a given time, from the subject's shard. */
 function readAt({ node, hooks }: OperatorContext, exchange: HttpExchange, subject: string): Task<Result<unknown>> {
   const { ledgerSource } = hooks;
   const id = subject.replace(/^(request|lot) /, "");
@@ -32,13 +32,14 @@
       time: queryNumberOr(exchange, "time", node.env.wallClockMs(), Number.MAX_SAFE_INTEGER),
       waitMs: queryNumberOr(exchange, "waitMs", Constants.readWaitMs, Constants.readWaitMs),
     }),
-    Constants.readWaitMs + totalGraceMs,
-    Constants.readWaitMs + attemptGraceMs,
+    Constants.readWaitMs + TOTAL_GRACE_MS,
+    Constants.readWaitMs + ATTEMPT_GRACE_MS,
   );
 }
 
 /**
- * The ledger of decisions: pages of it, the causes of one decision, and the state of a subject at a time.
+ * Routes that read the ledger of decisions: its pages, the causes of a decision, and the state of a subject at a given
+ * time.
  *
  * @example
  * const routes = ledgerRoutes(context);
@@ -48,9 +49,9 @@
     LedgerReader.read(
       context.node,
       exchange.query.get("after") ?? "",
-      queryNumberOr(exchange, "limit", defaultPage, maxPage),
+      queryNumberOr(exchange, "limit", DEFAULT_PAGE_ENTRIES, MAX_PAGE_ENTRIES),
     ),
   ),
-  readRoute(context.node.id, /^\/v1\/why\/(.+)$/, (_exchange, [id]) => readWhy(context, id)),
+  readRoute(context.node.id, /^\/v1\/why\/(.+)$/, (_exchange, [id]) => readExplanation(context, id)),
   readRoute(context.node.id, /^\/v1\/at\/(.+)$/, (exchange, [subject]) => readAt(context, exchange, subject)),
 ];
--- a/src/adapters/operator/operatorChanges.ts
+++ b/src/adapters/operator/operatorChanges.ts
@@ -7,29 +7,29 @@
 import { Http } from "../http";
 import { ChangePreconditions } from "./changePreconditions";
 
-/** What every change that is made against a version carries. */
+/** The common fields of all changes that are based on a version. */
 export interface VersionedChange {
   changeId: string;
-  /** The version that the change was made against. */
+  /** The version that the change is based on. */
   ifVersion: number;
   by: string;
 }
 
-/** What every order without a version carries. */
+/** The common fields of all orders without a version. */
 export interface UnversionedOrder {
   changeId: string;
   by: string;
-  /** Whether the caller gave the change id, so that a retry is known. */
+  /** Whether the caller supplied the change id, so that a retry can be recognized. */
   identified: boolean;
 }
 
-/** The control group's answer to a change. */
+/** The control group's response to a change. */
 interface AppliedChange {
   version: number;
 }
 
 /**
- * Submits a change that is made against the version in If-Match, and responds with the new version.
+ * Submits a change that is based on the version in If-Match, and responds with the new version.
  *
  * @example
  * yield* submitChange(node, exchange, body.text, (base) => ({ tag: "erase", ...base, id }));
@@ -52,7 +52,7 @@
 }
 
 /**
- * Submits an order that names no version and may be repeated, such as a drain, while its caller still waits.
+ * Submits an order without a version that may be repeated, such as a drain, if its caller is still connected.
  *
  * @example
  * yield* submitOrder(node, exchange, (base) => ({ op: "retire", ...base, store }));
@@ -62,13 +62,13 @@
   exchange: HttpExchange,
   makeRequest: (base: UnversionedOrder) => ControlRequest,
 ): Task<void> {
-  const givenId = exchange.headers["x-change-id"];
-  const changeId = givenId || EnvironmentTools.randomId(node.env, "change");
+  const suppliedId = exchange.headers["x-change-id"];
+  const changeId = suppliedId || EnvironmentTools.randomId(node.env, "change");
   if (!(yield* ChangePreconditions.isCallerConnected(node.env, exchange))) return;
   const request = makeRequest({
     changeId,
     by: ChangePreconditions.operatorOf(exchange),
-    identified: Boolean(givenId),
+    identified: Boolean(suppliedId),
   });
   const applied = yield* node.control.request<AppliedChange>(request, Constants.changeWaitMs);
   if (!applied.ok) {
--- a/src/adapters/operator/operatorContext.ts
+++ b/src/adapters/operator/operatorContext.ts
@@ -1,17 +1,17 @@
 import type { NodeContext } from "../../node/nodeContext";
 import type { ShardClient } from "../../storage/shardClient";
 
-/** What the operators' surface asks of the program that it runs in. */
+/** What the operators' API needs from the program that it runs in. */
 export interface OperatorHooks {
-  /** Why the program is not ready; undefined while it is. */
+  /** Returns the reason why the program is not ready; undefined while it is ready. */
   unreadyReason: () => string | undefined;
-  /** Values of all metrics by name, without the prefix. */
+  /** Returns the values of all metrics by name, without the prefix. */
   metrics: () => Record<string, number>;
-  /** Reads of the state at a time go by this client. */
+  /** The client that reads the state of a subject at a given time. */
   ledgerSource: ShardClient;
 }
 
-/** What each group of the operators' routes gets. */
+/** The context of the operators' routes. */
 export interface OperatorContext {
   node: NodeContext;
   hooks: OperatorHooks;
--- a/src/adapters/operator/orderRoutes.ts
+++ b/src/adapters/operator/orderRoutes.ts
@@ -7,7 +7,7 @@
 import { ChangePreconditions } from "./changePreconditions";
 import type { OperatorContext } from "./operatorContext";
 import { submitOrder } from "./operatorChanges";
-import { controlReadTimeoutMs, readRoute } from "./readRoute";
+import { CONTROL_READ_TIMEOUT_MS, readRoute } from "./readRoute";
 
 const drainPath = /^\/v1\/districts\/([^/]{1,80})\/drain$/;
 const retirementPath = /^\/v1\/stores\/([^/]{1,120})\/retirement$/;
@@ -19,7 +19,7 @@
   }));
 }
 
-/** Recovery of the control group from one voter, which that voter itself carries out. */
+/** Forwards an order to recover the control group from one voter to that voter, which carries it out. */
 function* recover(node: NodeContext, exchange: HttpExchange): Task<void> {
   const body = yield* Http.readJsonBody(exchange, Constants.bodyLimitBytes);
   if (!body) return;
@@ -39,7 +39,7 @@
 }
 
 /**
- * Orders that name no version: drains of zones, retirements of storage nodes, recovery of the control group.
+ * Routes for orders without a version: drains of zones, retirements of storage nodes, and recovery of the control group.
  *
  * @example
  * const routes = orderRoutes(context);
@@ -53,7 +53,7 @@
     run: (exchange, [store]) => submitOrder(node, exchange, (base) => ({ op: "retire", ...base, store })),
   },
   readRoute(node.id, retirementPath, (_exchange, [id]) =>
-    node.control.request({ op: "read", what: "retirement", id }, controlReadTimeoutMs),
+    node.control.request({ op: "read", what: "retirement", id }, CONTROL_READ_TIMEOUT_MS),
   ),
   { method: "POST", path: /^\/v1\/control\/recover$/, run: (exchange) => recover(node, exchange) },
 ];
--- a/src/adapters/operator/processRoutes.ts
+++ b/src/adapters/operator/processRoutes.ts
@@ -4,7 +4,7 @@
 import { Http, HttpRoute } from "../http";
 import type { OperatorContext } from "./operatorContext";
 
-function* readiness({ node, hooks }: OperatorContext, exchange: HttpExchange): Task<void> {
+function* sendReadiness({ node, hooks }: OperatorContext, exchange: HttpExchange): Task<void> {
   const unreadyReason = hooks.unreadyReason();
   if (!unreadyReason) return Http.sendJson(exchange, 200, { ready: true });
   const { retryAfterMs } = Constants;
@@ -12,7 +12,7 @@
 }
 
 /**
- * Liveness, readiness and metrics of the process.
+ * Routes for the liveness, readiness and metrics of the process.
  *
  * @example
  * const routes = processRoutes(context);
@@ -25,7 +25,7 @@
       Http.sendJson(exchange, 200, { live: true });
     },
   },
-  { method: "GET", path: /^\/readyz$/, run: (exchange) => readiness(context, exchange) },
+  { method: "GET", path: /^\/readyz$/, run: (exchange) => sendReadiness(context, exchange) },
   {
     method: "GET",
     path: /^\/metrics$/,
--- a/src/adapters/operator/readRoute.ts
+++ b/src/adapters/operator/readRoute.ts
@@ -3,11 +3,11 @@
 import { HttpExchange } from "../../runtime/env";
 import { Http, HttpRoute } from "../http";
 
-/** Time for a read of the control state, in ms. */
-export const controlReadTimeoutMs = 4000;
+/** The time-out of a read of the control state. */
+export const CONTROL_READ_TIMEOUT_MS = 4000;
 
 /**
- * A GET route that responds with what is read as JSON; 404 for null and undefined.
+ * Makes a GET route that responds with the result of `read` as JSON, or with 404 if that is null or undefined.
  *
  * @example
  * const route = readRoute("ingress-1", /^\/v1\/calendar$/, () => readCalendar());
@@ -30,7 +30,7 @@
   };
 }
 
-/** A number of the query, at most `max`; the default where it is missing or malformed. */
+/** Returns a number from the query, limited to `max`; the default if it is missing or malformed. */
 export function queryNumberOr(exchange: HttpExchange, name: string, defaultValue: number, max: number): number {
   const value = Number(exchange.query.get(name) ?? defaultValue);
   return Number.isFinite(value) && value >= 0 ? Math.min(value, max) : defaultValue;
--- a/src/adapters/operatorHttp.ts
+++ b/src/adapters/operatorHttp.ts
@@ -14,19 +14,19 @@
 import { processRoutes } from "./operator/processRoutes";
 
 /**
- * The HTTP surface for operators and endpoints, the same on every program.
+ * The HTTP API for operators and endpoints, which every program serves.
  *
  * @example
  * yield* OperatorHttp.serve(env, "127.0.0.1:8080", node, hooks);
  */
 export const OperatorHttp = {
-  /** Serves the routes at HOST:PORT. */
+  /** Serves the API at HOST:PORT. */
   *serve(env: Environment, address: string, node: Node, hooks: OperatorHooks): Task<Result<true>> {
     const routes = OperatorHttp.routes(NodeContext.of(node), hooks);
     return yield* env.serveHttp(address, (exchange) => Http.dispatch(routes, exchange));
   },
 
-  /** All routes, for a program that serves others beside them. */
+  /** Returns all routes, for programs that serve them together with routes of their own. */
   routes(node: NodeContext, hooks: OperatorHooks): HttpRoute[] {
     const context = { node, hooks };
     return [
--- a/src/adapters/protocolAdapters.ts
+++ b/src/adapters/protocolAdapters.ts
@@ -4,15 +4,16 @@
 import type { HttpExchange } from "../runtime/env";
 import type { CallerOperations } from "./caller/callerOperations";
 
-/** A further HTTP surface of a process, at an address of its own. */
+/** An HTTP API that a process serves at an address of its own. */
 export interface HttpListener {
-  /** HOST:PORT to listen on. */
+  /** The HOST:PORT to listen at. */
   address: string;
   serve: (exchange: HttpExchange) => Task<void>;
 }
 
 /**
- * What another protocol adds to the processes: names of headers, and surfaces beside the product's own.
+ * What a process does for another protocol: the header names that it uses, and the HTTP APIs that it serves in addition
+ * to its own.
  *
  * @example
  * Daemon.start(env, settings, {
@@ -21,10 +22,10 @@
  * });
  */
 export interface ProtocolAdapters {
-  /** The header names between callers, ingress and endpoints; the product's own by default. */
+  /** The names of the headers between callers, ingress and endpoints; has a default. */
   names?: HeaderNames;
-  /** Surfaces of an ingress. */
+  /** Returns the additional listeners of an ingress. */
   ingress?: (operations: CallerOperations) => HttpListener[];
-  /** Surfaces of a control node. */
+  /** Returns the additional listeners of a control process. */
   control?: (context: NodeContext) => HttpListener[];
 }
--- a/src/adapters/schemas/announcementSchemas.ts
+++ b/src/adapters/schemas/announcementSchemas.ts
@@ -23,5 +23,5 @@
   },
 };
 
-/** Parses what an endpoint announces of itself. @example parseAnnouncement({ address, pool, district, capacity: 8 }) */
+/** Parses the announcement of an endpoint. @example parseAnnouncement({ address, pool, district, capacity: 8 }) */
 export const parseAnnouncement = schemaParser<Announcement>("announcement", announcementSchema);
--- a/src/adapters/schemas/calendarSchemas.ts
+++ b/src/adapters/schemas/calendarSchemas.ts
@@ -4,8 +4,8 @@
 import { configurationSchema, parseConfiguration } from "./configurationSchemas";
 import { invalidResource, schemaParser } from "./schemaParser";
 
-/** The properties of one kind of move. */
-const moveOfKind = (kind: string, properties: Record<string, unknown>, required: string[]): unknown => ({
+/** Makes the schema of one kind of planned operation. */
+const operationOfKind = (kind: string, properties: Record<string, unknown>, required: string[]): unknown => ({
   if: { properties: { kind: { const: kind } }, required: ["kind"] },
   then: { additionalProperties: false, required: ["kind", ...required], properties: { kind: {}, ...properties } },
 });
@@ -20,7 +20,7 @@
       required: ["kind"],
       properties: { kind: { enum: ["release", "rollback", "drain", "undrain", "retire", "manifest"] } },
       allOf: [
-        moveOfKind(
+        operationOfKind(
           "release",
           {
             pool: CommonSchemas.name,
@@ -29,11 +29,11 @@
           },
           ["pool", "version"],
         ),
-        moveOfKind("rollback", { pool: CommonSchemas.name }, ["pool"]),
-        moveOfKind("drain", { district: CommonSchemas.text, until: { type: "number" } }, ["district"]),
-        moveOfKind("undrain", { district: CommonSchemas.text }, ["district"]),
-        moveOfKind("retire", { store: CommonSchemas.text }, ["store"]),
-        moveOfKind("manifest", { ifVersion: { type: "integer", minimum: 0 }, doc: configurationSchema }, [
+        operationOfKind("rollback", { pool: CommonSchemas.name }, ["pool"]),
+        operationOfKind("drain", { district: CommonSchemas.text, until: { type: "number" } }, ["district"]),
+        operationOfKind("undrain", { district: CommonSchemas.text }, ["district"]),
+        operationOfKind("retire", { store: CommonSchemas.text }, ["store"]),
+        operationOfKind("manifest", { ifVersion: { type: "integer", minimum: 0 }, doc: configurationSchema }, [
           "ifVersion",
           "doc",
         ]),
@@ -42,21 +42,21 @@
   },
 };
 
-const resource = "calendar entry";
-const parseSchema = schemaParser<{ due: string; move: PlannedOperation }>(resource, calendarSchema);
+const RESOURCE = "calendar entry";
+const parseSchema = schemaParser<{ due: string; move: PlannedOperation }>(RESOURCE, calendarSchema);
 
-/** A change that is due at a time. */
+/** A planned operation and its due time. */
 export interface ParsedCalendarEntry {
-  /** Wall-clock ms. */
+  /** The due time in wall-clock ms. */
   due: number;
   move: PlannedOperation;
 }
 
 /**
- * Parses a calendar entry; its due time is a date and time, or "now" for the time given.
+ * Parses a calendar entry. The due time is a date and time, or "now" for the time `now`.
  *
  * @example
- * const entry = parseCalendarEntry({ due: "now", move: { kind: "drain", district: "north" } }, env.wall());
+ * const entry = parseCalendarEntry({ due: "now", move: { kind: "drain", district: "north" } }, env.wallClockMs());
  */
 export function parseCalendarEntry(candidate: unknown, now: number): Result<ParsedCalendarEntry> {
   const parsed = parseSchema(candidate);
@@ -65,6 +65,6 @@
   const configuration = move.kind === "manifest" ? parseConfiguration(move.doc) : parsed;
   if (!configuration.ok) return configuration;
   const due = dueText === "now" ? now : Date.parse(dueText);
-  if (!Number.isFinite(due)) return invalidResource(resource, ['/due: must be a date and time, or "now"']);
+  if (!Number.isFinite(due)) return invalidResource(RESOURCE, ['/due: must be a date and time, or "now"']);
   return Fault.ok({ due, move });
 }
--- a/src/adapters/schemas/configurationSchemas.ts
+++ b/src/adapters/schemas/configurationSchemas.ts
@@ -126,26 +126,28 @@
 };
 const versionedSchema = { ...configurationSchema, properties: { version, ...configurationSchema.properties } };
 
-const resource = "manifest";
-const parseSchema = schemaParser<Configuration>(resource, configurationSchema);
-const parseVersionedSchema = schemaParser<Configuration & { version?: number }>(resource, versionedSchema);
+const RESOURCE = "manifest";
+const parseSchema = schemaParser<Configuration>(RESOURCE, configurationSchema);
+const parseVersionedSchema = schemaParser<Configuration & { version?: number }>(RESOURCE, versionedSchema);
 const parsePatchSchema = schemaParser<ConfigurationPatch & { version?: number }>("manifest patch", patchSchema);
 
-/** A complete configuration, with the operator's own version if one is given. */
+/** A complete configuration, and its version if the operator sets one. */
 export interface ConfigurationChange {
   version?: number;
   doc: Configuration;
 }
-/** A change of some routes and pools, with the operator's own version if one is given. */
+/** A change of some routes and pools, and the version of the result if the operator sets one. */
 export interface ConfigurationPatchChange {
   version?: number;
   patch: ConfigurationPatch;
 }
 
-const givenVersion = (version: number | undefined): { version?: number } => (version === undefined ? {} : { version });
+const optionalVersion = (version: number | undefined): { version?: number } =>
+  version === undefined ? {} : { version };
 
 /**
- * Parses a configuration. Retention may not be shorter than the longest deadline: a retry within it must find its response.
+ * Parses a configuration. No retention time may be shorter than the longest deadline of a route, since a retry within the
+ * deadline must find the recorded response.
  *
  * @example
  * const configuration = parseConfiguration({ bindings: {} });
@@ -154,29 +156,34 @@
   const parsed = parseSchema(candidate);
   if (!parsed.ok) return parsed;
   const problems = configurationProblems(parsed.value);
-  if (problems.length > 0) return invalidResource(resource, problems);
+  if (problems.length > 0) return invalidResource(RESOURCE, problems);
   const longestMs = Math.max(0, ...Object.values(parsed.value.bindings).map((route) => route.deadlineMs));
   const tooShort = Object.entries(parsed.value.retention ?? {}).filter(([, retentionMs]) => retentionMs < longestMs);
   if (tooShort.length === 0) return parsed;
   const paths = tooShort.map(
     ([setting]) => `/retention/${setting}: must not be shorter than the longest deadline, ${longestMs}`,
   );
-  return invalidResource(resource, paths);
+  return invalidResource(RESOURCE, paths);
 }
 
-/** Parses a complete configuration with its version. @example parseConfigurationChange({ version: 7, bindings: {} }) */
+/** Parses a configuration with an optional version. @example parseConfigurationChange({ version: 7, bindings: {} }) */
 export function parseConfigurationChange(candidate: unknown): Result<ConfigurationChange> {
   const parsed = parseVersionedSchema(candidate);
   if (!parsed.ok) return parsed;
   const { version, ...doc } = parsed.value;
   const configuration = parseConfiguration(doc);
-  return configuration.ok ? Fault.ok({ ...givenVersion(version), doc: configuration.value }) : configuration;
+  return configuration.ok ? Fault.ok({ ...optionalVersion(version), doc: configuration.value }) : configuration;
 }
 
-/** Parses a patch; its result is checked where it is applied. @example parseConfigurationPatch({ remove: { bindings: ["b"] } }) */
+/**
+ * Parses a patch. The patched configuration is validated when the patch is applied.
+ *
+ * @example
+ * const patch = parseConfigurationPatch({ remove: { bindings: ["b"] } });
+ */
 export function parseConfigurationPatch(candidate: unknown): Result<ConfigurationPatchChange> {
   const parsed = parsePatchSchema(candidate);
   if (!parsed.ok) return parsed;
   const { version, ...patch } = parsed.value;
-  return Fault.ok({ ...givenVersion(version), patch });
+  return Fault.ok({ ...optionalVersion(version), patch });
 }
--- a/src/adapters/schemas/policySchemas.ts
+++ b/src/adapters/schemas/policySchemas.ts
@@ -33,5 +33,5 @@
   },
 };
 
-/** Parses the rules of the policies, in order of precedence. @example parsePolicies([{ match: { kind: "lookup" }, order: 5 }]) */
+/** Parses policy rules in order of precedence. @example parsePolicies([{ match: { kind: "lookup" }, order: 5 }]) */
 export const parsePolicies = schemaParser<PolicyRule[]>("policies", policiesSchema);
--- a/src/adapters/schemas/recoverySchemas.ts
+++ b/src/adapters/schemas/recoverySchemas.ts
@@ -3,9 +3,9 @@
 
 /** An operator's order to recover the control group from one voter, which may lose committed changes. */
 export interface Recovery {
-  /** The group that the operator means. */
+  /** The id of the control group to recover. */
   group: string;
-  /** The id of the control member that goes on alone. */
+  /** The id of the control member that becomes the only voter. */
   voter: string;
 }
 
--- a/src/rpc/envelopeCodec.ts
+++ b/src/rpc/envelopeCodec.ts
@@ -94,11 +94,9 @@
   return JSON.parse(json.toString("utf8"));
 }
 
-function isValid(envelope: BinaryEnvelope, cluster: string): boolean {
-  const isKnownVersion = envelope.version === PLAIN_VERSION || envelope.version === DEFLATED_VERSION;
-  return (
-    envelope.magic === MAGIC && isKnownVersion && envelope.cluster === cluster && KINDS[envelope.kind] !== undefined
-  );
+function isValid(fields: BinaryEnvelope, cluster: string): boolean {
+  const isKnownVersion = fields.version === PLAIN_VERSION || fields.version === DEFLATED_VERSION;
+  return fields.magic === MAGIC && isKnownVersion && fields.cluster === cluster && KINDS[fields.kind] !== undefined;
 }
 
 /**
--- a/src/runtime/httpServer.ts
+++ b/src/runtime/httpServer.ts
@@ -8,16 +8,12 @@
 import { NodeLibs } from "./nodeLibs";
 
 type Handler = (exchange: HttpExchange) => Task<void>;
-type Connection = {
-  /** The number of requests without a complete response. */
-  pendingCount: number;
-  /** The last request that began. */
-  newest?: http.IncomingMessage;
-  /** The time since which the connection is idle, in ms of `performance.now()`. */
-  idleSince: number;
-  /** Whether a request had invalid framing; further requests on the connection are ignored. */
-  isRejected: boolean;
-};
+/**
+ * The state of a connection: the number of requests without a complete response, the last request that began, the time
+ * of the last response in ms of `performance.now()`, and whether a request had invalid framing, after which further
+ * requests are ignored.
+ */
+type Connection = { pendingCount: number; newest?: http.IncomingMessage; idleSince: number; isRejected: boolean };
 
 /** The limits of a server that is given no others. */
 export const defaultHttpLimits: HttpLimits = {
--- a/src/runtime/nodeDisk.ts
+++ b/src/runtime/nodeDisk.ts
@@ -26,9 +26,9 @@
 async function writeLock(folder: string, owner: string): Promise<void> {
   const file = path.join(folder, "lock");
   const holder = parseLock(await fs.promises.readFile(file, "utf8").catch(() => ""));
-  const heldByAnother =
+  const isHeldByAnother =
     holder && holder.owner !== owner && holder.pid !== process.pid && startTimeOf(holder.pid) === holder.startTime;
-  if (heldByAnother) throw new Error(`${folder} is in use by process ${holder.pid}`);
+  if (isHeldByAnother) throw new Error(`${folder} is in use by process ${holder.pid}`);
   await fs.promises.writeFile(file, `${process.pid} ${startTimeOf(process.pid)} ${owner}\n`);
 }
 
