--- a/src/adapters/schemas/configurationSchemas.ts
+++ b/src/adapters/schemas/configurationSchemas.ts
@@ -142,8 +142,7 @@
   patch: ConfigurationPatch;
 }
 
-const optionalVersion = (version: number | undefined): { version?: number } =>
-  version === undefined ? {} : { version };
+const versionField = (version: number | undefined): { version?: number } => (version === undefined ? {} : { version });
 
 /**
  * Parses a configuration. No retention time may be shorter than the longest deadline of a route, since a retry within the
@@ -172,7 +171,7 @@
   if (!parsed.ok) return parsed;
   const { version, ...doc } = parsed.value;
   const configuration = parseConfiguration(doc);
-  return configuration.ok ? Fault.ok({ ...optionalVersion(version), doc: configuration.value }) : configuration;
+  return configuration.ok ? Fault.ok({ ...versionField(version), doc: configuration.value }) : configuration;
 }
 
 /**
@@ -185,5 +184,5 @@
   const parsed = parsePatchSchema(candidate);
   if (!parsed.ok) return parsed;
   const { version, ...patch } = parsed.value;
-  return Fault.ok({ ...optionalVersion(version), patch });
+  return Fault.ok({ ...versionField(version), patch });
 }
--- a/src/rpc/rpcClient.ts
+++ b/src/rpc/rpcClient.ts
@@ -61,7 +61,7 @@
     const response = yield* this.awaitResponse(pending, startedAt + timeoutMs, isCancelled);
     connection.removePending(correlationId);
     if (response) return response;
-    // Nothing arrived on the connection during the call: its peer may be gone without having closed it.
+    // Nothing arrived on the connection during the call: its peer may have failed without closing it.
     if (connection.lastReceivedAt < startedAt) this.close(connection);
     return Fault.fail("timeout", method, address, `no reply in ${Math.round(timeoutMs)} ms`);
   }
--- a/test/disk.test.ts
+++ b/test/disk.test.ts
@@ -3,97 +3,105 @@
 import { SimDisk } from "../src/simulation/simDisk";
 import { SimWorld } from "../src/simulation/simWorld";
 
-const inWorld = async <T>(world: SimWorld, disk: SimDisk, body: (slots: CheckpointedLog) => Task<T>): Promise<T> => {
+/** Runs a task on the log in folder `d`, in a new process that uses the disk. */
+const withLog = async <T>(world: SimWorld, disk: SimDisk, body: (log: CheckpointedLog) => Task<T>): Promise<T> => {
   const process = world.start(`p${world.now}`, disk);
   return (await world.finish(process, () => body(new CheckpointedLog(process.env, "d")), 60_000)) as T;
 };
-const records = function* (slots: CheckpointedLog): Task<unknown> {
-  const opened = yield* slots.open();
+/** Opens the log, and returns its content or the detail of the fault. */
+const readContent = function* (log: CheckpointedLog): Task<unknown> {
+  const opened = yield* log.open();
   return opened.ok ? { state: opened.value.state, records: opened.value.records } : opened.fault.detail;
 };
 
-test("records and slots come back as they were written, through rotations", async () => {
+test("records and checkpoints are read back as they were written, across several checkpoints", async () => {
   const world = new SimWorld(1);
   const disk = new SimDisk(world);
-  await inWorld(world, disk, function* (slots) {
-    yield* slots.open();
-    yield* slots.append([1]);
-    yield* slots.checkpoint({ upTo: 1 });
-    yield* slots.append([2, 3]);
-    yield* slots.checkpoint({ upTo: 3 });
-    yield* slots.append([4]);
+  await withLog(world, disk, function* (log) {
+    yield* log.open();
+    yield* log.append([1]);
+    yield* log.checkpoint({ upTo: 1 });
+    yield* log.append([2, 3]);
+    yield* log.checkpoint({ upTo: 3 });
+    yield* log.append([4]);
   });
-  expect(await inWorld(world, disk, records)).toEqual({ state: { upTo: 3 }, records: [4] });
+  expect(await withLog(world, disk, readContent)).toEqual({ state: { upTo: 3 }, records: [4] });
 });
-test("a damaged newest slot is made good by the other slot and both logs", async () => {
+test("if the newest checkpoint is damaged, the state is recovered from the other checkpoint and both logs", async () => {
   const world = new SimWorld(2);
   const disk = new SimDisk(world);
-  await inWorld(world, disk, function* (slots) {
-    yield* slots.open();
-    yield* slots.append([1]);
-    yield* slots.checkpoint({ upTo: 1 });
-    yield* slots.append([2]);
-    yield* slots.checkpoint({ upTo: 2 });
-    yield* slots.append([3]);
+  await withLog(world, disk, function* (log) {
+    yield* log.open();
+    yield* log.append([1]);
+    yield* log.checkpoint({ upTo: 1 });
+    yield* log.append([2]);
+    yield* log.checkpoint({ upTo: 2 });
+    yield* log.append([3]);
   });
-  expect(disk.damage((path) => path === "d/slot-a")).toEqual(["d/slot-a"]); // generation 2
-  expect(await inWorld(world, disk, records)).toEqual({ state: { upTo: 1 }, records: [2, 3] });
+  expect(disk.damage((path) => path === "d/slot-a")).toEqual(["d/slot-a"]); // The checkpoint of generation 2.
+  expect(await withLog(world, disk, readContent)).toEqual({ state: { upTo: 1 }, records: [2, 3] });
 });
-test("damage in the middle of a log is a refusal that names the file", async () => {
+test("a log that is damaged before its last record is rejected with a fault that names the file", async () => {
   const world = new SimWorld(3);
   const disk = new SimDisk(world);
-  await inWorld(world, disk, function* (slots) {
-    yield* slots.open();
-    yield* slots.append([{ first: true }]);
-    yield* slots.append([{ second: true }]);
+  await withLog(world, disk, function* (log) {
+    yield* log.open();
+    yield* log.append([{ first: true }]);
+    yield* log.append([{ second: true }]);
   });
   disk.damage((path) => path === "d/log-0");
-  expect(await inWorld(world, disk, records)).toMatch("d/log-0 is damaged at byte 0");
+  expect(await withLog(world, disk, readContent)).toMatch("d/log-0 is damaged at byte 0");
 });
-test("power lost at any write leaves every acknowledged record, and a torn tail is cut: 200 seeds", async () => {
-  let undone = 0;
+test("after a power loss at any write, every acknowledged record is kept and a torn tail is truncated: 200 seeds", async () => {
+  let unacknowledgedLost = 0;
   for (let seed = 1; seed <= 200; seed += 1) {
     const world = new SimWorld(seed);
     const disk = new SimDisk(world);
     const acknowledged: number[] = [];
     const process = world.start("p", disk);
     Csp.go(process.scope, "writer", function* () {
-      const slots = new CheckpointedLog(process.env, "d");
-      yield* slots.open();
+      const log = new CheckpointedLog(process.env, "d");
+      yield* log.open();
       for (let n = 1; n < 200; n += 1) {
-        if ((yield* slots.append([n])).ok) acknowledged.push(n);
-        if (n % 7 === 0) yield* slots.checkpoint({ upTo: n });
+        if ((yield* log.append([n])).ok) acknowledged.push(n);
+        if (n % 7 === 0) yield* log.checkpoint({ upTo: n });
       }
     });
     await world.run(5 + world.random() * 120);
     world.kill("p", true);
-    const read = (await inWorld(world, disk, records)) as { state?: { upTo: number }; records: number[] };
-    const last = read.records.length > 0 ? read.records[read.records.length - 1] : (read.state?.upTo ?? 0);
-    const from = read.state?.upTo ?? 0;
-    expect(read.records).toEqual(Array.from({ length: last - from }, (_each, at) => from + at + 1));
+    const content = (await withLog(world, disk, readContent)) as { state?: { upTo: number }; records: number[] };
+    const last = content.records.length > 0 ? content.records[content.records.length - 1] : (content.state?.upTo ?? 0);
+    const checkpointed = content.state?.upTo ?? 0;
+    expect(content.records).toEqual(
+      Array.from({ length: last - checkpointed }, (_each, index) => checkpointed + index + 1),
+    );
     expect(last).toBeGreaterThanOrEqual(acknowledged[acknowledged.length - 1] ?? 0);
     expect(last).toBeLessThanOrEqual((acknowledged[acknowledged.length - 1] ?? 0) + 1);
-    if (last === acknowledged[acknowledged.length - 1]) undone += 1;
+    if (last === acknowledged[acknowledged.length - 1]) unacknowledgedLost += 1;
   }
-  expect(undone).toBeGreaterThan(20);
+  expect(unacknowledgedLost).toBeGreaterThan(20);
 });
 
-/** What a start says of a folder in which one file was changed, and whether that file was left as it is. */
-const spoilt = async (name: string, spoil: (data: Buffer) => Buffer): Promise<{ said: unknown; left: boolean }> => {
+/** Changes one file of a log and opens the log; returns the outcome, and whether opening it left the file unchanged. */
+const openDamaged = async (
+  name: string,
+  damage: (data: Buffer) => Buffer,
+): Promise<{ outcome: unknown; isUnchanged: boolean }> => {
   const world = new SimWorld(5);
   const disk = new SimDisk(world);
-  await inWorld(world, disk, function* (slots) {
-    yield* slots.open();
-    yield* slots.append([1]);
-    yield* slots.checkpoint({ upTo: 1 });
-    yield* slots.append([2]);
+  await withLog(world, disk, function* (log) {
+    yield* log.open();
+    yield* log.append([1]);
+    yield* log.checkpoint({ upTo: 1 });
+    yield* log.append([2]);
   });
-  const bytes = spoil(Buffer.from(disk.under("d").get(name)!));
-  const process = world.start("spoiler", disk);
+  const bytes = damage(Buffer.from(disk.under("d").get(name)!));
+  const process = world.start("damager", disk);
   await world.finish(process, () => process.env.disk.write(`d/${name}`, bytes), 1000);
-  const said = await inWorld(world, disk, records);
-  return { said, left: disk.under("d").get(name)!.equals(bytes) };
+  const outcome = await withLog(world, disk, readContent);
+  return { outcome, isUnchanged: disk.under("d").get(name)!.equals(bytes) };
 };
+/** Replaces the first four bytes. */
 const startingWith = (text: string) => (data: Buffer) => Buffer.concat([Buffer.from(text, "latin1"), data.subarray(4)]);
 test.each([
   ["log-1", "PBR2", "d/log-1 has format 2; this version reads format 1"],
@@ -101,20 +109,23 @@
   ["slot-b", "PBS2", "d/slot-b has format 2; this version reads format 1"],
   ["slot-b", "PBS9", 'd/slot-b has format unknown ("PBS9"); this version reads format 1'],
   ["log-1", "{ a:", "d/log-1 is damaged at byte 0, or not ours"],
-])("%s that begins with %s is refused by name and left as it is", async (name, magic, said) => {
-  expect(await spoilt(name, startingWith(magic))).toEqual({ said, left: true });
-});
-test("the only slot damaged, and no log from before it: refused, never taken for an empty folder", async () => {
+])(
+  "file %s that begins with %s is rejected with a fault that names it, and not changed",
+  async (name, magic, detail) => {
+    expect(await openDamaged(name, startingWith(magic))).toEqual({ outcome: detail, isUnchanged: true });
+  },
+);
+test("a folder whose only checkpoint is damaged, without an earlier log, is rejected and not treated as empty", async () => {
   const world = new SimWorld(6);
   const disk = new SimDisk(world);
-  await inWorld(world, disk, function* (slots) {
-    yield* slots.open();
-    yield* slots.checkpoint({ filled: true });
+  await withLog(world, disk, function* (log) {
+    yield* log.open();
+    yield* log.checkpoint({ filled: true });
   });
   disk.damage((path) => path === "d/slot-b");
-  expect(await inWorld(world, disk, records)).toBe("no readable slot: d/slot-b");
+  expect(await withLog(world, disk, readContent)).toBe("no readable slot: d/slot-b");
 });
-test("zeros behind the last record, from a write of which only the length came, are cut", async () => {
-  const { said } = await spoilt("log-1", (data) => Buffer.concat([data, Buffer.alloc(100)]));
-  expect(said).toEqual({ state: { upTo: 1 }, records: [2] });
+test("zeros after the last record, from a write that only extended the file, are truncated", async () => {
+  const { outcome } = await openDamaged("log-1", (data) => Buffer.concat([data, Buffer.alloc(100)]));
+  expect(outcome).toEqual({ state: { upTo: 1 }, records: [2] });
 });
--- a/test/operatorInterface.test.ts
+++ b/test/operatorInterface.test.ts
@@ -4,11 +4,11 @@
   version,
   bindings: { a: { kind: "lookup", pool: "p", path } },
 });
-const put = async (fleet: ControlFleet, version: number, ifVersion: number): Promise<number> =>
+const putConfiguration = async (fleet: ControlFleet, version: number, ifVersion: number): Promise<number> =>
   (await fleet.send("PUT", "/v1/manifest", configuration(version), { "if-match": String(ifVersion) })).status;
 
 describe("operator interface", () => {
-  const route = (more: Record<string, unknown> = {}): any => ({
+  const route = (overrides: Record<string, unknown> = {}): any => ({
     kind: "lookup",
     pool: "p",
     path: "/",
@@ -16,14 +16,14 @@
     deadlineMs: 1000,
     continues: "no",
     prefixBytes: 0,
-    ...more,
+    ...overrides,
   });
-  test("takes versions, patches, drains and retirements", async () => {
+  test("accepts configuration versions, patches, drains and retirements", async () => {
     const fleet = new ControlFleet(9, { controls: 4, stores: 4 });
     await fleet.run(6000);
     const patch = (body: unknown, ifVersion: number): Promise<{ status: number; body: any }> =>
       fleet.send("PATCH", "/v1/manifest", body, { "if-match": String(ifVersion) });
-    expect(await put(fleet, 7, 0)).toBe(200);
+    expect(await putConfiguration(fleet, 7, 0)).toBe(200);
     expect((await fleet.send("PUT", "/v1/manifest", { bindings: {} }, { "if-match": "7" })).body.version).toBe(8);
     expect((await patch({ version: 8, upsert: { bindings: { b: route() } } }, 8)).status).toBe(400);
     expect(
@@ -47,10 +47,10 @@
     expect((await fleet.send("DELETE", "/v1/districts/north/drain")).status).toBe(200);
     await fleet.run(2500);
     expect(fleet.control("control-2")!.node.snapshot().control!.drained).toEqual([]);
-    const moves = (await fleet.send("GET", "/v1/calendar")).body.entries.map(
+    const operations = (await fleet.send("GET", "/v1/calendar")).body.entries.map(
       (entry: any) => `${entry.move.kind} ${entry.fate}`,
     );
-    expect(moves).toEqual(["drain finished", "undrain finished"]);
+    expect(operations).toEqual(["drain finished", "undrain finished"]);
     expect((await fleet.send("POST", "/v1/stores/nobody/retirement")).status).toBe(404);
     expect((await fleet.send("GET", "/v1/stores/store-1/retirement")).status).toBe(404);
     expect((await fleet.send("POST", "/v1/stores/store-1/retirement")).status).toBe(200);
--- a/test/rawSockets.ts
+++ b/test/rawSockets.ts
@@ -3,12 +3,13 @@
 import { Environment, HttpExchange, HttpLimits } from "../src/runtime/env";
 import { NodeEnvironment } from "../src/runtime/nodeEnvironment";
 
-/** A client that writes bytes as they are and keeps what comes. */
+/** A client that writes raw bytes and collects the received ones. */
 export class RawClient {
+  /** All received bytes, as Latin-1 text. */
   text = "";
   closed = false;
   private readonly socket: net.Socket;
-  private waiting: (() => void)[] = [];
+  private wakeCallbacks: (() => void)[] = [];
   constructor(port: number) {
     this.socket = net.connect(port, "127.0.0.1");
     this.socket.on("data", (chunk: Buffer) => {
@@ -22,30 +23,30 @@
     });
   }
   private wake(): void {
-    for (const each of this.waiting.splice(0)) each();
+    for (const callback of this.wakeCallbacks.splice(0)) callback();
   }
   write(text: string): this {
     this.socket.write(text, "latin1");
     return this;
   }
-  /** Has nothing more to say. */
+  /** Closes the sending side of the connection. */
   endWriting(): void {
     this.socket.end();
   }
-  /** Goes away without a word. */
+  /** Closes the connection at once. */
   destroy(): void {
     this.socket.destroy();
   }
-  /** Resolves once what has come fits, or the connection has ended. */
-  async until(fits: (text: string) => boolean): Promise<string> {
-    while (!fits(this.text) && !this.closed) await new Promise<void>((done) => this.waiting.push(done));
+  /** Resolves with the received text once it satisfies a condition or the connection has ended. */
+  async until(matches: (text: string) => boolean): Promise<string> {
+    while (!matches(this.text) && !this.closed) await new Promise<void>((done) => this.wakeCallbacks.push(done));
     return this.text;
   }
-  /** Resolves with all that came once the connection has ended. */
+  /** Resolves with the received text once the connection has ended. */
   untilClosed = (): Promise<string> => this.until(() => this.closed);
 }
 
-/** Processes of one test on sockets of this machine; closed at its end. */
+/** The servers of a test on local sockets, and the environment that runs them. */
 export class SocketTestBed {
   readonly errors: string[] = [];
   readonly scope = new Scope("raw", (task, error) => this.errors.push(`${task}: ${String(error)}`));
@@ -61,6 +62,7 @@
       });
     });
   }
+  /** Runs a task and resolves with its result. */
   run<T>(body: () => Task<T>): Promise<T> {
     return new Promise((done) => {
       Csp.go(this.scope, "run", function* () {
@@ -68,22 +70,23 @@
       });
     });
   }
-  async serve(handler: (incoming: HttpExchange) => Task<void>, limits?: () => HttpLimits): Promise<number> {
+  /** Starts an HTTP server; resolves with its port. */
+  async serve(handler: (exchange: HttpExchange) => Task<void>, limits?: () => HttpLimits): Promise<number> {
     const port = await SocketTestBed.freePort();
     const served = await this.run(() => this.env.serveHttp(`127.0.0.1:${port}`, handler, limits));
     if (!served.ok) throw new Error(served.fault.detail);
     return port;
   }
-  /** A server that writes what it likes: called for each connection with its number. */
-  listen(connected: (socket: net.Socket, connection: number) => void, port = 0): Promise<number> {
+  /** Starts a TCP server that passes each socket, with its sequence number, to `onConnection`; resolves with its port. */
+  listen(onConnection: (socket: net.Socket, sequence: number) => void, port = 0): Promise<number> {
     return new Promise((done) => {
-      let connections = 0;
+      let connectionCount = 0;
       const server = net
         .createServer((socket) => {
           this.sockets.add(socket);
           socket.on("error", () => undefined);
           socket.on("close", () => this.sockets.delete(socket));
-          connected(socket, (connections += 1));
+          onConnection(socket, (connectionCount += 1));
         })
         .listen(port, "127.0.0.1", () => done((server.address() as net.AddressInfo).port));
       this.servers.push(server);
--- a/test/retentionValidation.test.ts
+++ b/test/retentionValidation.test.ts
@@ -16,10 +16,10 @@
   [{ lotsMs: "a week" }, "/retention/lotsMs: must be integer"],
   [{ requestsMs: 999 }, "/retention/requestsMs: must not be shorter than the longest deadline, 1000"],
   [{ years: 1 }, "/retention/years: must NOT have additional properties"],
-])("a retention of %j is refused with its path, in a configuration and in the calendar", (retention, path) => {
+])("an invalid retention %j is rejected with its path, in a configuration and in the calendar", (retention, path) => {
   const doc = { bindings: { b: { ...route, continues: undefined, prefixBytes: undefined } }, retention };
-  const checked = parseConfiguration(JSON.parse(JSON.stringify(doc)));
-  expect(!checked.ok && checked.fault.tag === "invalid" && checked.fault.paths).toContain(path);
+  const parsed = parseConfiguration(JSON.parse(JSON.stringify(doc)));
+  expect(!parsed.ok && parsed.fault.tag === "invalid" && parsed.fault.paths).toContain(path);
   expect(
     parseCalendarEntry(
       { due: "now", move: { kind: "manifest", ifVersion: 0, doc: JSON.parse(JSON.stringify(doc)) } },
--- a/test/rpc.test.ts
+++ b/test/rpc.test.ts
@@ -17,10 +17,11 @@
   rpc = new Rpc(client.env, "a", "c");
 });
 afterEach(() => expect(client.errors).toEqual([]));
-const response = (asked: Envelope, more: Partial<Envelope> = {}): Buffer =>
-  EnvelopeCodec.encode({ ...asked, kind: "response", sender: "s", body: asked.body, ...more });
-/** A process that responds to each ask as it is told to. */
-function responder(respond: (link: Link, asked: Envelope) => void): SimProcess {
+/** Encodes a response that echoes the body of a request. */
+const responseTo = (request: Envelope, overrides: Partial<Envelope> = {}): Buffer =>
+  EnvelopeCodec.encode({ ...request, kind: "response", sender: "s", body: request.body, ...overrides });
+/** Starts a server process that passes each request to `respond`. */
+function startServer(respond: (link: Link, request: Envelope) => void): SimProcess {
   const server = world.start("server", new SimDisk(world));
   Csp.go(server.env.scope, "serve", function* () {
     const links = yield* server.env.listen(address);
@@ -28,111 +29,108 @@
     for (let link = yield* Csp.take(links.value); link !== null; link = yield* Csp.take(links.value)) {
       const current: Link = link;
       Csp.go(server.env.scope, "link", function* () {
-        for (
-          let snapshot = yield* Csp.take(current.incoming);
-          snapshot !== null;
-          snapshot = yield* Csp.take(current.incoming)
-        )
-          respond(current, EnvelopeCodec.decode(snapshot, "a")!);
+        for (let frame = yield* Csp.take(current.incoming); frame !== null; frame = yield* Csp.take(current.incoming))
+          respond(current, EnvelopeCodec.decode(frame, "a")!);
       });
     }
   });
   return server;
 }
-const asks = (count: number, timeoutMs = 300): Result<unknown>[] => {
+/** Starts concurrent calls whose bodies are their indexes; returns the list of outcomes, in the order of completion. */
+const startCalls = (count: number, timeoutMs = 300): Result<unknown>[] => {
   const outcomes: Result<unknown>[] = [];
-  for (let at = 0; at < count; at += 1)
-    Csp.go(client.env.scope, `ask ${at}`, function* () {
-      outcomes.push(yield* rpc.call(address, "echo", at, timeoutMs));
+  for (let index = 0; index < count; index += 1)
+    Csp.go(client.env.scope, `call ${index}`, function* () {
+      outcomes.push(yield* rpc.call(address, "echo", index, timeoutMs));
     });
   return outcomes;
 };
 
-test("a late or doubled response, or one to another verb, is dropped and counted, and reaches no other ask", async () => {
-  const held: (() => void)[] = [];
-  responder((link, asked) => {
-    if (asked.body === 0) held.push(() => link.send(response(asked)));
-    else for (const method of ["other", asked.method, asked.method]) link.send(response(asked, { method }));
+test("a late or duplicate response, or one to another method, is dropped and counted, and completes no other call", async () => {
+  const delayed: (() => void)[] = [];
+  startServer((link, request) => {
+    if (request.body === 0) delayed.push(() => link.send(responseTo(request)));
+    else for (const method of ["other", request.method, request.method]) link.send(responseTo(request, { method }));
   });
   await world.run(50);
-  const first = asks(2, 100);
+  const outcomes = startCalls(2, 100);
   await world.run(300);
-  expect(first).toEqual([
+  expect(outcomes).toEqual([
     { ok: true, value: 1 },
     { ok: false, fault: expect.objectContaining({ tag: "timeout" }) },
   ]);
-  held.forEach((send) => send());
+  delayed.forEach((send) => send());
   await world.run(50);
   expect(rpc.lateResponseCount).toBe(3);
 });
-test("the end of a connection reaches every waiter once", async () => {
-  responder(() => undefined);
+test("the end of a connection fails every pending call once", async () => {
+  startServer(() => undefined);
   await world.run(50);
-  const outcomes = asks(5, 5000);
+  const outcomes = startCalls(5, 5000);
   await world.run(100);
   expect(outcomes).toEqual([]);
   world.kill("server");
   await world.run(6000);
   expect(outcomes.map((each) => !each.ok && each.fault.tag)).toEqual(Array.from({ length: 5 }, () => "broken"));
 });
-test("a process started again at the address gives no response to what its predecessor was asked", async () => {
-  responder(() => undefined);
+test("the responses of a process restarted at the same address complete no calls to its predecessor", async () => {
+  startServer(() => undefined);
   await world.run(50);
-  const old = asks(3, 5000);
+  const callsToPredecessor = startCalls(3, 5000);
   await world.run(100);
   world.kill("server");
-  // the new one responds to whatever number it is asked by, and to the numbers before it
-  responder((link, asked) => {
-    for (let correlationId = 1; correlationId <= asked.correlationId; correlationId += 1)
-      link.send(response(asked, { correlationId, body: `new ${correlationId}` }));
+  // The new process responds to the correlation id of each request and to all lower ones.
+  startServer((link, request) => {
+    for (let correlationId = 1; correlationId <= request.correlationId; correlationId += 1)
+      link.send(responseTo(request, { correlationId, body: `new ${correlationId}` }));
   });
   await world.run(200);
-  const young = asks(1, 1000);
+  const callsToSuccessor = startCalls(1, 1000);
   await world.run(6000);
-  expect(old.every((each) => !each.ok)).toBe(true);
-  expect(young).toEqual([{ ok: true, value: "new 4" }]);
+  expect(callsToPredecessor.every((each) => !each.ok)).toBe(true);
+  expect(callsToSuccessor).toEqual([{ ok: true, value: "new 4" }]);
   expect(rpc.lateResponseCount).toBe(3);
 });
-test("a fault that has not a fault's shape is told as broken; an ask in place of a response ends the connection", async () => {
+test("a malformed fault is reported as broken, and a request instead of a response ends the connection", async () => {
   const bodies = [null, 7, {}, { tag: "constructor", step: "", member: "", detail: "" }, { tag: "busy", step: "a" }];
-  responder((link, asked) => {
-    const body = bodies[Number(asked.body)];
-    link.send(response(asked, { kind: asked.body === bodies.length ? "request" : "error", body }));
+  startServer((link, request) => {
+    const body = bodies[Number(request.body)];
+    link.send(responseTo(request, { kind: request.body === bodies.length ? "request" : "error", body }));
   });
   await world.run(50);
-  const outcomes = asks(bodies.length + 1);
+  const outcomes = startCalls(bodies.length + 1);
   await world.run(1000);
-  expect(outcomes.map((each) => !each.ok && each.fault.tag)).toEqual([...bodies, "the ask"].map(() => "broken"));
+  expect(outcomes.map((each) => !each.ok && each.fault.tag)).toEqual([...bodies, "the request"].map(() => "broken"));
 });
-test("a body that a handler can't read is a fault and ends no process", async () => {
+test("a body that makes a handler throw causes the fault internal, and the process survives", async () => {
   const server = world.start("server", new SimDisk(world));
-  const serving = new Rpc(server.env, "a", "s");
-  serving.handle("echo", function* (body: { deep: { text: string } }) {
+  const serverRpc = new Rpc(server.env, "a", "s");
+  serverRpc.handle("echo", function* (body: { deep: { text: string } }) {
     return { ok: true, value: body.deep.text.length };
   });
-  Csp.go(server.env.scope, "serve", () => serving.serve(address));
+  Csp.go(server.env.scope, "serve", () => serverRpc.serve(address));
   await world.run(50);
-  const outcomes = asks(2);
+  const outcomes = startCalls(2);
   await world.run(500);
   expect(outcomes.map((each) => !each.ok && each.fault.tag)).toEqual(["internal", "internal"]);
   expect(server.alive).toBe(true);
 });
-test("a request without a handler is refused as not run: a process that starts listens before its handlers are set", async () => {
+test("a request that arrives before its handler is set gets the fault refused, since it has not run", async () => {
   const server = world.start("server", new SimDisk(world));
   const serverRpc = new Rpc(server.env, "a", "s");
   Csp.go(server.env.scope, "serve", () => serverRpc.serve(address));
   await world.run(50);
-  const early = asks(1);
+  const early = startCalls(1);
   await world.run(50);
   expect(early).toMatchObject([{ ok: false, fault: { tag: "refused", step: "echo", member: "s" } }]);
   serverRpc.handle("echo", function* (body: unknown) {
     return { ok: true as const, value: body };
   });
-  const later = asks(1);
+  const later = startCalls(1);
   await world.run(50);
   expect(later).toEqual([{ ok: true, value: 0 }]);
 });
-test("an order that reaches a control process before its handlers are set is repeated, not rejected", async () => {
+test("a control request that reaches a process before its handlers are set is retried, not rejected", async () => {
   const server = world.start("server", new SimDisk(world));
   const serverRpc = new Rpc(server.env, "a", "s");
   Csp.go(server.env.scope, "serve", () => serverRpc.serve(address));
