--- a/src/adapters/caller/jobRoutes.ts
+++ b/src/adapters/caller/jobRoutes.ts
@@ -70,7 +70,7 @@
   ): Task<void> {
     const { counters, jobSubmission } = this.operations;
     counters.jobs += 1;
-    const submitted = yield* jobSubmission.submit(id, name, route, items, Constants.jobCallMs);
+    const submitted = yield* jobSubmission.submit(id, name, route, items, Constants.jobLeaderSearchMs);
     if (!submitted.ok) {
       const isOverQuota = submitted.fault.tag === "busy" && submitted.fault.step === "quota";
       return Http.sendProblem(exchange, submitted.fault, isOverQuota ? 429 : undefined, { lot: id });
--- a/src/adapters/caller/liveResponse.ts
+++ b/src/adapters/caller/liveResponse.ts
@@ -23,7 +23,7 @@
   after: number,
   deadline: number,
 ): Task<Result<ReadResponse>> => {
-  const leftMs = Math.min(Constants.streamPatienceMs, deadline - operations.env.monotonicMs());
+  const leftMs = Math.min(Constants.streamTakeoverGraceMs, deadline - operations.env.monotonicMs());
   return operations.liveRequests.read(requestId, after, READ_WAIT_MS, Math.max(MIN_READ_TIMEOUT_MS, leftMs));
 };
 
@@ -61,7 +61,7 @@
       if (!progress.ok) return this.readFailed(progress.fault, isNew);
       if (!this.relayChunks(progress.value)) return;
       if (progress.value.closed) return this.close(progress.value);
-      if (operations.env.monotonicMs() > this.deadline + Constants.streamPatienceMs)
+      if (operations.env.monotonicMs() > this.deadline + Constants.streamTakeoverGraceMs)
         return this.fail({ tag: "unknown", step: "relay", member: operations.id, detail: "no end in time" });
     }
   }
@@ -151,7 +151,7 @@
       const { fault, status } = closedRequestFault(state, outcome, requestId);
       return Http.sendProblem(exchange, fault, status, { requestId });
     }
-    if (operations.env.monotonicMs() > deadline + Constants.streamPatienceMs) {
+    if (operations.env.monotonicMs() > deadline + Constants.streamTakeoverGraceMs) {
       const member = operations.id;
       const fault: Fault = { tag: "unknown", step: "read", member, detail: "no end in time" };
       return Http.sendProblem(exchange, fault, 504, { requestId });
--- a/src/adapters/caller/requestRoutes.ts
+++ b/src/adapters/caller/requestRoutes.ts
@@ -122,7 +122,7 @@
       return Http.sendProblem(exchange, { tag: "invalid", step: "read Last-Event-ID", member: "caller", detail });
     }
     counters.resumes += 1;
-    const deadline = env.monotonicMs() + Constants.requestDeadlineMs;
+    const deadline = env.monotonicMs() + Constants.defaultDeadlineMs;
     yield* new StreamRelay(this.operations, exchange, requestId, +lastEventId, deadline).run(false);
   }
 }
--- a/src/adapters/operator/announcementRoutes.ts
+++ b/src/adapters/operator/announcementRoutes.ts
@@ -44,7 +44,7 @@
 }
 
 function* withdraw(node: NodeContext, exchange: HttpExchange, id: string): Task<void> {
-  const withdrawn = yield* node.goodbye(id);
+  const withdrawn = yield* node.withdraw(id);
   if (!withdrawn.ok) return Http.sendProblem(exchange, withdrawn.fault);
   Http.sendJson(exchange, 200, { goodbye: id });
 }
--- a/src/adapters/operator/changePreconditions.ts
+++ b/src/adapters/operator/changePreconditions.ts
@@ -42,7 +42,7 @@
    * its connection at the same time; a change without a version must not be applied if its caller has disconnected.
    */
   *isCallerConnected(env: Environment, exchange: HttpExchange): Task<boolean> {
-    const disconnected = yield* EnvironmentTools.takeWithin(env, exchange.disconnected, Constants.callerGoneLookMs);
+    const disconnected = yield* EnvironmentTools.takeWithin(env, exchange.disconnected, Constants.disconnectCheckMs);
     return disconnected === undefined;
   },
 };
--- a/src/adapters/operator/operatorChanges.ts
+++ b/src/adapters/operator/operatorChanges.ts
@@ -45,7 +45,7 @@
   const changeId = exchange.headers["x-change-id"] || ChangePreconditions.derivedChangeId(exchange, ifVersion, body);
   const command = makeCommand({ changeId, ifVersion, by: ChangePreconditions.operatorOf(exchange) });
   const request: ControlRequest = { op: "change", command };
-  const applied = yield* node.control.request<AppliedChange>(request, Constants.changeWaitMs);
+  const applied = yield* node.control.request<AppliedChange>(request, Constants.changeRetryWindowMs);
   if (!applied.ok) return Http.sendProblem(exchange, applied.fault, undefined, { changeId });
   const { version } = applied.value;
   Http.sendJson(exchange, 200, { version, changeId }, { etag: `"${version}"` });
@@ -70,7 +70,7 @@
     by: ChangePreconditions.operatorOf(exchange),
     identified: Boolean(suppliedId),
   });
-  const applied = yield* node.control.request<AppliedChange>(request, Constants.changeWaitMs);
+  const applied = yield* node.control.request<AppliedChange>(request, Constants.changeRetryWindowMs);
   if (!applied.ok) {
     const status = applied.fault.tag === "conflict" ? 409 : undefined;
     return Http.sendProblem(exchange, applied.fault, status, { changeId });
--- a/src/adapters/operator/orderRoutes.ts
+++ b/src/adapters/operator/orderRoutes.ts
@@ -33,7 +33,7 @@
     return Http.sendProblem(exchange, { tag: "notFound", step: "recover", member: node.id, detail });
   }
   const order = { ...recovery.value, by: ChangePreconditions.operatorOf(exchange) };
-  const recovered = yield* node.rpc.call<unknown>(address, "control.recover", order, Constants.changeWaitMs);
+  const recovered = yield* node.rpc.call<unknown>(address, "control.recover", order, Constants.changeRetryWindowMs);
   if (!recovered.ok) return Http.sendProblem(exchange, recovered.fault);
   Http.sendJson(exchange, 200, recovered.value);
 }
--- a/src/adapters/schemas/configurationSchemas.ts
+++ b/src/adapters/schemas/configurationSchemas.ts
@@ -26,7 +26,7 @@
     pool: CommonSchemas.name,
     path: { type: "string", pattern: "^/" },
     safe: { type: "boolean", default: false },
-    deadlineMs: { type: "number", minimum: 1, maximum: Constants.deadlineMaxMs, default: Constants.requestDeadlineMs },
+    deadlineMs: { type: "number", minimum: 1, maximum: Constants.deadlineMaxMs, default: Constants.defaultDeadlineMs },
     continues: { enum: ["exact", "no"], default: "no" },
     prefixBytes: { type: "integer", minimum: 0, maximum: 65_536, default: 1024 },
     host: { type: "string", minLength: 1, maxLength: 255 },
--- a/src/agent/agentNode.ts
+++ b/src/agent/agentNode.ts
@@ -55,9 +55,9 @@
   /** Handles a long poll: returns the snapshot once it differs from the caller's, or when the wait time has passed. */
   private *feed(request: FeedRequest): Task<Result<FeedResponse>> {
     this.feedCount += 1;
-    const deadline = this.env.monotonicMs() + Constants.feedWaitMs;
+    const deadline = this.env.monotonicMs() + Constants.feedWaitMaxMs;
     while (this.node.snapshot().revision === request.seen && this.env.monotonicMs() < deadline)
-      yield* EnvironmentTools.sleep(this.env, Constants.feedTickMs);
+      yield* EnvironmentTools.sleep(this.env, Constants.feedCheckPeriodMs);
     return Fault.ok(SnapshotFeed.encode(this.node.snapshot(), request.controlIndex, this.node.stopping));
   }
 
--- a/src/cli/eventsCommand.ts
+++ b/src/cli/eventsCommand.ts
@@ -7,7 +7,7 @@
     "# Log events\n\nWritten by `petrelbeam events`.\n\n| number | level | event | what to do |\n|---|---|---|---|",
   );
   for (const [number, event] of Object.entries(LogEvents))
-    printLine(`| PB${number} | ${event.level} | ${event.text} | ${event.act} |`);
+    printLine(`| PB${number} | ${event.level} | ${event.text} | ${event.operatorAction} |`);
 }
 
 /** The command that writes the catalogue of log events as Markdown. @example addEventsCommand(program); */
--- a/src/common/constants/batchJobs.ts
+++ b/src/common/constants/batchJobs.ts
@@ -1,7 +1,7 @@
 /** Batch jobs: window, share, results, listing, quota. */
 export const batchJobConstants = {
   /** ms; a submission whose acceptance is not known by then: its caller may retry with the same id, elsewhere. */
-  jobPatienceMs: 5000,
+  jobSubmissionTimeoutMs: 5000,
   /** Items in flight for a storage node and pool, at most. */
   jobWindowMax: 8,
   /** Items in flight for a storage node while live requests overload the pool. */
@@ -45,11 +45,11 @@
   /**
    * ms; the bodies of a closed job are served for so long, to processes that have not learned of its last results.
    */
-  jobBodiesKeepMs: 10_000,
+  jobBodiesRetentionMs: 10_000,
   /** ms; an item is given up so much after its deadline, since clocks differ. */
-  jobGiveUpMarginMs: 1000,
+  itemAbandonMarginMs: 1000,
   /** ms; a replica whose frontier lags by so much more than it must leaves the listing to another. */
-  jobListLagMs: 500,
+  jobListMaxLagMs: 500,
   /** Share of its own zone's slots that a storage node's items fill before they use other zones. */
   itemSameZoneShare: 0.6,
   /** bytes of results in one listing, so that it stays under 1 MB as JSON. */
@@ -57,23 +57,23 @@
   /** ms; items run on for so long after their leader lost its lease: it mostly regains it within a few ms. */
   leadershipRegainMs: 3000,
   /** ms; a submission waits so long for its shard's leader to be found: longer than a takeover. */
-  jobCallMs: 3000,
+  jobLeaderSearchMs: 3000,
   /** ms; one attempt to submit a job: longer than a put that waits for a member to be left out. */
-  jobAttemptMs: 1500,
+  jobSubmissionAttemptMs: 1500,
   /** ms; for so long all replicas are asked for a listing, beyond what its caller would wait. */
-  jobReadMs: 2000,
+  jobListTimeoutMs: 2000,
   /** ms; one request of these. */
-  jobReadAttemptMs: 250,
+  jobListAttemptMs: 250,
   /** ms; to make certain that a job that was given up is never accepted later. */
-  jobRefuseMs: 900,
+  jobRejectTimeoutMs: 900,
   /** ms; a leader that has not sent its usage report by then is counted as another replica knows it. */
   usageReportTimeoutMs: 250,
   /** ms; usage reports so young are not fetched again before a job is rejected. */
-  usageReportFreshMs: 60,
+  usageReportMaxAgeMs: 60,
   /** Reservations that are remembered until their jobs are in the usage reports. */
   quotaReservationsMax: 512,
   /** Share of a pool's slots that batch jobs never use. */
-  reservedShare: 0.34,
+  liveReservedShare: 0.34,
   /** Items in one batch job. */
   jobItemsMax: 2000,
 } as const;
--- a/src/common/constants/control.ts
+++ b/src/common/constants/control.ts
@@ -48,16 +48,16 @@
    * ms; a voter that is found dead is replaced this much later: inside the time that a loss counts, and before the
    * next may come.
    */
-  voterDeadMs: 200,
+  deadVoterDelayMs: 200,
   /** ms; a voter that left in order is replaced this much later: most restart on the same disk before. */
-  voterLeftMs: 1500,
+  leftVoterDelayMs: 1500,
   /**
    * ms; a voter that a leader has not discovered for so long since its own start counts as lost: after a power loss
    * of all nobody remembers who is missing.
    */
-  voterUnknownMs: 2000,
+  undiscoveredVoterDelayMs: 2000,
   /** ms; and so long since it became the leader. */
-  voterUnknownLeaderMs: 400,
+  undiscoveredVoterLeaderDelayMs: 400,
   /** ms; how often the leader checks its voters, and a follower whether it has become the leader. */
   leaderTaskPeriodMs: 150,
   /**
@@ -71,9 +71,9 @@
    * Machines; lost at once, where settings don't say: three voters, so that a cut in two of four leaves two of three
    * on one side.
    */
-  losses: 1,
+  toleratedLosses: 1,
   /** ms; a group that was bootstrapped with too few voters takes no first change for so long. */
-  groupGrowMs: 4000,
+  groupGrowthWaitMs: 4000,
   /** ms; pause between attempts to bootstrap the consensus group. */
   bootstrapRetryMs: 300,
   /** Ended calendar entries that the state retains; the ledger has the older ones. */
@@ -92,5 +92,5 @@
   /** ms; how often the leader checks the calendar for due entries. */
   calendarPeriodMs: 250,
   /** ms; a drained zone is checked again after this long. */
-  drainSettleMs: 1500,
+  drainRecheckMs: 1500,
 } as const;
--- a/src/common/constants/endpoints.ts
+++ b/src/common/constants/endpoints.ts
@@ -6,13 +6,13 @@
    * ms; an endpoint that has not announced itself for so long (two announcements and the time to spread) is selected
    * only if there is no other.
    */
-  endpointQuietMs: 2700,
+  announcementOverdueMs: 2700,
   /** ms; an unchanged announcement is published at most this often: less than the usual pause between two. */
-  endpointRenewMs: 900,
+  endpointRenewPeriodMs: 900,
   /** ms; a smaller change of the end of warming up comes from delays on the way and is not published. */
-  warmJitterMs: 250,
+  warmUpToleranceMs: 250,
   /** ms; a withdrawal is acknowledged once another member has it, or after this time. */
-  goodbyeToldMs: 300,
+  withdrawalAckTimeoutMs: 300,
   /** ms; an endpoint without instance names may come back so long after its withdrawal. */
-  goodbyeHoldMs: 5000,
+  reannounceDelayMs: 5000,
 } as const;
--- a/src/common/constants/routing.ts
+++ b/src/common/constants/routing.ts
@@ -9,11 +9,11 @@
   /**
    * ms; an endpoint counts as warming up so much longer than it announced: the announcement was delayed on its way.
    */
-  coldMarginMs: 400,
+  warmUpMarginMs: 400,
   /** ms; the shortest time between one sender's requests to an endpoint that is warming up. */
-  coldIntervalMs: 120,
+  warmUpIntervalMs: 120,
   /** ms; after its start a sender does not know for so long how many share a budget. */
-  sendersSettleMs: 3000,
+  senderDiscoveryMs: 3000,
   /** Share of an endpoint's connections that all senders together plan with. */
   connectionShare: 0.85,
   /** Tokens that an endpoint prefills in a ms: an estimate that only tells prefixes that are worth affinity. */
@@ -23,7 +23,7 @@
   /** Parts of one prompt that are compared. */
   promptPartsMax: 64,
   /** Factor; prefix affinity yields above this multiple of the mean load. */
-  boundedLoad: 1.25,
+  boundedLoadFactor: 1.25,
   /** Failures in a row until an endpoint is ejected. */
   ejectFailures: 3,
   /** ms; it is ejected for so long, then probed with one request. */
--- a/src/common/constants/shards.ts
+++ b/src/common/constants/shards.ts
@@ -16,12 +16,12 @@
    * ms; a member that has not synced for so long is left out by a new view while its leader is alive: some 10 of the
    * longest stalls seen.
    */
-  memberSilentMs: 400,
+  memberTimeoutMs: 400,
   /**
    * ms; three lease renewals missed by the control leader and every other member: a new view need not wait for
    * suspicion.
    */
-  leaderSilentMs: 500,
+  leaderTimeoutMs: 500,
   /** ms; a member that has not synced by then counts as silent since the request. */
   replicateTimeoutMs: 300,
   /** ms; a member that has not responded to a seal by then is left out of the next view. */
@@ -33,9 +33,9 @@
   /** ms; the leader polls every storage node this often; at once when one requests a check. */
   statusPeriodMs: 400,
   /** ms; a storage node whose status is older counts as down. */
-  statusFreshMs: 1800,
+  statusMaxAgeMs: 1800,
   /** ms; a poll of the storage nodes waits so long for the slowest. */
-  statusWaitMs: 100,
+  statusPollTimeoutMs: 100,
   /** ms; shortest pause between two polls, so that requested checks share one. */
   statusPollGapMs: 60,
   /** ms; a claim that waited longer for its delivery is released: another may be the owner by now. */
@@ -65,18 +65,18 @@
   /** Objects; the same in the simulator, so that half a minute of work seals, fills and reads segments. */
   simSegmentObjects: { works: 5, lots: 1, ledger: 48 },
   /** bits; of a ledger segment's Bloom filter: about one false positive in two hundred. */
-  segmentBitsPerSubject: 12,
+  bloomBitsPerSubject: 12,
   /** ms; put ids are kept so long past the stamp or deadline of their put; nobody retries for longer than 20 s. */
-  putOutcomeKeepMs: 30_000,
+  putOutcomeRetentionMs: 30_000,
   /**
    * ms; a refusal is kept for longer than the longest deadline, and so outlives every late attempt to open its
    * request.
    */
-  refusalKeepMs: 700_000,
+  rejectionRetentionMs: 700_000,
   /** ms; the leader calls a replica that is copying state again after this long. */
-  fillCallTimeoutMs: 6000,
+  stateTransferCallTimeoutMs: 6000,
   /** Entries of sealed segments in one response about a subject of a shard. */
-  aboutEntriesMax: 2000,
+  subjectEntriesMax: 2000,
   /** bytes of a segment in one message. */
   segmentChunkBytes: 1_048_576,
   /**
@@ -90,9 +90,9 @@
   /** ms; pause between attempts while a shard's leader is being found. */
   leaderSearchPauseMs: 100,
   /** ms; a shard's leader that cannot be reached is searched for so long, then the response is busy. */
-  openPatienceMs: 1500,
+  leaderSearchTimeoutMs: 1500,
   /** ms; ledger entries about lookups are batched for so long. */
   ledgerFlushMs: 250,
   /** Entries that wait for that; beyond it the oldest are counted as lost. */
-  ledgerBatch: 500,
+  ledgerBufferMax: 500,
 } as const;
--- a/src/common/latencySummary.ts
+++ b/src/common/latencySummary.ts
@@ -19,9 +19,9 @@
 
   /** Adds a measurement, ms. @example relays.add(12.5); */
   add(value: number): void {
-    if (this.values.length < Constants.spreadKept) this.values.push(value);
+    if (this.values.length < Constants.summaryValuesMax) this.values.push(value);
     else this.values[this.next] = value;
-    this.next = (this.next + 1) % Constants.spreadKept;
+    this.next = (this.next + 1) % Constants.summaryValuesMax;
     this.maximum = Math.max(this.maximum, value);
   }
 
--- a/src/control/calendarRunner.ts
+++ b/src/control/calendarRunner.ts
@@ -100,7 +100,7 @@
       return;
     }
     const isBusy = this.node.snapshot().endpoints.some((endpoint) => endpoint.district === zone && endpoint.active > 0);
-    if (isBusy) yield* EnvironmentTools.sleep(this.env, Constants.drainSettleMs);
+    if (isBusy) yield* EnvironmentTools.sleep(this.env, Constants.drainRecheckMs);
     else yield* this.transition(entry, CalendarEntryState.finished, "no work left in the district");
   }
 
--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -71,7 +71,7 @@
     readonly settings: Settings,
     readonly node: Node,
   ) {
-    const voterCount = 2 * (settings.losses ?? Constants.losses) + 1;
+    const voterCount = 2 * (settings.losses ?? Constants.toleratedLosses) + 1;
     const group = this.createGroup();
     this.group = group;
     this.leadership = new Leadership(node, group);
--- a/src/control/controlRequestHandler.ts
+++ b/src/control/controlRequestHandler.ts
@@ -83,7 +83,7 @@
   private lateFault(deadline: OrderDeadline | undefined): Result<never> | undefined {
     if (!deadline) return undefined;
     const { id } = this.node.self;
-    if (deadline.clockId !== this.clockId) return Fault.fail("late", "control op", id, OrderDeadline.otherClock);
+    if (deadline.clockId !== this.clockId) return Fault.fail("late", "control op", id, OrderDeadline.clockMismatch);
     if (this.env.monotonicMs() <= deadline.at) return undefined;
     return Fault.fail("late", "control op", id, "its caller no longer waits");
   }
--- a/src/control/replicaJoin.ts
+++ b/src/control/replicaJoin.ts
@@ -34,7 +34,7 @@
       target.address,
       "shard.fill",
       { shard, from: source },
-      Constants.fillCallTimeoutMs,
+      Constants.stateTransferCallTimeoutMs,
       () => !this.statuses.isResponsive(target.id),
     );
     if (!filled.ok || filled.value.tag !== "ok") return;
--- a/src/control/retirementOrders.ts
+++ b/src/control/retirementOrders.ts
@@ -95,7 +95,7 @@
    */
   private acceptedEarlier({ fate: state, due, version }: CalendarEntry): Result<AcceptedChange> {
     const ageMs = this.env.wallClockMs() - due;
-    const maybeRetry = ageMs >= 0 && ageMs < Constants.orderRetryMs;
+    const maybeRetry = ageMs >= 0 && ageMs < Constants.orderRetryWindowMs;
     if (state === CalendarEntryState.started || maybeRetry) return Fault.ok({ version });
     return this.busy("the machine was retired before, and isn't known here now");
   }
--- a/src/control/shardPlacement.ts
+++ b/src/control/shardPlacement.ts
@@ -46,7 +46,7 @@
     const statuses = new StoreStatuses(env, node);
     const selection = new StoreSelection(node, group, statuses);
     const calls = new MemberCalls(env, node, statuses);
-    this.replicationFactor = (node.settings.losses ?? Constants.losses) + SPARE_REPLICAS;
+    this.replicationFactor = (node.settings.losses ?? Constants.toleratedLosses) + SPARE_REPLICAS;
     this.statuses = statuses;
     this.selection = selection;
     this.trigger = new ViewChangeTrigger(env, node, group, statuses);
--- a/src/control/storeStatuses.ts
+++ b/src/control/storeStatuses.ts
@@ -64,7 +64,7 @@
         if (response.ok) statuses.store(id, response.value);
         Csp.offer(done, true);
       });
-    const deadline = this.env.monotonicMs() + Constants.statusWaitMs;
+    const deadline = this.env.monotonicMs() + Constants.statusPollTimeoutMs;
     for (let received = 0; received < stores.length && this.env.monotonicMs() < deadline; received += 1)
       yield* EnvironmentTools.takeWithin(this.env, done, deadline - this.env.monotonicMs());
     this.lastPollAt = startedAt;
@@ -104,7 +104,7 @@
     return (
       (member?.state === "alive" || member?.state === "suspect") &&
       status !== undefined &&
-      this.env.monotonicMs() - status.receivedAt < Constants.statusFreshMs
+      this.env.monotonicMs() - status.receivedAt < Constants.statusMaxAgeMs
     );
   }
 
@@ -117,13 +117,13 @@
    * @example statuses.isLeaderSilent(view)
    */
   isLeaderSilent(view: ShardView): boolean {
-    if (this.silentMs(view.lead) < Constants.leaderSilentMs) return false;
+    if (this.silentMs(view.lead) < Constants.leaderTimeoutMs) return false;
     const followers = view.members.filter((id) => id !== view.lead);
     return followers.length > 0 && followers.every((id) => this.reportsSilentLeader(id, view));
   }
 
   private reportsSilentLeader(id: string, view: ShardView): boolean {
     const replica = this.isResponsive(id) ? this.replica(id, view.shard) : undefined;
-    return replica !== undefined && replica.epoch === view.epoch && replica.leadSilentMs > Constants.leaderSilentMs;
+    return replica !== undefined && replica.epoch === view.epoch && replica.leadSilentMs > Constants.leaderTimeoutMs;
   }
 }
--- a/src/control/voterManager.ts
+++ b/src/control/voterManager.ts
@@ -40,7 +40,7 @@
     const { manifest: configuration, policies, calendar, voters } = this.group.state;
     const isUnchanged = configuration.version === 0 && policies.version === 0 && Object.keys(calendar).length === 0;
     if (!isUnchanged || voters.length >= this.voterCount) return false;
-    const isWaiting = this.env.monotonicMs() - this.group.leaderSince < Constants.groupGrowMs;
+    const isWaiting = this.env.monotonicMs() - this.group.leaderSince < Constants.groupGrowthWaitMs;
     if (!isWaiting) this.env.log(1309, { voters: voters.length, wanted: this.voterCount });
     return isWaiting;
   }
@@ -75,23 +75,23 @@
   private isUnavailable(id: string): boolean {
     if (id === this.node.self.id) return false;
     const member = this.node.membership.find(id);
-    if (!member) return this.undiscoveredMs() > Constants.voterUnknownMs;
+    if (!member) return this.undiscoveredMs() > Constants.undiscoveredVoterDelayMs;
     const stateAgeMs = this.node.membership.stateAgeMs(id);
     switch (member.state) {
       case "alive":
       case "suspect":
         return false;
       case "dead":
-        return stateAgeMs > Constants.voterDeadMs;
+        return stateAgeMs > Constants.deadVoterDelayMs;
       case "left":
-        return stateAgeMs > Constants.voterLeftMs;
+        return stateAgeMs > Constants.leftVoterDelayMs;
     }
   }
 
   /** How long a node that this leader never received anything from had time to be discovered, ms. */
   private undiscoveredMs(): number {
     const now = this.env.monotonicMs();
-    const hasLedLongEnough = now - this.group.leaderSince > Constants.voterUnknownLeaderMs;
+    const hasLedLongEnough = now - this.group.leaderSince > Constants.undiscoveredVoterLeaderDelayMs;
     return hasLedLongEnough ? now - this.startedAt : 0;
   }
 }
--- a/src/controlState/zoneDrains.ts
+++ b/src/controlState/zoneDrains.ts
@@ -22,7 +22,7 @@
   const acceptedAt = lastAcceptedAt(state, command.tag, command.district);
   if (acceptedAt === undefined) return false;
   const ageMs = command.at - acceptedAt;
-  return ageMs >= 0 && ageMs < Constants.orderRetryMs;
+  return ageMs >= 0 && ageMs < Constants.orderRetryWindowMs;
 }
 
 /** Ends the calendar entries of drains that an undrain reverses. */
--- a/src/forwarding/directHttp.ts
+++ b/src/forwarding/directHttp.ts
@@ -98,7 +98,7 @@
       headers: requestHeaders(names, endpoint, request),
       body: request.body,
       timeoutMs: Math.max(1, headTimeoutMs),
-      connectTimeoutMs: Constants.connectMs,
+      connectTimeoutMs: Constants.endpointConnectTimeoutMs,
       cancellation,
     });
     if (!sent.ok) return sent;
--- a/src/forwarding/endpointHttp.ts
+++ b/src/forwarding/endpointHttp.ts
@@ -66,7 +66,7 @@
       path: request.path,
       headers: { ...headersOf(request), accept: "application/x-ndjson" },
       body: bodyOf(request),
-      timeoutMs: Math.min(request.deadlineMs, Constants.firstPieceMs),
+      timeoutMs: Math.min(request.deadlineMs, Constants.firstChunkTimeoutMs),
       newConnection: !request.idempotent,
     });
     if (!response.ok) return response;
--- a/src/ingress/batchJobReader.ts
+++ b/src/ingress/batchJobReader.ts
@@ -85,7 +85,7 @@
   ): Task<Result<ResponseOf<Method>>> {
     const { env, rpc, shardClient } = this.context;
     const shard = shardClient.shardOf(id);
-    const deadline = env.monotonicMs() + waitMs + Constants.jobReadMs;
+    const deadline = env.monotonicMs() + waitMs + Constants.jobListTimeoutMs;
     const currentView = () => this.context.snapshot().control?.views[shard];
     let lastResponse: Result<ResponseOf<Method>> = Fault.fail("timeout", method, `shard ${shard}`, "no view is known");
     for (let attempt = 0; ; attempt += 1) {
@@ -93,7 +93,7 @@
       for (const address of this.replicaAddresses(shard, attempt === 0 ? nearZone : undefined)) {
         const leftMs = deadline - env.monotonicMs();
         if (leftMs <= 0) continue;
-        const timeoutMs = Math.min(leftMs, waitMs + Constants.jobReadAttemptMs);
+        const timeoutMs = Math.min(leftMs, waitMs + Constants.jobListAttemptMs);
         const request = { ...body, shard, id, anyAge: attempt > 0 } as RequestOf<Method>;
         lastResponse = yield* rpc.call(address, method, request, timeoutMs, () => currentView()?.epoch !== epoch);
         if (lastResponse.ok || isDefinitive(lastResponse.fault)) return lastResponse;
--- a/src/ingress/batchSubmission.ts
+++ b/src/ingress/batchSubmission.ts
@@ -62,7 +62,7 @@
         };
       },
       withinMs,
-      Constants.jobAttemptMs,
+      Constants.jobSubmissionAttemptMs,
     );
     return response.ok ? response : yield* this.settleFault(id, response.fault, attempts);
   }
@@ -126,7 +126,7 @@
       shardClient.shardOf(id),
       "lot.refuse",
       () => ({ id, stamp: shardClient.stamp(env.wallClockMs()) }),
-      Constants.jobRefuseMs,
+      Constants.jobRejectTimeoutMs,
     );
     if (!response.ok) return Fault.fail("unknown", "hand in", fault.member, fault.detail);
     if (!response.value.refused) return Fault.ok({ tag: "exists", same: true, state: "" });
@@ -152,9 +152,9 @@
         attempts += 1;
         return { stamp: attempts === 1 ? arrival : shardClient.stamp(env.wallClockMs()), lot: job, cause: route.cause };
       },
-      Constants.jobPatienceMs,
+      Constants.jobSubmissionTimeoutMs,
       JSON_ITEMS_ATTEMPT_TIMEOUT_MS,
-      Constants.openPatienceMs,
+      Constants.leaderSearchTimeoutMs,
     );
     if (response.ok || response.fault.tag === "busy" || response.fault.tag === "unknown") return response;
     return Fault.busy("accept lot", response.fault.member, response.fault.detail, 2 * Constants.retryAfterMs);
@@ -166,7 +166,7 @@
       shardClient.shardOf(id),
       "lot.end",
       () => ({ id, stamp: shardClient.stamp(env.wallClockMs()), by }),
-      Constants.jobCallMs,
+      Constants.jobLeaderSearchMs,
     );
     if (response.ok) return response;
     const { tag, member, detail } = response.fault;
--- a/src/ingress/directRequestHandler.ts
+++ b/src/ingress/directRequestHandler.ts
@@ -34,7 +34,7 @@
     const arrivedAt = env.monotonicMs();
     const rejectReason = readiness.rejectReason();
     if (rejectReason)
-      return this.responses.reject(exchange, "accept", member, rejectReason, Constants.comeBackUnreadyMs);
+      return this.responses.reject(exchange, "accept", member, rejectReason, Constants.unreadyRetryAfterMs);
     const match = this.findRoute(exchange);
     if (!match) {
       const detail = `no binding for ${exchange.path}`;
@@ -61,7 +61,7 @@
   ): Task<void> {
     const clockReason = this.context.readiness.clockReason();
     if (clockReason)
-      return this.responses.reject(exchange, "accept", this.context.id, clockReason, Constants.comeBackUnreadyMs);
+      return this.responses.reject(exchange, "accept", this.context.id, clockReason, Constants.unreadyRetryAfterMs);
     if (submitJob) return yield* submitJob(exchange, match, body);
     const detail = "this binding takes lots only";
     this.responses.fail(exchange, { tag: "invalid", step: "accept", member: this.context.id, detail }, 400);
@@ -116,7 +116,7 @@
     const waitedMs = env.monotonicMs() - arrivedAt;
     const maxWaitMs = responseOpen
       ? Constants.resumeWaitMs
-      : (route.targetMs ?? Constants.liveWaitMs) * Constants.refuseShare - waitedMs;
+      : (route.targetMs ?? Constants.admissionWaitMaxMs) * Constants.admissionWaitShare - waitedMs;
     const makeCriteria = () => selectionCriteria(pending, this.context.snapshot(), exclude);
     const eligible = EndpointEligibility.inPool(makeCriteria());
     // Once every endpoint has failed, all of them may be tried again.
@@ -134,12 +134,13 @@
       step: "choose",
       member: id,
       detail: `no room in pool ${pending.pool}`,
-      retryAfterMs: Constants.comeBackMs,
+      retryAfterMs: Constants.overloadRetryAfterMs,
     };
     const { step, member, detail } = fault;
     this.note(pending, `given up: ${detail}`);
     if (pending.responseOpen) return exchange.abort();
-    if (!pending.mayHaveRun) return this.responses.reject(exchange, step, member, detail, Constants.comeBackMs);
+    if (!pending.mayHaveRun)
+      return this.responses.reject(exchange, step, member, detail, Constants.overloadRetryAfterMs);
     counters.failures += 1;
     this.responses.fail(exchange, fault, env.monotonicMs() >= pending.deadlineAt ? 504 : 502);
   }
--- a/src/ingress/endpointAttempt.ts
+++ b/src/ingress/endpointAttempt.ts
@@ -50,7 +50,9 @@
     const { endpoint } = this;
     const leftMs = this.leftMs();
     const headTimeoutMs =
-      route.safe && mayRetry ? Math.min(leftMs, Math.max(Constants.headMs, 2 * (route.targetMs ?? 0))) : leftMs;
+      route.safe && mayRetry
+        ? Math.min(leftMs, Math.max(Constants.responseHeadTimeoutMs, 2 * (route.targetMs ?? 0)))
+        : leftMs;
     const cancellation: NonNullable<HttpRequest["cancellation"]> = {};
     // The endpoint should stop working on a request whose caller has disconnected.
     exchange.onDisconnect = () => cancellation.cancel?.();
@@ -143,7 +145,7 @@
   private eventTimeoutMs(): number {
     const { route } = this.pending;
     if (!isExactlyResumable(route)) return this.leftMs();
-    return Math.max(Constants.silentPieceMs, 3 * (route.pieceGapMs ?? 0));
+    return Math.max(Constants.resumableStallMs, 3 * (route.pieceGapMs ?? 0));
   }
 
   private leftMs(): number {
--- a/src/ingress/ingressAdmission.ts
+++ b/src/ingress/ingressAdmission.ts
@@ -17,7 +17,7 @@
 /** Priority of a request if no policy sets one. */
 const DEFAULT_PRIORITY = 100;
 /** The maximum number of concurrent requests of a route, for routes whose requests involve a shard. */
-const MAX_LIVE_REQUESTS_PER_ROUTE = Constants.liveBuffer * 4;
+const MAX_LIVE_REQUESTS_PER_ROUTE = Constants.admissionQueueMax * 4;
 
 function findRoute(doc: Configuration, name: string): Route | undefined {
   return Object.prototype.hasOwnProperty.call(doc.bindings, name) ? doc.bindings[name] : undefined;
--- a/src/ingress/ingressNode.ts
+++ b/src/ingress/ingressNode.ts
@@ -180,10 +180,10 @@
     this.link.prepareStop();
     const startedAt = this.env.monotonicMs();
     // Callers keep sending until they have seen that this ingress is unready; those requests are served.
-    yield* EnvironmentTools.sleep(this.env, Constants.stopListenMs);
+    yield* EnvironmentTools.sleep(this.env, Constants.shutdownListenMs);
     // From here on callers find no listener and go elsewhere, so the end of the process interrupts no request.
     this.env.stopServing();
-    while (this.env.monotonicMs() < startedAt + Constants.stopGraceMs && this.inFlight > 0)
+    while (this.env.monotonicMs() < startedAt + Constants.shutdownGraceMs && this.inFlight > 0)
       yield* EnvironmentTools.sleep(this.env, DRAIN_POLL_MS);
     yield* EnvironmentTools.sleep(this.env, Constants.ledgerFlushMs + LAST_NOTES_MS);
     yield* this.link.leaveCluster();
--- a/src/ingress/ingressReadiness.ts
+++ b/src/ingress/ingressReadiness.ts
@@ -50,9 +50,9 @@
     let lastCheckAt = this.env.monotonicMs();
     let wasStale = false;
     for (;;) {
-      yield* EnvironmentTools.sleep(this.env, Constants.clockWatchMs);
+      yield* EnvironmentTools.sleep(this.env, Constants.clockCheckPeriodMs);
       const now = this.env.monotonicMs();
-      if (now - lastCheckAt > Constants.clockJumpMs + Constants.clockWatchMs) {
+      if (now - lastCheckAt > Constants.clockJumpMs + Constants.clockCheckPeriodMs) {
         this.env.log(1005, { forMs: Math.round(now - lastCheckAt) });
         this.link.processResumed();
       }
--- a/src/ingress/ledgerNotes.ts
+++ b/src/ingress/ledgerNotes.ts
@@ -34,7 +34,7 @@
   ) {}
 
   add(subject: string, decision: string, cause: Cause): void {
-    if (this.pending.length >= Constants.ledgerBatch) {
+    if (this.pending.length >= Constants.ledgerBufferMax) {
       this.pending.shift();
       this.counters.droppedNotes += 1;
     }
--- a/src/ingress/lookupForwarder.ts
+++ b/src/ingress/lookupForwarder.ts
@@ -130,7 +130,7 @@
     const hasOtherEndpoint = endpointSelector
       .eligible(makeCriteria())
       .some((endpoint) => !lookup.exclude.has(endpoint.key));
-    const waitMs = Constants.liveWaitMs - (env.monotonicMs() - lookup.startedAt);
+    const waitMs = Constants.admissionWaitMaxMs - (env.monotonicMs() - lookup.startedAt);
     const maxWaitMs = hasOtherEndpoint ? Math.min(leftMs, waitMs) : 0;
     return yield* admissionQueue.acquire(makeCriteria, lookup.request.order, lookup.startedAt, maxWaitMs);
   }
--- a/src/ingress/pendingDirectRequest.ts
+++ b/src/ingress/pendingDirectRequest.ts
@@ -96,7 +96,7 @@
     route: routeName,
     caller: "",
     kind: route.kind,
-    prefix: affinityPrefix(prompt, route.targetMs ?? Constants.liveWaitMs),
+    prefix: affinityPrefix(prompt, route.targetMs ?? Constants.admissionWaitMaxMs),
     trafficClass: "live",
     exclude,
   };
--- a/src/ingress/remoteAgent.ts
+++ b/src/ingress/remoteAgent.ts
@@ -2,7 +2,7 @@
 import type { ClusterSnapshot } from "../node/clusterSnapshot";
 import { ControlClient } from "../node/controlClient";
 import { controlAddresses, NodeContext } from "../node/nodeContext";
-import { FedSnapshot, SnapshotFeed } from "../node/snapshotFeed";
+import { AgentSnapshot, SnapshotFeed } from "../node/snapshotFeed";
 import { ReadIndexConfirmation } from "../node/readIndexConfirmation";
 import { Rpc } from "../rpc/rpc";
 import { Csp, Task } from "../runtime/csp";
@@ -57,7 +57,7 @@
   }
 
   isStale(): boolean {
-    return this.env.monotonicMs() - this.latestRequestedAt > Constants.frameStaleMs;
+    return this.env.monotonicMs() - this.latestRequestedAt > Constants.contactTimeoutMs;
   }
 
   isConfirmed(): boolean {
@@ -90,7 +90,7 @@
       snapshot: () => this.latest,
       control: new ControlClient(env, rpc, () => controlAddresses(this.latest)),
       announce: (announcement) => rpc.call(address, "agent.announce", announcement, ANNOUNCE_TIMEOUT_MS),
-      goodbye: (endpointId) => rpc.call(address, "agent.goodbye", { id: endpointId }, ANNOUNCE_TIMEOUT_MS),
+      withdraw: (endpointId) => rpc.call(address, "agent.goodbye", { id: endpointId }, ANNOUNCE_TIMEOUT_MS),
     };
   }
 
@@ -106,7 +106,7 @@
     for (;;) {
       const requestedAt = this.env.monotonicMs();
       const request = { seen: this.latest.revision, controlIndex: this.latest.control?.index ?? 0 };
-      const timeoutMs = Constants.feedWaitMs + FEED_GRACE_MS;
+      const timeoutMs = Constants.feedWaitMaxMs + FEED_GRACE_MS;
       const response = yield* this.rpc.call(this.address, "agent.feed", request, timeoutMs);
       if (!response.ok) {
         yield* EnvironmentTools.sleep(this.env, FEED_RETRY_DELAY_MS);
@@ -119,7 +119,7 @@
   }
 
   /** Accepts a snapshot from the feed, but its control state only if it is newer: a restarted agent may have an older one. */
-  private accept(fed: FedSnapshot): void {
+  private accept(fed: AgentSnapshot): void {
     const { control, controlIndex, ...rest } = fed;
     const current = this.latest.control;
     const newest = control && (!current || control.index > current.index) ? control : current;
--- a/src/ingress/shardLiveRequests.ts
+++ b/src/ingress/shardLiveRequests.ts
@@ -79,7 +79,7 @@
       },
       request.deadlineMs,
       OPEN_ATTEMPT_TIMEOUT_MS,
-      Constants.openPatienceMs,
+      Constants.leaderSearchTimeoutMs,
     );
     if (opened.ok || opened.fault.tag === "busy") return opened;
     if (opened.fault.tag === "unknown") return (yield* this.refuse(id)) ?? opened;
--- a/src/ingress/warmUpRequests.ts
+++ b/src/ingress/warmUpRequests.ts
@@ -81,7 +81,7 @@
 
   /** Sends the requests to `address` until all have ended, the time limit is reached, or `shouldStop` returns true. */
   *run(env: Environment, headerNames: HeaderNames, address: string, shouldStop: () => boolean): Task<void> {
-    const deadline = env.monotonicMs() + Constants.warmUpMs;
+    const deadline = env.monotonicMs() + Constants.warmUpTimeoutMs;
     const self = selfEndpoint(address);
     const finished = Csp.chan<true>(CONCURRENCY);
     for (let worker = 0; worker < CONCURRENCY; worker += 1)
--- a/src/membership/clockSkew.ts
+++ b/src/membership/clockSkew.ts
@@ -37,7 +37,7 @@
     const error = (now - sentAt) / 2;
     if (!(error >= 0 && error < Constants.epsilonMs)) return;
     this.samples.push({ memberId, offset: now - error - theirTime, error });
-    if (this.samples.length > Constants.clockSamples) this.samples.shift();
+    if (this.samples.length > Constants.clockSamplesMax) this.samples.shift();
   }
 
   /** The median over the newest sample of each member; undefined with too few members. */
--- a/src/membership/factStore.ts
+++ b/src/membership/factStore.ts
@@ -143,7 +143,7 @@
       baseVersion: version,
       baseValue: value,
       patch: {},
-      leaseMs: Constants.tombstoneMs,
+      leaseMs: Constants.tombstoneRetentionMs,
     });
   }
 
@@ -175,14 +175,14 @@
     const now = this.env.monotonicMs();
     for (const fact of this.facts.values()) {
       const ageMs = now - fact.publishedAt;
-      if (ageMs <= (fact.removed ? Constants.tombstoneMs : fact.leaseMs)) continue;
+      if (ageMs <= (fact.removed ? Constants.tombstoneRetentionMs : fact.leaseMs)) continue;
       if (fact.removed) {
         this.forget(fact);
         continue;
       }
       if (fact.key.startsWith(ENDPOINT_PREFIX)) this.env.log(1203, { replica: fact.key });
       // Remembered past its lease, so that an older version of it elsewhere isn't taken for a new fact.
-      if (ageMs > Constants.tombstoneMs) this.forget(fact);
+      if (ageMs > Constants.tombstoneRetentionMs) this.forget(fact);
       this.listener.expired();
     }
   }
@@ -215,10 +215,10 @@
     let count = 0;
     for (const { key, version, removed, publishedAt, leaseMs } of this.facts.values()) {
       const ageMs = now - publishedAt;
-      if (removed || ageMs < leaseMs * Constants.staleShare || ageMs > leaseMs) continue;
+      if (removed || ageMs < leaseMs * Constants.staleLeaseShare || ageMs > leaseMs) continue;
       stale[key] = version;
       count += 1;
-      if (count >= Constants.staleAsked) break;
+      if (count >= Constants.staleFactsMax) break;
     }
     return stale;
   }
@@ -275,7 +275,7 @@
 
   private static isApplicable(update: FactUpdate, ageMs: number, known: StoredFact | undefined): boolean {
     // By that age the others have forgotten an unknown fact, as we have: it must not come back.
-    if (!known) return !(ageMs > Constants.tombstoneMs);
+    if (!known) return !(ageMs > Constants.tombstoneRetentionMs);
     if (known.removed !== update.removed) return update.removed;
     if (update.version !== known.version) return update.version > known.version;
     return update.owner > known.owner;
--- a/src/membership/failureDetector.ts
+++ b/src/membership/failureDetector.ts
@@ -111,8 +111,8 @@
   /** All active members, in as many datagrams as that takes. */
   private sendMembers(address: string): void {
     const members = this.members.alive();
-    for (let first = 0; first < members.length; first += Constants.piggybackUpdates) {
-      const updates = members.slice(first, first + Constants.piggybackUpdates);
+    for (let first = 0; first < members.length; first += Constants.piggybackMaxUpdates) {
+      const updates = members.slice(first, first + Constants.piggybackMaxUpdates);
       this.send(address, { type: "indirectAck", sequence: 0, sender: this.self, updates });
     }
   }
@@ -144,7 +144,7 @@
     const isAlive = (yield* this.ping(target, Constants.probeTimeoutMs)) || (yield* this.probeIndirectly(target));
     if (isAlive) return this.members.resendSuspicion(target.id);
     // A process whose own timers fire late wasn't able to receive an acknowledgement either.
-    const allowedMs = Constants.probeTimeoutMs + Constants.indirectTimeoutMs + Constants.ownLateMs;
+    const allowedMs = Constants.probeTimeoutMs + Constants.indirectTimeoutMs + Constants.maxTimerDelayMs;
     if (this.env.monotonicMs() - startedAt > allowedMs) this.inconclusiveProbeCount += 1;
     else this.members.suspect(target);
   }
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -111,10 +111,10 @@
     if (addresses.length === 0) return;
     for (const address of addresses)
       Csp.go(this.env.scope, "push tombstones", function* () {
-        const response = yield* rpc.call(address, "news.push", push, Constants.goodbyeToldMs);
+        const response = yield* rpc.call(address, "news.push", push, Constants.withdrawalAckTimeoutMs);
         if (response.ok) Csp.offer(acknowledged, true);
       });
-    yield* EnvironmentTools.takeWithin(this.env, acknowledged, Constants.goodbyeToldMs);
+    yield* EnvironmentTools.takeWithin(this.env, acknowledged, Constants.withdrawalAckTimeoutMs);
   }
 
   /** Facts whose lease runs, by key prefix. @example gossip.live("replica/") */
--- a/src/membership/gossipPeers.ts
+++ b/src/membership/gossipPeers.ts
@@ -33,7 +33,7 @@
     const ring = this.membership.alive();
     const otherCount = ring.length - 1;
     const ownId = this.membership.self.id;
-    if (otherCount <= Constants.gossipPartners)
+    if (otherCount <= Constants.gossipPeersMax)
       return ring.filter((member) => member.id !== ownId).map((member) => member.address);
     const ownIndex = ring.findIndex((member) => member.id === ownId);
     return GossipPeers.distances(otherCount).map((distance) => ring[(ownIndex + distance) % ring.length].address);
@@ -42,8 +42,8 @@
   /** Distances that grow geometrically from 1 to the farthest, each once. */
   private static distances(farthest: number): number[] {
     const distances = new Set<number>();
-    for (let nth = 1; nth <= Constants.gossipPartners; nth += 1) {
-      let distance = Math.round(farthest ** (nth / Constants.gossipPartners));
+    for (let nth = 1; nth <= Constants.gossipPeersMax; nth += 1) {
+      let distance = Math.round(farthest ** (nth / Constants.gossipPeersMax));
       while (distances.has(distance)) distance = (distance % farthest) + 1;
       distances.add(distance);
     }
--- a/src/membership/memberList.ts
+++ b/src/membership/memberList.ts
@@ -132,8 +132,8 @@
   expire(): void {
     for (const [id, record] of this.records) {
       const ageMs = this.env.monotonicMs() - record.changedAt;
-      if (record.member.state === "suspect" && ageMs > Constants.suspicionMs) this.setState(record, "dead");
-      else if (!isActive(record.member) && ageMs > Constants.deadKeepMs) this.records.delete(id);
+      if (record.member.state === "suspect" && ageMs > Constants.suspicionTimeoutMs) this.setState(record, "dead");
+      else if (!isActive(record.member) && ageMs > Constants.deadMemberRetentionMs) this.records.delete(id);
     }
   }
 
@@ -146,9 +146,9 @@
   /** Records to piggyback on the next datagram: those that were sent least, each a limited number of times. */
   takeUpdates(): Member[] {
     const due = [...this.records.values()]
-      .filter((record) => record.sentCount < Constants.piggybackAttempts)
+      .filter((record) => record.sentCount < Constants.piggybackTransmissions)
       .sort((left, right) => left.sentCount - right.sentCount)
-      .slice(0, Constants.piggybackUpdates);
+      .slice(0, Constants.piggybackMaxUpdates);
     for (const record of due) record.sentCount += 1;
     return due.map((record) => record.member);
   }
@@ -179,7 +179,7 @@
       this.records.set(member.id, {
         member,
         changedAt: this.env.monotonicMs(),
-        sentCount: Constants.piggybackAttempts,
+        sentCount: Constants.piggybackTransmissions,
       });
       return;
     }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -149,7 +149,7 @@
 
   /** A period, shortened while this member has only just started. @example membership.periodMs(500) */
   periodMs(usualMs: number): number {
-    return this.hasJustStarted() ? usualMs * Constants.youthFactor : usualMs;
+    return this.hasJustStarted() ? usualMs * Constants.startupPeriodFactor : usualMs;
   }
 
   /** Announces that this member leaves, to all. @example membership.leave(); */
@@ -170,7 +170,7 @@
   }
 
   private hasJustStarted(): boolean {
-    return this.env.monotonicMs() - this.startedAt < Constants.youthMs;
+    return this.env.monotonicMs() - this.startedAt < Constants.startupPhaseMs;
   }
 
   private send(address: string, message: SwimMessage): void {
@@ -206,7 +206,7 @@
       if (address !== undefined) yield* this.detector.ping({ address }, Constants.probeTimeoutMs, true);
       yield* EnvironmentTools.sleep(
         this.env,
-        this.periodMs(this.hasJoined() ? Constants.rejoinMs : Constants.joinRetryMs),
+        this.periodMs(this.hasJoined() ? Constants.rejoinPeriodMs : Constants.joinRetryMs),
       );
     }
   }
--- a/src/membership/snapshotTransfer.ts
+++ b/src/membership/snapshotTransfer.ts
@@ -58,7 +58,7 @@
         group: known?.group ?? "",
         manifest: known?.manifest.version ?? -1,
       };
-      const fetched = yield* this.rpc.call(address, "frame.fetch", request, Constants.snapshotFetchMs);
+      const fetched = yield* this.rpc.call(address, "frame.fetch", request, Constants.snapshotFetchTimeoutMs);
       if (!fetched.ok || !fetched.value) return;
       const { steps, ...snapshot } = fetched.value;
       const configuration = snapshot.manifest ?? SnapshotTransfer.configurationAfter(known?.manifest, steps);
@@ -98,7 +98,7 @@
       if (patch) this.steps.push({ from: from.version, to: to.version, patch });
       else this.steps = [];
     }
-    this.steps.splice(0, this.steps.length - Constants.configurationSteps);
+    this.steps.splice(0, this.steps.length - Constants.configurationStepsRetained);
   }
 
   /** The steps from this version to the newest; none if they aren't remembered. */
--- a/src/node/clockWatch.ts
+++ b/src/node/clockWatch.ts
@@ -30,14 +30,14 @@
 
   /** Whether the next check is so late that the process must have been frozen. */
   isLate(now = this.env.monotonicMs()): boolean {
-    return now - this.checkedAt > Constants.clockJumpMs + Constants.clockWatchMs;
+    return now - this.checkedAt > Constants.clockJumpMs + Constants.clockCheckPeriodMs;
   }
 
   /** Checks for ever. */
   *run(): Task<void> {
     let lastOffset = this.env.wallClockMs() - this.checkedAt;
     for (;;) {
-      yield* EnvironmentTools.sleep(this.env, Constants.clockWatchMs);
+      yield* EnvironmentTools.sleep(this.env, Constants.clockCheckPeriodMs);
       const now = this.env.monotonicMs();
       this.listener.checking(now);
       const offset = this.env.wallClockMs() - now;
--- a/src/node/clusterSnapshotCache.ts
+++ b/src/node/clusterSnapshotCache.ts
@@ -76,7 +76,7 @@
     return this.gossip.live("replica/").map((fact) => ({
       key: fact.key,
       ...(fact.value as Omit<Endpoint, "key">),
-      ...(this.gossip.ageMs(fact.key) > Constants.endpointQuietMs ? { quiet: true } : {}),
+      ...(this.gossip.ageMs(fact.key) > Constants.announcementOverdueMs ? { quiet: true } : {}),
     }));
   }
 
--- a/src/node/controlClient.ts
+++ b/src/node/controlClient.ts
@@ -26,7 +26,7 @@
     case "refused":
       return { kind: "retry", mayHaveRun: false };
     case "late":
-      return fault.detail === OrderDeadline.otherClock ? { kind: "readClockAgain" } : { kind: "giveUp" };
+      return fault.detail === OrderDeadline.clockMismatch ? { kind: "readClockAgain" } : { kind: "giveUp" };
     case "timeout":
     case "broken":
     case "unknown":
@@ -124,7 +124,7 @@
   }
 
   private *send<Response>(address: string, request: ControlRequest, deadline: number): Task<Result<Response>> {
-    const timeoutMs = (): number => Math.min(Constants.controlAskMs, deadline - this.env.monotonicMs());
+    const timeoutMs = (): number => Math.min(Constants.controlRequestTimeoutMs, deadline - this.env.monotonicMs());
     if (isRead(request)) return yield* this.call<Response>(address, request, timeoutMs());
     const leaderDeadline = yield* this.deadlines.at(address, deadline, timeoutMs());
     if (!leaderDeadline.ok)
--- a/src/node/endpointAnnouncements.ts
+++ b/src/node/endpointAnnouncements.ts
@@ -57,7 +57,7 @@
 
 /** Whether the end of warming up has moved by more than delays on the way explain. */
 const warmUpMoved = (value: EndpointFact, before: EndpointFact | undefined): boolean =>
-  Math.abs((value.warmAt ?? 0) - (before?.warmAt ?? 0)) > Constants.warmJitterMs;
+  Math.abs((value.warmAt ?? 0) - (before?.warmAt ?? 0)) > Constants.warmUpToleranceMs;
 
 const sameButTimes = (value: EndpointFact, before: EndpointFact): boolean =>
   JSON.stringify({ ...before, warmAt: 0, sequence: 0 }) === JSON.stringify({ ...value, warmAt: 0, sequence: 0 });
@@ -71,7 +71,7 @@
   const instance = announcement.instance ?? latest?.instance ?? FIRST_INSTANCE;
   const key = keyOf(announcement.id, instance);
   const mayRestart = announcement.instance === undefined && !announcement.leaving;
-  const hasRestarted = mayRestart && gossip.isRemoved(key) && !(gossip.ageMs(key) < Constants.goodbyeHoldMs);
+  const hasRestarted = mayRestart && gossip.isRemoved(key) && !(gossip.ageMs(key) < Constants.reannounceDelayMs);
   return hasRestarted ? `i${Math.floor(env.wallClockMs())}` : instance;
 }
 
@@ -106,7 +106,7 @@
     if (!before) env.log(1201, { replica: key, pool: announcement.pool });
     const warmUpChanged = warmUpMoved(value, before);
     const isUnchanged = before && !warmUpChanged && sameButTimes(value, before);
-    if (isUnchanged && gossip.ageMs(key) < Constants.endpointRenewMs) return Fault.ok({ instance });
+    if (isUnchanged && gossip.ageMs(key) < Constants.endpointRenewPeriodMs) return Fault.ok({ instance });
     gossip.publish(key, value, Constants.endpointLeaseMs, !before || warmUpChanged);
     return Fault.ok({ instance });
   },
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -145,7 +145,7 @@
    * @example node.isCurrent()
    */
   isCurrent(): boolean {
-    return this.isConfirmed() && this.env.monotonicMs() - this.gossip.lastExchangeAt < Constants.frameStaleMs;
+    return this.isConfirmed() && this.env.monotonicMs() - this.gossip.lastExchangeAt < Constants.contactTimeoutMs;
   }
 
   /** Whether this node may give timestamps and hold leases. @example if (!node.mayHoldLeases()) return busy; */
@@ -177,8 +177,8 @@
   }
 
   private closeUnusedConnections(now: number): void {
-    if (now - this.connectionsCheckedAt <= Constants.linkIdleMs) return;
-    this.rpc.closeUnused(Constants.linkIdleMs);
+    if (now - this.connectionsCheckedAt <= Constants.memberConnectionIdleMs) return;
+    this.rpc.closeUnused(Constants.memberConnectionIdleMs);
     this.connectionsCheckedAt = now;
   }
 
--- a/src/node/nodeContext.ts
+++ b/src/node/nodeContext.ts
@@ -17,7 +17,7 @@
   snapshot(): ClusterSnapshot;
   announce(announcement: Announcement): Task<Result<AnnouncementResult>>;
   /** Withdraws an endpoint. */
-  goodbye(id: string): Task<Result<true>>;
+  withdraw(id: string): Task<Result<true>>;
 }
 
 /** Addresses of the control members that a snapshot shows. */
@@ -40,7 +40,7 @@
       control: new ControlClient(node.env, node.rpc, () => controlAddresses(node.snapshot())),
       snapshot: () => node.snapshot(),
       announce: (announcement) => EndpointAnnouncements.announce(node, announcement),
-      goodbye: (id) => EndpointAnnouncements.withdraw(node, id),
+      withdraw: (id) => EndpointAnnouncements.withdraw(node, id),
     };
   },
 };
--- a/src/node/orderDeadline.ts
+++ b/src/node/orderDeadline.ts
@@ -70,5 +70,5 @@
 
 export const OrderDeadline = {
   /** Detail of the fault "late" that asks the caller for a new reading of the clock. */
-  otherClock: "the deadline was counted by another process's clock",
+  clockMismatch: "the deadline was counted by another process's clock",
 };
--- a/src/node/readIndexConfirmation.ts
+++ b/src/node/readIndexConfirmation.ts
@@ -139,7 +139,7 @@
           Csp.go(this.env.scope, "ask for a read index", () => confirmation.askAt(address));
         yield* EnvironmentTools.sleep(
           this.env,
-          Constants.confirmRetryMs * (RETRY_JITTER_LOW + RETRY_JITTER_SPREAD * this.env.random()),
+          Constants.readIndexRetryMs * (RETRY_JITTER_LOW + RETRY_JITTER_SPREAD * this.env.random()),
         );
       }
     }
@@ -149,7 +149,7 @@
     this.pendingAddresses.add(address);
     try {
       const maxAgeMs = this.env.monotonicMs() - this.requiredAfter;
-      const readIndex = yield* this.request(address, { maxAgeMs, hops: Constants.confirmHops });
+      const readIndex = yield* this.request(address, { maxAgeMs, hops: Constants.readIndexMaxHops });
       if (readIndex && readIndex.index > (this.hooks.configuration()?.index ?? 0))
         yield* this.hooks.fetch(address, readIndex.index);
       this.isConfirmed();
@@ -160,7 +160,7 @@
 
   private *request(address: string, request: ReadIndexRequest): Task<ReadIndex | undefined> {
     const sentAt = this.env.monotonicMs();
-    const response = yield* this.rpc.call(address, "config.readIndex", request, Constants.confirmAskMs);
+    const response = yield* this.rpc.call(address, "config.readIndex", request, Constants.readIndexTimeoutMs);
     if (!response.ok) return undefined;
     const { group, index, ageMs } = response.value;
     const readIndex = { group, index, at: sentAt - ageMs };
@@ -176,17 +176,17 @@
     if (request.hops > 0) yield* this.refresh({ ...request, hops: request.hops - 1 });
     const refreshed = this.youngEnough(request.maxAgeMs);
     if (refreshed) return Fault.ok(this.responseOf(refreshed));
-    return Fault.busy("read index", "here", "no word of the control lead is young enough", Constants.confirmRetryMs);
+    return Fault.busy("read index", "here", "no word of the control lead is young enough", Constants.readIndexRetryMs);
   }
 
   /** As the leader: the contact with a majority that began late enough comes with the next heartbeats. */
   private *awaitOwn(maxAgeMs: number): Task<ReadIndex | undefined> {
     const requiredAfter = this.env.monotonicMs() - maxAgeMs;
-    const deadline = this.env.monotonicMs() + Constants.readIndexWaitMs;
+    const deadline = this.env.monotonicMs() + Constants.readIndexWaitMaxMs;
     for (let own = this.hooks.own(); own; own = this.hooks.own()) {
       if (own.at > requiredAfter) return own;
       if (this.env.monotonicMs() > deadline) return undefined;
-      yield* EnvironmentTools.sleep(this.env, Constants.readIndexTickMs);
+      yield* EnvironmentTools.sleep(this.env, Constants.readIndexCheckPeriodMs);
     }
     return undefined;
   }
--- a/src/node/snapshotFeed.ts
+++ b/src/node/snapshotFeed.ts
@@ -26,7 +26,7 @@
 }
 
 /** What a feed gives the ingress. */
-export type FedSnapshot = ClusterSnapshot & { readonly controlIndex: number; readonly stopping: boolean };
+export type AgentSnapshot = ClusterSnapshot & { readonly controlIndex: number; readonly stopping: boolean };
 
 declare module "../rpc/methods" {
   interface RpcMethods {
@@ -51,7 +51,7 @@
       stopping,
     };
   },
-  decode(response: FeedResponse): FedSnapshot {
+  decode(response: FeedResponse): AgentSnapshot {
     return {
       revision: response.number,
       control: response.control,
--- a/src/routing/admissionQueue.ts
+++ b/src/routing/admissionQueue.ts
@@ -66,7 +66,7 @@
     const immediate = queue.length === 0 ? this.select(makeCriteria()) : undefined;
     if (immediate) return immediate;
     this.onOverload(pool);
-    if (queue.length >= Constants.liveBuffer || withinMs <= 0) return undefined;
+    if (queue.length >= Constants.admissionQueueMax || withinMs <= 0) return undefined;
     const request: QueuedRequest = { order, arrivedAt, wake: Csp.sliding(1) };
     const insertAt = queue.findIndex((other) => precedes(request, other));
     queue.splice(insertAt < 0 ? queue.length : insertAt, 0, request);
@@ -87,7 +87,7 @@
     while (this.env.monotonicMs() < deadline) {
       // Nothing signals that slow start allows another request or that an ejection ends, so the head polls for both.
       const leftMs = deadline - this.env.monotonicMs();
-      const waitMs = queue[0] === request ? Math.min(Constants.roomTurnMs, leftMs) : leftMs;
+      const waitMs = queue[0] === request ? Math.min(Constants.admissionCheckPeriodMs, leftMs) : leftMs;
       yield* EnvironmentTools.takeWithin(this.env, request.wake, waitMs);
       const endpoint = queue[0] === request ? this.select(makeCriteria()) : undefined;
       if (endpoint) return endpoint;
--- a/src/routing/endpointSelector.ts
+++ b/src/routing/endpointSelector.ts
@@ -69,7 +69,7 @@
     const senderCount = Math.max(1, senderIds.length);
     const pool = criteria.snapshot.control?.manifest.doc.pools?.[criteria.pool];
     const warmPerSecond = pool?.warmPerSecond ?? 0;
-    const capacityShare = criteria.trafficClass === "batch" ? 1 - Constants.reservedShare : 1;
+    const capacityShare = criteria.trafficClass === "batch" ? 1 - Constants.liveReservedShare : 1;
     return eligible.filter((endpoint) => {
       if (criteria.exclude.has(endpoint.key)) return false;
       const state = this.states.getOrCreate(endpoint);
--- a/src/routing/endpointStates.ts
+++ b/src/routing/endpointStates.ts
@@ -66,7 +66,7 @@
   /** Removes endpoints that are no longer announced and have nothing in flight; runs at most once per tombstone interval. */
   sweep(announced: Endpoint[]): void {
     const now = this.env.monotonicMs();
-    if (now - this.lastSweepAt <= Constants.tombstoneMs) return;
+    if (now - this.lastSweepAt <= Constants.tombstoneRetentionMs) return;
     const keys = new Set(announced.map((endpoint) => endpoint.key));
     for (const [key, state] of this.states) if (!keys.has(key) && state.inFlight === 0) this.states.delete(key);
     this.lastSweepAt = now;
--- a/src/routing/prefixAffinity.ts
+++ b/src/routing/prefixAffinity.ts
@@ -24,7 +24,7 @@
   /** Returns the most preferred candidate below the load bound; if there is none, counts a miss and returns undefined. */
   select(prefix: string, candidates: Endpoint[]): Endpoint | undefined {
     const totalLoad = candidates.reduce((sum, endpoint) => sum + this.states.load(endpoint), 0);
-    const loadBound = Math.ceil((totalLoad / candidates.length + 1) * Constants.boundedLoad);
+    const loadBound = Math.ceil((totalLoad / candidates.length + 1) * Constants.boundedLoadFactor);
     const byKey = new Map(candidates.map((endpoint) => [endpoint.key, endpoint]));
     const preferred = Hash.rendezvous(prefix, [...byKey.keys()]);
     for (const [rank, key] of preferred.entries()) {
--- a/src/routing/slowStart.ts
+++ b/src/routing/slowStart.ts
@@ -33,7 +33,7 @@
   /** Whether the endpoint may still be warming up by its announcement; without a trusted clock the end cannot be told. */
   isWarmingUp(endpoint: Endpoint, clockTrusted: boolean): boolean {
     if (!endpoint.warmAt) return false;
-    return !clockTrusted || endpoint.warmAt + Constants.coldMarginMs > this.env.wallClockMs();
+    return !clockTrusted || endpoint.warmAt + Constants.warmUpMarginMs > this.env.wallClockMs();
   }
 
   /** Whether this node may send the endpoint a warm-up request now; `perSecond` is the pool's rate for all senders. */
@@ -46,9 +46,9 @@
   ): boolean {
     if (perSecond <= 0 || !this.isWarmingUp(endpoint, clockTrusted)) return true;
     // A sender that has just started does not know yet how many others share the rate.
-    if (now - this.startedAt < Constants.sendersSettleMs) return false;
+    if (now - this.startedAt < Constants.senderDiscoveryMs) return false;
     const share = perSecond / Math.max(1, senderIds.length);
-    const intervalMs = Math.max(Constants.coldIntervalMs, 1000 / Math.max(share, MIN_WARM_UP_RATE));
+    const intervalMs = Math.max(Constants.warmUpIntervalMs, 1000 / Math.max(share, MIN_WARM_UP_RATE));
     // If the share is below one request per second, only as many senders send warm-up requests as the rate allows.
     const participates =
       share >= 1 || Hash.rendezvous(endpoint.key, senderIds).indexOf(this.senderId) < Math.floor(perSecond);
--- a/src/rpc/envelopeCodec.ts
+++ b/src/rpc/envelopeCodec.ts
@@ -77,12 +77,13 @@
   const preEncoded = typeof body === "object" && body !== null ? preEncodedBodies.get(body) : undefined;
   if (preEncoded) return preEncoded;
   const json = Buffer.from(JSON.stringify(body ?? null), "utf8");
-  if (json.length < Constants.deflateBytes) return { version: PLAIN_VERSION, bytes: json };
+  if (json.length < Constants.deflateMinBytes) return { version: PLAIN_VERSION, bytes: json };
   // Long bodies consist mostly of callers' data in base64, in which a search for repeated strings takes four times
   // as long and finds none.
-  const strategy = json.length < Constants.deflateSearchBytes ? constants.Z_DEFAULT_STRATEGY : constants.Z_HUFFMAN_ONLY;
+  const strategy =
+    json.length < Constants.deflateSearchMaxBytes ? constants.Z_DEFAULT_STRATEGY : constants.Z_HUFFMAN_ONLY;
   const deflated = deflateRawSync(json, { level: 1, strategy });
-  return deflated.length < json.length * Constants.deflateShare
+  return deflated.length < json.length * Constants.deflateMaxRatio
     ? { version: DEFLATED_VERSION, bytes: deflated }
     : { version: PLAIN_VERSION, bytes: json };
 }
@@ -90,7 +91,7 @@
 function decodeBody(version: number, bytes: Uint8Array): unknown {
   const sent = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
   const json =
-    version === DEFLATED_VERSION ? inflateRawSync(sent, { maxOutputLength: Constants.frameLimitBytes }) : sent;
+    version === DEFLATED_VERSION ? inflateRawSync(sent, { maxOutputLength: Constants.messageMaxBytes }) : sent;
   return JSON.parse(json.toString("utf8"));
 }
 
--- a/src/rpc/rpcClient.ts
+++ b/src/rpc/rpcClient.ts
@@ -100,7 +100,7 @@
     isCancelled: (() => boolean) | undefined,
   ): Task<Result<unknown> | null | undefined> {
     const waitMs = (): number =>
-      Math.min(deadline - this.env.monotonicMs(), isCancelled ? Constants.leaderChangedMs : Infinity);
+      Math.min(deadline - this.env.monotonicMs(), isCancelled ? Constants.callAbortCheckPeriodMs : Infinity);
     let response = yield* EnvironmentTools.takeWithin(this.env, pending.result, waitMs());
     while (!response && isCancelled && !isCancelled() && this.env.monotonicMs() < deadline)
       response = yield* EnvironmentTools.takeWithin(this.env, pending.result, waitMs());
@@ -121,7 +121,7 @@
     }
     const attempt: ConnectionAttempt = { done: Csp.chan<true>(1), failure: undefined };
     this.attempts.set(address, attempt);
-    const linked = yield* this.env.connect(address, Constants.memberConnectMs);
+    const linked = yield* this.env.connect(address, Constants.memberConnectTimeoutMs);
     this.attempts.delete(address);
     if (!linked.ok) {
       attempt.failure = linked;
--- a/src/runtime/httpClient.ts
+++ b/src/runtime/httpClient.ts
@@ -19,8 +19,8 @@
       const announcedSeconds = /timeout=(\d+)/.exec(String(socket._httpMessage?.res?.headers["keep-alive"] ?? ""))?.[1];
       const idleMs =
         announcedSeconds === undefined
-          ? Constants.idleConnectionMs
-          : Math.min(Constants.idleConnectionMs, +announcedSeconds * 500);
+          ? Constants.endpointConnectionIdleMs
+          : Math.min(Constants.endpointConnectionIdleMs, +announcedSeconds * 500);
       if (idleMs <= 0) return false;
       socket.setKeepAlive(true, 1000);
       socket.unref();
--- a/src/runtime/httpServer.ts
+++ b/src/runtime/httpServer.ts
@@ -18,8 +18,8 @@
 /** The limits of a server that is given no others. */
 export const defaultHttpLimits: HttpLimits = {
   headerBytes: Constants.headerLimitBytes,
-  headerMs: Constants.headerLimitMs,
-  idleMs: Constants.callerIdleMs,
+  headerMs: Constants.headerTimeoutMs,
+  idleMs: Constants.callerIdleTimeoutMs,
 };
 const REASON_PHRASES: Record<number, string> = {
   400: "Bad Request",
@@ -75,7 +75,7 @@
     this.server = NodeLibs.http().createServer(
       {
         maxHeaderSize: Constants.headerLimitMaxBytes,
-        connectionsCheckingInterval: Constants.connectionCheckMs,
+        connectionsCheckingInterval: Constants.headerCheckPeriodMs,
       },
       (request, response) => this.onRequest(request, response),
     );
@@ -116,7 +116,7 @@
     this.appliedLimits = limits;
     this.server.headersTimeout = limits.headerMs;
     // A connection is never closed before the announced time; the margin covers a request that is in flight at its end.
-    this.server.keepAliveTimeout = limits.idleMs + Constants.idleMarginMs;
+    this.server.keepAliveTimeout = limits.idleMs + Constants.idleCloseMarginMs;
     const seconds = Math.floor(limits.idleMs / 1000);
     this.keepAliveHeader = seconds > 0 ? `timeout=${seconds}` : "";
   }
@@ -148,7 +148,7 @@
     // If an earlier request on the connection has no response yet, the caller would take this one for its response.
     if (connection.pendingCount > (isNewestIncomplete ? 1 : 0)) return void socket.destroy();
     socket.end(`HTTP/1.1 ${status} ${REASON_PHRASES[status]}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
-    setTimeout(() => socket.destroy(), Constants.refusedLingerMs).unref();
+    setTimeout(() => socket.destroy(), Constants.framingErrorLingerMs).unref();
   }
 
   // ---------- Requests ----------
--- a/src/runtime/nodeEnvironment.ts
+++ b/src/runtime/nodeEnvironment.ts
@@ -27,7 +27,7 @@
     received = received.length === 0 ? chunk : Buffer.concat([received, chunk]);
     while (received.length >= 4) {
       const size = received.readUInt32BE(0);
-      if (size > Constants.frameLimitBytes) return close();
+      if (size > Constants.messageMaxBytes) return close();
       if (received.length < 4 + size) break;
       put(Buffer.from(received.subarray(4, 4 + size)));
       received = received.subarray(4 + size);
@@ -39,7 +39,7 @@
     remoteAddress,
     incoming,
     send(frame) {
-      if (isClosed || socket.writableLength > Constants.frameLimitBytes) return false;
+      if (isClosed || socket.writableLength > Constants.messageMaxBytes) return false;
       const header = Buffer.alloc(4);
       header.writeUInt32BE(frame.length, 0);
       socket.cork();
--- a/src/shard/replica/leadership.ts
+++ b/src/shard/replica/leadership.ts
@@ -80,7 +80,7 @@
    * @example leadership.memberFailed(id, sentAt, response.fault);
    */
   memberFailed(id: string, sentAt: number, fault?: Fault): void {
-    const since = fault?.tag === "refused" ? sentAt - Constants.memberSilentMs / 2 : sentAt;
+    const since = fault?.tag === "refused" ? sentAt - Constants.memberTimeoutMs / 2 : sentAt;
     if (!this.failingSince.has(id)) this.failingSince.set(id, since);
   }
   /** A member's disk failed: it counts as silent at once. @example leadership.memberDiskFailed(id); */
@@ -90,7 +90,7 @@
   /** Members that have not synced for too long. @example leadership.silentMembers() */
   silentMembers(): string[] {
     const now = this.state.context.env.monotonicMs();
-    return [...this.failingSince].filter(([, since]) => now - since > Constants.memberSilentMs).map(([id]) => id);
+    return [...this.failingSince].filter(([, since]) => now - since > Constants.memberTimeoutMs).map(([id]) => id);
   }
   /** Whether the disk of any member is nearly full. @example if (leadership.isAnyDiskLow()) return busy; */
   isAnyDiskLow(): boolean {
@@ -106,6 +106,6 @@
     const { state } = this;
     if (state.role === "lead") return this.silentMembers().length > 0;
     const isFollower = state.role === "member" && state.isMember;
-    return isFollower && (state.viewChangeReason !== "" || this.leaderSilenceMs() > Constants.leaderSilentMs);
+    return isFollower && (state.viewChangeReason !== "" || this.leaderSilenceMs() > Constants.leaderTimeoutMs);
   }
 }
--- a/src/shard/segments/subjectFilter.ts
+++ b/src/shard/segments/subjectFilter.ts
@@ -30,7 +30,7 @@
   /** The filter in base64. @example SubjectFilter.of(entries) */
   of(entries: LedgerEntry[]): string {
     const names = new Set(entries.flatMap(namesOf));
-    const filter = Buffer.alloc(Math.max(MIN_BYTES, Math.ceil((names.size * Constants.segmentBitsPerSubject) / 8)));
+    const filter = Buffer.alloc(Math.max(MIN_BYTES, Math.ceil((names.size * Constants.bloomBitsPerSubject) / 8)));
     for (const name of names) for (const bit of bitsOf(name, filter.length * 8)) filter[bit >> 3] |= 1 << (bit & 7);
     return filter.toString("base64");
   },
--- a/src/shard/state/shardState.ts
+++ b/src/shard/state/shardState.ts
@@ -68,14 +68,14 @@
 /** Until when a put may be repeated: its repeats come as long as somebody waits for the first, ms of wall time. */
 function repeatableUntil(put: Put): number {
   const deadlines = put.ops.map((op) => (op.op === "open" ? op.work.deadlineAt : 0));
-  return Math.max(put.stamp.time, ...deadlines) + Constants.putOutcomeKeepMs;
+  return Math.max(put.stamp.time, ...deadlines) + Constants.putOutcomeRetentionMs;
 }
 
 /** Closed jobs whose item bodies nobody reads any more lose them. */
 function forgetBodies(data: ShardData, clock: number): void {
   while (data.jobsWithBodies.length > 0) {
     const job = data.jobs.get(data.jobsWithBodies[0]);
-    if ((job?.closedAt?.time ?? 0) + Constants.jobBodiesKeepMs >= clock) return;
+    if ((job?.closedAt?.time ?? 0) + Constants.jobBodiesRetentionMs >= clock) return;
     data.jobsWithBodies.shift();
     if (job) job.bodies = [];
   }
@@ -85,7 +85,7 @@
   while (data.refusedRequests.length > 0) {
     const id = data.refusedRequests[0];
     const request = data.liveRequests.get(id);
-    if ((request?.closedAt?.time ?? 0) + Constants.refusalKeepMs >= clock) return;
+    if ((request?.closedAt?.time ?? 0) + Constants.rejectionRetentionMs >= clock) return;
     data.refusedRequests.shift();
     if (request?.state === "refused") data.liveRequests.delete(id);
   }
@@ -100,7 +100,7 @@
 
 function forgetRefusedJobs(data: ShardData, clock: number): void {
   for (const [id, { time }] of data.refusedJobs) {
-    if (time + Constants.refusalKeepMs >= clock) return;
+    if (time + Constants.rejectionRetentionMs >= clock) return;
     data.refusedJobs.delete(id);
   }
 }
--- a/src/storage/batchJobs/batchJobReads.ts
+++ b/src/storage/batchJobs/batchJobReads.ts
@@ -38,7 +38,7 @@
     const until = this.env.monotonicMs() + Math.min(waitMs, Constants.readWaitMs);
     for (;;) {
       if (!isInView(this.node, replica)) return notInViewFault(this.node, "list");
-      const oldest = this.env.wallClockMs() - Stamp.delay(this.node.clockBounds()) - Constants.jobListLagMs;
+      const oldest = this.env.wallClockMs() - Stamp.delay(this.node.clockBounds()) - Constants.jobListMaxLagMs;
       if (replica.frontier() < oldest && !replica.holdsLease() && !anyAge)
         return Fault.fail("notLead", "list", this.node.self.id, "our frontier lags");
       const found = yield* replica.job(id);
--- a/src/storage/batchJobs/itemEndpointChoice.ts
+++ b/src/storage/batchJobs/itemEndpointChoice.ts
@@ -66,7 +66,7 @@
   ): Endpoint | undefined {
     const endpoints = this.endpointsOf(pass, pool, job.binding);
     const window = this.windowOf(pass, pool, job.binding, isUrgent);
-    const mostAtOne = Math.ceil((window / Math.max(1, endpoints.length)) * Constants.boundedLoad) + 1;
+    const mostAtOne = Math.ceil((window / Math.max(1, endpoints.length)) * Constants.boundedLoadFactor) + 1;
     const loaded = endpoints.filter((endpoint) => this.usage.at(endpoint) >= mostAtOne);
     const exclude = new Set(loaded.map(({ key }) => key));
     if (avoid && endpoints.some(({ key }) => key !== avoid && !exclude.has(key))) exclude.add(avoid);
--- a/src/storage/batchJobs/itemExecution.ts
+++ b/src/storage/batchJobs/itemExecution.ts
@@ -102,7 +102,7 @@
     if ((headers["content-type"] ?? "").includes("event-stream"))
       return yield* this.readEvents(open, item, endpoint, opened);
     const progress = progressOf(open, item);
-    const body = yield* DirectHttp.readBody(this.env, opened, Constants.pieceGapMs);
+    const body = yield* DirectHttp.readBody(this.env, opened, Constants.chunkTimeoutMs);
     if (body === undefined || progress.lastEventId > 0)
       return { tag: "interrupted", why: "reply cut, or no events to go on with" };
     return { tag: "done", result: body.toString("utf8") };
@@ -118,7 +118,7 @@
     const progress = progressOf(open, item);
     const reader = new EventStreamReader(this.env, endpoint.id, response, progress.lastEventId);
     for (;;) {
-      const received = yield* reader.next(Constants.pieceGapMs);
+      const received = yield* reader.next(Constants.chunkTimeoutMs);
       if (!received.ok) return { tag: "interrupted", why: received.fault.detail };
       if (received.value === undefined) break;
       for (const event of received.value) {
--- a/src/storage/batchJobs/jobDeadlines.ts
+++ b/src/storage/batchJobs/jobDeadlines.ts
@@ -6,12 +6,12 @@
 
 /** How long until all results of a job are due, ms; negative once they are late. */
 export const dueInMs = (job: BatchJob, wallNow: number): number =>
-  job.stamp.time + (job.kept.completionMs ?? Constants.requestDeadlineMs) - wallNow;
+  job.stamp.time + (job.kept.completionMs ?? Constants.defaultDeadlineMs) - wallNow;
 
 /** When the items of a job are given up: wall time, ms. The route may have changed since the job was accepted. */
 export function giveUpAt(job: BatchJob, route: Route): number {
   const afterMs = Math.max(route.giveUpMs ?? Infinity, job.kept.giveUpMs ?? Infinity);
-  return job.stamp.time + afterMs + Constants.jobGiveUpMarginMs;
+  return job.stamp.time + afterMs + Constants.itemAbandonMarginMs;
 }
 
 /**
--- a/src/storage/ledgerReads.ts
+++ b/src/storage/ledgerReads.ts
@@ -55,7 +55,7 @@
       subjects.some((subject) => entry.subject === subject || entry.subject.startsWith(`${subject}/`)) ||
       (change !== "" && !!entry.cause.note?.startsWith(`change ${change} `));
     const sealed = yield* replica.readConsistently(() =>
-      replica.segments.ledger.about([...subjects, `change ${change}`], 0, isAbout, Constants.aboutEntriesMax),
+      replica.segments.ledger.about([...subjects, `change ${change}`], 0, isAbout, Constants.subjectEntriesMax),
     );
     if (!sealed.ok) return sealed;
     const stable = replica.data.ledger.filter(isAbout);
--- a/src/storage/liveRequests/liveRequestExecution.ts
+++ b/src/storage/liveRequests/liveRequestExecution.ts
@@ -19,7 +19,7 @@
 
 /** For how much longer a request may wait for capacity, all its attempts together, ms; then it is refused. */
 export const remainingWaitMs = (env: Environment, spec: LiveRequestSpec): number =>
-  Constants.liveWaitMs - (env.wallClockMs() - Stamp.parse(spec.life)!.time);
+  Constants.admissionWaitMaxMs - (env.wallClockMs() - Stamp.parse(spec.life)!.time);
 
 /**
  * Executes live requests from their claim to their close, in as many attempts as are safe. A request that was forwarded
--- a/src/storage/liveRequests/liveRequestForwarder.ts
+++ b/src/storage/liveRequests/liveRequestForwarder.ts
@@ -119,7 +119,7 @@
   ): Task<AttemptOutcome | undefined> {
     const { spec, shard, attempt, chunks } = request;
     const deadline = this.env.monotonicMs() + remainingMs;
-    let patienceMs: number = Constants.firstPieceMs;
+    let patienceMs: number = Constants.firstChunkTimeoutMs;
     for (;;) {
       const received = yield* stream.next(Math.min(patienceMs, deadline - this.env.monotonicMs()));
       if (!received.ok) {
@@ -141,7 +141,7 @@
         return { tag: "takenOver" };
       }
       chunks.push(...received.value);
-      patienceMs = Constants.pieceGapMs;
+      patienceMs = Constants.chunkTimeoutMs;
     }
   }
 }
--- a/src/storage/quota/quota.ts
+++ b/src/storage/quota/quota.ts
@@ -40,7 +40,13 @@
     const ownReplica = this.replicas.get(shard);
     const reserved = ownReplica?.holdsLease()
       ? yield* this.owner.reserve(ownReplica, body())
-      : yield* this.shardClient.callLeader(shard, "quota.reserve", body, Constants.jobCallMs, RESERVE_ATTEMPT_MS);
+      : yield* this.shardClient.callLeader(
+          shard,
+          "quota.reserve",
+          body,
+          Constants.jobLeaderSearchMs,
+          RESERVE_ATTEMPT_MS,
+        );
     if (!reserved.ok) this.reports.removeSubmission(replica.shard, job);
     return reserved;
   }
--- a/src/storage/quota/quotaOwner.ts
+++ b/src/storage/quota/quotaOwner.ts
@@ -65,7 +65,7 @@
       return usage.total() + tokens <= limit || limit <= 0;
     };
     if (!usage.isComplete() || !fits()) {
-      while (count.refreshedAt < askedAt - Constants.usageReportFreshMs) yield* this.refresh(count, route);
+      while (count.refreshedAt < askedAt - Constants.usageReportMaxAgeMs) yield* this.refresh(count, route);
       if (!replica.holdsLease()) return notLeaderFault(this.node, replica, "quota");
       if (!usage.isComplete()) return this.busy("count what waits", "not every shard told what waits with it");
     }
--- a/src/storage/storageNode.ts
+++ b/src/storage/storageNode.ts
@@ -206,7 +206,7 @@
   stop(): Task<void> {
     const storage = this;
     return this.node.shutDown(function* () {
-      const until = storage.env.monotonicMs() + Constants.stopGraceMs;
+      const until = storage.env.monotonicMs() + Constants.shutdownGraceMs;
       while (storage.env.monotonicMs() < until && storage.hasUnfinishedWork())
         yield* EnvironmentTools.sleep(storage.env, STOP_CHECK_MS);
     });
--- a/test/batchJobFleet.ts
+++ b/test/batchJobFleet.ts
@@ -165,7 +165,7 @@
         });
         yield* EnvironmentTools.sleep(fleet.caller.env, 900);
       }
-      yield* NodeContext.of(fleet.node).goodbye(id);
+      yield* NodeContext.of(fleet.node).withdraw(id);
     });
   }
   goodbye(id: string): void {
--- a/test/drainOrders.test.ts
+++ b/test/drainOrders.test.ts
@@ -40,8 +40,8 @@
     expect((await order(fleet, "DELETE", "control-3")).status).toBe(200);
     const from = fleet.world.now;
     expect(await fleet.until(async () => (await order(fleet, "POST")).status === 200, 10_000, 100)).toBeDefined();
-    expect(fleet.world.now - takenAt).toBeGreaterThanOrEqual(Constants.orderRetryMs);
-    expect(fleet.world.now - from).toBeLessThan(Constants.orderRetryMs);
+    expect(fleet.world.now - takenAt).toBeGreaterThanOrEqual(Constants.orderRetryWindowMs);
+    expect(fleet.world.now - from).toBeLessThan(Constants.orderRetryWindowMs);
     expect(drained(fleet)).toEqual(["north"]);
     // and an undrain sent again after that drain gives nothing back
     expect((await order(fleet, "DELETE")).status).toBe(503);
--- a/test/storeRetirement.test.ts
+++ b/test/storeRetirement.test.ts
@@ -24,7 +24,8 @@
     expect(await fleet.until(() => complete(fleet, "store-2"), 30_000, 20)).toBeDefined();
     fleet.kill("store-2", true);
     fleet.settings.delete("store-2");
-    if (fleet.world.now - takenAt < Constants.orderRetryMs) expect((await retire(fleet, "store-2")).status).toBe(200);
+    if (fleet.world.now - takenAt < Constants.orderRetryWindowMs)
+      expect((await retire(fleet, "store-2")).status).toBe(200);
     expect(
       await fleet.until(() => !storesKnown(fleet).some((each) => each.startsWith("store-2 ")), 120_000, 500),
     ).toBeDefined();
--- a/test/voterManagement.test.ts
+++ b/test/voterManagement.test.ts
@@ -48,8 +48,8 @@
     const fleet = new ControlFleet(4, { controls: 3, founders: 3, losses: 2, log: (line) => lines.push(line) });
     await fleet.until(() => fleet.leader() !== undefined, 4000);
     const took = await fleet.until(async () => (await put(fleet, 3, 0)) === 200, 8000, 50);
-    expect(took).toBeGreaterThan(Constants.groupGrowMs / 2);
-    expect(took).toBeLessThan(Constants.groupGrowMs + 1000);
+    expect(took).toBeGreaterThan(Constants.groupGrowthWaitMs / 2);
+    expect(took).toBeLessThan(Constants.groupGrowthWaitMs + 1000);
     expect(lines.some((line) => line.includes("1309"))).toBe(true);
     expect(fleet.close()).toEqual([]);
   });
