--- a/src/storage/abandonedClaims.ts
+++ b/src/storage/abandonedClaimRecovery.ts
@@ -13,44 +13,46 @@
 import { LiveRequestExecution } from "./liveRequests/liveRequestExecution";
 import { ShardWriter } from "./shardWriter";
 
-/** An owner is asked this often what it still executes, ms. */
-const OWNER_POLL_MS = 400;
-/** One such request's time-out, ms. */
-const OWNER_RESPONSE_MS = 500;
-/** An owner that doesn't respond for so long has lost its claims, ms: it gives up older ones itself. */
-const OWNER_SILENCE_MAX_MS = 2 * Constants.claimMaxAgeMs;
-/** For how long the put that closes an abandoned request is repeated, ms. */
-const CLOSE_WITHIN_MS = 10_000;
-/** For how long the put that releases an abandoned claim is repeated, ms. */
-const RELEASE_WITHIN_MS = 5000;
-
-/** Reason in the ledger for what a new leader decides. */
-const LEADER_CHANGED = "lead changed";
-const OWNER_LOST = "the store that ran it was lost";
-
-/** A claim in a shard's state, with the name by which its owner knows it. */
+/** Period at which an owner is polled for the claims that it still executes, ms. */
+const OWNER_POLL_PERIOD_MS = 400;
+/** Time-out of one poll, ms. */
+const OWNER_POLL_TIMEOUT_MS = 500;
+/**
+ * An owner that has not responded for this long no longer holds its claims, ms: a storage node does not forward under a
+ * claim that is older than `claimMaxAgeMs`.
+ */
+const OWNER_LOSS_TIMEOUT_MS = 2 * Constants.claimMaxAgeMs;
+/** The put that closes an abandoned request is retried for this long, ms. */
+const CLOSE_TIMEOUT_MS = 10_000;
+/** The put that releases an abandoned claim is retried for this long, ms. */
+const RELEASE_TIMEOUT_MS = 5000;
+
+/** Ledger note on the closes of requests and the decisions about items that this recovery makes. */
+const LEADER_CHANGED_NOTE = "lead changed";
+const OWNER_LOST_DETAIL = "the store that ran it was lost";
+
+/** A claim in the state of a shard, with the name under which its owner lists it as running. */
 type Claim =
   { kind: "request"; name: string; id: string } | { kind: "item"; name: string; jobId: string; index: number };
 
-/** What an owner responded; undefined if it did not. */
+/** The result of polling an owner. */
 interface OwnerPoll {
+  /** Whether membership has an address of the owner as a live or suspected member. */
   isReachable: boolean;
+  /** The polled claims that the owner still executes; undefined if it did not respond. */
   running: string[] | undefined;
 }
 
 /**
- * Recovers claims whose owner, a storage node, no longer executes them. A leader looks for them when it begins to lead
- * and every now and then. What may have run is closed as "unknown"; what is safe to repeat runs again.
- *
- * @example
- * recovery.start();
- * recovery.recoverShard(replica);
+ * Recovers claims whose owner, a storage node, no longer executes them. The leader of a shard searches for such claims
+ * when it starts to lead and periodically afterwards. A request or an item that may have run is closed as "unknown",
+ * unless it is safe to repeat; then it runs again.
  */
-export class AbandonedClaims {
+export class AbandonedClaimRecovery {
   /** `SHARD/EPOCH/OWNER` of the owners that are being polled. */
   private readonly polledOwners = new Set<string>();
 
-  /** @param running names of all that this node executes under a claim */
+  /** @param running names of the requests and items that this node executes under a claim */
   constructor(
     private readonly env: Environment,
     private readonly node: Node,
@@ -66,18 +68,18 @@
     EnvironmentTools.runSupervised(this.env, this.env.scope, "orphans", () => this.recoveryLoop());
   }
 
-  /** Recovers, in tasks of their own, all claims of a shard that their owners have abandoned. */
+  /** Recovers the abandoned claims of a shard, in one background task for each owner. */
   recoverShard(replica: ShardReplica): void {
     const { epoch } = replica.view!;
     for (const [owner, claims] of claimsByOwner(replica)) {
       const key = `${replica.shard}/${epoch}/${owner}`;
-      const others = claims.filter(({ name }) => !this.running.has(name));
-      if (others.length === 0 || this.polledOwners.has(key)) continue;
+      const notRunningHere = claims.filter(({ name }) => !this.running.has(name));
+      if (notRunningHere.length === 0 || this.polledOwners.has(key)) continue;
       this.polledOwners.add(key);
       const recovery = this;
-      Csp.go(this.env.scope, `orphans of ${owner}`, function* () {
+      Csp.go(this.env.scope, `recover claims of ${owner}`, function* () {
         try {
-          yield* recovery.recoverFrom(owner, replica, epoch, others);
+          yield* recovery.recoverFrom(owner, replica, epoch, notRunningHere);
         } finally {
           recovery.polledOwners.delete(key);
         }
@@ -85,7 +87,10 @@
     }
   }
 
-  /** Finds also what was accepted or claimed by a put that took longer than its request waited. */
+  /**
+   * Searches all led shards periodically. The search also finds objects that were accepted or claimed by a put that
+   * completed only after its caller had stopped waiting.
+   */
   private *recoveryLoop(): Task<void> {
     for (;;) {
       yield* EnvironmentTools.sleep(this.env, Constants.abandonedClaimSearchMs);
@@ -97,24 +102,24 @@
     }
   }
 
-  /** Polls an owner until it executes none of the claims any more, and recovers each that it doesn't. */
+  /** Recovers each claim that its owner no longer executes, and polls the owner until none of the claims is left. */
   private *recoverFrom(owner: string, replica: ShardReplica, epoch: number, claims: Claim[]): Task<void> {
     let remaining = claims;
-    let respondedAt = this.env.monotonicMs();
+    let lastResponseAt = this.env.monotonicMs();
     while (remaining.length > 0 && replica.holdsLease() && replica.view?.epoch === epoch) {
       const names = remaining.map(({ name }) => name);
       const poll = yield* this.pollOwner(owner, names);
-      let executed = new Set<string>(poll.running);
-      if (poll.running !== undefined) respondedAt = this.env.monotonicMs();
-      else if (poll.isReachable && this.env.monotonicMs() - respondedAt < OWNER_SILENCE_MAX_MS)
-        executed = new Set(names);
+      let stillRunning = new Set<string>(poll.running);
+      if (poll.running !== undefined) lastResponseAt = this.env.monotonicMs();
+      else if (poll.isReachable && this.env.monotonicMs() - lastResponseAt < OWNER_LOSS_TIMEOUT_MS)
+        stillRunning = new Set(names);
       for (const claim of remaining) {
-        if (executed.has(claim.name) || this.running.has(claim.name)) continue;
+        if (stillRunning.has(claim.name) || this.running.has(claim.name)) continue;
         if (claim.kind === "request") yield* this.recoverRequest(replica, claim.id);
         else yield* this.recoverItem(replica, claim);
       }
-      remaining = remaining.filter(({ name }) => executed.has(name));
-      if (remaining.length > 0) yield* EnvironmentTools.sleep(this.env, OWNER_POLL_MS);
+      remaining = remaining.filter(({ name }) => stillRunning.has(name));
+      if (remaining.length > 0) yield* EnvironmentTools.sleep(this.env, OWNER_POLL_PERIOD_MS);
     }
   }
 
@@ -124,7 +129,7 @@
     const state = this.node.membership.find(owner)?.state;
     const address = state === "alive" || state === "suspect" ? this.node.addressOf(owner) : undefined;
     if (!address) return { isReachable: false, running: undefined };
-    const response = yield* this.node.rpc.call(address, "work.running", { ids: names }, OWNER_RESPONSE_MS);
+    const response = yield* this.node.rpc.call(address, "work.running", { ids: names }, OWNER_POLL_TIMEOUT_MS);
     return { isReachable: true, running: response.ok ? response.value.running : undefined };
   }
 
@@ -133,20 +138,20 @@
     if (!request || isClosed(request)) return;
     if (request.state === "claimed" && !request.safe) {
       this.counters.unknowns += 1;
-      yield* this.closeRequest(replica, request, "unknown", `${OWNER_LOST}; it may have run`);
+      yield* this.closeRequest(replica, request, "unknown", `${OWNER_LOST_DETAIL}; it may have run`);
       return;
     }
     const route = this.node.snapshot().control?.manifest.doc.bindings[request.binding];
     const canContinue = request.pieces.length === 0 || request.exact;
     if (!route || request.deadlineAt < this.env.wallClockMs() || !canContinue) {
       const hasNotRun = request.state === "accepted" && request.pieces.length === 0;
-      yield* this.closeRequest(replica, request, hasNotRun ? "refused" : "failed", OWNER_LOST);
+      yield* this.closeRequest(replica, request, hasNotRun ? "refused" : "failed", OWNER_LOST_DETAIL);
       return;
     }
     yield* this.resumeRequest(replica, request, route);
   }
 
-  /** Runs a request further from the chunks that are stored. */
+  /** Resumes a request after the response chunks that are already stored. */
   private *resumeRequest(replica: ShardReplica, request: LiveRequest, route: Route): Task<void> {
     const { id, round: attempt } = request;
     this.counters.resumed += 1;
@@ -154,7 +159,7 @@
     if (request.state === "claimed") {
       const release: ShardOperation = { op: "release", id, round: attempt, why: "its store was lost" };
       const putId = recoveryPutId(request);
-      const released = yield* this.writer.put(replica.shard, putId, [release], {}, RELEASE_WITHIN_MS);
+      const released = yield* this.writer.put(replica.shard, putId, [release], {}, RELEASE_TIMEOUT_MS);
       if (!released.ok || released.value.tag !== "done") {
         this.running.delete(id);
         return;
@@ -186,8 +191,8 @@
       replica.shard,
       recoveryPutId(request),
       [{ op: "close", id: request.id, round: request.round, state, outcome }],
-      { note: LEADER_CHANGED },
-      CLOSE_WITHIN_MS,
+      { note: LEADER_CHANGED_NOTE },
+      CLOSE_TIMEOUT_MS,
     );
   }
 
@@ -205,16 +210,16 @@
           item: index,
           round: attempt,
           state: "unknown",
-          result: JSON.stringify({ detail: `${OWNER_LOST}; it may have run` }),
+          result: JSON.stringify({ detail: `${OWNER_LOST_DETAIL}; it may have run` }),
         };
     const putId = `recover-${name}-${attempt}`;
-    yield* this.writer.put(replica.shard, putId, [operation], { note: LEADER_CHANGED }, RELEASE_WITHIN_MS);
+    yield* this.writer.put(replica.shard, putId, [operation], { note: LEADER_CHANGED_NOTE }, RELEASE_TIMEOUT_MS);
   }
 }
 
 const recoveryPutId = ({ id, life, round }: LiveRequest): string => `recover-${id}-${life}-${round}`;
 
-/** All claims in a shard's state by their owner; requests that were accepted and not claimed have the owner "". */
+/** All claims in the state of a shard, by owner. Requests that were accepted and not claimed have the owner "". */
 function claimsByOwner(replica: ShardReplica): Map<string, Claim[]> {
   const claims = new Map<string, Claim[]>();
   const add = (owner: string, claim: Claim): void => void claims.set(owner, [...(claims.get(owner) ?? []), claim]);
--- a/src/storage/batchJobs/endpointUsage.ts
+++ b/src/storage/batchJobs/endpointUsage.ts
@@ -1,12 +1,6 @@
 import { Endpoint } from "../../node/clusterSnapshot";
 
-/**
- * How many items this node runs in each pool and at each endpoint.
- *
- * @example
- * usage.add(endpoint, "model");
- * usage.remove(endpoint, "model");
- */
+/** Counts the items that this node runs in each pool and at each endpoint. */
 export class EndpointUsage {
   private readonly byPool = new Map<string, number>();
   private readonly byEndpoint = new Map<string, number>();
@@ -28,8 +22,8 @@
   total = (): number => [...this.byPool.values()].reduce((sum, count) => sum + count, 0);
 }
 
-function changeCount(counts: Map<string, number>, key: string, by: number): void {
-  const count = (counts.get(key) ?? 0) + by;
+function changeCount(counts: Map<string, number>, key: string, delta: number): void {
+  const count = (counts.get(key) ?? 0) + delta;
   if (count > 0) counts.set(key, count);
   else counts.delete(key);
 }
--- a/test/batchJobFleet.ts
+++ b/test/batchJobFleet.ts
@@ -19,25 +19,25 @@
 import { EventStandIn } from "../src/tools/eventStandIn";
 
 const zoneOf = (index: number): string => ["north", "east", "south", "west"][index % 4];
-const seeds = ["127.0.0.1:1"];
+const seedAddresses = ["127.0.0.1:1"];
 
 /**
- * A simulated fleet for batch jobs: one control node, a few storage nodes, endpoints that stream events, and two
- * processes that submit jobs.
+ * A simulated cluster for tests of batch jobs: one control node, several storage nodes, endpoints that stream events,
+ * and two processes that submit jobs.
  *
  * @example
- * const fleet = await BatchJobFleet.start(7, { stores: 3, replicas: 2 });
- * await fleet.call((host) => new BatchSubmission(host).submit("L1", "b", route, items, 3000));
+ * const fleet = await BatchJobFleet.start(7, { storageNodes: 3, endpoints: 2 });
+ * await fleet.call((context) => new BatchSubmission(context).submit("L1", "b", route, items, 3000));
  */
 export class BatchJobFleet {
   readonly world: SimWorld;
   readonly endpoints: EventStandIn[] = [];
-  readonly stores = new Map<string, StorageNode>();
-  private readonly disks = new Map<string, SimDisk>();
-  private readonly departed = new Set<string>();
+  readonly storageNodes = new Map<string, StorageNode>();
+  private readonly diskByProcess = new Map<string, SimDisk>();
+  private readonly withdrawnEndpoints = new Set<string>();
   private version = 0;
   caller!: SimProcess;
-  readonly hosts: BatchJobContext[] = [];
+  readonly contexts: BatchJobContext[] = [];
   readonly nodes: Node[] = [];
   static readonly route: Route = {
     kind: "item",
@@ -55,7 +55,7 @@
   };
   private constructor(
     seed: number,
-    readonly size: { stores: number; replicas: number; events: number; slots: number },
+    readonly size: { storageNodes: number; endpoints: number; events: number; slots: number },
     log: (line: string) => void,
   ) {
     this.world = new SimWorld(seed, log);
@@ -66,11 +66,16 @@
     route: Partial<Route> = {},
     log: (line: string) => void = () => undefined,
   ): Promise<BatchJobFleet> {
-    const fleet = new BatchJobFleet(seed, { stores: 3, replicas: 2, events: 4, slots: 8, ...size }, log);
-    fleet.process("control-1", { program: "control", address: seeds[0], founders: seeds, data: "data/control-1" });
-    for (let index = 1; index <= fleet.size.stores; index += 1) fleet.startStore(`store-${index}`);
+    const fleet = new BatchJobFleet(seed, { storageNodes: 3, endpoints: 2, events: 4, slots: 8, ...size }, log);
+    fleet.process("control-1", {
+      program: "control",
+      address: seedAddresses[0],
+      founders: seedAddresses,
+      data: "data/control-1",
+    });
+    for (let index = 1; index <= fleet.size.storageNodes; index += 1) fleet.startStorageNode(`store-${index}`);
     for (let index = 1; index <= 2; index += 1) await fleet.startCaller(index);
-    for (let index = 1; index <= fleet.size.replicas; index += 1) await fleet.startEndpoint(`r${index}`);
+    for (let index = 1; index <= fleet.size.endpoints; index += 1) await fleet.startEndpoint(`r${index}`);
     for (
       let attempt = 0;
       attempt < 40 && Object.keys(fleet.node.snapshot().control?.views ?? {}).length < Constants.shardCount;
@@ -82,25 +87,26 @@
     return fleet;
   }
   private process(name: string, settings: Partial<Settings>): SimProcess {
-    const disk = this.disks.get(name) ?? new SimDisk(this.world);
-    this.disks.set(name, disk);
+    const disk = this.diskByProcess.get(name) ?? new SimDisk(this.world);
+    this.diskByProcess.set(name, disk);
     const process = this.world.start(name, disk);
     const settingsWithDefaults = {
       cluster: "lots",
       district: zoneOf(this.world.processes.size),
       http: `127.0.0.1:${50_000 + +settings.address!.split(":")[1]}`,
-      seeds,
+      seeds: seedAddresses,
       ...settings,
     } as Settings;
     const fleet = this;
     Csp.go(process.scope, "main", function* () {
       const started: Result<RunningDaemon> = yield* Daemon.start(process.env, settingsWithDefaults);
       if (!started.ok) throw new Error(started.fault.detail);
-      if (settingsWithDefaults.program === "store") fleet.stores.set(name, started.value as StorageNode);
+      if (settingsWithDefaults.program === "store") fleet.storageNodes.set(name, started.value as StorageNode);
     });
     return process;
   }
-  startStore(name: string): void {
+  /** Starts a storage node, or starts it again with the disk that it had. */
+  startStorageNode(name: string): void {
     this.process(name, {
       program: "store",
       address: `127.0.0.1:${10 + +name.slice(6)}`,
@@ -108,7 +114,7 @@
       district: zoneOf(+name.slice(6)),
     });
   }
-  /** Starts a process that submits jobs; the first one makes the calls of the tests. */
+  /** Starts a process that submits jobs. The first one also makes the calls of the tests. */
   private async startCaller(index: number): Promise<void> {
     const process = this.world.start(index === 1 ? "caller" : `caller-${index}`, new SimDisk(this.world));
     if (index === 1) this.caller = process;
@@ -119,13 +125,13 @@
       district: zoneOf(index),
       address: `127.0.0.1:${88 + 2 * index}`,
       http: `127.0.0.1:${89 + 2 * index}`,
-      seeds,
+      seeds: seedAddresses,
     };
     const started = await this.world.finish(process, () => Node.start(env, settings, "agent"), 5000);
-    if (!started?.ok) throw new Error("no caller");
+    if (!started?.ok) throw new Error("the submitting process did not start");
     const node = started.value;
     this.nodes.push(node);
-    this.hosts.push({
+    this.contexts.push({
       env,
       rpc: node.rpc,
       zone: settings.district,
@@ -133,8 +139,8 @@
       snapshot: () => node.snapshot(),
     });
   }
-  get host(): BatchJobContext {
-    return this.hosts[0];
+  get context(): BatchJobContext {
+    return this.contexts[0];
   }
   get node(): Node {
     return this.nodes[0];
@@ -151,7 +157,7 @@
     await this.world.finish(process, () => endpoint.start(), 1000);
     const fleet = this;
     Csp.go(this.caller.scope, `announce ${id}`, function* () {
-      while (!fleet.departed.has(id)) {
+      while (!fleet.withdrawnEndpoints.has(id)) {
         yield* NodeContext.of(fleet.node).announce({
           id,
           address,
@@ -168,10 +174,11 @@
       yield* NodeContext.of(fleet.node).withdraw(id);
     });
   }
-  goodbye(id: string): void {
-    this.departed.add(id);
+  /** Ends the announcements of an endpoint and deregisters it. */
+  withdrawEndpoint(id: string): void {
+    this.withdrawnEndpoints.add(id);
   }
-  /** Configures these routes and no others. @example await fleet.configure({ b: BatchJobFleet.route }); */
+  /** Replaces all configured routes. */
   async configure(routes: Record<string, Route>): Promise<void> {
     const fleet = this;
     const change = (): Task<Result<{ version: number }>> =>
@@ -189,7 +196,7 @@
         8000,
       );
     let changed = await this.call(change);
-    // a control group of one waits for further voters before it accepts its first change
+    // A control group of one member waits for further voters before it accepts its first change.
     for (let attempt = 0; attempt < 10 && !changed?.ok; attempt += 1) {
       await this.world.run(1000);
       changed = await this.call(change);
@@ -197,9 +204,9 @@
     if (!changed?.ok) throw new Error(JSON.stringify(changed));
     this.version = changed.value.version;
   }
-  /** Runs a call in the first submitting process; undefined if it takes too long. @example await fleet.call((host) => new BatchJobReader(host).list("L1", 0, 0)) */
-  call<T>(body: (host: BatchJobContext) => Task<T>, withinMs = 20_000): Promise<T | undefined> {
-    return this.world.finish(this.caller, () => body(this.host), withinMs);
+  /** Runs a call in the first submitting process; undefined if it does not end in time. */
+  call<T>(body: (context: BatchJobContext) => Task<T>, withinMs = 20_000): Promise<T | undefined> {
+    return this.world.finish(this.caller, () => body(this.context), withinMs);
   }
   items = (job: string, count: number, tokens = 100): SubmittedItem[] =>
     Array.from({ length: count }, (_each, index) => ({
@@ -210,24 +217,30 @@
       tokens,
     }));
   submit = (job: string, count: number, tokens = 100, withinMs = 3000) =>
-    this.call((host) =>
-      new BatchSubmission(host).submit(
+    this.call((context) =>
+      new BatchSubmission(context).submit(
         job,
         "b",
-        { ...BatchJobFleet.route, ...host.snapshot().control?.manifest.doc.bindings.b },
+        { ...BatchJobFleet.route, ...context.snapshot().control?.manifest.doc.bindings.b },
         this.items(job, count, tokens),
         withinMs,
       ),
     );
-  /** Submits several jobs at once; how long each took to be accepted, ms. @example await fleet.submitAll(["A", "B"], 3) */
+  /** Submits several jobs at once. Returns the time until each was accepted, ms; Infinity for a rejected job. */
   async submitAll(ids: string[], count: number): Promise<number[]> {
     const durations = new Map<string, number>();
     for (const id of ids) {
       const startedAt = this.world.now;
-      const route = { ...BatchJobFleet.route, ...this.host.snapshot().control?.manifest.doc.bindings.b };
+      const route = { ...BatchJobFleet.route, ...this.context.snapshot().control?.manifest.doc.bindings.b };
       const fleet = this;
       Csp.go(this.caller.scope, `submit ${id}`, function* () {
-        const submitted = yield* new BatchSubmission(fleet.host).submit(id, "b", route, fleet.items(id, count), 3000);
+        const submitted = yield* new BatchSubmission(fleet.context).submit(
+          id,
+          "b",
+          route,
+          fleet.items(id, count),
+          3000,
+        );
         durations.set(id, submitted.ok ? fleet.world.now - startedAt : Infinity);
       });
     }
@@ -235,37 +248,40 @@
     return ids.map((id) => durations.get(id)!);
   }
   async list(job: string, from = 0): Promise<JobResultPage | undefined> {
-    const listed = await this.call((host) => new BatchJobReader(host).list(job, from, 0));
+    const listed = await this.call((context) => new BatchJobReader(context).list(job, from, 0));
     return listed?.ok ? listed.value : undefined;
   }
-  /** Reads until all results are listed, or the time is up. @example await fleet.readAll("L1", 8000) */
+  /** Reads a job until all its results are listed or the time-out has passed. */
   async readAll(job: string, withinMs: number): Promise<JobResultPage> {
     for (const until = this.world.now + withinMs; ;) {
       const listed = await this.list(job);
       if (listed && (listed.results.length === listed.total || this.world.now > until)) return listed;
       if (this.world.now > until)
-        throw new Error(`job ${job} can't be read: ${JSON.stringify(Fault.fail("timeout", "list", job, ""))}`);
+        throw new Error(
+          `job ${job} could not be read before the time-out: ${JSON.stringify(Fault.fail("timeout", "list", job, ""))}`,
+        );
       await this.world.run(250);
     }
   }
-  /** Name of the storage node that leads the job's shard. @example fleet.leaderOf("L1") */
+  /** Name of the storage node that leads the job's shard; empty if none does. */
   leaderOf(job: string): string {
-    const shard = this.host.shardClient.shardOf(job);
-    return [...this.stores].find(([, store]) => store.replicas.get(shard)?.holdsLease())?.[0] ?? "";
+    const shard = this.context.shardClient.shardOf(job);
+    return [...this.storageNodes].find(([, storageNode]) => storageNode.replicas.get(shard)?.holdsLease())?.[0] ?? "";
   }
   kill(name: string, powerLost = false): void {
-    this.stores.delete(name);
+    this.storageNodes.delete(name);
     this.world.kill(name, powerLost);
   }
-  /** Empties the disk of a storage node that is down. @example fleet.wipe("store-2"); */
+  /** Erases the disk of a storage node that is down. */
   wipe(name: string): void {
-    this.disks.get(name)!.wipe();
+    this.diskByProcess.get(name)!.wipe();
   }
   freeze(name: string): void {
     this.world.processes.get(name)!.freeze();
   }
-  wake(name: string): void {
+  resume(name: string): void {
     this.world.processes.get(name)!.wake();
   }
+  /** Errors that the simulated processes have recorded. */
   errors = (): string[] => [...this.world.processes.values()].flatMap((process) => process.errors);
 }
