--- a/src/adapters/caller/callerOperations.ts
+++ b/src/adapters/caller/callerOperations.ts
@@ -106,7 +106,7 @@
    */
   end(id: string, by: string): Task<Result<EndJobResponse>>;
   /** The same with the shorter time-out of a status query. A fault "busy" of the shard's leader is returned unchanged. */
-  endNow(id: string, by: string): Task<Result<EndJobResponse>>;
+  endWithShortTimeout(id: string, by: string): Task<Result<EndJobResponse>>;
 }
 
 /** Reads batch jobs from the replicas of their shards. Faults: "notFound" and "gone" if certain; otherwise "busy". */
