--- a/src/tools/measurements/memberCosts.ts
+++ b/src/tools/measurements/memberCosts.ts
@@ -44,7 +44,7 @@
 function nodesOf(fleet: SimFleet): Node[] {
   return (["agent", "store", "control"] as const)
     .flatMap((program) => fleet.names(program))
-    .flatMap((name) => (fleet.running.get(name) as { node?: Node } | undefined)?.node ?? []);
+    .flatMap((name) => (fleet.daemons.get(name) as { node?: Node } | undefined)?.node ?? []);
 }
 
 function sum(nodes: Node[], value: (node: Node) => number): number {
@@ -73,7 +73,7 @@
   const costs: ChangeCosts = { smallMs: [], largeMs: [], largeCpuMs: [] };
   for (const { isLarge, routes } of CHANGES) {
     const cpuBefore = userCpuMs();
-    const change = await fleet.change(routes);
+    const change = await fleet.changeConfiguration(routes);
     if (change.outcome !== "acknowledged") continue;
     const tookMs = await runUntil(fleet, IN_FORCE_WITHIN_MS, STEP_MS, () => isInForce(fleet, change.version));
     (isLarge ? costs.largeMs : costs.smallMs).push(tookMs);
@@ -86,7 +86,7 @@
 /** Kills an agent; the milliseconds until every node holds it for dead. */
 async function measureDeath(fleet: SimFleet): Promise<number> {
   const [lost] = fleet.names("agent");
-  const { id } = (fleet.running.get(lost) as unknown as { node: Node }).node.self;
+  const { id } = (fleet.daemons.get(lost) as unknown as { node: Node }).node.self;
   fleet.kill(lost);
   return runUntil(fleet, DEAD_WITHIN_MS, STEP_MS, () =>
     nodesOf(fleet).every((node) => node.membership.find(id)?.state === "dead"),
--- a/src/tools/scale/groupWorld.ts
+++ b/src/tools/scale/groupWorld.ts
@@ -29,7 +29,7 @@
   private ids = (): string[] => Array.from({ length: this.size }, (_none, at) => `c${at + 1}`);
   private start(id: string, disk: SimDisk, founders: string[]): Voter {
     const meter = new Meter();
-    this.world.around = (env) => meter.around(env);
+    this.world.wrapEnvironment = (env) => meter.around(env);
     const process = this.world.start(id, disk);
     const rpc = new Rpc(process.env, "scale", id);
     const hooks = {
--- a/src/tools/scale/storeScale.ts
+++ b/src/tools/scale/storeScale.ts
@@ -24,7 +24,7 @@
   const idleRate = (await idleFleet.over(5000)).store;
   const before = idleFleet.spent("store");
   const from = idleFleet.fleet.world.now;
-  const put = await idleFleet.fleet.operate(
+  const put = await idleFleet.fleet.send(
     "POST",
     "/v1/lots",
     { id: "L1", binding: "confirm", items: Array.from({ length: items }, (_none, at) => ({ n: at })) },
@@ -38,7 +38,7 @@
   const acceptedMs = idleFleet.fleet.world.now - from;
   let finished = false;
   for (let round = 0; round < 600 && !finished; round += 1) {
-    const read = await idleFleet.fleet.operate(
+    const read = await idleFleet.fleet.send(
       "GET",
       `/v1/lots/L1/results?after=${items - 1}`,
       undefined,
--- a/test/checkpointedLogFormats.test.ts
+++ b/test/checkpointedLogFormats.test.ts
@@ -6,7 +6,7 @@
   const world = new SimWorld(1);
   const disk = new SimDisk(world);
   const process = world.start("p", disk);
-  const results = await world.finish(
+  const results = await world.runTask(
     process,
     function* () {
       const log = new CheckpointedLog(process.env, "g");
--- a/test/dataFolder.test.ts
+++ b/test/dataFolder.test.ts
@@ -10,7 +10,7 @@
   const events: number[] = [];
   const process = world.start("p", disk);
   const env = { ...process.env, log: (event: number) => void events.push(event) };
-  const outcome = await world.finish(
+  const outcome = await world.runTask(
     process,
     function* () {
       for (const [name, text] of Object.entries(files)) yield* env.disk.write(`data/${name}`, Buffer.from(text));
--- a/test/disk.test.ts
+++ b/test/disk.test.ts
@@ -6,7 +6,7 @@
 /** Runs a task on the log in folder `d`, in a new process that uses the disk. */
 const withLog = async <T>(world: SimWorld, disk: SimDisk, body: (log: CheckpointedLog) => Task<T>): Promise<T> => {
   const process = world.start(`p${world.now}`, disk);
-  return (await world.finish(process, () => body(new CheckpointedLog(process.env, "d")), 60_000)) as T;
+  return (await world.runTask(process, () => body(new CheckpointedLog(process.env, "d")), 60_000)) as T;
 };
 /** Opens the log, and returns its content or the detail of the fault. */
 const readContent = function* (log: CheckpointedLog): Task<unknown> {
@@ -97,7 +97,7 @@
   });
   const bytes = damage(Buffer.from(disk.under("d").get(name)!));
   const process = world.start("damager", disk);
-  await world.finish(process, () => process.env.disk.write(`d/${name}`, bytes), 1000);
+  await world.runTask(process, () => process.env.disk.write(`d/${name}`, bytes), 1000);
   const outcome = await withLog(world, disk, readContent);
   return { outcome, isUnchanged: disk.under("d").get(name)!.equals(bytes) };
 };
--- a/test/fuzz.test.ts
+++ b/test/fuzz.test.ts
@@ -82,7 +82,7 @@
       });
       const rpc = new Rpc(client.env, "a", "c");
       const call = rpc.call("10.0.0.1:7", "echo", {}, 400);
-      const response = await world.finish(client, () => call, 2000);
+      const response = await world.runTask(client, () => call, 2000);
       expect(response).toEqual({ ok: true, value: "yours" });
       const serverRpc = new Rpc(server.env, "a", "s");
       serverRpc.handle("echo", function* (body) {
@@ -95,7 +95,7 @@
         if (link.ok) for (const frame of frames) link.value.send(frame);
         return yield* rpc.call("10.0.0.2:7", "echo", "well", 400);
       };
-      expect(await world.finish(client, sendFramesThenCall, 2000)).toEqual({ ok: true, value: "well" });
+      expect(await world.runTask(client, sendFramesThenCall, 2000)).toEqual({ ok: true, value: "well" });
       expect([...client.errors, ...server.errors]).toEqual([]);
     }),
     socketSettings,
@@ -147,7 +147,7 @@
           for (const event of next.value) ids.push(event.id);
         }
       };
-      const isComplete = await world.finish(reader, readAll, 3000);
+      const isComplete = await world.runTask(reader, readAll, 3000);
       expect(ids).toEqual(ids.map((_each, index) => index + 1));
       if (given.bytes.equals(given.valid)) expect([isComplete, ids.length]).toEqual([true, given.count]);
       expect(isComplete === false ? aborted : true).toBe(true);
--- a/test/gossip.test.ts
+++ b/test/gossip.test.ts
@@ -30,7 +30,9 @@
   // four renewals a second for four seconds, published in turn by different members
   let turn = 0;
   for (const at of Array(16).keys())
-    hollow.world.at(at * 250, () => gossip[at % 3].publish("replica/r1/1", endpoint((turn += 1)), leaseMs, false));
+    hollow.world.schedule(at * 250, () =>
+      gossip[at % 3].publish("replica/r1/1", endpoint((turn += 1)), leaseMs, false),
+    );
   const renewing = await hollow.over(4000);
   await hollow.world.run(1500);
   gossip[0].publish("replica/r1/1", endpoint(99), leaseMs, false);
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -25,7 +25,7 @@
     process.freeze();
     await membership.world.run(600);
     membership.world.heal();
-    process.wake();
+    process.resume();
     await membership.world.run(0.1); // its own verdicts, before it can have learned others'
     accusations.push(...accused(membership, 4).filter((id) => !rightly.includes(id)));
     await membership.world.run(4000);
--- a/test/messageRejection.test.ts
+++ b/test/messageRejection.test.ts
@@ -18,7 +18,7 @@
   };
   const send = async (control: GroupWorld, target: Voter, method: string, body: object): Promise<Result<unknown>> => {
     const from = control.voters.find((voter) => voter !== target)!;
-    return (await control.world.finish(
+    return (await control.world.runTask(
       from.process,
       () => from.rpc.call(control.addressOf(target.id), method, { to: target.id, ...body }, 500),
       1000,
