--- a/src/common/stamp.ts
+++ b/src/common/stamp.ts
@@ -27,8 +27,8 @@
  *
  * @example
  * const next = Stamp.maker("n1");
- * const tau = next(env.wall());
- * Stamp.admits(tau.time, env.wall(), Stamp.defaults) // true
+ * const tau = next(env.wallClockMs());
+ * Stamp.admits(tau.time, env.wallClockMs(), Stamp.defaults) // true
  */
 export const Stamp = {
   defaults: { deltaMs: Constants.deltaMs, epsilonMs: Constants.epsilonMs, bigDeltaMs: Constants.bigDeltaMs } as Bounds,
@@ -58,7 +58,7 @@
   delay: (bounds: Bounds): number => bounds.bigDeltaMs + 2 * bounds.deltaMs + bounds.epsilonMs,
   /** Converts a timestamp to text without loss. @example Stamp.text({ time: 5, node: "n1", seq: 0 }) // "5~n1~0" */
   text: (stamp: Stamp): string => [stamp.time, stamp.node, stamp.seq].join(SEPARATOR),
-  /** Converts text to a timestamp; returns undefined if the text is malformed. @example Stamp.parse("5~n1~0") */
+  /** Converts text to a timestamp; returns undefined if the text is malformed. */
   parse(text: string): Stamp | undefined {
     const [time, node, seq] = text.split(SEPARATOR);
     if (!time || !node || !seq || !Number.isFinite(+time) || !Number.isInteger(+seq)) return undefined;
--- a/src/control/replicaJoin.ts
+++ b/src/control/replicaJoin.ts
@@ -8,7 +8,7 @@
 import { ViewChange } from "./viewChange";
 
 /** Response to "shard.fill"; the tag is "ok" once the replica holds the shard's state. */
-interface FillResponse {
+interface StateTransferResponse {
   tag: string;
 }
 
@@ -30,14 +30,14 @@
     const { epoch, lead: leader } = this.group.state.views[shard];
     const source = this.node.addressOf(leader);
     if (!source) return;
-    const filled = yield* this.node.rpc.call<FillResponse>(
+    const response = yield* this.node.rpc.call<StateTransferResponse>(
       target.address,
       "shard.fill",
       { shard, from: source },
       Constants.stateTransferCallTimeoutMs,
       () => !this.statuses.isResponsive(target.id),
     );
-    if (!filled.ok || filled.value.tag !== "ok") return;
+    if (!response.ok || response.value.tag !== "ok") return;
     if (!this.group.hasLeaderLease() || this.group.state.views[shard].epoch !== epoch) return;
     this.env.faultPoint(40, { shard, joiners: [target.id] });
     yield* this.viewChange.run(shard, `${reason}: ${target.id} filled`, [target.id]);
--- a/src/control/storeStatuses.ts
+++ b/src/control/storeStatuses.ts
@@ -28,13 +28,7 @@
 /** Time-out of a status request to a storage node, ms. */
 const STATUS_TIMEOUT_MS = 350;
 
-/**
- * Polls the storage nodes for the status of their replicas.
- *
- * @example
- * yield* statuses.poll();
- * if (statuses.isUp("store-17")) statuses.replica("store-17", 3)?.epoch;
- */
+/** Polls the storage nodes for the status of their replicas. */
 export class StoreStatuses {
   private readonly byId = new Map<string, StoreStatus>();
   /** Start time of the last completed poll by this node's monotonic clock, ms. */
@@ -48,8 +42,8 @@
   ) {}
 
   /**
-   * Polls every live storage node, and waits at most `statusWaitMs` for the responses. A later response counts for the
-   * next poll.
+   * Polls every live storage node, and waits at most `statusPollTimeoutMs` for the responses. A later response counts
+   * for the next poll.
    */
   *poll(): Task<void> {
     const startedAt = this.env.monotonicMs();
--- a/src/control/voterManager.ts
+++ b/src/control/voterManager.ts
@@ -35,7 +35,7 @@
 
   /**
    * Returns whether changes must wait because the group was bootstrapped with too few voters and has neither grown nor
-   * waited `groupGrowMs` for that.
+   * waited `groupGrowthWaitMs` for that.
    */
   isGrowing(): boolean {
     const { manifest: configuration, policies, calendar, voters } = this.group.state;
--- a/src/model/groupUnderTest.ts
+++ b/src/model/groupUnderTest.ts
@@ -32,7 +32,7 @@
 const BOOT_STEP_MS = 100;
 /** Duration of a sync on a healthy disk, in ms: minimum, and maximum of the random part. */
 const HEALTHY_SYNC_MS: [number, number] = [0.3, 2.5];
-/** Matches the log line of event 1303, "became control lead", and captures machine and term. */
+/** Matches the log line of event 1303, "became control leader", and captures machine and term. */
 const ELECTED_LINE = /^\S+ (\S+) PB1303 \{"term":(\d+)/;
 
 /**
--- a/src/node/orderDeadline.ts
+++ b/src/node/orderDeadline.ts
@@ -33,10 +33,6 @@
  * partitioned connection is not carried out after its caller has stopped waiting. A reading of the leader's clock is
  * older than the time at which it arrives, so a deadline computed from it is early by the time of one message, and
  * never late.
- *
- * @example
- * const deadlines = new OrderDeadlines(env, rpc);
- * const deadline = yield* deadlines.at("10.0.0.4:7001", env.mono() + 900, 500);
  */
 export class OrderDeadlines {
   private reading: ClockReading | undefined;
--- a/src/routing/admissionQueue.ts
+++ b/src/routing/admissionQueue.ts
@@ -26,7 +26,7 @@
  *
  * @example
  * const queue = new AdmissionQueue(env, selector, (pool) => overload.signal(pool));
- * const endpoint = yield* queue.acquire(() => criteria, 10, env.mono(), 400);
+ * const endpoint = yield* queue.acquire(() => criteria, 10, env.monotonicMs(), 400);
  * if (endpoint) queue.release(endpoint, true);
  */
 export class AdmissionQueue {
--- a/src/shard/replica/leadership.ts
+++ b/src/shard/replica/leadership.ts
@@ -85,7 +85,7 @@
   memberDiskFailed(id: string): void {
     this.failingSince.set(id, -Infinity);
   }
-  /** Members that have failed to sync for longer than `memberSilentMs`. */
+  /** Members that have failed to sync for longer than `memberTimeoutMs`. */
   silentMembers(): string[] {
     const now = this.state.context.env.monotonicMs();
     return [...this.failingSince].filter(([, since]) => now - since > Constants.memberTimeoutMs).map(([id]) => id);
--- a/src/shard/replica/putQueue.ts
+++ b/src/shard/replica/putQueue.ts
@@ -10,13 +10,7 @@
   readonly queuedAt: number;
 }
 
-/**
- * The puts of a leader: those that wait to be ordered, and the batch that is being replicated.
- *
- * @example
- * const response = queue.add(put, env.mono());
- * const batch = queue.takeBatch(256);
- */
+/** The puts of a leader: those that wait to be ordered, and the batch that is being replicated. */
 export class PutQueue {
   private waiting: QueuedPut[] = [];
   private inFlight: QueuedPut[] = [];
--- a/src/storage/storageNode.ts
+++ b/src/storage/storageNode.ts
@@ -196,8 +196,8 @@
   }
 
   /**
-   * Shuts down gracefully on SIGTERM: waits, for `stopGraceMs` at most, until other members lead this node's shards and
-   * all work under a claim has ended. The new leaders recover what still runs then.
+   * Shuts down gracefully on SIGTERM: waits, for `shutdownGraceMs` at most, until other members lead this node's shards
+   * and all work under a claim has ended. The new leaders recover what still runs then.
    */
   stop(): Task<void> {
     const storage = this;
--- a/test/replicaRecoveryTrial.ts
+++ b/test/replicaRecoveryTrial.ts
@@ -24,12 +24,7 @@
 const LIMIT_MS = 20_000;
 const STEP_MS = 20;
 
-/**
- * Measures how long shards lack replicas after a storage machine was lost and came back.
- *
- * @example
- * const times = await ReplicaRecovery.run({ seed: 1, kind: "wiped", downMs: 300, stores: 4, allLosePower: false });
- */
+/** Measures how long shards lack replicas after a storage machine was lost and came back. */
 export const ReplicaRecovery = {
   /** Returns the storage node with a process name; undefined if it isn't running. */
   store: (fleet: ControlFleet, name: string): StorageNode | undefined =>
--- a/test/voterManagement.test.ts
+++ b/test/voterManagement.test.ts
@@ -43,7 +43,7 @@
     expect(hasLiveVoters(fleet, 5)).toBe(true);
     expect(fleet.close()).toEqual([]);
   });
-  test("a group that cannot grow accepts changes after `groupGrowMs`, and logs that it has too few voters", async () => {
+  test("a group that cannot grow accepts changes after `groupGrowthWaitMs`, and logs that it has too few voters", async () => {
     const lines: string[] = [];
     const fleet = new ControlFleet(4, { controls: 3, founders: 3, losses: 2, log: (line) => lines.push(line) });
     await fleet.until(() => fleet.leader() !== undefined, 4000);
