--- a/src/cli/scale/idleCommand.ts
+++ b/src/cli/scale/idleCommand.ts
@@ -6,20 +6,20 @@
 
 const processBound = (name: string, least: number): Bound => ({
   name,
-  least,
-  most: 40,
-  why: "each is a process of about 80 MB",
+  min: least,
+  max: 40,
+  reason: "each is a process of about 80 MB",
 });
-const endpointBound: Bound = { name: "replicas", least: 0, most: 500, why: "one tool announces them all" };
-const secondsBound: Bound = { name: "seconds", least: 5, most: 600, why: "others use this machine" };
-const portBound: Bound = { name: "port", least: 1024, most: 65_000, why: "two ports a process follow it" };
+const endpointBound: Bound = { name: "replicas", min: 0, max: 500, reason: "one tool announces them all" };
+const secondsBound: Bound = { name: "seconds", min: 5, max: 600, reason: "others use this machine" };
+const portBound: Bound = { name: "port", min: 1024, max: 65_000, reason: "two ports a process follow it" };
 
 async function measureIdle(options: ScaleOptions): Promise<void> {
   const plan = {
     controls: readInteger(options.controls, processBound("controls", 3)),
     stores: readInteger(options.stores, processBound("stores", 1)),
     ingresses: readInteger(options.ingresses, processBound("ingresses", 1)),
-    replicas: readInteger(options.replicas, endpointBound),
+    endpoints: readInteger(options.replicas, endpointBound),
     seconds: readInteger(options.seconds, secondsBound),
     port: readInteger(options.port, portBound),
   };
--- a/src/tools/scale/experiment.ts
+++ b/src/tools/scale/experiment.ts
@@ -1,12 +1,12 @@
 import { Bound } from "./sizes";
 
 export type Metric = {
-  what: string;
-  counted: boolean; // the same in every run of a seed: messages, bytes, entries; not so are processor time and memory
+  description: string;
+  isDeterministic: boolean; // the same in every run of a seed: messages, bytes, entries; not so are processor time and memory
 };
 /** One cost measured at several sizes. */
 export type Experiment = {
-  about: string;
+  description: string;
   unit: string; // what a size counts
   sizes: number[];
   bound: Bound;
@@ -14,9 +14,9 @@
   measure(size: number, seed: number): Promise<Record<string, number>>;
 };
 /** Real processor time of this process since an earlier reading, ms. @example const spent = Processor.since(Processor.now()); */
-export const Processor = {
+export const CpuTime = {
   now: (): NodeJS.CpuUsage => process.cpuUsage(),
-  since: (before: NodeJS.CpuUsage): number => {
+  msSince: (before: NodeJS.CpuUsage): number => {
     const used = process.cpuUsage(before);
     return (used.user + used.system) / 1000;
   },
--- a/src/tools/scale/fullScaleWorker.ts
+++ b/src/tools/scale/fullScaleWorker.ts
@@ -6,7 +6,7 @@
 import { SimulatedMembership } from "./simulatedMembership";
 import { Counts, Meter } from "./meter";
 
-export type WorkerOrder = {
+export type WorkerAssignment = {
   from: number;
   to: number;
   members: number;
@@ -45,7 +45,7 @@
   private suspicions = 0;
   private deaths = 0;
   private stallMs = 0;
-  constructor(private readonly order: WorkerOrder) {
+  constructor(private readonly order: WorkerAssignment) {
     this.scope = new Scope("whole", (task, error) =>
       process.stderr.write(`${task}: ${String((error as Error).stack ?? error)}\n`),
     );
@@ -53,9 +53,9 @@
   /** @example worker.start(); */
   start(): void {
     Csp.go(this.scope, "start", () => this.startAll());
-    Csp.go(this.scope, "stalls", () => this.watchStalls());
+    Csp.go(this.scope, "stalls", () => this.measureStalls());
   }
-  private *watchStalls(): Task<void> {
+  private *measureStalls(): Task<void> {
     const env = NodeEnvironment.make("stalls", this.scope, () => undefined);
     for (;;) {
       const from = env.monotonicMs();
@@ -68,7 +68,7 @@
     const seeds = [0, 1, 2].map(addressOf);
     for (let at = from; at < to; at += 1) {
       const scope = this.scope.branch(`hollow-${at}`);
-      const env = this.meter.around(NodeEnvironment.make(`hollow-${at}`, scope, (event) => this.count(event)));
+      const env = this.meter.wrap(NodeEnvironment.make(`hollow-${at}`, scope, (event) => this.count(event)));
       const zone = `r${(at % zones) % regions}-z${at % zones}`;
       const program: Program = at < 3 ? "control" : "agent";
       const started = yield* LightweightMember.start(env, { program, district: zone, address: addressOf(at), seeds });
@@ -102,8 +102,8 @@
     return {
       counts: this.meter.copy(),
       members: this.members.length,
-      othersLeast: least((member) => member.others()),
-      replicasLeast: least((member) => member.endpoints()),
+      othersLeast: least((member) => member.otherMemberCount()),
+      replicasLeast: least((member) => member.endpointCount()),
       suspicions: this.suspicions,
       deaths: this.deaths,
       inForce: this.members.filter((member) => (member.node.gossip.snapshot?.index ?? 0) > 0).length,
@@ -121,7 +121,9 @@
       "message",
       (
         message:
-          { tag: "start"; order: WorkerOrder } | { tag: "say" } | { tag: "offer"; bindings: number; index: number },
+          | { tag: "start"; order: WorkerAssignment }
+          | { tag: "say" }
+          | { tag: "offer"; bindings: number; index: number },
       ) => {
         switch (message.tag) {
           case "start":
--- a/src/tools/scale/heap.ts
+++ b/src/tools/scale/heap.ts
@@ -8,7 +8,7 @@
  * const before = Heap.used();
  */
 export const Heap = {
-  used(): number {
+  usedBytes(): number {
     v8.setFlagsFromString("--expose-gc");
     (vm.runInNewContext("gc") as () => void)();
     return process.memoryUsage().heapUsed;
--- a/src/tools/scale/idleFleet.ts
+++ b/src/tools/scale/idleFleet.ts
@@ -47,7 +47,7 @@
     fleet.world.around = (env) => {
       const meter = new Meter();
       this.meters.set(env.name, meter);
-      return meter.around(env);
+      return meter.wrap(env);
     };
   }
   /** @example await IdleFleet.boot({ ingresses: 3, stores: 4, controls: 4 }, 1) */
@@ -70,18 +70,18 @@
     return idleFleet;
   }
   /** What the processes of a program spent until now, each. @example idleFleet.spent("store") */
-  spent(program: string): Counts {
+  averageCounts(program: string): Counts {
     const all = this.fleet.names(program).map((name) => this.meters.get(name)!.copy());
     const sum = Meter.sum(all);
     return Object.fromEntries(Object.entries(sum).map(([name, value]) => [name, value / all.length])) as Counts;
   }
   /** What a process of each program spends a second. @example (await idleFleet.over(10_000)).store.bytes */
-  async over(ms: number): Promise<Record<string, Counts>> {
+  async measureRates(ms: number): Promise<Record<string, Counts>> {
     const programs = ["control", "store", "agent", "ingress"].filter((program) => this.fleet.names(program).length > 0);
-    const before = programs.map((program) => this.spent(program));
+    const before = programs.map((program) => this.averageCounts(program));
     await this.fleet.run(ms);
     const rate = (program: string, at: number): Counts => {
-      const now = this.spent(program);
+      const now = this.averageCounts(program);
       return Object.fromEntries(
         Object.entries(before[at]).map(([name, value]) => [
           name,
--- a/src/tools/scale/idleRun.ts
+++ b/src/tools/scale/idleRun.ts
@@ -3,13 +3,13 @@
 import * as os from "os";
 import * as path from "path";
 import { Settings } from "../../common/settings";
-import { ProcessUse, Use } from "./processUse";
+import { ProcessUsage, ResourceUsage } from "./processUsage";
 
 export type IdlePlan = {
   controls: number;
   stores: number;
   ingresses: number;
-  replicas: number;
+  endpoints: number;
   seconds: number;
   port: number;
 };
@@ -85,22 +85,22 @@
   }
   /** @example await run.run() */
   async run(): Promise<void> {
-    const { seconds, replicas: endpoints } = this.plan;
+    const { seconds, endpoints: endpoints } = this.plan;
     const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
     try {
       for (const settings of this.settings()) this.start(settings);
       for (let endpoint = 0; endpoint < endpoints; endpoint += 1) this.announce(endpoint);
       await sleep(settleMs);
-      const before = this.started.map((each) => ProcessUse.read(each.child.pid!));
+      const before = this.started.map((each) => ProcessUsage.read(each.child.pid!));
       await sleep(seconds * 1000);
-      const after = this.started.map((each) => ProcessUse.read(each.child.pid!));
+      const after = this.started.map((each) => ProcessUsage.read(each.child.pid!));
       this.report(before, after);
     } finally {
       this.end();
     }
   }
-  private report(before: (Use | undefined)[], after: (Use | undefined)[]): void {
-    const { seconds, replicas: endpoints } = this.plan;
+  private report(before: (ResourceUsage | undefined)[], after: (ResourceUsage | undefined)[]): void {
+    const { seconds, endpoints: endpoints } = this.plan;
     this.say(
       `${this.started.length} processes, ${endpoints} replicas that announce themselves, nobody calls, ${seconds} s`,
     );
@@ -111,7 +111,7 @@
       const wanted = this.started.filter((each) => each.program === program).length;
       if (uses.length < wanted) this.say(`${program}: ${wanted - uses.length} of ${wanted} ended by themselves`);
       if (uses.length === 0) continue;
-      const spread = (pick: (use: { from: Use; to: Use }) => number, digits: number): string => {
+      const spread = (pick: (use: { from: ResourceUsage; to: ResourceUsage }) => number, digits: number): string => {
         const sorted = uses.map(pick).sort((left, right) => left - right);
         return `${sorted[0].toFixed(digits)} / ${sorted[sorted.length >> 1].toFixed(digits)} / ${sorted[sorted.length - 1].toFixed(digits)}`;
       };
--- a/src/tools/scale/lightweightMember.ts
+++ b/src/tools/scale/lightweightMember.ts
@@ -62,15 +62,15 @@
     });
   }
   /** How many other members it considers alive. @example member.others() */
-  others(): number {
+  otherMemberCount(): number {
     return this.node.membership.alive().length - 1;
   }
   /** How many endpoints it may select from. @example member.endpoints() */
-  endpoints(): number {
+  endpointCount(): number {
     return this.node.gossip.live("replica/").length;
   }
   /** Starts members in a scope of each one's own, one after the other. @example yield* LightweightMember.all(envs, settings) */
-  static *all(envs: Environment[], settings: LightweightMemberSettings[]): Task<LightweightMember[]> {
+  static *startAll(envs: Environment[], settings: LightweightMemberSettings[]): Task<LightweightMember[]> {
     const members: LightweightMember[] = [];
     for (const [at, env] of envs.entries()) {
       const started = yield* LightweightMember.start(env, settings[at]);
--- a/src/tools/scale/memberScale.ts
+++ b/src/tools/scale/membershipExperiments.ts
@@ -1,23 +1,23 @@
-import { Experiment, Processor } from "./experiment";
+import { Experiment, CpuTime } from "./experiment";
 import { Heap } from "./heap";
 import { SimulatedMembership } from "./simulatedMembership";
 
-const bound = { name: "members", least: 10, most: 1000, why: "virtual time holds all of them in one process" };
+const bound = { name: "members", min: 10, max: 1000, reason: "virtual time holds all of them in one process" };
 const settleMs = (members: number): number => 6000 + 180 * members; // who joined is passed on in datagrams for so long
 const overMs = 10_000;
 
 async function measure(members: number, endpoints: number, seed: number): Promise<Record<string, number>> {
-  const before = Heap.used();
-  const membership = new SimulatedMembership({ members, replicas: endpoints, zones: 25, regions: 7, seed });
+  const before = Heap.usedBytes();
+  const membership = new SimulatedMembership({ members, endpoints: endpoints, zones: 25, regions: 7, seed });
   const allKnown = await membership.boot(120_000);
   await membership.world.run(settleMs(members));
-  const processor = Processor.now();
+  const processor = CpuTime.now();
   const suspicions = membership.suspicions;
-  const spent = await membership.over(overMs);
-  const processorMs = Processor.since(processor) / members / (overMs / 1000);
+  const spent = await membership.measureRates(overMs);
+  const processorMs = CpuTime.msSince(processor) / members / (overMs / 1000);
   const falseSuspicions = membership.suspicions - suspicions;
-  const heap = (Heap.used() - before) / members / 1000;
-  const known = membership.alive().map((member) => member.endpoints());
+  const heap = (Heap.usedBytes() - before) / members / 1000;
+  const known = membership.runningMembers().map((member) => member.endpointCount());
   const dead = await membership.killMembers((each) => each.name === "hollow-9", 30_000);
   membership.end();
   return {
@@ -35,13 +35,16 @@
   };
 }
 const metrics = {
-  datagrams: { what: "datagrams a member a second", counted: true },
-  frames: { what: "frames over TCP a member a second", counted: true },
-  bytes: { what: "bytes put out a member a second, headers among them", counted: true },
-  links: { what: "connections made a member a second", counted: true },
-  wakeUps: { what: "timers that fire a member a second", counted: true },
-  processorMs: { what: "ms of processor a member a second, its share of the simulator's among them", counted: false },
-  heapKB: { what: "KB of heap a member, its share of the simulator's among them", counted: false },
+  datagrams: { description: "datagrams a member a second", isDeterministic: true },
+  frames: { description: "frames over TCP a member a second", isDeterministic: true },
+  bytes: { description: "bytes put out a member a second, headers among them", isDeterministic: true },
+  links: { description: "connections made a member a second", isDeterministic: true },
+  wakeUps: { description: "timers that fire a member a second", isDeterministic: true },
+  processorMs: {
+    description: "ms of processor a member a second, its share of the simulator's among them",
+    isDeterministic: false,
+  },
+  heapKB: { description: "KB of heap a member, its share of the simulator's among them", isDeterministic: false },
 };
 
 /**
@@ -50,26 +53,27 @@
  * @example
  * const measured = await MemberScale.members.measure(60, 1);
  */
-export const MemberScale = {
+export const MembershipExperiments = {
   /** @example await MemberScale.members.measure(60, 1) */
   members: {
-    about: "Membership and news against members, 17 replicas that announce themselves, virtual time.",
+    description: "Membership and news against members, 17 replicas that announce themselves, virtual time.",
     unit: "member",
     sizes: [30, 60, 120, 240],
     bound,
     metrics: {
       ...metrics,
-      allKnownMs: { what: "ms from the start of all until each knows each", counted: true },
-      deadKnownMs: { what: "ms until all know that one is dead", counted: true },
+      allKnownMs: { description: "ms from the start of all until each knows each", isDeterministic: true },
+      deadKnownMs: { description: "ms until all know that one is dead", isDeterministic: true },
     },
     measure: (size: number, seed: number) => measure(size, 17, seed),
   } as Experiment,
   /** @example await MemberScale.replicas.measure(100, 1) */
-  replicas: {
-    about: "Membership and news against replicas whose load changes with each announcement, 30 members, virtual time.",
+  endpoints: {
+    description:
+      "Membership and news against replicas whose load changes with each announcement, 30 members, virtual time.",
     unit: "replica",
     sizes: [17, 50, 100, 200],
-    bound: { name: "replicas", least: 1, most: 3000, why: "each member of the simulated fleet holds all of them" },
+    bound: { name: "replicas", min: 1, max: 3000, reason: "each member of the simulated fleet holds all of them" },
     metrics,
     measure: (size: number, seed: number) => measure(30, size, seed),
   } as Experiment,
--- a/src/tools/scale/meter.ts
+++ b/src/tools/scale/meter.ts
@@ -58,7 +58,7 @@
     };
   }
   /** @example const env = meter.around(process.env); */
-  around(inner: Environment): Environment {
+  wrap(inner: Environment): Environment {
     const meter = this;
     const { counts } = this;
     return {
--- a/src/tools/scale/processUse.ts
+++ b/src/tools/scale/processUsage.ts
@@ -1,6 +1,6 @@
 import * as fs from "fs";
 
-export type Use = { cpuMs: number; wakeUps: number; rss: number; descriptors: number };
+export type ResourceUsage = { cpuMs: number; wakeUps: number; rss: number; descriptors: number };
 const ticksPerSecond = 100; // of the kernel's clock in /proc, the same on every Linux that Node runs on
 
 /**
@@ -9,9 +9,9 @@
  * @example
  * const before = ProcessUse.read(child.pid!);
  */
-export const ProcessUse = {
+export const ProcessUsage = {
   /** Undefined once the process is gone. @example ProcessUse.read(process.pid)?.rss */
-  read(pid: number): Use | undefined {
+  read(pid: number): ResourceUsage | undefined {
     try {
       const stat = fs.readFileSync(`/proc/${pid}/stat`, "utf8");
       const fields = stat.slice(stat.lastIndexOf(")") + 2).split(" ");
--- a/src/tools/scale/slopeRun.ts
+++ b/src/tools/scale/slopeRun.ts
@@ -8,15 +8,15 @@
  * const complete = await new SlopeRun("members", MemberScale.members, [30, 60, 120], 1, 300).run(console.log);
  */
 export class SlopeRun {
-  cut = false;
+  isInterrupted = false;
   readonly points: Record<string, Point[]> = {};
-  readonly covered: number[] = [];
+  readonly measuredSizes: number[] = [];
   constructor(
     readonly name: string,
     readonly experiment: Experiment,
     readonly sizes: number[],
     readonly seed: number,
-    readonly withinSeconds: number,
+    readonly timeLimitSeconds: number,
   ) {}
   /** Whether every size was covered. @example await run.run(say) */
   async run(say: (text: string) => void): Promise<boolean> {
@@ -24,7 +24,7 @@
     const from = performance.now();
     let failed = "";
     for (const size of this.sizes) {
-      if (this.cut || (performance.now() - from) / 1000 > this.withinSeconds) break;
+      if (this.isInterrupted || (performance.now() - from) / 1000 > this.timeLimitSeconds) break;
       let measured: Record<string, number>;
       try {
         measured = await this.experiment.measure(size, this.seed);
@@ -32,24 +32,24 @@
         failed = `${size} ${unit}s: ${(error as Error).message}`;
         break;
       }
-      if (this.cut) break; // what was under way when it was cut is not whole
-      this.covered.push(size);
+      if (this.isInterrupted) break; // what was under way when it was cut is not whole
+      this.measuredSizes.push(size);
       for (const [metric, value] of Object.entries(measured)) (this.points[metric] ??= []).push({ at: size, value });
       const shown = Object.entries(measured).map(
         ([metric, value]) => `${metric} ${Number.isInteger(value) ? value : value.toPrecision(4)}`,
       );
       say(`${size} ${unit}s: ${shown.join(", ")}`);
     }
-    const complete = this.covered.length === this.sizes.length;
+    const complete = this.measuredSizes.length === this.sizes.length;
     if (failed) say(`failed at ${failed}`);
     if (!complete)
       say(
-        `cut short: covered ${this.covered.length === 0 ? "nothing" : this.covered.join(", ")} of ${this.sizes.join(", ")}`,
+        `cut short: covered ${this.measuredSizes.length === 0 ? "nothing" : this.measuredSizes.join(", ")} of ${this.sizes.join(", ")}`,
       );
-    for (const [metric, { what }] of Object.entries(metrics)) say(this.line(metric, what, unit));
+    for (const [metric, { description: what }] of Object.entries(metrics)) say(this.describeMetric(metric, what, unit));
     return complete;
   }
-  private line(metric: string, what: string, unit: string): string {
+  private describeMetric(metric: string, what: string, unit: string): string {
     const points = this.points[metric] ?? [];
     if (points.some((point) => Number.isNaN(point.value)))
       return `${this.name}.${metric}, ${what}: no slope: not reached in time at some size`;
--- a/src/tools/shardDay/joiner.ts
+++ b/src/tools/shardDay/joiner.ts
@@ -3,14 +3,14 @@
 import { Rpc } from "../../rpc/rpc";
 import { Task } from "../../runtime/csp";
 import { Environment } from "../../runtime/env";
-import { runTask, shardReplica } from "./localReplicas";
+import { runTask, createShardReplica } from "./localReplicas";
 import { rounded } from "./percentiles";
 
 /** What the fill took, as the joiner tells its parent. */
-export type FillReport = { tookMs: number; MB: number };
+export type StateTransferReport = { tookMs: number; MB: number };
 
-function* fillReplica(env: Environment, sourceAddress: string, folder: string): Task<FillReport> {
-  const replica = shardReplica(env, new Rpc(env, "day", "s2"), "s2", folder);
+function* fillReplica(env: Environment, sourceAddress: string, folder: string): Task<StateTransferReport> {
+  const replica = createShardReplica(env, new Rpc(env, "day", "s2"), "s2", folder);
   const startedAt = performance.now();
   for (;;) {
     const response = yield* replica.stateTransfer.onTransfer({ shard: replica.shard, from: sourceAddress });
--- a/src/tools/shardDay/liveLoad.ts
+++ b/src/tools/shardDay/liveLoad.ts
@@ -3,7 +3,7 @@
 import { Environment, EnvironmentTools } from "../../runtime/env";
 import { ShardReplica } from "../../shard/shardReplica";
 import { percentile, rounded } from "./percentiles";
-import { freshId, put, requestOperations } from "./workload";
+import { uniqueId, put, requestOperations } from "./workload";
 
 const PAUSE_BETWEEN_PUTS_MS = 10;
 const LAST_PUTS_MS = 200;
@@ -20,7 +20,7 @@
   while (!isOver()) {
     Csp.go(env.scope, "one", function* (): Task<void> {
       const startedAt = performance.now();
-      yield* put(env, replica, requestOperations(freshId("live")));
+      yield* put(env, replica, requestOperations(uniqueId("live")));
       latencies.push(performance.now() - startedAt);
     });
     yield* EnvironmentTools.sleep(env, PAUSE_BETWEEN_PUTS_MS);
--- a/src/tools/shardDay/localReplicas.ts
+++ b/src/tools/shardDay/localReplicas.ts
@@ -38,7 +38,7 @@
 }
 
 /** A replica of the shard with its data in the folder; `self` is the id of the store that holds it. */
-export function shardReplica(env: Environment, rpc: Rpc, self: string, folder: string): ShardReplica {
+export function createShardReplica(env: Environment, rpc: Rpc, self: string, folder: string): ShardReplica {
   return new ShardReplica(env, rpc, self, SHARD, folder, {
     addressOf: () => undefined,
     bounds: () => Stamp.defaults,
--- a/src/tools/shardDay/measureDay.ts
+++ b/src/tools/shardDay/measureDay.ts
@@ -9,11 +9,11 @@
 import { registerShardMethods } from "../../shard/shardMethods";
 import { ShardReplica } from "../../shard/shardReplica";
 import { RangeDigests } from "../../shard/state/rangeDigests";
-import type { FillReport } from "./joiner";
+import type { StateTransferReport } from "./joiner";
 import { runLiveLoad, LiveLoadReport } from "./liveLoad";
-import { SHARD, countWrittenBytes, runTask, shardReplica } from "./localReplicas";
+import { SHARD, countWrittenBytes, runTask, createShardReplica } from "./localReplicas";
 import { percentile, rounded } from "./percentiles";
-import { REQUESTS_A_DAY, fillDay, freshId, put, requestOperations } from "./workload";
+import { REQUESTS_A_DAY, loadDay, uniqueId, put, requestOperations } from "./workload";
 
 const ADDRESS = "127.0.0.1:18811";
 const SELF = "s1";
@@ -34,7 +34,7 @@
   bytesAPut: number;
   digestMs: number;
   readMs: { p50: number; p99: number };
-  fill: FillReport & { sourceCpuMs: number };
+  fill: StateTransferReport & { sourceCpuMs: number };
   whileFilling: LiveLoadReport;
 };
 /** What a share of a day costs the replica that holds it. */
@@ -74,7 +74,7 @@
 function* runPacedLoad(env: Environment, replica: ShardReplica): Task<void> {
   const isOver = after(PACED_MS);
   while (!isOver()) {
-    yield* put(env, replica, requestOperations(freshId("paced")));
+    yield* put(env, replica, requestOperations(uniqueId("paced")));
     yield* EnvironmentTools.sleep(env, PACED_PAUSE_MS);
   }
 }
@@ -103,21 +103,21 @@
   replica: ShardReplica,
   folder: string,
 ): Task<Pick<RestartedReport, "fill" | "whileFilling">> {
-  let filled: FillReport | undefined;
+  let filled: StateTransferReport | undefined;
   const cpuBefore = userCpuMs();
   const joiner = fork(JOINER, [ADDRESS, folder], { stdio: "inherit" });
-  joiner.on("message", (message) => (filled = message as FillReport));
+  joiner.on("message", (message) => (filled = message as StateTransferReport));
   const whileFilling = yield* runLiveLoad(env, replica, () => filled !== undefined);
   return { fill: { ...filled!, sourceCpuMs: rounded(userCpuMs() - cpuBefore) }, whileFilling };
 }
 
 /** A new replica takes the share of a day; its size in memory and on disk. */
 function* measureFilled(env: Environment, rpc: Rpc, share: number, folder: string): Task<FilledReport> {
-  const replica = shardReplica(env, rpc, SELF, folder);
+  const replica = createShardReplica(env, rpc, SELF, folder);
   yield* open(replica);
   yield* lead(env, replica, 1);
   const startedAt = performance.now();
-  yield* fillDay(env, replica, share);
+  yield* loadDay(env, replica, share);
   const filledInS = rounded((performance.now() - startedAt) / 1000);
   yield* runPacedLoad(env, replica);
   replica.stopLeader("started again");
@@ -136,7 +136,7 @@
   yield* rpc.serve(ADDRESS);
   const filled = yield* measureFilled(env, rpc, share, sourceFolder);
 
-  const replica = shardReplica(env, rpc, SELF, sourceFolder);
+  const replica = createShardReplica(env, rpc, SELF, sourceFolder);
   const startMs = yield* open(replica);
   yield* lead(env, replica, 2);
   registerShardMethods(rpc, SELF, () => replica);
--- a/src/tools/shardDay/workload.ts
+++ b/src/tools/shardDay/workload.ts
@@ -68,7 +68,7 @@
 let putCount = 0;
 
 /** An id that no other request of this process has. */
-export function freshId(prefix: string): string {
+export function uniqueId(prefix: string): string {
   return `${prefix}-${putCount}`;
 }
 
@@ -99,7 +99,7 @@
 }
 
 /** Puts this share of a day into the replica, as fast as it takes it. */
-export function* fillDay(env: Environment, replica: ShardReplica, share: number): Task<void> {
+export function* loadDay(env: Environment, replica: ShardReplica, share: number): Task<void> {
   const finished = Csp.chan<true>(64);
   const puts = dayOperations(share);
   for (let worker = 0; worker < FILLING_WORKERS; worker += 1)
