--- a/src/tools/scale/controlGroupExperiments.ts
+++ b/src/tools/scale/controlGroupExperiments.ts
@@ -4,9 +4,9 @@
 import { SimulatedMembership } from "./simulatedMembership";
 import { Meter } from "./meter";
 
-const changes = 10;
-/** A change of the whole manifest, made against the version before. */
-const change = (routes: number, version: number): Command => ({
+const CHANGE_COUNT = 10;
+/** Returns a command that replaces the whole configuration if its version is still the given one. */
+const configurationChange = (routes: number, version: number): Command => ({
   tag: "manifest",
   changeId: `change-${version}`,
   ifVersion: version,
@@ -14,98 +14,93 @@
   doc: SimulatedMembership.snapshot(routes, version).manifest.doc,
 });
 
-async function changesOf(routes: number, seed: number): Promise<Record<string, number>> {
-  const control = new SimulatedControlGroup(3, seed);
-  await control.boot();
-  const leader = control.leader()!;
-  const before = control.members.map((voter) => voter.meter.copy());
-  const processor = CpuTime.now();
-  const from = control.world.now;
-  const times: number[] = [];
-  for (let version = 0; version < changes; version += 1)
-    times.push(...(await control.propose([change(routes, version)], 5000)).tookMs);
-  const spent = control.members.map((voter, at) => voter.meter.since(before[at]));
-  const tookMs = control.world.now - from;
-  const processorMs = CpuTime.msSince(processor) / changes / control.members.length;
-  const sent = spent[control.members.indexOf(leader)];
-  control.end();
+async function measureChanges(routes: number, seed: number): Promise<Record<string, number>> {
+  const group = new SimulatedControlGroup(3, seed);
+  await group.boot();
+  const leader = group.leader()!;
+  const before = group.members.map((member) => member.meter.copy());
+  const cpuBefore = CpuTime.now();
+  const startedAt = group.world.now;
+  const latenciesMs: number[] = [];
+  for (let version = 0; version < CHANGE_COUNT; version += 1)
+    latenciesMs.push(...(await group.propose([configurationChange(routes, version)], 5000)).latenciesMs);
+  const counts = group.members.map((member, index) => member.meter.since(before[index]));
+  const tookMs = group.world.now - startedAt;
+  const processorMs = CpuTime.msSince(cpuBefore) / CHANGE_COUNT / group.members.length;
+  const leaderCounts = counts[group.members.indexOf(leader)];
+  group.end();
   return {
-    leadBytes: sent.bytes / changes,
-    logBytes: Meter.sum(spent).writtenBytes / control.members.length / changes,
+    leadBytes: leaderCounts.bytes / CHANGE_COUNT,
+    logBytes: Meter.sum(counts).writtenBytes / group.members.length / CHANGE_COUNT,
     processorMs,
-    changeMs: times.length === changes ? tookMs / changes : NaN,
+    changeMs: latenciesMs.length === CHANGE_COUNT ? tookMs / CHANGE_COUNT : NaN,
   };
 }
-async function idle(controls: number, seed: number): Promise<Record<string, number>> {
-  const control = new SimulatedControlGroup(controls, seed);
-  await control.boot();
-  const before = control.members.map((voter) => voter.meter.copy());
-  await control.world.run(10_000);
-  const spent = control.members.map((voter, at) => voter.meter.since(before[at]));
-  const sent = spent[control.members.indexOf(control.leader()!)];
-  const all = Meter.sum(spent);
-  control.end();
+async function measureIdle(nodeCount: number, seed: number): Promise<Record<string, number>> {
+  const group = new SimulatedControlGroup(nodeCount, seed);
+  await group.boot();
+  const before = group.members.map((member) => member.meter.copy());
+  await group.world.run(10_000);
+  const counts = group.members.map((member, index) => member.meter.since(before[index]));
+  const leaderCounts = counts[group.members.indexOf(group.leader()!)];
+  const all = Meter.sum(counts);
+  group.end();
   return {
-    leadBytes: sent.bytes / 10,
-    leadFrames: sent.frames / 10,
-    leadWakeUps: sent.wakeUps / 10,
-    otherBytes: (all.bytes - sent.bytes) / 10 / Math.max(1, controls - 1),
+    leadBytes: leaderCounts.bytes / 10,
+    leadFrames: leaderCounts.frames / 10,
+    leadWakeUps: leaderCounts.wakeUps / 10,
+    otherBytes: (all.bytes - leaderCounts.bytes) / 10 / Math.max(1, nodeCount - 1),
   };
 }
 
-/**
- * The control log: changes against the bindings they carry, and an idle group against its machines.
- *
- * @example
- * const measured = await ControlScale.changes.measure(1000, 1);
- */
+/** Measures what configuration changes cost by the number of their routes, and what an idle control group costs by its size. */
 export const ControlGroupExperiments = {
-  /** @example await ControlScale.changes.measure(1000, 1) */
   changes: {
-    description: "Ten changes of the manifest one after the other at three voters, against its bindings, virtual time.",
-    unit: "binding",
+    description:
+      "Ten changes of the configuration one after another in a control group of three voters, by the number of routes: virtual time.",
+    unit: "route",
     sizes: [100, 1000, 3000, 6000],
     bound: {
       name: "bindings",
       min: 1,
       max: 60_000,
-      reason: "an operator's manifest is refused past 8 MB, which is about as many",
+      reason: "a configuration of more than 8 MB, which is about as many routes, is rejected",
     },
     metrics: {
-      leadBytes: { description: "bytes put out by the lead a change", isDeterministic: true },
-      logBytes: { description: "bytes written by a voter a change", isDeterministic: true },
-      processorMs: { description: "ms of processor a voter a change", isDeterministic: false },
+      leadBytes: { description: "bytes sent by the leader per change", isDeterministic: true },
+      logBytes: { description: "bytes written by a voter per change", isDeterministic: true },
+      processorMs: { description: "ms of processor time of a voter per change", isDeterministic: false },
     },
-    measure: changesOf,
+    measure: measureChanges,
   } as Experiment,
-  /** @example await ControlScale.voters.measure(23, 1) */
   nodes: {
-    description: "An idle control group, three voters and the rest standbys, against its machines, virtual time.",
-    unit: "control machine",
+    description:
+      "An idle control group of three voters, the other nodes standbys, by the number of nodes: virtual time.",
+    unit: "control node",
     sizes: [3, 7, 13, 23],
-    bound: { name: "control machines", min: 3, max: 60, reason: "more stand by than any plan here asks for" },
+    bound: { name: "control nodes", min: 3, max: 60, reason: "no deployment plan has more standbys" },
     metrics: {
-      leadBytes: { description: "bytes put out by the lead a second", isDeterministic: true },
-      leadFrames: { description: "frames put out by the lead a second", isDeterministic: true },
-      leadWakeUps: { description: "timers that fire at the lead a second", isDeterministic: true },
-      otherBytes: { description: "bytes put out by each of the others a second", isDeterministic: true },
+      leadBytes: { description: "bytes sent by the leader per second", isDeterministic: true },
+      leadFrames: { description: "frames sent by the leader per second", isDeterministic: true },
+      leadWakeUps: { description: "timers that fire at the leader per second", isDeterministic: true },
+      otherBytes: { description: "bytes sent by each of the other nodes per second", isDeterministic: true },
     },
-    measure: idle,
+    measure: measureIdle,
   } as Experiment,
-  /** So many changes at once, each made against what the one before left. @example await ControlScale.burst(50, 1000, 1) */
+  /** Measures concurrent changes, each of which expects the configuration version that the one before it leaves. */
   async burst(
     count: number,
     routes: number,
     seed: number,
-  ): Promise<{ taken: number; lastMs: number; processorMs: number }> {
-    const control = new SimulatedControlGroup(3, seed);
-    await control.boot();
-    const processor = CpuTime.now();
-    const { acceptedCount: taken, tookMs } = await control.propose(
-      Array.from({ length: count }, (_none, version) => change(routes, version)),
+  ): Promise<{ acceptedCount: number; lastMs: number; processorMs: number }> {
+    const group = new SimulatedControlGroup(3, seed);
+    await group.boot();
+    const cpuBefore = CpuTime.now();
+    const { acceptedCount, latenciesMs } = await group.propose(
+      Array.from({ length: count }, (_none, version) => configurationChange(routes, version)),
       10_000,
     );
-    control.end();
-    return { taken, lastMs: Math.max(0, ...tookMs), processorMs: CpuTime.msSince(processor) / count };
+    group.end();
+    return { acceptedCount, lastMs: Math.max(0, ...latenciesMs), processorMs: CpuTime.msSince(cpuBefore) / count };
   },
 };
--- a/src/tools/scale/endpointSelectionExperiments.ts
+++ b/src/tools/scale/endpointSelectionExperiments.ts
@@ -6,69 +6,69 @@
 import { Experiment } from "./experiment";
 import { SimulatedMembership } from "./simulatedMembership";
 
-const rounds = 7;
-const roundMs = 60;
+const ROUNDS = 7;
+const ROUND_MS = 60;
 
 function candidates(count: number): Endpoint[] {
   const bornAt = Date.now() - 3_600_000;
-  return Array.from({ length: count }, (_none, at): Endpoint => ({
-    key: `replica/r${at}/1`,
-    id: `r${at}`,
+  return Array.from({ length: count }, (_none, index): Endpoint => ({
+    key: `replica/r${index}/1`,
+    id: `r${index}`,
     instance: "1",
-    address: `10.0.${at >> 8}.${at & 255}:9000`,
+    address: `10.0.${index >> 8}.${index & 255}:9000`,
     pool: "model",
-    district: `r${at % 7}-z${at % 25}`,
+    district: `r${index % 7}-z${index % 25}`,
     version: "v1",
     capacity: 16,
-    active: at % 11,
+    active: index % 11,
     waiting: 0,
     bornAt,
   }));
 }
-/** Median time of one choice, µs. */
-function perChoice(prefix: boolean, snapshot: SelectionCriteria["snapshot"]): number {
-  const scope = new Scope("choice", () => undefined);
-  const endpointSelector = new EndpointSelector(NodeEnvironment.make("choice", scope, () => undefined));
-  const times: number[] = [];
-  for (let round = 0; round < rounds; round += 1) {
-    let chosen = 0;
-    const from = performance.now();
-    while (chosen === 0 || performance.now() - from < roundMs) {
+/** Returns the median time of one selection in microseconds. */
+function measureSelection(hasPrefix: boolean, snapshot: SelectionCriteria["snapshot"]): number {
+  const scope = new Scope("endpoint selection", () => undefined);
+  const endpointSelector = new EndpointSelector(NodeEnvironment.make("endpoint selection", scope, () => undefined));
+  const timesUs: number[] = [];
+  for (let round = 0; round < ROUNDS; round += 1) {
+    let selectedCount = 0;
+    const startedAt = performance.now();
+    while (selectedCount === 0 || performance.now() - startedAt < ROUND_MS) {
       const criteria: SelectionCriteria = {
         snapshot,
         pool: "model",
         route: "ask",
         caller: "",
         kind: "stream",
-        prefix: prefix ? `prompt-${round}-${chosen}` : "",
+        prefix: hasPrefix ? `prompt-${round}-${selectedCount}` : "",
         trafficClass: "live",
         exclude: new Set(),
       };
-      if (!endpointSelector.choose(criteria)) throw new Error("no replica was chosen");
-      chosen += 1;
+      if (!endpointSelector.choose(criteria)) throw new Error("the selector found no endpoint");
+      selectedCount += 1;
     }
-    times.push(((performance.now() - from) / chosen) * 1000);
+    timesUs.push(((performance.now() - startedAt) / selectedCount) * 1000);
   }
   scope.stop();
-  return times.sort((left, right) => left - right)[rounds >> 1];
+  return timesUs.sort((left, right) => left - right)[ROUNDS >> 1];
 }
 
-/**
- * The choice of a replica against the candidates in its pool, in real time.
- *
- * @example
- * const measured = await ChoiceScale.candidates.measure(1000, 1);
- */
+/** Measures in real time how the cost of selecting an endpoint grows with the number of candidates in its pool. */
 export const EndpointSelectionExperiments = {
-  /** @example await ChoiceScale.candidates.measure(1000, 1) */
   candidates: {
-    description: "The choice of a replica against the candidates in its pool, real time, one core, nothing in flight.",
+    description:
+      "Time to select an endpoint by the number of candidates in its pool: real time, one core, no requests in flight.",
     unit: "candidate",
     sizes: [17, 100, 1000, 10_000],
-    bound: { name: "candidates", min: 1, max: 100_000, reason: "one process holds no more in a few hundred MB" },
+    bound: {
+      name: "candidates",
+      min: 1,
+      max: 100_000,
+      reason: "more candidates need more than a few hundred MB in one process",
+    },
     metrics: {
-      prefixUs: { description: "µs a choice by prompt prefix, median of seven", isDeterministic: false },
-      plainUs: { description: "µs a choice without a prefix, median of seven", isDeterministic: false },
+      prefixUs: { description: "µs per selection by prompt prefix, median of seven rounds", isDeterministic: false },
+      plainUs: { description: "µs per selection without a prefix, median of seven rounds", isDeterministic: false },
     },
     measure(count) {
       const snapshot: ClusterSnapshot = {
@@ -80,7 +80,10 @@
         isCurrent: true,
         clockTrusted: true,
       };
-      return Promise.resolve({ prefixUs: perChoice(true, snapshot), plainUs: perChoice(false, snapshot) });
+      return Promise.resolve({
+        prefixUs: measureSelection(true, snapshot),
+        plainUs: measureSelection(false, snapshot),
+      });
     },
   } as Experiment,
 };
--- a/src/tools/scale/experiment.ts
+++ b/src/tools/scale/experiment.ts
@@ -2,18 +2,20 @@
 
 export type Metric = {
   description: string;
-  isDeterministic: boolean; // the same in every run of a seed: messages, bytes, entries; not so are processor time and memory
+  /** Whether every run with one seed measures the same value: messages, bytes and entries, but not processor time and memory. */
+  isDeterministic: boolean;
 };
 /** One cost measured at several sizes. */
 export type Experiment = {
   description: string;
-  unit: string; // what a size counts
+  /** Singular name of what a size counts. */
+  unit: string;
   sizes: number[];
   bound: Bound;
   metrics: Record<string, Metric>;
   measure(size: number, seed: number): Promise<Record<string, number>>;
 };
-/** Real processor time of this process since an earlier reading, ms. @example const spent = Processor.since(Processor.now()); */
+/** Processor time that this process has used since an earlier reading, in milliseconds of user and system time. */
 export const CpuTime = {
   now: (): NodeJS.CpuUsage => process.cpuUsage(),
   msSince: (before: NodeJS.CpuUsage): number => {
--- a/src/tools/scale/idleFleet.ts
+++ b/src/tools/scale/idleFleet.ts
@@ -2,7 +2,7 @@
 import { Deployment } from "../deployment";
 import { Counts, Meter } from "./meter";
 
-const configuration = {
+const CONFIGURATION = {
   bindings: {
     ask: {
       kind: "stream",
@@ -17,13 +17,13 @@
     status: { kind: "lookup", pool: "desk", path: "/status", safe: true, deadlineMs: 2500 },
   },
 };
-const mix = {
+const TRAFFIC_MIX = {
   lookups: { binding: "status", perSecond: 0.01 },
   streams: [{ binding: "ask", perSecond: 0.01, prefixes: 1, prefixBytes: 64, pieces: 1 }],
   singles: { binding: "confirm", perSecond: 0.01 },
   lots: { binding: "confirm", everyMs: 3_600_000, items: 1, endOneIn: 1 },
 };
-const pools = ["model", "desk"].map((pool) => ({
+const POOLS = ["model", "desk"].map((pool) => ({
   pool,
   replicas: 4,
   capacity: 16,
@@ -35,11 +35,11 @@
 }));
 
 /**
- * A simulated fleet without callers; the messages, bytes and wake-ups of each process are counted.
+ * A simulated fleet without callers, whose messages, bytes and wake-ups are counted per process.
  *
  * @example
  * const idleFleet = await IdleFleet.boot({ ingresses: 3, stores: 4, controls: 4 }, 1);
- * const spent = await idleFleet.over(10_000);
+ * const rates = await idleFleet.measureRates(10_000);
  */
 export class IdleFleet {
   private readonly meters = new Map<string, Meter>();
@@ -50,16 +50,16 @@
       return meter.wrap(env);
     };
   }
-  /** @example await IdleFleet.boot({ ingresses: 3, stores: 4, controls: 4 }, 1) */
+  /** Starts a fleet, stops its callers and lets their last requests end. */
   static async boot(sizes: { ingresses: number; stores: number; controls: number }, seed: number): Promise<IdleFleet> {
     const checked = Deployment.check({
       cluster: "quiet",
       districts: ["north", "east", "south", "west"],
       ...sizes,
-      pools,
-      manifest: configuration,
+      pools: POOLS,
+      manifest: CONFIGURATION,
       policies: [],
-      mix,
+      mix: TRAFFIC_MIX,
     });
     if (!checked.ok) throw new Error(JSON.stringify(checked.fault));
     const idleFleet = new IdleFleet(new SimFleet(checked.value, seed));
@@ -69,29 +69,29 @@
     await idleFleet.fleet.run(6000);
     return idleFleet;
   }
-  /** What the processes of a program spent until now, each. @example idleFleet.spent("store") */
+  /** The counts of a program's processes until now, on average per process. */
   averageCounts(program: string): Counts {
-    const all = this.fleet.names(program).map((name) => this.meters.get(name)!.copy());
-    const sum = Meter.sum(all);
-    return Object.fromEntries(Object.entries(sum).map(([name, value]) => [name, value / all.length])) as Counts;
+    const counts = this.fleet.names(program).map((name) => this.meters.get(name)!.copy());
+    const sum = Meter.sum(counts);
+    return Object.fromEntries(Object.entries(sum).map(([name, value]) => [name, value / counts.length])) as Counts;
   }
-  /** What a process of each program spends a second. @example (await idleFleet.over(10_000)).store.bytes */
+  /** Runs for so long; returns the counts per process and second of each program. */
   async measureRates(ms: number): Promise<Record<string, Counts>> {
     const programs = ["control", "store", "agent", "ingress"].filter((program) => this.fleet.names(program).length > 0);
     const before = programs.map((program) => this.averageCounts(program));
     await this.fleet.run(ms);
-    const rate = (program: string, at: number): Counts => {
-      const now = this.averageCounts(program);
+    const rate = (program: string, index: number): Counts => {
+      const counts = this.averageCounts(program);
       return Object.fromEntries(
-        Object.entries(before[at]).map(([name, value]) => [
+        Object.entries(before[index]).map(([name, value]) => [
           name,
-          ((now as Record<string, number>)[name] - value) / (ms / 1000),
+          ((counts as Record<string, number>)[name] - value) / (ms / 1000),
         ]),
       ) as Counts;
     };
-    return Object.fromEntries(programs.map((program, at) => [program, rate(program, at)]));
+    return Object.fromEntries(programs.map((program, index) => [program, rate(program, index)]));
   }
-  /** @example idleFleet.end(); */
+  /** Kills all processes. */
   end(): void {
     for (const name of [...this.fleet.world.processes.keys()]) this.fleet.world.kill(name);
   }
--- a/src/tools/scale/idleRun.ts
+++ b/src/tools/scale/idleRun.ts
@@ -13,119 +13,120 @@
   seconds: number;
   port: number;
 };
-type Started = { program: Settings["program"]; http: string; child: ChildProcess };
-const settleMs = 12_000;
-const announceEveryMs = 900;
+type StartedProcess = { program: Settings["program"]; http: string; child: ChildProcess };
+const SETTLE_MS = 12_000;
+const ANNOUNCE_INTERVAL_MS = 900;
 
 /**
- * What real processes of each program use while nobody calls: processor, wake-ups, memory, descriptors.
+ * Measures the processor time, wake-ups, memory and file descriptors of real processes of each program without traffic.
  *
  * @example
- * await new IdleRun({ controls: 3, stores: 3, ingresses: 4, replicas: 17, seconds: 20, port: 21_000 }, say).run();
+ * await new IdleRun({ controls: 3, stores: 3, ingresses: 4, endpoints: 17, seconds: 20, port: 21_000 }, console.log).run();
  */
 export class IdleRun {
-  private readonly started: Started[] = [];
+  private readonly processes: StartedProcess[] = [];
   private readonly folder = fs.mkdtempSync(path.join(os.tmpdir(), "petrelbeam-idle-"));
-  private announcing: NodeJS.Timeout[] = [];
+  private announceTimers: NodeJS.Timeout[] = [];
   constructor(
     private readonly plan: IdlePlan,
-    private readonly say: (text: string) => void,
+    private readonly print: (text: string) => void,
   ) {}
   private settings(): Settings[] {
     let { port } = this.plan;
-    const next = (): string => `127.0.0.1:${(port += 1)}`;
-    const make = (program: Settings["program"], count: number): Settings[] =>
-      Array.from({ length: count }, (_none, at) => ({
+    const nextAddress = (): string => `127.0.0.1:${(port += 1)}`;
+    const settingsOf = (program: Settings["program"], count: number): Settings[] =>
+      Array.from({ length: count }, (_none, index) => ({
         program,
         cluster: "idle",
-        district: `z${at % 3}`,
-        address: next(),
-        http: next(),
+        district: `z${index % 3}`,
+        address: nextAddress(),
+        http: nextAddress(),
         log: "error",
       }));
-    const controls = make("control", this.plan.controls);
-    const founders = controls.map((each) => each.address);
-    const all = [...controls, ...make("store", this.plan.stores), ...make("ingress", this.plan.ingresses)];
-    for (const [at, each] of all.entries()) {
-      each.seeds = founders.slice(0, 3);
-      if (each.program === "control") each.founders = founders;
-      if (each.program !== "ingress") each.data = path.join(this.folder, `data-${at}`);
+    const controls = settingsOf("control", this.plan.controls);
+    const bootstrapAddresses = controls.map((each) => each.address);
+    const all = [...controls, ...settingsOf("store", this.plan.stores), ...settingsOf("ingress", this.plan.ingresses)];
+    for (const [index, each] of all.entries()) {
+      each.seeds = bootstrapAddresses.slice(0, 3);
+      if (each.program === "control") each.founders = bootstrapAddresses;
+      if (each.program !== "ingress") each.data = path.join(this.folder, `data-${index}`);
     }
     return all;
   }
   private start(settings: Settings): void {
-    const file = path.join(this.folder, `settings-${this.started.length}.json`);
+    const file = path.join(this.folder, `settings-${this.processes.length}.json`);
     fs.writeFileSync(file, JSON.stringify(settings));
     const main = path.join(__dirname, "../../main.js");
     const child = spawn(process.execPath, [main, settings.program, "--settings", file], {
       stdio: ["ignore", "ignore", "inherit"],
       env: { ...process.env, UV_USE_IO_URING: "0" },
     });
-    this.started.push({ program: settings.program, http: settings.http, child });
+    this.processes.push({ program: settings.program, http: settings.http, child });
   }
   private announce(endpoint: number): void {
-    const ingresses = this.started.filter((each) => each.program === "ingress");
-    let turn = endpoint;
-    const once = async (): Promise<void> => {
-      const { http } = ingresses[(turn += 1) % ingresses.length];
+    const ingresses = this.processes.filter((each) => each.program === "ingress");
+    let round = endpoint;
+    const announceOnce = async (): Promise<void> => {
+      const { http } = ingresses[(round += 1) % ingresses.length];
       const body = JSON.stringify({
         address: `10.0.0.1:${9000 + endpoint}`,
         pool: "desk",
         district: "z0",
         version: "v1",
         capacity: 16,
-        active: turn % 16,
+        active: round % 16,
         waiting: 0,
         instance: "1",
       });
-      // a node that is still starting refuses: the next time will do
+      // A node that is still starting rejects the announcement; a later one is accepted.
       await fetch(`http://${http}/v1/replicas/replica-${endpoint}`, { method: "PUT", body }).catch(() => undefined);
     };
-    this.announcing.push(setInterval(() => void once(), announceEveryMs));
+    this.announceTimers.push(setInterval(() => void announceOnce(), ANNOUNCE_INTERVAL_MS));
   }
-  /** @example await run.run() */
+  /** Starts the processes, measures them for the time of the plan, prints the result and ends them. */
   async run(): Promise<void> {
-    const { seconds, endpoints: endpoints } = this.plan;
+    const { seconds, endpoints } = this.plan;
     const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
     try {
       for (const settings of this.settings()) this.start(settings);
       for (let endpoint = 0; endpoint < endpoints; endpoint += 1) this.announce(endpoint);
-      await sleep(settleMs);
-      const before = this.started.map((each) => ProcessUsage.read(each.child.pid!));
+      await sleep(SETTLE_MS);
+      const before = this.processes.map((each) => ProcessUsage.read(each.child.pid!));
       await sleep(seconds * 1000);
-      const after = this.started.map((each) => ProcessUsage.read(each.child.pid!));
+      const after = this.processes.map((each) => ProcessUsage.read(each.child.pid!));
       this.report(before, after);
     } finally {
       this.end();
     }
   }
   private report(before: (ResourceUsage | undefined)[], after: (ResourceUsage | undefined)[]): void {
-    const { seconds, endpoints: endpoints } = this.plan;
-    this.say(
-      `${this.started.length} processes, ${endpoints} replicas that announce themselves, nobody calls, ${seconds} s`,
+    const { seconds, endpoints } = this.plan;
+    this.print(
+      `${this.processes.length} processes, ${endpoints} endpoints that announce themselves, no traffic, ${seconds} s`,
     );
     for (const program of ["control", "store", "ingress"] as const) {
-      const uses = this.started.flatMap((each, at) =>
-        each.program === program && before[at] && after[at] ? [{ from: before[at], to: after[at] }] : [],
+      const usages = this.processes.flatMap((each, index) =>
+        each.program === program && before[index] && after[index] ? [{ from: before[index], to: after[index] }] : [],
       );
-      const wanted = this.started.filter((each) => each.program === program).length;
-      if (uses.length < wanted) this.say(`${program}: ${wanted - uses.length} of ${wanted} ended by themselves`);
-      if (uses.length === 0) continue;
-      const spread = (pick: (use: { from: ResourceUsage; to: ResourceUsage }) => number, digits: number): string => {
-        const sorted = uses.map(pick).sort((left, right) => left - right);
+      const startedCount = this.processes.filter((each) => each.program === program).length;
+      if (usages.length < startedCount)
+        this.print(`${program}: ${startedCount - usages.length} of ${startedCount} ended by themselves`);
+      if (usages.length === 0) continue;
+      const spread = (pick: (usage: { from: ResourceUsage; to: ResourceUsage }) => number, digits: number): string => {
+        const sorted = usages.map(pick).sort((left, right) => left - right);
         return `${sorted[0].toFixed(digits)} / ${sorted[sorted.length >> 1].toFixed(digits)} / ${sorted[sorted.length - 1].toFixed(digits)}`;
       };
       const cores = spread(({ from, to }) => (to.cpuMs - from.cpuMs) / 1000 / seconds, 4);
       const wakeUps = spread(({ from, to }) => (to.wakeUps - from.wakeUps) / seconds, 0);
-      this.say(
-        `${program}: cores ${cores}, wake-ups a second ${wakeUps}, MB ${spread(({ to }) => to.rss / 1e6, 0)}, descriptors ${spread(({ to }) => to.descriptors, 0)}`,
+      this.print(
+        `${program}: cores ${cores}, wake-ups per second ${wakeUps}, MB ${spread(({ to }) => to.rss / 1e6, 0)}, descriptors ${spread(({ to }) => to.descriptors, 0)}`,
       );
     }
   }
-  /** Ends every process that this run started, and takes its folder away. @example run.end(); */
+  /** Kills every process that this run started and deletes its folder. */
   end(): void {
-    for (const timer of this.announcing) clearInterval(timer);
-    for (const { child } of this.started) if (child.exitCode === null) child.kill("SIGKILL");
+    for (const timer of this.announceTimers) clearInterval(timer);
+    for (const { child } of this.processes) if (child.exitCode === null) child.kill("SIGKILL");
     fs.rmSync(this.folder, { recursive: true, force: true });
   }
 }
--- a/src/tools/scale/lightweightMember.ts
+++ b/src/tools/scale/lightweightMember.ts
@@ -6,9 +6,9 @@
 import { Program } from "../../membership/member";
 
 export type LightweightMemberSettings = { program: Program; district: string; address: string; seeds: string[] };
-/** How often an endpoint announces itself, ms. */
+/** How often an endpoint announces itself. */
 const ANNOUNCE_INTERVAL_MS = 900;
-/** How often a member reads its cluster snapshot, ms, as requests would make it. */
+/** How often a member reads its cluster snapshot, as requests would make it. */
 const READ_SNAPSHOT_INTERVAL_MS = 250;
 
 /**
@@ -16,17 +16,16 @@
  *
  * @example
  * const started = yield* LightweightMember.start(env, { program: "agent", district: "r1-z1", address, seeds });
- * if (started.ok) started.value.others();
+ * if (started.ok) started.value.otherMemberCount();
  */
 export class LightweightMember {
   private constructor(readonly node: Node) {}
-  /** @example yield* LightweightMember.start(env, settings) */
   static *start(env: Environment, settings: LightweightMemberSettings): Task<Result<LightweightMember>> {
     const { program, ...place } = settings;
     const started = yield* Node.start(env, { program, cluster: "scale", ...place, http: settings.address }, program);
     if (!started.ok) return started;
     const member = new LightweightMember(started.value);
-    EnvironmentTools.runSupervised(env, env.scope, "look", () => member.readSnapshotLoop());
+    EnvironmentTools.runSupervised(env, env.scope, "read snapshots", () => member.readSnapshotLoop());
     return Fault.ok(member);
   }
   private *readSnapshotLoop(): Task<void> {
@@ -35,13 +34,14 @@
       this.node.snapshot();
     }
   }
-  /** Announces endpoints, each with a load that changes from one time to the next. @example member.announce(["r1", "r2"], "r1-z1"); */
+  /** Announces endpoints periodically, with a load that differs from one announcement to the next. */
   announce(ids: string[], zone: string): void {
     const { node } = this;
     const host = NodeContext.of(node);
     EnvironmentTools.runSupervised(node.env, node.env.scope, "announce", function* () {
-      yield* EnvironmentTools.sleep(node.env, ANNOUNCE_INTERVAL_MS * node.env.random()); // no two in step
-      for (let turn = 0; ; turn += 1) {
+      // A random delay keeps members from announcing at the same time.
+      yield* EnvironmentTools.sleep(node.env, ANNOUNCE_INTERVAL_MS * node.env.random());
+      for (let round = 0; ; round += 1) {
         for (const id of ids) {
           const number = Number(id.replace(/^\D+/, ""));
           const announcement = {
@@ -51,7 +51,7 @@
             district: zone,
             version: "v1",
             capacity: 16,
-            active: turn % 16,
+            active: round % 16,
             waiting: 0,
             instance: "1",
           };
@@ -61,25 +61,25 @@
       }
     });
   }
-  /** How many other members it considers alive. @example member.others() */
+  /** How many other members this one considers alive. */
   otherMemberCount(): number {
     return this.node.membership.alive().length - 1;
   }
-  /** How many endpoints it may select from. @example member.endpoints() */
+  /** How many endpoints this member may select from. */
   endpointCount(): number {
     return this.node.gossip.live("replica/").length;
   }
-  /** Starts members in a scope of each one's own, one after the other. @example yield* LightweightMember.all(envs, settings) */
+  /** Starts members one after the other, each in the scope of its environment. */
   static *startAll(envs: Environment[], settings: LightweightMemberSettings[]): Task<LightweightMember[]> {
     const members: LightweightMember[] = [];
-    for (const [at, env] of envs.entries()) {
-      const started = yield* LightweightMember.start(env, settings[at]);
-      if (!started.ok) throw new Error(`hollow member ${settings[at].address}: ${started.fault.detail}`);
+    for (const [index, env] of envs.entries()) {
+      const started = yield* LightweightMember.start(env, settings[index]);
+      if (!started.ok) throw new Error(`lightweight member ${settings[index].address}: ${started.fault.detail}`);
       members.push(started.value);
     }
     return members;
   }
-  /** Stops the member at once, without leaving the cluster. @example member.end(); */
+  /** Stops the member immediately, without leaving the cluster. */
   end(): void {
     this.node.env.scope.stop();
   }
--- a/src/tools/scale/lossExperiment.ts
+++ b/src/tools/scale/lossExperiment.ts
@@ -5,48 +5,57 @@
   loss: Loss;
   members: number;
   lost: number;
-  knownMs: number | undefined;
+  /** Time until all running members consider the lost ones dead. */
+  detectedMs: number | undefined;
   falseSuspicions: number;
-  calmBytes: number;
-  troubledBytes: number;
-  mendingBytes: number;
-  mendedMs: number | undefined;
+  /** Bytes sent per member per second before, during and after the loss. */
+  bytesBefore: number;
+  bytesDuring: number;
+  bytesAfter: number;
+  /** Time from the end of a partition until all members know each other again. */
+  recoveredMs: number | undefined;
 };
-const zones = 25;
-const regions = 7;
-const calmMs = 10_000;
-const mendMs = 10_000;
+const ZONES = 25;
+const REGIONS = 7;
+const BEFORE_MS = 10_000;
+const AFTER_MS = 10_000;
 
 /**
- * What the others spend and how long they need when a rack, a zone or the links between two regions are lost.
+ * Measures what the remaining members send and how long they need when a rack, a zone or the links between two regions are
+ * lost.
  *
  * @example
- * const found = await LossScale.measure("zone", 100, 17, 60_000, 1);
+ * const measured = await LossExperiment.measure("zone", 100, 17, 60_000, 1);
  */
 export const LossExperiment = {
-  /** @example await LossScale.measure("regions", 100, 17, 120_000, 1) */
-  async measure(loss: Loss, members: number, endpoints: number, forMs: number, seed: number): Promise<LossMeasurement> {
-    const membership = new SimulatedMembership({ members, endpoints: endpoints, zones, regions, seed });
+  async measure(
+    loss: Loss,
+    members: number,
+    endpoints: number,
+    durationMs: number,
+    seed: number,
+  ): Promise<LossMeasurement> {
+    const membership = new SimulatedMembership({ members, endpoints, zones: ZONES, regions: REGIONS, seed });
     await membership.boot(120_000);
     await membership.world.run(5000);
-    const calm = await membership.measureRates(calmMs);
-    const suspicions = membership.suspicions;
-    const from = membership.world.now;
+    const ratesBefore = await membership.measureRates(BEFORE_MS);
+    const suspicionsBefore = membership.suspicions;
+    const lostAt = membership.world.now;
     let lost = 0;
-    let knownMs: number | undefined;
+    let detectedMs: number | undefined;
     switch (loss) {
       case "rack": {
-        // half of a zone, one in fifty of the members
-        const found = await membership.killMembers(
-          (each) => each.zone === 3 && Math.floor((Number(each.name.slice(7)) - 1) / zones) % 2 === 0,
+        // A rack is half of a zone, one in fifty of the members.
+        const killed = await membership.killMembers(
+          (each) => each.zone === 3 && Math.floor((Number(each.name.slice(7)) - 1) / ZONES) % 2 === 0,
           60_000,
         );
-        [lost, knownMs] = [found.lost, found.tookMs];
+        [lost, detectedMs] = [killed.lost, killed.tookMs];
         break;
       }
       case "zone": {
-        const found = await membership.killMembers((each) => each.zone === 3, 60_000);
-        [lost, knownMs] = [found.lost, found.tookMs];
+        const killed = await membership.killMembers((each) => each.zone === 3, 60_000);
+        [lost, detectedMs] = [killed.lost, killed.tookMs];
         break;
       }
       case "regions":
@@ -58,45 +67,45 @@
       }
     }
     const falseSuspicions = loss === "regions" ? 0 : LossExperiment.countFalselySuspected(membership);
-    const left = Math.max(1000, forMs - (membership.world.now - from));
-    const troubled = await membership.measureRates(left);
+    const remainingMs = Math.max(1000, durationMs - (membership.world.now - lostAt));
+    const ratesDuring = await membership.measureRates(remainingMs);
     membership.world.heal();
     const healedAt = membership.world.now;
-    const whole = (): boolean =>
+    const isRecovered = (): boolean =>
       membership
         .runningMembers()
         .every((member) => member.otherMemberCount() === membership.runningMembers().length - 1);
-    const mending = await membership.measureRates(mendMs);
-    const mendedMs = loss === "regions" ? await membership.runUntil(60_000, whole) : undefined;
-    const found: LossMeasurement = {
+    const ratesAfter = await membership.measureRates(AFTER_MS);
+    const recoveredMs = loss === "regions" ? await membership.runUntil(60_000, isRecovered) : undefined;
+    const measured: LossMeasurement = {
       loss,
       members,
       lost,
-      knownMs,
-      falseSuspicions: loss === "regions" ? membership.suspicions - suspicions : falseSuspicions,
-      calmBytes: calm.bytes,
-      troubledBytes: troubled.bytes,
-      mendingBytes: mending.bytes,
-      mendedMs: mendedMs === undefined ? undefined : membership.world.now - healedAt,
+      detectedMs,
+      falseSuspicions: loss === "regions" ? membership.suspicions - suspicionsBefore : falseSuspicions,
+      bytesBefore: ratesBefore.bytes,
+      bytesDuring: ratesDuring.bytes,
+      bytesAfter: ratesAfter.bytes,
+      recoveredMs: recoveredMs === undefined ? undefined : membership.world.now - healedAt,
     };
     membership.end();
-    return found;
+    return measured;
   },
-  /** Members that live and that somebody holds for suspect or dead. @example LossScale.falselySuspected(hollow) */
+  /** How many running members another one considers suspected or dead. */
   countFalselySuspected(membership: SimulatedMembership): number {
-    const living = membership.runningMembers();
-    return living.filter((member) =>
-      living.some((other) => (other.node.membership.find(member.node.self.id)?.state ?? "alive") !== "alive"),
+    const running = membership.runningMembers();
+    return running.filter((member) =>
+      running.some((other) => (other.node.membership.find(member.node.self.id)?.state ?? "alive") !== "alive"),
     ).length;
   },
-  /** @example LossScale.text(found) */
-  format(found: LossMeasurement): string {
+  /** Describes a measurement in one line. */
+  format(measured: LossMeasurement): string {
     const ms = (value: number | undefined): string => (value === undefined ? "not in time" : `${value.toFixed(0)} ms`);
-    const bytes = `bytes a member a second ${found.calmBytes.toFixed(0)} calm, ${found.troubledBytes.toFixed(0)} while it lasts, ${found.mendingBytes.toFixed(0)} in the ${mendMs / 1000} s after`;
-    const what =
-      found.loss === "regions"
-        ? `regions 0 and 1 cut from each other: ${found.falseSuspicions} suspicions in all, whole again after ${ms(found.mendedMs)} (looked at from ${mendMs} ms on)`
-        : `${found.loss} of ${found.lost} lost: known to all after ${ms(found.knownMs)}, ${found.falseSuspicions} living members suspected then`;
-    return `${found.members} members: ${what}; ${bytes}`;
+    const bytes = `bytes per member per second: ${measured.bytesBefore.toFixed(0)} before, ${measured.bytesDuring.toFixed(0)} during the loss, ${measured.bytesAfter.toFixed(0)} in the ${AFTER_MS / 1000} s after it`;
+    const result =
+      measured.loss === "regions"
+        ? `regions 0 and 1 partitioned: ${measured.falseSuspicions} suspicions in total, recovered after ${ms(measured.recoveredMs)} (checked from ${AFTER_MS} ms on)`
+        : `${measured.loss} of ${measured.lost} lost: known to all after ${ms(measured.detectedMs)}, ${measured.falseSuspicions} running members suspected then`;
+    return `${measured.members} members: ${result}; ${bytes}`;
   },
 };
--- a/src/tools/scale/membershipExperiments.ts
+++ b/src/tools/scale/membershipExperiments.ts
@@ -2,81 +2,76 @@
 import { Heap } from "./heap";
 import { SimulatedMembership } from "./simulatedMembership";
 
-const bound = { name: "members", min: 10, max: 1000, reason: "virtual time holds all of them in one process" };
-const settleMs = (members: number): number => 6000 + 180 * members; // who joined is passed on in datagrams for so long
-const overMs = 10_000;
+const BOUND = { name: "members", min: 10, max: 1000, reason: "virtual time holds all of them in one process" };
+/** Time for which datagrams still carry the news of members that have joined. */
+const settleMs = (members: number): number => 6000 + 180 * members;
+const MEASURED_MS = 10_000;
 
 async function measure(members: number, endpoints: number, seed: number): Promise<Record<string, number>> {
-  const before = Heap.usedBytes();
-  const membership = new SimulatedMembership({ members, endpoints: endpoints, zones: 25, regions: 7, seed });
-  const allKnown = await membership.boot(120_000);
+  const heapBefore = Heap.usedBytes();
+  const membership = new SimulatedMembership({ members, endpoints, zones: 25, regions: 7, seed });
+  const allKnownMs = await membership.boot(120_000);
   await membership.world.run(settleMs(members));
-  const processor = CpuTime.now();
+  const cpuBefore = CpuTime.now();
   const suspicions = membership.suspicions;
-  const spent = await membership.measureRates(overMs);
-  const processorMs = CpuTime.msSince(processor) / members / (overMs / 1000);
+  const rates = await membership.measureRates(MEASURED_MS);
+  const processorMs = CpuTime.msSince(cpuBefore) / members / (MEASURED_MS / 1000);
   const falseSuspicions = membership.suspicions - suspicions;
-  const heap = (Heap.usedBytes() - before) / members / 1000;
-  const known = membership.runningMembers().map((member) => member.endpointCount());
-  const dead = await membership.killMembers((each) => each.name === "hollow-9", 30_000);
+  const heapKB = (Heap.usedBytes() - heapBefore) / members / 1000;
+  const knownEndpoints = membership.runningMembers().map((member) => member.endpointCount());
+  const killed = await membership.killMembers((member) => member.name === "hollow-9", 30_000);
   membership.end();
   return {
-    datagrams: spent.datagrams,
-    frames: spent.frames,
-    bytes: spent.bytes,
-    links: spent.links,
-    wakeUps: spent.wakeUps,
+    datagrams: rates.datagrams,
+    frames: rates.frames,
+    bytes: rates.bytes,
+    links: rates.links,
+    wakeUps: rates.wakeUps,
     processorMs,
-    heapKB: heap,
-    allKnownMs: allKnown ?? NaN,
-    deadKnownMs: dead.tookMs ?? NaN,
+    heapKB,
+    allKnownMs: allKnownMs ?? NaN,
+    deadKnownMs: killed.tookMs ?? NaN,
     falseSuspicions,
-    replicasUnknown: endpoints - Math.min(...known),
+    replicasUnknown: endpoints - Math.min(...knownEndpoints),
   };
 }
-const metrics = {
-  datagrams: { description: "datagrams a member a second", isDeterministic: true },
-  frames: { description: "frames over TCP a member a second", isDeterministic: true },
-  bytes: { description: "bytes put out a member a second, headers among them", isDeterministic: true },
-  links: { description: "connections made a member a second", isDeterministic: true },
-  wakeUps: { description: "timers that fire a member a second", isDeterministic: true },
+const METRICS = {
+  datagrams: { description: "datagrams per member per second", isDeterministic: true },
+  frames: { description: "frames over TCP per member per second", isDeterministic: true },
+  bytes: { description: "bytes sent per member per second, including headers", isDeterministic: true },
+  links: { description: "connections opened per member per second", isDeterministic: true },
+  wakeUps: { description: "timers that fire per member per second", isDeterministic: true },
   processorMs: {
-    description: "ms of processor a member a second, its share of the simulator's among them",
+    description: "ms of processor time per member per second, including the simulator's",
     isDeterministic: false,
   },
-  heapKB: { description: "KB of heap a member, its share of the simulator's among them", isDeterministic: false },
+  heapKB: { description: "KB of heap per member, including the simulator's", isDeterministic: false },
 };
 
-/**
- * Membership and news against the number of members, with a few replicas, and against the number of replicas.
- *
- * @example
- * const measured = await MemberScale.members.measure(60, 1);
- */
+/** Measures what membership and gossip cost by the number of members, with a few endpoints, and by the number of endpoints. */
 export const MembershipExperiments = {
-  /** @example await MemberScale.members.measure(60, 1) */
   members: {
-    description: "Membership and news against members, 17 replicas that announce themselves, virtual time.",
+    description:
+      "Membership and gossip by the number of members, with 17 endpoints that announce themselves: virtual time.",
     unit: "member",
     sizes: [30, 60, 120, 240],
-    bound,
+    bound: BOUND,
     metrics: {
-      ...metrics,
-      allKnownMs: { description: "ms from the start of all until each knows each", isDeterministic: true },
-      deadKnownMs: { description: "ms until all know that one is dead", isDeterministic: true },
+      ...METRICS,
+      allKnownMs: { description: "ms from the start until every member knows every other", isDeterministic: true },
+      deadKnownMs: { description: "ms until all members know that one is dead", isDeterministic: true },
     },
     measure: (size: number, seed: number) => measure(size, 17, seed),
   } as Experiment,
-  /** @example await MemberScale.replicas.measure(100, 1) */
   endpoints: {
     description:
-      "Membership and news against replicas whose load changes with each announcement, 30 members, virtual time.",
-    unit: "replica",
+      "Membership and gossip of 30 members by the number of endpoints, whose load differs in each announcement: virtual time.",
+    unit: "endpoint",
     sizes: [17, 50, 100, 200],
     bound: { name: "replicas", min: 1, max: 3000, reason: "each member of the simulated fleet holds all of them" },
-    metrics,
+    metrics: METRICS,
     measure: (size: number, seed: number) => measure(30, size, seed),
   } as Experiment,
-  /** Everything of one size, with what is no slope. @example await MemberScale.whole(780, 100, 1) */
-  whole: measure,
+  /** Measures one size and also returns false suspicions and unknown endpoints, to which no line is fitted. */
+  measureOneSize: measure,
 };
--- a/src/tools/scale/meter.ts
+++ b/src/tools/scale/meter.ts
@@ -11,17 +11,19 @@
   writes: number;
   writtenBytes: number;
 };
-const udpHeader = 28; // bytes; IPv4 and UDP
-const tcpHeader = 44; // bytes; IPv4, TCP without options, and our four of length
+/** IPv4 and UDP headers. */
+const UDP_HEADER_BYTES = 28;
+/** IPv4 and TCP headers without options, and the four bytes of a frame's length. */
+const TCP_HEADER_BYTES = 44;
 
 /**
- * Counts what a process sends, writes and is woken by, around any environment. Bytes are those put out, with the
- * headers of IP, UDP and TCP of a message each; acknowledgements of TCP are not in them.
+ * Wraps an environment to count what its process sends and writes and which timers wake it. Bytes are those sent,
+ * including IP, UDP and TCP headers once per message; TCP acknowledgements are not counted.
  *
  * @example
  * const meter = new Meter();
- * const env = meter.around(world.start("agent-1", disk).env);
- * meter.counts.bytes;
+ * const env = meter.wrap(world.start("agent-1", disk).env);
+ * const { bytes } = meter.counts;
  */
 export class Meter {
   readonly counts: Counts = { datagrams: 0, frames: 0, bytes: 0, links: 0, wakeUps: 0, writes: 0, writtenBytes: 0 };
@@ -31,10 +33,10 @@
     return {
       remoteAddress: inner.remoteAddress,
       incoming: inner.incoming,
-      send(snapshot) {
+      send(frame) {
         counts.frames += 1;
-        counts.bytes += snapshot.length + tcpHeader;
-        return inner.send(snapshot);
+        counts.bytes += frame.length + TCP_HEADER_BYTES;
+        return inner.send(frame);
       },
       close: () => inner.close(),
     };
@@ -57,7 +59,7 @@
       },
     };
   }
-  /** @example const env = meter.around(process.env); */
+  /** Returns an environment that behaves as the inner one and counts. */
   wrap(inner: Environment): Environment {
     const meter = this;
     const { counts } = this;
@@ -66,11 +68,11 @@
       disk: this.disk(inner.disk),
       timer(ms) {
         const timer = inner.timer(ms);
-        let over = false;
-        // a timer that was cancelled wakes nobody
+        let isCancelled = false;
+        // A timer that is cancelled before it fires does not count as a wake-up.
         const cancel = (): void => {
-          if (!over) counts.wakeUps -= 1;
-          over = true;
+          if (!isCancelled) counts.wakeUps -= 1;
+          isCancelled = true;
           timer.cancel();
         };
         counts.wakeUps += 1;
@@ -90,10 +92,10 @@
         return { ok: true as const, value: links };
       },
       *connect(address, timeoutMs): Task<Result<Link>> {
-        const linked = yield* inner.connect(address, timeoutMs);
-        if (!linked.ok) return linked;
+        const connected = yield* inner.connect(address, timeoutMs);
+        if (!connected.ok) return connected;
         counts.links += 1;
-        return { ok: true as const, value: meter.link(linked.value) };
+        return { ok: true as const, value: meter.link(connected.value) };
       },
       *bindDatagrams(address): Task<Result<DatagramSocket>> {
         const bound = yield* inner.bindDatagrams(address);
@@ -104,7 +106,7 @@
             incoming: bound.value.incoming,
             send(to, data) {
               counts.datagrams += 1;
-              counts.bytes += data.length + udpHeader;
+              counts.bytes += data.length + UDP_HEADER_BYTES;
               bound.value.send(to, data);
             },
           },
@@ -112,19 +114,17 @@
       },
     };
   }
-  /** What was counted since. @example meter.since(before).bytes */
+  /** The counts since an earlier copy. */
   since(before: Counts): Counts {
-    const now = this.counts as Record<string, number>;
-    return Object.fromEntries(Object.entries(before).map(([name, value]) => [name, now[name] - value])) as Counts;
+    const counts = this.counts as Record<string, number>;
+    return Object.fromEntries(Object.entries(before).map(([name, value]) => [name, counts[name] - value])) as Counts;
   }
-  /** @example const before = meter.copy(); */
   copy(): Counts {
     return { ...this.counts };
   }
-  /** @example Meter.sum(meters).bytes */
-  static sum(all: Counts[]): Counts {
-    const zero: Counts = new Meter().counts;
-    for (const each of all) for (const name of Object.keys(zero) as (keyof Counts)[]) zero[name] += each[name];
-    return zero;
+  static sum(counts: Counts[]): Counts {
+    const total: Counts = new Meter().counts;
+    for (const each of counts) for (const name of Object.keys(total) as (keyof Counts)[]) total[name] += each[name];
+    return total;
   }
 }
--- a/src/tools/scale/simulatedControlGroup.ts
+++ b/src/tools/scale/simulatedControlGroup.ts
@@ -7,13 +7,15 @@
 import { Rpc } from "../../rpc/rpc";
 import { Meter } from "./meter";
 
+/** A member of the group, voter or standby, with the process that runs it. */
 export type GroupMember = { id: string; process: SimProcess; group: ConsensusGroup; rpc: Rpc; meter: Meter };
 
 /**
- * A control group alone, in virtual time: three voters, the others standbys, their messages and disks counted.
+ * A control group without the rest of a cluster, in virtual time. Its first three members bootstrap it as voters, the
+ * others are standbys; the network and disk use of each is counted.
  *
  * @example
- * const control = new GroupWorld(5, 1);
+ * const control = new SimulatedControlGroup(5, 1);
  * await control.boot();
  */
 export class SimulatedControlGroup {
@@ -26,8 +28,8 @@
     this.world = new SimWorld(seed);
   }
   readonly addressOf = (id: string): string => `10.1.0.1:${7000 + Number(id.slice(1))}`;
-  private ids = (): string[] => Array.from({ length: this.size }, (_none, at) => `c${at + 1}`);
-  private start(id: string, disk: SimDisk, founders: string[]): GroupMember {
+  private ids = (): string[] => Array.from({ length: this.size }, (_none, index) => `c${index + 1}`);
+  private start(id: string, disk: SimDisk, bootstrapIds: string[]): GroupMember {
     const meter = new Meter();
     this.world.around = (env) => meter.wrap(env);
     const process = this.world.start(id, disk);
@@ -42,58 +44,58 @@
     Csp.go(process.scope, "main", function* () {
       yield* rpc.serve(addressOf(id));
       yield* group.open();
-      if (founders.includes(id)) yield* group.bootstrap("group-scale", founders);
+      if (bootstrapIds.includes(id)) yield* group.bootstrap("group-scale", bootstrapIds);
       group.start();
     });
     return { id, process, group, rpc, meter };
   }
-  /** Founds the group and waits for its lead. @example await control.boot(); */
+  /** Starts all members, bootstraps the group and waits until it has a leader. */
   async boot(): Promise<void> {
     const ids = this.ids();
     for (const id of ids) this.members.push(this.start(id, new SimDisk(this.world), ids.slice(0, 3)));
     for (let waited = 0; !this.leader(); waited += 1) {
-      if (waited > 200) throw new Error("no control lead in 20 s");
+      if (waited > 200) throw new Error("the control group elected no leader in 20 s");
       await this.world.run(100);
     }
     await this.world.run(2000);
   }
-  /** Ends a process, to be restarted on its disk. @example control.kill("c3"); */
+  /** Kills a member's process; its disk stays for a restart. */
   kill(id: string): void {
     this.world.kill(id);
   }
-  /** Starts a killed process again, on its disk or, where it is emptied, on nothing. @example control.restart("c4", true); */
-  restart(id: string, emptied = false): GroupMember {
-    const at = this.members.findIndex((voter) => voter.id === id);
-    const { disk } = this.members[at].process;
-    if (emptied) disk.wipe();
-    this.members[at] = this.start(id, disk, []);
-    return this.members[at];
+  /** Starts a killed member again, with its disk or with an empty one. */
+  restart(id: string, withEmptyDisk = false): GroupMember {
+    const index = this.members.findIndex((member) => member.id === id);
+    const { disk } = this.members[index].process;
+    if (withEmptyDisk) disk.wipe();
+    this.members[index] = this.start(id, disk, []);
+    return this.members[index];
   }
-  /** @example control.leader()?.group.lastApplied */
+  /** The running member that holds the leader lease. */
   leader(): GroupMember | undefined {
-    return this.members.find((voter) => voter.process.alive && voter.group.hasLeaderLease());
+    return this.members.find((member) => member.process.alive && member.group.hasLeaderLease());
   }
-  /** Proposes commands side by side; how long each took, and how many were taken. @example await control.propose([{ tag: "noop" }], 5000) */
-  async propose(commands: Command[], withinMs: number): Promise<{ acceptedCount: number; tookMs: number[] }> {
+  /** Proposes commands concurrently; returns how many were accepted and the latency of each of these. */
+  async propose(commands: Command[], withinMs: number): Promise<{ acceptedCount: number; latenciesMs: number[] }> {
     const leader = this.leader()!;
-    const found = { acceptedCount: 0, tookMs: [] as number[] };
+    const result = { acceptedCount: 0, latenciesMs: [] as number[] };
     const { world } = this;
-    let left = commands.length;
+    let pendingCount = commands.length;
     for (const command of commands)
       Csp.go(leader.process.scope, "propose", function* () {
-        const from = world.now;
-        const done = yield* leader.group.propose(command, withinMs);
-        if (done.ok && done.value.tag === "done") {
-          found.acceptedCount += 1;
-          found.tookMs.push(world.now - from);
+        const startedAt = world.now;
+        const proposed = yield* leader.group.propose(command, withinMs);
+        if (proposed.ok && proposed.value.tag === "done") {
+          result.acceptedCount += 1;
+          result.latenciesMs.push(world.now - startedAt);
         }
-        left -= 1;
+        pendingCount -= 1;
       });
-    for (const until = world.now + withinMs + 1000; left > 0 && world.now < until;) await world.run(5);
-    return found;
+    for (const deadline = world.now + withinMs + 1000; pendingCount > 0 && world.now < deadline;) await world.run(5);
+    return result;
   }
-  /** @example control.end(); */
+  /** Kills all members. */
   end(): void {
-    for (const voter of this.members) this.world.kill(voter.id);
+    for (const member of this.members) this.world.kill(member.id);
   }
 }
--- a/src/tools/scale/simulatedMembership.ts
+++ b/src/tools/scale/simulatedMembership.ts
@@ -14,15 +14,17 @@
   regions: number;
   seed: number;
 };
+/** A member and the place of its process; `member` is undefined until it has started. */
 type PlacedMember = { name: string; zone: number; region: number; meter: Meter; member: LightweightMember | undefined };
-const hasStarted = (each: PlacedMember): each is PlacedMember & { member: LightweightMember } =>
-  each.member !== undefined;
+const hasStarted = (placed: PlacedMember): placed is PlacedMember & { member: LightweightMember } =>
+  placed.member !== undefined;
 
 /**
- * Lightweight members (membership and gossip without traffic) in virtual time, spread over zones and regions, their messages and bytes counted.
+ * Lightweight members (membership and gossip without traffic) in virtual time, spread over zones and regions; their messages
+ * and bytes are counted.
  *
  * @example
- * const membership = new SimulatedMembership({ members: 60, replicas: 17, zones: 25, regions: 7, seed: 1 });
+ * const membership = new SimulatedMembership({ members: 60, endpoints: 17, zones: 25, regions: 7, seed: 1 });
  * await membership.boot(60_000);
  */
 export class SimulatedMembership {
@@ -31,6 +33,7 @@
   suspicions = 0;
   private readonly meters = new Map<string, Meter>();
   constructor(readonly plan: SimulatedMembershipPlan) {
+    // PB1102 is the log event of a member that becomes suspected.
     this.world = new SimWorld(plan.seed, (line) => {
       if (line.includes(" PB1102")) this.suspicions += 1;
     });
@@ -40,14 +43,17 @@
       return meter.wrap(env);
     };
   }
-  private address = (at: number): string => `10.${at >> 8}.${at & 255}.1:7000`;
-  /** Starts all; how long until each knows each, or undefined if not in time. @example await membership.boot(60_000) */
+  private address = (index: number): string => `10.${index >> 8}.${index & 255}.1:7000`;
+  /**
+   * Starts all members and, once they know each other or the time is over, the announcements of the endpoints. Returns the
+   * time until every member knew every other, undefined if that exceeds the time.
+   */
   async boot(withinMs: number): Promise<number | undefined> {
-    const { members, endpoints: endpoints, zones, regions } = this.plan;
-    const seeds = [0, 1, 2].filter((at) => at < members).map(this.address);
-    for (let at = 0; at < members; at += 1) {
-      const zone = at % zones;
-      const [name, place] = [`hollow-${at + 1}`, this.address(at)];
+    const { members, endpoints, zones, regions } = this.plan;
+    const seeds = [0, 1, 2].filter((index) => index < members).map(this.address);
+    for (let index = 0; index < members; index += 1) {
+      const zone = index % zones;
+      const [name, address] = [`hollow-${index + 1}`, this.address(index)];
       const process = this.world.start(name, new SimDisk(this.world));
       const placed: PlacedMember = {
         name,
@@ -59,93 +65,97 @@
       this.placedMembers.push(placed);
       Csp.go(process.scope, "main", function* () {
         const settings = {
-          program: at < 3 ? ("control" as const) : ("agent" as const),
+          program: index < 3 ? ("control" as const) : ("agent" as const),
           district: `r${placed.region}-z${zone}`,
-          address: place,
+          address,
           seeds,
         };
         const started = yield* LightweightMember.start(process.env, settings);
         if (started.ok) placed.member = started.value;
       });
     }
-    const took = await this.runUntil(
+    const tookMs = await this.runUntil(
       withinMs,
       () =>
         this.runningMembers().length === members &&
-        this.runningMembers().every((each) => each.otherMemberCount() === members - 1),
+        this.runningMembers().every((member) => member.otherMemberCount() === members - 1),
     );
-    for (const [at, each] of this.placedMembers.filter(hasStarted).entries()) {
+    for (const [index, placed] of this.placedMembers.filter(hasStarted).entries()) {
       const ids = Array.from({ length: endpoints }, (_none, endpoint) => endpoint)
-        .filter((endpoint) => endpoint % members === at)
+        .filter((endpoint) => endpoint % members === index)
         .map((endpoint) => `replica-${endpoint}`);
-      if (ids.length > 0) each.member.announce(ids, `r${each.region}-z${each.zone}`);
+      if (ids.length > 0) placed.member.announce(ids, `r${placed.region}-z${placed.zone}`);
     }
-    return took;
+    return tookMs;
   }
-  /** Members whose processes run. @example membership.alive().length */
+  /** Members whose processes run. */
   runningMembers(): LightweightMember[] {
     return this.placedMembers
       .filter(hasStarted)
-      .filter((each) => this.world.processes.get(each.name)!.alive)
-      .map((each) => each.member);
+      .filter((placed) => this.world.processes.get(placed.name)!.alive)
+      .map((placed) => placed.member);
   }
-  /** Lets time pass until something holds; how long it took. @example await membership.until(5000, () => true) */
-  async runUntil(withinMs: number, reached: () => boolean, stepMs = 10): Promise<number | undefined> {
-    const from = this.world.now;
-    while (!reached()) {
-      if (this.world.now - from >= withinMs) return undefined;
+  /** Runs until the condition holds; returns the time that took, undefined if it exceeds the limit. */
+  async runUntil(withinMs: number, isReached: () => boolean, stepMs = 10): Promise<number | undefined> {
+    const startedAt = this.world.now;
+    while (!isReached()) {
+      if (this.world.now - startedAt >= withinMs) return undefined;
       await this.world.run(stepMs);
     }
-    return this.world.now - from;
+    return this.world.now - startedAt;
   }
-  /** What all members did over so long, a member and second. @example (await membership.over(10_000)).bytes */
+  /** Runs for so long; returns the counts of all members per running member and second. */
   async measureRates(ms: number): Promise<Counts> {
-    const before = this.placedMembers.map((each) => each.meter.copy());
+    const before = this.placedMembers.map((placed) => placed.meter.copy());
     await this.world.run(ms);
-    const spent = Meter.sum(this.placedMembers.map((each, at) => each.meter.since(before[at])));
+    const counts = Meter.sum(this.placedMembers.map((placed, index) => placed.meter.since(before[index])));
     const members = this.runningMembers().length;
     return Object.fromEntries(
-      Object.entries(spent).map(([name, value]) => [name, value / members / (ms / 1000)]),
+      Object.entries(counts).map(([name, value]) => [name, value / members / (ms / 1000)]),
     ) as Counts;
   }
-  /** Ends the members that are chosen; how long until all others know. @example await membership.killMembers((each) => each.zone === 3, 20_000) */
+  /**
+   * Kills the selected members with loss of power; returns how many these are and the time until all others consider them
+   * dead, undefined if that exceeds the limit.
+   */
   async killMembers(
-    chosen: (each: PlacedMember) => boolean,
+    isSelected: (placed: PlacedMember) => boolean,
     withinMs: number,
   ): Promise<{ lost: number; tookMs: number | undefined }> {
-    const lost = this.placedMembers.filter(chosen);
-    const ids = lost.map((each) => each.member!.node.self.id);
-    for (const each of lost) this.world.kill(each.name, true);
-    const known = (): boolean =>
+    const lost = this.placedMembers.filter(isSelected);
+    const ids = lost.map((placed) => placed.member!.node.self.id);
+    for (const placed of lost) this.world.kill(placed.name, true);
+    const isKnown = (): boolean =>
       this.runningMembers().every((member) =>
         ids.every((id) => (member.node.membership.find(id)?.state ?? "dead") === "dead"),
       );
-    return { lost: lost.length, tookMs: await this.runUntil(withinMs, known) };
+    return { lost: lost.length, tookMs: await this.runUntil(withinMs, isKnown) };
   }
-  /** Cuts two regions from each other. @example membership.cutRegions(0, 1); */
+  /** Partitions two regions from each other in both directions. */
   partitionRegions(left: number, right: number): void {
-    const of = (region: number): PlacedMember[] => this.placedMembers.filter((each) => each.region === region);
-    for (const one of of(left))
-      for (const other of of(right)) {
+    const membersIn = (region: number): PlacedMember[] =>
+      this.placedMembers.filter((placed) => placed.region === region);
+    for (const one of membersIn(left))
+      for (const other of membersIn(right)) {
         this.world.partition(one.name, other.name);
         this.world.partition(other.name, one.name);
       }
   }
-  /** Offers a control snapshot with that many routes at one member; how long until all have it. @example await membership.spread(1000, 2, 10_000) */
+  /** Offers a control snapshot with that many routes at one member; returns the time until all members have it. */
   async distributeSnapshot(routes: number, index: number, withinMs: number): Promise<number | undefined> {
     this.runningMembers()[0].node.gossip.offerSnapshot(SimulatedMembership.snapshot(routes, index));
     return this.runUntilInForce(index, withinMs);
   }
-  /** The same for a change of one route of the previous snapshot. @example await membership.spreadChange(3, 10_000) */
+  /** Offers the previous control snapshot with one route changed; returns the time until all members have it. */
   async distributeRouteChange(index: number, withinMs: number): Promise<number | undefined> {
-    const { gossip: news } = this.runningMembers()[0].node;
-    const snapshot = news.snapshot!;
+    const { gossip } = this.runningMembers()[0].node;
+    const snapshot = gossip.snapshot!;
     const changed = { ...SimulatedMembership.route(0), deadlineMs: 10_000 + index };
     const doc = ConfigurationPatch.apply(snapshot.manifest.doc, {
       upsert: { bindings: { "tenant-0": changed } },
       remove: {},
     });
-    news.offerSnapshot({ ...snapshot, index, manifest: { version: index, doc } });
+    gossip.offerSnapshot({ ...snapshot, index, manifest: { version: index, doc } });
     return this.runUntilInForce(index, withinMs);
   }
   private runUntilInForce(index: number, withinMs: number): Promise<number | undefined> {
@@ -153,33 +163,32 @@
       this.runningMembers().every((member) => (member.node.gossip.snapshot?.index ?? 0) >= index),
     );
   }
-  /** A control snapshot with that many routes. @example SimulatedMembership.snapshot(12_000, 7) */
+  /** A control snapshot whose configuration has that many routes. */
   static snapshot(routes: number, index: number): ControlSnapshot {
     const state = ControlState.empty();
     state.group = "group-scale";
     const doc = {
       bindings: Object.fromEntries(
-        Array.from({ length: routes }, (_none, at) => [`tenant-${at}`, SimulatedMembership.route(at)]),
+        Array.from({ length: routes }, (_none, number) => [`tenant-${number}`, SimulatedMembership.route(number)]),
       ),
     };
     state.manifest = { version: index, doc };
     return ControlSnapshot.of(state, index);
   }
-  /** @example SimulatedMembership.route(7).pool */
-  static route(at: number): ControlSnapshot["manifest"]["doc"]["bindings"][string] {
+  static route(number: number): ControlSnapshot["manifest"]["doc"]["bindings"][string] {
     return {
       kind: "stream",
-      pool: `pool-${at % 9}`,
-      path: `/t/${at}`,
+      pool: `pool-${number % 9}`,
+      path: `/t/${number}`,
       safe: true,
       deadlineMs: 15_000,
       continues: "exact",
       prefixBytes: 512,
-      host: `tenant-${at}.example`,
+      host: `tenant-${number}.example`,
       prefix: "/v1/",
     };
   }
-  /** Ends everything. @example membership.end(); */
+  /** Kills all processes. */
   end(): void {
     for (const name of [...this.world.processes.keys()]) this.world.kill(name);
   }
--- a/src/tools/scale/sizes.ts
+++ b/src/tools/scale/sizes.ts
@@ -1,41 +1,44 @@
 import * as os from "os";
 import { Fault, Result } from "../../common/fault";
 
+/** The range that a size on the command line may have, and the reason for its maximum. */
 export type Bound = { name: string; min: number; max: number; reason: string };
-const LIGHTWEIGHT_MEMBER_BYTES = 1_500_000; // one lightweight member without load, measured by `scale members`
-const ENDPOINT_FACT_BYTES = 1_100; // one endpoint known to one member, measured by `scale replicas`
+/** Memory of one lightweight member without load, as measured by `scale members`. */
+const LIGHTWEIGHT_MEMBER_BYTES = 1_500_000;
+/** Memory that one member needs for one endpoint that it knows, as measured by `scale replicas`. */
+const ENDPOINT_FACT_BYTES = 1_100;
 
 /**
- * Sizes as they are typed, checked against what is possible before anything starts.
+ * Checks the sizes of a measurement before it starts anything.
  *
  * @example
- * const sizes = Sizes.read("30,60,120", { name: "members", least: 3, most: 2000, why: "one process holds no more" });
+ * const sizes = Sizes.parse("30,60,120", { name: "members", min: 3, max: 2000, reason: "one process holds no more" });
  */
 export const Sizes = {
-  /** @example Sizes.read("30,60", bound) */
+  /** Parses whole numbers separated by commas, each within the bound. */
   parse(text: unknown, bound: Bound): Result<number[]> {
-    const refuse = (detail: string): Result<never> => Fault.fail("invalid", "read sizes", bound.name, detail);
+    const reject = (detail: string): Result<never> => Fault.fail("invalid", "read sizes", bound.name, detail);
     const sizes = String(text)
       .split(",")
       .map((part) => (part.trim() === "" ? NaN : Number(part)));
     for (const size of sizes) {
-      if (!Number.isInteger(size)) return refuse(`${bound.name}: ${String(text)} is not whole numbers with commas`);
-      if (size < bound.min) return refuse(`${bound.name}: ${size} is under the least, ${bound.min}`);
-      if (size > bound.max) return refuse(`${bound.name}: ${size} is over the limit of ${bound.max}: ${bound.reason}`);
+      if (!Number.isInteger(size)) return reject(`${bound.name}: ${String(text)} is not whole numbers with commas`);
+      if (size < bound.min) return reject(`${bound.name}: ${size} is under the least, ${bound.min}`);
+      if (size > bound.max) return reject(`${bound.name}: ${size} is over the limit of ${bound.max}: ${bound.reason}`);
     }
     return Fault.ok(sizes);
   },
-  /** Half of the machine's memory, which all lightweight members together may take. @example Sizes.memoryLimit() */
+  /** Memory that all lightweight members together may take: half of the machine's. */
   memoryLimitBytes: (): number => os.totalmem() / 2,
-  /** Memory that lightweight members will need, bytes. @example Sizes.needed(780, 10_000) */
-  needed: (members: number, endpoints: number): number =>
+  /** Memory that lightweight members need when each knows all endpoints. */
+  requiredBytes: (members: number, endpoints: number): number =>
     members * (LIGHTWEIGHT_MEMBER_BYTES + endpoints * ENDPOINT_FACT_BYTES),
-  /** Refused when the members with so many replicas can't be held. @example Sizes.fits(780, 10_000).ok */
-  checkMemory(members: number, endpoints: number, limit: number = os.totalmem() / 2): Result<true> {
-    const needed = Sizes.needed(members, endpoints);
-    if (needed <= limit) return Fault.ok(true as const);
+  /** Fails if the members need more memory than the limit. */
+  checkMemory(members: number, endpoints: number, limitBytes: number = os.totalmem() / 2): Result<true> {
+    const requiredBytes = Sizes.requiredBytes(members, endpoints);
+    if (requiredBytes <= limitBytes) return Fault.ok(true as const);
     const gib = (bytes: number): string => (bytes / 2 ** 30).toFixed(1);
-    const detail = `${members} members with ${endpoints} replicas need about ${gib(needed)} GiB, over the limit of ${gib(limit)} GiB, half of this machine's memory`;
+    const detail = `${members} members with ${endpoints} replicas need about ${gib(requiredBytes)} GiB, over the limit of ${gib(limitBytes)} GiB, half of this machine's memory`;
     return Fault.fail("invalid", "read sizes", "members", detail);
   },
 };
--- a/src/tools/scale/slope.ts
+++ b/src/tools/scale/slope.ts
@@ -1,47 +1,63 @@
 import { Fault, Result } from "../../common/fault";
 
-export type Point = { at: number; value: number };
-export type Slope = { perUnit: number; base: number; from: number; to: number; sizes: number; spread: number };
-const leastSizes = 3;
+export type Point = { size: number; value: number };
+/** A fitted line; `maxDeviation` is the largest distance of a point from it, as a fraction of the largest absolute value. */
+export type Slope = {
+  perUnit: number;
+  base: number;
+  minSize: number;
+  maxSize: number;
+  sizeCount: number;
+  maxDeviation: number;
+};
+const MIN_SIZE_COUNT = 3;
 
 /**
- * A line through measured points: how a cost grows with a size, and how far the points lie off it.
+ * The least squares line through measured points: how a cost grows with a size, and how well a line describes it.
  *
  * @example
- * const fitted = Slope.fit([{ at: 30, value: 310 }, { at: 60, value: 605 }, { at: 120, value: 1205 }]);
- * if (fitted.ok) Slope.at(fitted.value, 780);
+ * const fitted = Slope.fit([{ size: 30, value: 310 }, { size: 60, value: 605 }, { size: 120, value: 1205 }]);
+ * if (fitted.ok) Slope.valueAt(fitted.value, 780);
  */
 export const Slope = {
-  leastSizes,
-  /** Refused with fewer than three different sizes. @example Slope.fit(points).ok */
+  MIN_SIZE_COUNT,
+  /** Fits a line; fails with fewer than three different sizes. */
   fit(points: Point[]): Result<Slope> {
-    const sizes = new Set(points.map((point) => point.at)).size;
-    if (sizes < leastSizes)
+    const sizeCount = new Set(points.map((point) => point.size)).size;
+    if (sizeCount < MIN_SIZE_COUNT)
       return Fault.fail(
         "invalid",
         "fit slope",
         "points",
-        `no slope: ${sizes} of at least ${leastSizes} sizes were measured`,
+        `no slope: ${sizeCount} of at least ${MIN_SIZE_COUNT} sizes were measured`,
       );
     const mean = (pick: (point: Point) => number): number =>
       points.reduce((sum, point) => sum + pick(point), 0) / points.length;
-    const [meanAt, meanValue] = [mean((point) => point.at), mean((point) => point.value)];
+    const [meanSize, meanValue] = [mean((point) => point.size), mean((point) => point.value)];
     const perUnit =
-      mean((point) => (point.at - meanAt) * (point.value - meanValue)) / mean((point) => (point.at - meanAt) ** 2);
-    const base = meanValue - perUnit * meanAt;
+      mean((point) => (point.size - meanSize) * (point.value - meanValue)) /
+      mean((point) => (point.size - meanSize) ** 2);
+    const base = meanValue - perUnit * meanSize;
     const largest = Math.max(...points.map((point) => Math.abs(point.value)));
-    const spread =
+    const maxDeviation =
       largest === 0
         ? 0
-        : Math.max(...points.map((point) => Math.abs(point.value - base - perUnit * point.at))) / largest;
-    const ats = points.map((point) => point.at);
-    return Fault.ok({ perUnit, base, from: Math.min(...ats), to: Math.max(...ats), sizes, spread });
+        : Math.max(...points.map((point) => Math.abs(point.value - base - perUnit * point.size))) / largest;
+    const sizes = points.map((point) => point.size);
+    return Fault.ok({
+      perUnit,
+      base,
+      minSize: Math.min(...sizes),
+      maxSize: Math.max(...sizes),
+      sizeCount,
+      maxDeviation,
+    });
   },
-  /** The value at a size, in the range or beyond it. @example Slope.at(slope, 780) */
-  at: (slope: Slope, size: number): number => slope.base + slope.perUnit * size,
-  /** @example Slope.text("bytes a node a second", "replica", slope) */
-  text(what: string, unit: string, slope: Slope): string {
+  /** The value of the line at a size, within the measured range or beyond it. */
+  valueAt: (slope: Slope, size: number): number => slope.base + slope.perUnit * size,
+  /** Describes a line in one sentence, after the metric and the unit of the size. */
+  format(metric: string, unit: string, slope: Slope): string {
     const short = (value: number): string => (Math.abs(value) >= 100 ? value.toFixed(0) : value.toPrecision(3));
-    return `${what}: ${short(slope.perUnit)} a ${unit} + ${short(slope.base)}; measured from ${slope.from} to ${slope.to} (${slope.sizes} sizes), points off the line by at most ${(slope.spread * 100).toFixed(1)} % of the largest`;
+    return `${metric}: ${short(slope.perUnit)} a ${unit} + ${short(slope.base)}; measured from ${slope.minSize} to ${slope.maxSize} (${slope.sizeCount} sizes), points off the line by at most ${(slope.maxDeviation * 100).toFixed(1)} % of the largest`;
   },
 };
--- a/src/tools/scale/slopeRun.ts
+++ b/src/tools/scale/slopeRun.ts
@@ -2,10 +2,12 @@
 import { Point, Slope } from "./slope";
 
 /**
- * Measures an experiment size by size and prints what each metric grows by; a run cut short prints what it covered.
+ * Measures an experiment size by size, then prints how each metric grows. A run that ends early prints the sizes that it
+ * measured and fits lines through these.
  *
  * @example
- * const complete = await new SlopeRun("members", MemberScale.members, [30, 60, 120], 1, 300).run(console.log);
+ * const run = new SlopeRun("members", MembershipExperiments.members, [30, 60, 120], 1, 300);
+ * const complete = await run.run(console.log);
  */
 export class SlopeRun {
   isInterrupted = false;
@@ -18,44 +20,45 @@
     readonly seed: number,
     readonly timeLimitSeconds: number,
   ) {}
-  /** Whether every size was covered. @example await run.run(say) */
-  async run(say: (text: string) => void): Promise<boolean> {
+  /** Returns whether every size was measured. */
+  async run(print: (text: string) => void): Promise<boolean> {
     const { unit, metrics } = this.experiment;
-    const from = performance.now();
-    let failed = "";
+    const startedAt = performance.now();
+    let failure = "";
     for (const size of this.sizes) {
-      if (this.isInterrupted || (performance.now() - from) / 1000 > this.timeLimitSeconds) break;
+      if (this.isInterrupted || (performance.now() - startedAt) / 1000 > this.timeLimitSeconds) break;
       let measured: Record<string, number>;
       try {
         measured = await this.experiment.measure(size, this.seed);
       } catch (error) {
-        failed = `${size} ${unit}s: ${(error as Error).message}`;
+        failure = `${size} ${unit}s: ${(error as Error).message}`;
         break;
       }
-      if (this.isInterrupted) break; // what was under way when it was cut is not whole
+      if (this.isInterrupted) break; // The measurement of this size may be incomplete.
       this.measuredSizes.push(size);
-      for (const [metric, value] of Object.entries(measured)) (this.points[metric] ??= []).push({ at: size, value });
-      const shown = Object.entries(measured).map(
+      for (const [metric, value] of Object.entries(measured)) (this.points[metric] ??= []).push({ size, value });
+      const formatted = Object.entries(measured).map(
         ([metric, value]) => `${metric} ${Number.isInteger(value) ? value : value.toPrecision(4)}`,
       );
-      say(`${size} ${unit}s: ${shown.join(", ")}`);
+      print(`${size} ${unit}s: ${formatted.join(", ")}`);
     }
     const complete = this.measuredSizes.length === this.sizes.length;
-    if (failed) say(`failed at ${failed}`);
+    if (failure) print(`failed at ${failure}`);
     if (!complete)
-      say(
+      print(
         `cut short: covered ${this.measuredSizes.length === 0 ? "nothing" : this.measuredSizes.join(", ")} of ${this.sizes.join(", ")}`,
       );
-    for (const [metric, { description: what }] of Object.entries(metrics)) say(this.describeMetric(metric, what, unit));
+    for (const [metric, { description }] of Object.entries(metrics))
+      print(this.describeMetric(metric, description, unit));
     return complete;
   }
-  private describeMetric(metric: string, what: string, unit: string): string {
+  private describeMetric(metric: string, description: string, unit: string): string {
     const points = this.points[metric] ?? [];
     if (points.some((point) => Number.isNaN(point.value)))
-      return `${this.name}.${metric}, ${what}: no slope: not reached in time at some size`;
+      return `${this.name}.${metric}, ${description}: no slope: not reached in time at some size`;
     const fitted = Slope.fit(points);
     return fitted.ok
-      ? Slope.text(`${this.name}.${metric}, ${what}`, unit, fitted.value)
-      : `${this.name}.${metric}, ${what}: ${fitted.fault.detail}`;
+      ? Slope.format(`${this.name}.${metric}, ${description}`, unit, fitted.value)
+      : `${this.name}.${metric}, ${description}: ${fitted.fault.detail}`;
   }
 }
