--- a/src/tools/measurements/measuredFleet.ts
+++ b/src/tools/measurements/measuredFleet.ts
@@ -1,4 +1,4 @@
-// What the measurements of simulated fleets share: the deployment file, waiting in virtual time, the end of a fleet.
+// Functions that the measurements of simulated fleets share.
 import * as fs from "fs";
 import * as path from "path";
 import type { IngressNode } from "../../ingress/ingressNode";
@@ -7,19 +7,19 @@
 
 const DEPLOYMENTS = path.join(__dirname, "../../../../deploy");
 
-/** Reads a deployment of the repository, as a copy that the caller may change. */
+/** Reads a deployment plan of the repository; the caller may change the returned copy. */
 export function readDeployment(name: string): Deployment {
   return checkedDeployment(JSON.parse(fs.readFileSync(path.join(DEPLOYMENTS, `${name}.json`), "utf8")));
 }
 
-/** The deployment, checked again after it was changed. */
+/** Validates a deployment plan that was changed. */
 export function checkedDeployment(candidate: unknown): Deployment {
   const checked = Deployment.check(candidate);
   if (!checked.ok) throw new Error(JSON.stringify(checked.fault));
   return checked.value;
 }
 
-/** Runs the fleet until the condition holds, at most so long; the virtual milliseconds that took. */
+/** Runs the fleet until the condition holds or the time is over; returns the virtual milliseconds that took. */
 export async function runUntil(
   fleet: SimFleet,
   withinMs: number,
@@ -31,7 +31,7 @@
   return fleet.world.now - startedAt;
 }
 
-/** Whether every ingress has a configuration of at least this version. */
+/** Returns whether every ingress has a configuration of at least this version. */
 export function isInForce(fleet: SimFleet, version: number): boolean {
   return fleet.names("ingress").every((name) => {
     const ingress = fleet.running.get(name) as IngressNode | undefined;
@@ -39,17 +39,17 @@
   });
 }
 
-/** Kills every process, so that nothing of the fleet runs on. */
+/** Kills every process of the fleet. */
 export function killFleet(fleet: SimFleet): void {
   for (const name of [...fleet.world.processes.keys()]) fleet.world.kill(name);
 }
 
-/** The values in ascending order. */
+/** Returns a copy of the values in ascending order. */
 export function ascending(values: number[]): number[] {
   return [...values].sort((left, right) => left - right);
 }
 
-/** The middle one of values in ascending order. */
+/** Returns the median of values in ascending order. */
 export function median(sorted: number[]): number {
   return sorted[sorted.length >> 1];
 }
--- a/src/tools/measurements/memberCosts.ts
+++ b/src/tools/measurements/memberCosts.ts
@@ -1,21 +1,22 @@
-// The command of scripts/scale.js: what membership, gossip and configuration cost by the number of members, in virtual time,
-// with the real processor time of the whole fleet (all nodes run in this one process).
+// The command of scripts/scale.js: measures what membership, gossip and configuration changes cost by the number of members,
+// in virtual time but with the real processor time of the whole fleet, as all nodes run in this one process.
 import type { Node } from "../../node/node";
 import { SimFleet } from "../../simulation/simFleet";
 import { ascending, checkedDeployment, isInForce, killFleet, median, readDeployment, runUntil } from "./measuredFleet";
 
 const DEFAULT_SIZES = [30, 60, 100];
-const [FEWEST_MEMBERS, MOST_MEMBERS] = [12, 400];
+const [MIN_MEMBERS, MAX_MEMBERS] = [12, 400];
 const SEEDS = [1, 2, 3];
-const EXIT_BAD_INPUT = 2;
+const EXIT_INVALID_ARGUMENTS = 2;
+/** Identifies the log event of a member that becomes suspected. */
 const MEMBER_SUSPECTED = " PB1102";
-const QUIET_SECONDS = 10;
+const IDLE_SECONDS = 10;
 const STEP_MS = 10;
-const IN_FORCE_WITHIN_MS = 10_000;
-const DEAD_WITHIN_MS = 20_000;
-const PAUSE_MS = 500;
+const IN_FORCE_TIMEOUT_MS = 10_000;
+const DETECTION_TIMEOUT_MS = 20_000;
+const PAUSE_BETWEEN_CHANGES_MS = 500;
 
-/** The changes in order; the two last are made to a configuration that has 3,000 routes more. */
+/** The changes in order. Large ones are those that add 3,000 routes and that follow on such a configuration. */
 const CHANGES = [
   { isLarge: false, routes: 1 },
   { isLarge: false, routes: 1 },
@@ -23,13 +24,13 @@
   { isLarge: true, routes: 1 },
 ];
 
-/** Costs of one node in one second while nothing happens; suspicions are those of the whole fleet. */
-type QuietCosts = { probes: number; calls: number; cpuMs: number; suspicions: number };
-/** Milliseconds until a change is in force everywhere, and processor time of one node meanwhile. */
+/** Costs per node and second in an idle fleet; suspicions are those of the whole fleet in the measured time. */
+type IdleCosts = { probes: number; calls: number; cpuMs: number; suspicions: number };
+/** Milliseconds until each change is in force at every ingress, and the processor time per node until then. */
 type ChangeCosts = { smallMs: number[]; largeMs: number[]; largeCpuMs: number[] };
-type MemberCosts = QuietCosts & ChangeCosts & { deadMs: number };
+type MemberCosts = IdleCosts & ChangeCosts & { deadMs: number };
 
-function quietDeployment(members: number): ReturnType<typeof readDeployment> {
+function lowTrafficDeployment(members: number): ReturnType<typeof readDeployment> {
   const base = readDeployment("sim");
   const mix = {
     ...base.mix,
@@ -55,16 +56,16 @@
   return process.cpuUsage().user / 1000;
 }
 
-async function measureQuiet(fleet: SimFleet, suspicionsSoFar: () => number): Promise<QuietCosts> {
+async function measureIdle(fleet: SimFleet, suspicionsSoFar: () => number): Promise<IdleCosts> {
   const countProbes = (): number => sum(nodesOf(fleet), (node) => node.membership.probeCount);
   const countCalls = (): number => sum(nodesOf(fleet), (node) => node.rpc.callCount);
   const before = { probes: countProbes(), calls: countCalls(), cpuMs: userCpuMs(), suspicions: suspicionsSoFar() };
-  await fleet.run(QUIET_SECONDS * 1000);
-  const perNodeSecond = nodesOf(fleet).length * QUIET_SECONDS;
+  await fleet.run(IDLE_SECONDS * 1000);
+  const nodeSeconds = nodesOf(fleet).length * IDLE_SECONDS;
   return {
-    probes: (countProbes() - before.probes) / perNodeSecond,
-    calls: (countCalls() - before.calls) / perNodeSecond,
-    cpuMs: (userCpuMs() - before.cpuMs) / perNodeSecond,
+    probes: (countProbes() - before.probes) / nodeSeconds,
+    calls: (countCalls() - before.calls) / nodeSeconds,
+    cpuMs: (userCpuMs() - before.cpuMs) / nodeSeconds,
     suspicions: suspicionsSoFar() - before.suspicions,
   };
 }
@@ -75,35 +76,35 @@
     const cpuBefore = userCpuMs();
     const change = await fleet.change(routes);
     if (change.outcome !== "acknowledged") continue;
-    const tookMs = await runUntil(fleet, IN_FORCE_WITHIN_MS, STEP_MS, () => isInForce(fleet, change.version));
+    const tookMs = await runUntil(fleet, IN_FORCE_TIMEOUT_MS, STEP_MS, () => isInForce(fleet, change.version));
     (isLarge ? costs.largeMs : costs.smallMs).push(tookMs);
     if (isLarge) costs.largeCpuMs.push((userCpuMs() - cpuBefore) / nodesOf(fleet).length);
-    await fleet.run(PAUSE_MS);
+    await fleet.run(PAUSE_BETWEEN_CHANGES_MS);
   }
   return costs;
 }
 
-/** Kills an agent; the milliseconds until every node holds it for dead. */
-async function measureDeath(fleet: SimFleet): Promise<number> {
-  const [lost] = fleet.names("agent");
-  const { id } = (fleet.running.get(lost) as unknown as { node: Node }).node.self;
-  fleet.kill(lost);
-  return runUntil(fleet, DEAD_WITHIN_MS, STEP_MS, () =>
+/** Kills an agent; returns the milliseconds until every node considers it dead. */
+async function measureFailureDetection(fleet: SimFleet): Promise<number> {
+  const [killed] = fleet.names("agent");
+  const { id } = (fleet.running.get(killed) as unknown as { node: Node }).node.self;
+  fleet.kill(killed);
+  return runUntil(fleet, DETECTION_TIMEOUT_MS, STEP_MS, () =>
     nodesOf(fleet).every((node) => node.membership.find(id)?.state === "dead"),
   );
 }
 
 async function measure(members: number, seed: number): Promise<MemberCosts> {
   let suspicions = 0;
-  const fleet = new SimFleet(quietDeployment(members), seed, (line) => {
+  const fleet = new SimFleet(lowTrafficDeployment(members), seed, (line) => {
     if (line.includes(MEMBER_SUSPECTED)) suspicions += 1;
   });
   await fleet.boot();
-  const quiet = await measureQuiet(fleet, () => suspicions);
+  const idle = await measureIdle(fleet, () => suspicions);
   const changes = await measureChanges(fleet);
-  const deadMs = await measureDeath(fleet);
+  const deadMs = await measureFailureDetection(fleet);
   killFleet(fleet);
-  return { ...quiet, ...changes, deadMs };
+  return { ...idle, ...changes, deadMs };
 }
 
 function spread(values: number[]): string {
@@ -117,23 +118,23 @@
     (all.reduce((total, costs) => total + value(costs), 0) / all.length).toFixed(1);
   const spreadOf = (values: (costs: MemberCosts) => number | number[]): string => spread(all.flatMap(values));
   console.log(
-    `${members} members: a node a second ${mean((costs) => costs.probes)} probes, ` +
-      `${mean((costs) => costs.calls)} asks, ${mean((costs) => costs.cpuMs)} ms processor; ` +
+    `${members} members: per node and second ${mean((costs) => costs.probes)} probes, ` +
+      `${mean((costs) => costs.calls)} calls, ${mean((costs) => costs.cpuMs)} ms processor time; ` +
       `false suspicions in 10 s ${mean((costs) => costs.suspicions)}`,
   );
   console.log(
-    `    a dead one known to all after ${spreadOf((costs) => costs.deadMs)} ms; ` +
-      `in force after ${spreadOf((costs) => costs.smallMs)} ms, ` +
-      `with 3,000 bindings more ${spreadOf((costs) => costs.largeMs)} ms ` +
-      `and ${spreadOf((costs) => costs.largeCpuMs)} ms processor a node`,
+    `    a dead member known to all after ${spreadOf((costs) => costs.deadMs)} ms; ` +
+      `change in force after ${spreadOf((costs) => costs.smallMs)} ms, ` +
+      `with 3,000 more routes ${spreadOf((costs) => costs.largeMs)} ms ` +
+      `and ${spreadOf((costs) => costs.largeCpuMs)} ms processor time per node`,
   );
 }
 
-async function main(words: string[]): Promise<number> {
-  const sizes = words.map(Number);
-  if (sizes.some((size) => !(size >= FEWEST_MEMBERS && size <= MOST_MEMBERS))) {
-    console.error(`members are whole numbers from ${FEWEST_MEMBERS} to ${MOST_MEMBERS}`);
-    return EXIT_BAD_INPUT;
+async function main(args: string[]): Promise<number> {
+  const sizes = args.map(Number);
+  if (sizes.some((size) => !(size >= MIN_MEMBERS && size <= MAX_MEMBERS))) {
+    console.error(`the number of members must be from ${MIN_MEMBERS} to ${MAX_MEMBERS}`);
+    return EXIT_INVALID_ARGUMENTS;
   }
   for (const members of sizes.length > 0 ? sizes : DEFAULT_SIZES) {
     const all: MemberCosts[] = [];
--- a/src/tools/measurements/shardTakeover.ts
+++ b/src/tools/measurements/shardTakeover.ts
@@ -1,16 +1,18 @@
-// The command of scripts/takeover.js: how long a shard has no leader that serves after a store is lost, in virtual time.
+// The command of scripts/takeover.js: measures for how long a shard has no leader after the loss of a storage node, in virtual
+// time.
 import { SimFleet } from "../../simulation/simFleet";
 import { ascending, killFleet, median, readDeployment } from "./measuredFleet";
 
-const DEFAULT_SEEDS = 10;
+const DEFAULT_SEED_COUNT = 10;
 const SETTLE_MS = 3000;
 const RUN_MS = 9000;
 const LEADER_STARTED = "PB1411";
 const VIEW_CHANGED = "PB1415";
 
 type TimesByStage = Record<string, number[]>;
+/** Times until a new leader starts, of shards that the lost node led and of shards of which it only held a replica. */
 type Takeover = { led: number[]; held: number[]; stages: TimesByStage };
-/** The fields of the two log events that are read. */
+/** The fields that are read from log events: `shard` of LEADER_STARTED, `stages` of VIEW_CHANGED. */
 type LoggedFields = { shard: number; stages: Record<string, number> };
 
 const LOSSES: Record<string, (fleet: SimFleet, name: string) => void> = {
@@ -59,16 +61,16 @@
 function spread(times: number[]): string {
   if (times.length === 0) return "none";
   const sorted = ascending(times);
-  const [least, middle, most] = [sorted[0], median(sorted), sorted[sorted.length - 1]].map((ms) => ms.toFixed(0));
-  return `min ${least} median ${middle} max ${most} (${times.length})`;
+  const [min, middle, max] = [sorted[0], median(sorted), sorted[sorted.length - 1]].map((ms) => ms.toFixed(0));
+  return `min ${min} median ${middle} max ${max} (${times.length})`;
 }
 
-async function main(words: string[]): Promise<void> {
-  const seeds = Number(words[0] ?? DEFAULT_SEEDS);
+async function main(args: string[]): Promise<void> {
+  const seedCount = Number(args[0] ?? DEFAULT_SEED_COUNT);
   const deployment = readDeployment("sim");
   for (const loss of Object.keys(LOSSES)) {
     const all: Takeover = { led: [], held: [], stages: {} };
-    for (let seed = 1; seed <= seeds; seed += 1) {
+    for (let seed = 1; seed <= seedCount; seed += 1) {
       const takeover = await measure(deployment, seed, loss);
       all.led.push(...takeover.led);
       all.held.push(...takeover.held);
--- a/src/tools/scale/slope.ts
+++ b/src/tools/scale/slope.ts
@@ -1,15 +1,11 @@
 import { Fault, Result } from "../../common/fault";
 
 export type Point = { size: number; value: number };
-/** A fitted line; `maxDeviation` is the largest distance of a point from it, as a fraction of the largest absolute value. */
-export type Slope = {
-  perUnit: number;
-  base: number;
-  minSize: number;
-  maxSize: number;
-  sizeCount: number;
-  maxDeviation: number;
-};
+/**
+ * A line fitted to values at `sizeCount` sizes between `from` and `to`. `deviation` is the largest distance of a point from
+ * it, as a fraction of the largest absolute value.
+ */
+export type Slope = { perUnit: number; base: number; from: number; to: number; sizeCount: number; deviation: number };
 const MIN_SIZE_COUNT = 3;
 
 /**
@@ -39,7 +35,7 @@
       mean((point) => (point.size - meanSize) ** 2);
     const base = meanValue - perUnit * meanSize;
     const largest = Math.max(...points.map((point) => Math.abs(point.value)));
-    const maxDeviation =
+    const deviation =
       largest === 0
         ? 0
         : Math.max(...points.map((point) => Math.abs(point.value - base - perUnit * point.size))) / largest;
@@ -47,10 +43,10 @@
     return Fault.ok({
       perUnit,
       base,
-      minSize: Math.min(...sizes),
-      maxSize: Math.max(...sizes),
+      from: Math.min(...sizes),
+      to: Math.max(...sizes),
       sizeCount,
-      maxDeviation,
+      deviation,
     });
   },
   /** The value of the line at a size, within the measured range or beyond it. */
@@ -58,6 +54,6 @@
   /** Describes a line in one sentence, after the metric and the unit of the size. */
   format(metric: string, unit: string, slope: Slope): string {
     const short = (value: number): string => (Math.abs(value) >= 100 ? value.toFixed(0) : value.toPrecision(3));
-    return `${metric}: ${short(slope.perUnit)} a ${unit} + ${short(slope.base)}; measured from ${slope.minSize} to ${slope.maxSize} (${slope.sizeCount} sizes), points off the line by at most ${(slope.maxDeviation * 100).toFixed(1)} % of the largest`;
+    return `${metric}: ${short(slope.perUnit)} a ${unit} + ${short(slope.base)}; measured from ${slope.from} to ${slope.to} (${slope.sizeCount} sizes), points off the line by at most ${(slope.deviation * 100).toFixed(1)} % of the largest`;
   },
 };
--- a/src/tools/shardDay/command.ts
+++ b/src/tools/shardDay/command.ts
@@ -1,10 +1,10 @@
-// The command of scripts/day.js: measures each share of a day in a process of its own, so that memory is its own.
+// The command of scripts/day.js: measures each share of a day's load in a separate process, so that its memory use is separate too.
 import { fork } from "child_process";
 import { measureDay } from "./measureDay";
 
 const DEFAULT_SHARES = [0, 0.1, 1];
-const LARGEST_SHARE = 10;
-const EXIT_BAD_INPUT = 2;
+const MAX_SHARE = 10;
+const EXIT_INVALID_ARGUMENTS = 2;
 
 function measureInChild(share: number): Promise<unknown> {
   return new Promise((resolve) => {
@@ -12,11 +12,11 @@
   });
 }
 
-async function main(words: string[]): Promise<number> {
-  const shares = words.map(Number);
-  if (shares.some((share) => !(share >= 0 && share <= LARGEST_SHARE))) {
-    console.error(`parts of a day are numbers from 0 to ${LARGEST_SHARE}`);
-    return EXIT_BAD_INPUT;
+async function main(args: string[]): Promise<number> {
+  const shares = args.map(Number);
+  if (shares.some((share) => !(share >= 0 && share <= MAX_SHARE))) {
+    console.error(`each share of a day must be a number from 0 to ${MAX_SHARE}`);
+    return EXIT_INVALID_ARGUMENTS;
   }
   if (shares.length === 1) console.log(JSON.stringify(await measureDay(shares[0])));
   else for (const share of shares.length > 0 ? shares : DEFAULT_SHARES) await measureInChild(share);
--- a/src/tools/shardDay/joiner.ts
+++ b/src/tools/shardDay/joiner.ts
@@ -1,15 +1,15 @@
-// A process that fills a new replica of the shard from the one that is measured, and reports what it took.
-// Forked by measureDay.ts with the source's address and a folder.
+// A process that fills a new shard replica by state transfer from the measured replica, and reports how long this took.
+// measureDay.ts forks it with the address of the measured replica and a folder for the new one.
 import { Rpc } from "../../rpc/rpc";
 import { Task } from "../../runtime/csp";
 import { Environment } from "../../runtime/env";
 import { runTask, createShardReplica } from "./localReplicas";
 import { rounded } from "./percentiles";
 
-/** What the fill took, as the joiner tells its parent. */
+/** Duration and size of the state transfer, sent to the parent process. */
 export type StateTransferReport = { tookMs: number; MB: number };
 
-function* fillReplica(env: Environment, sourceAddress: string, folder: string): Task<StateTransferReport> {
+function* transferState(env: Environment, sourceAddress: string, folder: string): Task<StateTransferReport> {
   const replica = createShardReplica(env, new Rpc(env, "day", "s2"), "s2", folder);
   const startedAt = performance.now();
   for (;;) {
@@ -21,7 +21,7 @@
 }
 
 async function main(sourceAddress: string, folder: string): Promise<void> {
-  const report = await runTask("joiner", (env) => fillReplica(env, sourceAddress, folder));
+  const report = await runTask("joiner", (env) => transferState(env, sourceAddress, folder));
   process.send!(report, () => process.exit(0));
 }
 
--- a/src/tools/shardDay/localReplicas.ts
+++ b/src/tools/shardDay/localReplicas.ts
@@ -1,4 +1,4 @@
-// Replicas of one shard on a real disk, run outside a node.
+// Creates replicas of one shard on a real disk, without a storage node around them.
 import { Stamp } from "../../common/stamp";
 import { Rpc } from "../../rpc/rpc";
 import { Csp, Scope, Task } from "../../runtime/csp";
@@ -8,21 +8,21 @@
 
 export const SHARD = 0;
 
-/** Runs a task with an environment of its own; the promise settles with the task's result or its first error. */
-export function runTask<T>(name: string, body: (env: Environment) => Task<T>): Promise<T> {
+/** Runs a task with a new environment; the promise settles with the task's result or its first error. */
+export function runTask<T>(name: string, run: (env: Environment) => Task<T>): Promise<T> {
   return new Promise((resolve, reject) => {
     const scope = new Scope(name, (_task, error) => reject(error instanceof Error ? error : new Error(String(error))));
     const env = NodeEnvironment.make(name, scope, () => undefined);
     Csp.go(scope, name, function* (): Task<void> {
-      resolve(yield* body(env));
+      resolve(yield* run(env));
     });
   });
 }
 
-/** How many bytes a disk was told to write. */
+/** The number of bytes that were written to a disk, successfully or not. */
 export type WrittenBytes = { total: number };
 
-/** The environment with a count of the bytes that its disk was told to write. */
+/** Returns an environment with the same disk, and the count of the bytes that are written to it. */
 export function countWrittenBytes(env: Environment): { env: Environment; written: WrittenBytes } {
   const written = { total: 0 };
   const disk = Object.create(env.disk) as Environment["disk"];
@@ -37,7 +37,7 @@
   return { env: { ...env, disk }, written };
 }
 
-/** A replica of the shard with its data in the folder; `self` is the id of the store that holds it. */
+/** Creates a replica of the shard with its data in the folder; `self` is the id of the storage node that has it. */
 export function createShardReplica(env: Environment, rpc: Rpc, self: string, folder: string): ShardReplica {
   return new ShardReplica(env, rpc, self, SHARD, folder, {
     addressOf: () => undefined,
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -7,7 +7,7 @@
 import { Slope } from "../src/tools/scale/slope";
 import { SlopeRun } from "../src/tools/scale/slopeRun";
 
-const bound = { name: "members", min: 3, max: 100, reason: "limit of this test" };
+const bound = { name: "members", min: 3, max: 100, reason: "the test says so" };
 const experimentWith = (cost: (size: number) => number): Experiment => ({
   description: "",
   unit: "member",
@@ -29,7 +29,7 @@
   expect(errorOf("10, 20")).toBe("none");
   expect(errorOf("-5")).toMatch(/-5 is under the least, 3/);
   expect(errorOf("10,0")).toMatch(/0 is under the least, 3/);
-  expect(errorOf("10,101")).toMatch(/101 is over the limit of 100: limit of this test/);
+  expect(errorOf("10,101")).toMatch(/101 is over the limit of 100: the test says so/);
   for (const invalid of ["", "ten", "10,", "1.5", "1e99", undefined, true]) expect(errorOf(invalid)).toMatch(/members/);
   expect(Sizes.checkMemory(780, 10_000, 12 * 2 ** 30).ok).toBe(true);
   const overLimit = Sizes.checkMemory(780, 100_000, 12 * 2 ** 30);
@@ -45,13 +45,9 @@
   ]);
   expect(
     fitted.ok &&
-      [
-        fitted.value.perUnit,
-        fitted.value.base,
-        fitted.value.minSize,
-        fitted.value.maxSize,
-        fitted.value.maxDeviation,
-      ].map((value) => +value.toFixed(9)),
+      [fitted.value.perUnit, fitted.value.base, fitted.value.from, fitted.value.to, fitted.value.deviation].map(
+        (value) => +value.toFixed(9),
+      ),
   ).toEqual([2, 5, 10, 40, 0]);
   expect(fitted.ok && +Slope.valueAt(fitted.value, 780).toFixed(6)).toBe(1565);
   const nonLinear = Slope.fit([
@@ -59,7 +55,7 @@
     { size: 1, value: 100 },
     { size: 2, value: 0 },
   ]);
-  expect(nonLinear.ok && +nonLinear.value.maxDeviation.toFixed(3)).toBe(0.667);
+  expect(nonLinear.ok && +nonLinear.value.deviation.toFixed(3)).toBe(0.667);
   for (const points of [
     [],
     [{ size: 1, value: 1 }],
@@ -108,7 +104,7 @@
     new SlopeRun(
       "members",
       experimentWith((size) => {
-        if (size === 20) throw new Error("measurement failed");
+        if (size === 20) throw new Error("it broke");
         return size;
       }),
       [10, 20, 30],
@@ -116,7 +112,7 @@
       60,
     ),
   );
-  expect(failed.text).toMatch(/failed at 20 members: measurement failed\ncut short: covered 10 of 10, 20, 30/);
+  expect(failed.text).toMatch(/failed at 20 members: it broke\ncut short: covered 10 of 10, 20, 30/);
   const timedOut = await runAndCapture(
     new SlopeRun(
       "members",
