--- a/src/tools/measurements/measuredFleet.ts
+++ b/src/tools/measurements/measuredFleet.ts
@@ -39,7 +39,7 @@
   });
 }
 
-/** Kills every process of the fleet. */
+/** Kills every process of the fleet, so that none keeps running. */
 export function killFleet(fleet: SimFleet): void {
   for (const name of [...fleet.world.processes.keys()]) fleet.world.kill(name);
 }
--- a/src/tools/measurements/memberCosts.ts
+++ b/src/tools/measurements/memberCosts.ts
@@ -10,13 +10,13 @@
 const EXIT_INVALID_ARGUMENTS = 2;
 /** Identifies the log event of a member that becomes suspected. */
 const MEMBER_SUSPECTED = " PB1102";
-const IDLE_SECONDS = 10;
+const BASELINE_SECONDS = 10;
 const STEP_MS = 10;
 const IN_FORCE_TIMEOUT_MS = 10_000;
 const DETECTION_TIMEOUT_MS = 20_000;
 const PAUSE_BETWEEN_CHANGES_MS = 500;
 
-/** The changes in order. Large ones are those that add 3,000 routes and that follow on such a configuration. */
+/** The changes in order. A change is large if it adds 3,000 routes or is made to a configuration that has them. */
 const CHANGES = [
   { isLarge: false, routes: 1 },
   { isLarge: false, routes: 1 },
@@ -24,11 +24,11 @@
   { isLarge: true, routes: 1 },
 ];
 
-/** Costs per node and second in an idle fleet; suspicions are those of the whole fleet in the measured time. */
-type IdleCosts = { probes: number; calls: number; cpuMs: number; suspicions: number };
+/** Costs per node and second at low traffic without changes; suspicions are those of the whole fleet in the measured time. */
+type BaselineCosts = { probes: number; calls: number; cpuMs: number; suspicions: number };
 /** Milliseconds until each change is in force at every ingress, and the processor time per node until then. */
 type ChangeCosts = { smallMs: number[]; largeMs: number[]; largeCpuMs: number[] };
-type MemberCosts = IdleCosts & ChangeCosts & { deadMs: number };
+type MemberCosts = BaselineCosts & ChangeCosts & { deadMs: number };
 
 function lowTrafficDeployment(members: number): ReturnType<typeof readDeployment> {
   const base = readDeployment("sim");
@@ -56,12 +56,12 @@
   return process.cpuUsage().user / 1000;
 }
 
-async function measureIdle(fleet: SimFleet, suspicionsSoFar: () => number): Promise<IdleCosts> {
+async function measureBaseline(fleet: SimFleet, suspicionsSoFar: () => number): Promise<BaselineCosts> {
   const countProbes = (): number => sum(nodesOf(fleet), (node) => node.membership.probeCount);
   const countCalls = (): number => sum(nodesOf(fleet), (node) => node.rpc.callCount);
   const before = { probes: countProbes(), calls: countCalls(), cpuMs: userCpuMs(), suspicions: suspicionsSoFar() };
-  await fleet.run(IDLE_SECONDS * 1000);
-  const nodeSeconds = nodesOf(fleet).length * IDLE_SECONDS;
+  await fleet.run(BASELINE_SECONDS * 1000);
+  const nodeSeconds = nodesOf(fleet).length * BASELINE_SECONDS;
   return {
     probes: (countProbes() - before.probes) / nodeSeconds,
     calls: (countCalls() - before.calls) / nodeSeconds,
@@ -100,11 +100,11 @@
     if (line.includes(MEMBER_SUSPECTED)) suspicions += 1;
   });
   await fleet.boot();
-  const idle = await measureIdle(fleet, () => suspicions);
+  const baseline = await measureBaseline(fleet, () => suspicions);
   const changes = await measureChanges(fleet);
   const deadMs = await measureFailureDetection(fleet);
   killFleet(fleet);
-  return { ...idle, ...changes, deadMs };
+  return { ...baseline, ...changes, deadMs };
 }
 
 function spread(values: number[]): string {
--- a/src/tools/measurements/shardTakeover.ts
+++ b/src/tools/measurements/shardTakeover.ts
@@ -11,14 +11,14 @@
 
 type TimesByStage = Record<string, number[]>;
 /** Times until a new leader starts, of shards that the lost node led and of shards of which it only held a replica. */
-type Takeover = { led: number[]; held: number[]; stages: TimesByStage };
+type Takeover = { led: number[]; replicated: number[]; stages: TimesByStage };
 /** The fields that are read from log events: `shard` of LEADER_STARTED, `stages` of VIEW_CHANGED. */
 type LoggedFields = { shard: number; stages: Record<string, number> };
 
 const LOSSES: Record<string, (fleet: SimFleet, name: string) => void> = {
   kill: (fleet, name) => fleet.kill(name),
   freeze: (fleet, name) => fleet.freeze(name),
-  "cut off": (fleet, name) => fleet.cutOff([name]),
+  "network partition": (fleet, name) => fleet.cutOff([name]),
   "disk fails": (fleet, name) => {
     fleet.disks.get(name)!.failing = true;
   },
@@ -53,7 +53,7 @@
     shards.map((view) => leaderStartedAfter.get(view.shard) ?? Infinity);
   return {
     led: timesOf(views.filter((view) => view.lead === id)),
-    held: timesOf(views.filter((view) => view.lead !== id && view.members.includes(id))),
+    replicated: timesOf(views.filter((view) => view.lead !== id && view.members.includes(id))),
     stages,
   };
 }
@@ -69,14 +69,14 @@
   const seedCount = Number(args[0] ?? DEFAULT_SEED_COUNT);
   const deployment = readDeployment("sim");
   for (const loss of Object.keys(LOSSES)) {
-    const all: Takeover = { led: [], held: [], stages: {} };
+    const all: Takeover = { led: [], replicated: [], stages: {} };
     for (let seed = 1; seed <= seedCount; seed += 1) {
       const takeover = await measure(deployment, seed, loss);
       all.led.push(...takeover.led);
-      all.held.push(...takeover.held);
+      all.replicated.push(...takeover.replicated);
       for (const [stage, times] of Object.entries(takeover.stages)) addStages(all.stages, stage, times);
     }
-    console.log(`${loss}: shards it led ${spread(all.led)} ms; shards it held ${spread(all.held)} ms`);
+    console.log(`${loss}: shards it led ${spread(all.led)} ms; shards it only replicated ${spread(all.replicated)} ms`);
     for (const [stage, times] of Object.entries(all.stages)) console.log(`    ${stage}: ${spread(times)} ms`);
   }
 }
--- a/src/tools/scale/fullScaleWorker.ts
+++ b/src/tools/scale/fullScaleWorker.ts
@@ -39,9 +39,7 @@
 const addressOf = (index: number): string =>
   `127.${20 + (index >> 14)}.${(index >> 7) & 127}.${1 + (index & 127)}:7100`;
 
-/**
- * Runs a part of a full-scale run's lightweight members in an operating system process, which its parent controls over IPC.
- */
+/** Runs a part of a full-scale run's lightweight members in an operating system process, which its parent controls over IPC. */
 export class FullScaleWorker {
   private readonly meter = new Meter();
   private readonly members: LightweightMember[] = [];
--- a/src/tools/scale/membershipExperiments.ts
+++ b/src/tools/scale/membershipExperiments.ts
@@ -3,7 +3,7 @@
 import { SimulatedMembership } from "./simulatedMembership";
 
 const BOUND = { name: "members", min: 10, max: 1000, reason: "virtual time holds all of them in one process" };
-/** Time for which datagrams still carry the news of members that have joined. */
+/** Time during which datagrams still spread that members have joined. */
 const settleMs = (members: number): number => 6000 + 180 * members;
 const MEASURED_MS = 10_000;
 
--- a/src/tools/scale/meter.ts
+++ b/src/tools/scale/meter.ts
@@ -2,6 +2,7 @@
 import { Result } from "../../common/fault";
 import { Csp, Task } from "../../runtime/csp";
 
+/** What a process did: `links` are the connections that it opened, `wakeUps` the timers that fired. */
 export type Counts = {
   datagrams: number;
   frames: number;
--- a/src/tools/shardDay/workload.ts
+++ b/src/tools/shardDay/workload.ts
@@ -26,7 +26,7 @@
 
 /** Returns the operations of one request, from open to close. */
 export function requestOperations(id: string): ShardOperation[] {
-  const work = {
+  const request = {
     id,
     binding: "book",
     bodyHash: BODY_HASH,
@@ -39,7 +39,7 @@
     life: "1~n~0",
   };
   return [
-    { op: "open", work },
+    { op: "open", work: request },
     { op: "claim", id, round: 1, replica: "replica/desk-1", owner: "store-1" },
     { op: "pieces", id, round: 1, first: 1, data: [RESULT] },
     { op: "close", id, round: 1, state: "done", outcome: "" },
@@ -48,7 +48,7 @@
 
 /** Returns the operations of one batch job and all its items. */
 function jobOperations(id: string): ShardOperation[] {
-  const lot = {
+  const job = {
     id,
     binding: "confirm",
     bodyHash: BODY_HASH,
@@ -61,7 +61,7 @@
     { op: "itemClaim", lot: id, item, round: 1, replica: "replica/desk-1", owner: "store-1" },
     { op: "itemResult", lot: id, item, round: 1, state: "done", result: RESULT },
   ]);
-  return [{ op: "lot", lot }, ...itemOperations.flat()];
+  return [{ op: "lot", lot: job }, ...itemOperations.flat()];
 }
 
 /** Number of puts of this process so far; put ids are made from it. */
