--- a/src/adapters/caller/callerOperations.ts
+++ b/src/adapters/caller/callerOperations.ts
@@ -102,7 +102,7 @@
   /** Ends a job, for as long as a submission is tried; idempotent. Faults: "notFound", "gone", "unknown", else "busy". */
   end(id: string, by: string): Task<Result<EndJobResponse>>;
   /** The same with the shorter patience of a status query; a fault "busy" of the shard's leader is passed on as it is. */
-  endNow(id: string, by: string): Task<Result<EndJobResponse>>;
+  endWithShortTimeout(id: string, by: string): Task<Result<EndJobResponse>>;
 }
 
 /** Reads batch jobs from the replicas of their shards. "notFound" and "gone" are certain, all else is "busy". */
--- a/src/adapters/caller/jobRoutes.ts
+++ b/src/adapters/caller/jobRoutes.ts
@@ -134,7 +134,7 @@
 
   private *end(exchange: HttpExchange, id: string): Task<void> {
     const by = exchange.headers["x-caller"] || "caller";
-    const ended = yield* this.operations.jobSubmission.endNow(id, by);
+    const ended = yield* this.operations.jobSubmission.endWithShortTimeout(id, by);
     if (!ended.ok) return Http.sendProblem(exchange, ended.fault);
     Http.sendJson(exchange, 200, { id, ended: true });
   }
--- a/src/cli/simCommand.ts
+++ b/src/cli/simCommand.ts
@@ -38,7 +38,7 @@
 function findScenario(nameOrNumber: string): Scenario {
   const scenario = Scenarios.find(nameOrNumber);
   if (scenario) return scenario;
-  const known = Scenarios.all.map(({ number, name, about }) => `  ${number} ${name}: ${about}`);
+  const known = Scenarios.all.map(({ number, name, description: about }) => `  ${number} ${name}: ${about}`);
   exitWithUsageError(`no scenario ${nameOrNumber}; known:\n${known.join("\n")}`);
 }
 function readScenarios(option: number | string): Scenario[] {
@@ -48,7 +48,7 @@
 function readPoint(option: number | string): number {
   const point = Number(option);
   if (point === NO_POINT || Scenarios.points[point]) return point;
-  const known = Object.entries(Scenarios.points).map(([number, { about }]) => `  ${number} ${about}`);
+  const known = Object.entries(Scenarios.points).map(([number, { description: about }]) => `  ${number} ${about}`);
   exitWithUsageError(`no fault point ${option}; known:\n${known.join("\n")}`);
 }
 function pointsOf(scenario: Scenario, chosen: number): number[] {
@@ -72,13 +72,13 @@
   const lines: string[] = [];
   const log = options.trace ? (line: string): void => void lines.push(line) : undefined;
   const report = await Campaign.run(deployment, run.scenario, run.seed, run.point, log);
-  printLine(Campaign.line(report, file));
+  printLine(Campaign.formatReport(report, file));
   if (options.report) {
-    const { history, pastEndpoints } = report.fleet;
+    const { history, startedEndpoints: pastEndpoints } = report.fleet;
     printLine(Report.text(history, report.virtualMs));
-    printLine(JSON.stringify(Checker.judged(history, pastEndpoints)));
+    printLine(JSON.stringify(Checker.observationCounts(history, pastEndpoints)));
   }
-  if (options.trace) fs.writeFileSync(String(options.trace), [...report.acts, ...report.notes, ...lines].join("\n"));
+  if (options.trace) fs.writeFileSync(String(options.trace), [...report.actions, ...report.notes, ...lines].join("\n"));
   return report.violations.length === 0;
 }
 async function runSim(file: string, options: SimOptions): Promise<void> {
--- a/src/ingress/batchSubmission.ts
+++ b/src/ingress/batchSubmission.ts
@@ -174,7 +174,7 @@
     return Fault.busy("end lot", member, detail, Constants.retryAfterMs);
   }
 
-  endNow(id: string, by: string): Task<Result<EndJobResponse>> {
+  endWithShortTimeout(id: string, by: string): Task<Result<EndJobResponse>> {
     const { env, shardClient } = this.context;
     return callJobLeader(shardClient, "lot.end", id, () => ({ stamp: shardClient.stamp(env.wallClockMs()), by }));
   }
--- a/src/model/faultyNetwork.ts
+++ b/src/model/faultyNetwork.ts
@@ -73,6 +73,6 @@
     return link.send(message);
   }
   private sendLater(link: Link, message: Buffer): void {
-    this.world.at(this.world.random() * this.delayMs, () => void link.send(message));
+    this.world.schedule(this.world.random() * this.delayMs, () => void link.send(message));
   }
 }
--- a/src/model/groupUnderTest.ts
+++ b/src/model/groupUnderTest.ts
@@ -63,7 +63,7 @@
       trace(line);
     });
     this.network = new FaultyNetwork(this.world);
-    this.world.around = (env) => this.network.wrap(this.faults.env ? this.faults.env(env) : env);
+    this.world.wrapEnvironment = (env) => this.network.wrap(this.faults.env ? this.faults.env(env) : env);
   }
 
   // ---------- machines ----------
@@ -118,7 +118,7 @@
     const { incarnation } = machine;
     if (!incarnation.process.alive) return;
     this.world.kill(machine.name, powerLost);
-    this.world.at(backInMs, () => {
+    this.world.schedule(backInMs, () => {
       if (machine.incarnation === incarnation) this.start(machine, incarnation.id);
     });
   }
@@ -136,7 +136,7 @@
     this.diskLoss.addWiped(id);
     machine.wipes += 1;
     const newId = `c${machine.name.slice(1)}.${machine.wipes}`;
-    this.world.at(backInMs, () => {
+    this.world.schedule(backInMs, () => {
       this.machineOf.set(newId, machine);
       this.start(machine, newId);
     });
@@ -150,19 +150,19 @@
     this.network.heal();
     for (const machine of this.machines) {
       this.healDisk(machine);
-      machine.incarnation.process.wake();
+      machine.incarnation.process.resume();
     }
   }
   freeze(machine: Machine, forMs: number): void {
     const { process } = machine.incarnation;
     if (!process.alive || process.frozen) return;
     process.freeze();
-    this.world.at(forMs, () => process.wake());
+    this.world.schedule(forMs, () => process.resume());
   }
   /** Makes every sync of a disk take `forMs`, for `forMs`. */
   stallDisk(machine: Machine, forMs: number): void {
     machine.disk.syncMs = [forMs, 0];
-    this.world.at(forMs, () => this.healDisk(machine));
+    this.world.schedule(forMs, () => this.healDisk(machine));
   }
   private healDisk(machine: Machine): void {
     machine.disk.syncMs = [...HEALTHY_SYNC_MS];
--- a/src/simulation/campaign.ts
+++ b/src/simulation/campaign.ts
@@ -8,7 +8,7 @@
   seed: number;
   point: number;
   violations: Violation[];
-  acts: string[];
+  actions: string[];
   notes: string[];
   virtualMs: number;
   tookMs: number;
@@ -37,7 +37,7 @@
     try {
       await fleet.boot(scenario.load ?? 1);
       await scenario.run(fleet, point);
-      violations = await fleet.close();
+      violations = await fleet.stopAndCheck();
     } catch (error) {
       violations = [{ invariant: "exercised", detail: String((error as Error).message) }];
       for (const name of [...fleet.world.processes.keys()]) fleet.world.kill(name);
@@ -47,7 +47,7 @@
       seed,
       point,
       violations,
-      acts: fleet.acts,
+      actions: fleet.actions,
       notes: fleet.notes,
       virtualMs: fleet.world.now,
       tookMs: Date.now() - startedAt,
@@ -56,7 +56,7 @@
     };
   },
   /** One line of a report. @example Campaign.line(report, "deploy/small.json") */
-  line(report: RunReport, file: string): string {
+  formatReport(report: RunReport, file: string): string {
     const replay = `petrelbeam sim ${file} --scenario ${report.scenario} --seed ${report.seed}${report.point ? ` --point ${report.point}` : ""}`;
     const head = `${report.violations.length === 0 ? "well     " : "VIOLATION"} ${report.scenario}${report.point ? ` point ${report.point}` : ""} seed ${report.seed}: ${(report.virtualMs / 1000).toFixed(0)} s virtual in ${(report.tookMs / 1000).toFixed(1)} s, ${report.served} served`;
     if (report.violations.length === 0) return head;
--- a/src/simulation/diskAudit.ts
+++ b/src/simulation/diskAudit.ts
@@ -11,7 +11,7 @@
   wall(): number;
   readonly disks: ReadonlyMap<string, SimDisk>;
   /** Name of the process that holds a member's disk; undefined once that disk was taken from it. */
-  readonly storeOf: ReadonlyMap<string, string>;
+  readonly storeNameById: ReadonlyMap<string, string>;
   /** The committed view of each shard. */
   views(): Record<string, ShardView>;
   replicasOf(name: string): ShardReplica[];
@@ -52,7 +52,7 @@
   recordDisks(history: History): void {
     for (const view of Object.values(this.fleet.views()))
       for (const id of view.members) {
-        const name = this.fleet.storeOf.get(id);
+        const name = this.fleet.storeNameById.get(id);
         const acknowledged = this.acknowledged.get(view.shard);
         if (!name || !acknowledged) continue;
         history.add({
--- a/src/simulation/scenarios/dayScenarios.ts
+++ b/src/simulation/scenarios/dayScenarios.ts
@@ -4,11 +4,11 @@
 export const dayScenarios: UnnumberedScenario[] = [
   {
     name: "closing-fault",
-    about: "at day's end everything loses power at once; then all is read back",
+    description: "at day's end everything loses power at once; then all is read back",
     run: async (fleet) => {
-      await fleet.change();
+      await fleet.changeConfiguration();
       await fleet.run(5000);
-      await fleet.change();
+      await fleet.changeConfiguration();
       fleet.fault("power loss everywhere", true);
       const names = fleet.plan.processes.map((each) => each.name);
       for (const name of names) fleet.kill(name, true);
@@ -19,7 +19,7 @@
   },
   {
     name: "planned-stops",
-    about: "each program is stopped by SIGTERM in turn and started again; nothing else happens",
+    description: "each program is stopped by SIGTERM in turn and started again; nothing else happens",
     run: async (fleet) => {
       fleet.plannedOnly = true;
       for (const program of ["ingress", "store", "agent", "control"]) {
@@ -33,21 +33,21 @@
         const ingressHttp = fleet.plan.processes.find(
           (each) => each.name === (program === "agent" ? name.replace("agent", "ingress") : name),
         )!.settings.http;
-        if (program === "ingress" || program === "agent") fleet.callers.avoid.add(ingressHttp);
+        if (program === "ingress" || program === "agent") fleet.callers.avoidedIngresses.add(ingressHttp);
         if (!(await fleet.terminate(name))) throw new Error(`${name} did not end by itself`);
         await fleet.run(4000);
         fleet.start(name);
         await fleet.run(6000);
-        fleet.callers.avoid.clear();
+        fleet.callers.avoidedIngresses.clear();
       }
     },
   },
   {
     name: "release",
-    about: "a pool is released to a new version, and the release is taken back",
+    description: "a pool is released to a new version, and the release is taken back",
     run: async (fleet) => {
-      const pool = fleet.plan.replicas[0].pool;
-      for (const endpoint of fleet.plan.replicas.filter((each) => each.pool === pool).slice(0, 3)) {
+      const pool = fleet.plan.endpoints[0].pool;
+      for (const endpoint of fleet.plan.endpoints.filter((each) => each.pool === pool).slice(0, 3)) {
         fleet.startEndpoint({
           ...endpoint,
           id: `${endpoint.id}-new`,
@@ -60,7 +60,7 @@
       if (!fate.startsWith("finished")) throw new Error(`release: ${fate}`);
       await fleet.run(4000);
       const taken = (version: string, from: number): number =>
-        fleet.pastEndpoints
+        fleet.startedEndpoints
           .filter((each) => each.settings.pool === pool && (each.settings.version === "v2") === (version === "v2"))
           .reduce((sum, each) => sum + each.runs.filter((run) => run.at > from).length, 0);
       const releasedAt = fleet.wall() - 2000;
@@ -78,7 +78,7 @@
   },
   {
     name: "together",
-    about: "several troubles at once, drawn by the seed",
+    description: "several troubles at once, drawn by the seed",
     run: async (fleet) => {
       fleet.callers.load = 2;
       const troubles: (() => Promise<void>)[] = [
@@ -113,23 +113,23 @@
           fleet.wake(name);
         },
         async () => {
-          fleet.cutOff([pick(fleet, fleet.names("store"))]);
+          fleet.partition([pick(fleet, fleet.names("store"))]);
           await fleet.run(3000);
           fleet.heal();
         },
         async () => {
-          fleet.cutOff([pick(fleet, fleet.names("control"))], fleet.world.random() < 0.5 ? "in" : "out");
+          fleet.partition([pick(fleet, fleet.names("control"))], fleet.world.random() < 0.5 ? "in" : "out");
           await fleet.run(3000);
           fleet.heal();
         },
         async () => {
-          const { id } = pick(fleet, fleet.plan.replicas);
+          const { id } = pick(fleet, fleet.plan.endpoints);
           fleet.killEndpoint(id);
           await fleet.run(2000);
-          fleet.startEndpoint(fleet.plan.replicas.find((each) => each.id === id)!);
+          fleet.startEndpoint(fleet.plan.endpoints.find((each) => each.id === id)!);
         },
         async () => {
-          await fleet.change();
+          await fleet.changeConfiguration();
         },
         async () => {
           const zone = pick(fleet, fleet.deployment.districts);
@@ -145,7 +145,7 @@
       fleet.callers.load = 1;
       fleet.fault("troubles end", true);
       await fleet.run(16_000);
-      await fleet.change();
+      await fleet.changeConfiguration();
       await fleet.run(3000);
     },
   },
--- a/src/simulation/scenarios/diskScenarios.ts
+++ b/src/simulation/scenarios/diskScenarios.ts
@@ -4,12 +4,12 @@
 export const diskScenarios: UnnumberedScenario[] = [
   {
     name: "disk-full",
-    about: "the busiest store's disk fills, is freed, and is taken up again by the store itself",
+    description: "the busiest store's disk fills, is freed, and is taken up again by the store itself",
     run: async (fleet) => {
       const name = fleet.busiestStore();
       fleet.fault(`disk full at ${name}`, true);
       fleet.disks.get(name)!.full = true;
-      fleet.acts.push("disk full");
+      fleet.actions.push("disk full");
       await fleet.run(9000);
       fleet.disks.get(name)!.full = false;
       await fleet.run(14_000);
@@ -18,11 +18,11 @@
   },
   {
     name: "disks-full",
-    about: "the disks of all stores fill at once, and are freed; nobody starts anything again",
+    description: "the disks of all stores fill at once, and are freed; nobody starts anything again",
     run: async (fleet) => {
       fleet.fault("all stores' disks full", false);
       for (const name of fleet.names("store")) fleet.disks.get(name)!.full = true;
-      fleet.acts.push("disks full");
+      fleet.actions.push("disks full");
       await fleet.run(8000);
       for (const name of fleet.names("store")) fleet.disks.get(name)!.full = false;
       fleet.fault("disks freed", true);
@@ -32,15 +32,15 @@
   },
   {
     name: "sync-errors",
-    about: "syncs fail on a store and on a control voter",
+    description: "syncs fail on a store and on a control voter",
     run: async (fleet) => {
       const store = fleet.busiestStore();
       const control = fleet.controlLeader();
       fleet.fault(`sync errors at ${store} and ${control}`, true);
       fleet.disks.get(store)!.failing = true;
       fleet.disks.get(control)!.failing = true;
-      fleet.acts.push("sync errors");
-      await fleet.change();
+      fleet.actions.push("sync errors");
+      await fleet.changeConfiguration();
       await fleet.run(10_000);
       fleet.disks.get(store)!.failing = false; // taken up again by the store itself
       fleet.kill(control);
@@ -48,7 +48,7 @@
       fleet.restart(control);
       await fleet.run(14_000);
       fleet.expectInViews(store);
-      await fleet.change();
+      await fleet.changeConfiguration();
       await fleet.run(3000);
     },
   },
--- a/src/simulation/scenarios/networkScenarios.ts
+++ b/src/simulation/scenarios/networkScenarios.ts
@@ -5,7 +5,7 @@
 export const networkScenarios: UnnumberedScenario[] = [
   {
     name: "control-cut-in-two",
-    about: "the control group is cut two against two, while operators change",
+    description: "the control group is cut two against two, while operators change",
     run: async (fleet) => {
       const names = fleet.names("control");
       fleet.fault("control cut in two", true);
@@ -15,20 +15,20 @@
           fleet.world.partition(left, right);
           fleet.world.partition(right, left);
         }
-      fleet.acts.push("control cut in two");
+      fleet.actions.push("control cut in two");
       await fleet.run(1000);
-      await fleet.change();
+      await fleet.changeConfiguration();
       await fleet.run(6000);
-      await fleet.change();
+      await fleet.changeConfiguration();
       fleet.heal();
       await fleet.run(6000);
-      await fleet.change();
+      await fleet.changeConfiguration();
       await fleet.run(3000);
     },
   },
   {
     name: "control-one-left",
-    about:
+    description:
       "two of three control voters lose their disks (odd seeds) or are cut off for long and come back (even); an operator goes on from the one left",
     run: async (fleet) => {
       const leader = fleet.controlLeader();
@@ -37,7 +37,7 @@
       const lost = voters.filter((each) => each !== left).map((each) => each.name);
       const standby = fleet.names("control").filter((name) => !voters.some((each) => each.name === name));
       const recover = (body: Record<string, unknown>): Promise<NodeResponse | undefined> =>
-        fleet.operate(
+        fleet.send(
           "POST",
           "/v1/control/recover",
           { group, voter: left.id, acceptLoss: true, ...body },
@@ -48,17 +48,17 @@
         const said = await recover(body);
         if (said?.status !== status) throw new Error(`${what}: ${said?.status} ${JSON.stringify(said?.body)}`);
       };
-      await fleet.change();
+      await fleet.changeConfiguration();
       await refused("a living majority", {}, 412);
       fleet.fault(`voters ${lost.join(" and ")} lost`, false);
       if (fleet.seed % 2 === 1) {
         for (const name of lost) fleet.kill(name, true);
         await fleet.run(1000);
         for (const name of lost) fleet.restart(name, { empty: true });
-      } else fleet.cutOff([...lost, ...standby]);
+      } else fleet.partition([...lost, ...standby]);
       await fleet.run(6000);
       await refused("another group", { group: "group-other" }, 412);
-      await refused("another member", { voter: fleet.storeOf.keys().next().value }, 404);
+      await refused("another member", { voter: fleet.storeNameById.keys().next().value }, 404);
       await refused("no word of the loss", { acceptLoss: undefined }, 400);
       const said = await recover({});
       if (said?.status !== 200) throw new Error(`recovery refused: ${JSON.stringify(said?.body)}`);
@@ -69,36 +69,37 @@
         throw new Error("no change taken after the recovery");
       fleet.heal();
       await fleet.run(12_000);
-      if ((await fleet.change()).outcome !== "acknowledged") throw new Error("no change taken once all were back");
+      if ((await fleet.changeConfiguration()).outcome !== "acknowledged")
+        throw new Error("no change taken once all were back");
       await fleet.run(4000);
       const after = fleet.controlGroup();
       if (after.group !== `${group}+1` || after.voters.length !== 3)
         throw new Error(`group ${after.group} with ${after.voters.length} voters`);
-      const told = await fleet.operate("GET", "/v1/why/control%20group");
+      const told = await fleet.send("GET", "/v1/why/control%20group");
       if (!JSON.stringify(told?.body ?? "").includes("recovered as"))
         throw new Error("the recovery is not in the ledger");
     },
   },
   {
     name: "control-cut-off",
-    about: "the whole control group is cut off from everything else",
+    description: "the whole control group is cut off from everything else",
     run: async (fleet) => {
       fleet.fault("control cut off", true);
-      fleet.cutOff(fleet.names("control"));
+      fleet.partition(fleet.names("control"));
       await fleet.run(15_000);
       fleet.heal();
       await fleet.run(5000);
-      await fleet.change();
+      await fleet.changeConfiguration();
       await fleet.run(4000);
     },
   },
   {
     name: "store-cut-off",
-    about: "the busiest store is cut off, and comes back",
+    description: "the busiest store is cut off, and comes back",
     run: async (fleet) => {
       const name = fleet.busiestStore();
       fleet.fault(`cut off ${name}`, true);
-      fleet.cutOff([name]);
+      fleet.partition([name]);
       await fleet.run(18_000);
       fleet.heal();
       await fleet.run(9000);
@@ -106,11 +107,11 @@
   },
   ...(["in", "out"] as const).map((way): UnnumberedScenario => ({
     name: `store-cut-${way}`,
-    about: `nothing comes ${way === "in" ? "in to" : "out of"} the busiest store`,
+    description: `nothing comes ${way === "in" ? "in to" : "out of"} the busiest store`,
     run: async (fleet) => {
       const name = fleet.busiestStore();
       fleet.fault(`cut ${way} at ${name}`, true);
-      fleet.cutOff([name], way);
+      fleet.partition([name], way);
       await fleet.run(9000);
       fleet.heal();
       await fleet.run(9000);
@@ -118,7 +119,7 @@
   })),
   {
     name: "ingress-deaf",
-    about: "nothing comes from the stores to an ingress, though all it sends arrives",
+    description: "nothing comes from the stores to an ingress, though all it sends arrives",
     run: async (fleet) => {
       const [deaf] = fleet.names("ingress");
       fleet.fault("ingress deaf", true);
--- a/src/simulation/scenarios/operatorScenarios.ts
+++ b/src/simulation/scenarios/operatorScenarios.ts
@@ -5,11 +5,11 @@
 export const operatorScenarios: UnnumberedScenario[] = [
   {
     name: "operators-race",
-    about: "two operators change the configuration at once, again and again",
+    description: "two operators change the configuration at once, again and again",
     run: async (fleet) => {
       let lost = 0;
       for (let round = 0; round < 6; round += 1) {
-        const read = await fleet.operate("GET", "/v1/manifest");
+        const read = await fleet.send("GET", "/v1/manifest");
         if (read?.status !== 200) continue;
         const nodes = [...fleet.plan.controlHttp, ...fleet.plan.ingressHttp];
         const both = await Promise.all([
@@ -20,13 +20,13 @@
         await fleet.run(300);
       }
       if (lost === 0) throw new Error("no race was lost: nothing was exercised");
-      fleet.acts.push("operators race");
+      fleet.actions.push("operators race");
       await fleet.run(4000);
     },
   },
   {
     name: "change-races-lead",
-    about: "changes race a change of control lead",
+    description: "changes race a change of control lead",
     run: async (fleet) => {
       for (let round = 0; round < 3; round += 1) {
         const name = fleet.controlLeader();
@@ -34,31 +34,31 @@
           fleet.fault(`kill ${name}`, true);
           fleet.kill(name);
         });
-        await fleet.change();
-        await fleet.change();
+        await fleet.changeConfiguration();
+        await fleet.changeConfiguration();
         await fleet.run(4000);
         fleet.world.disarm();
         if (!fleet.world.processes.get(name)!.alive) fleet.restart(name);
         await fleet.run(5000);
       }
-      await fleet.change();
+      await fleet.changeConfiguration();
       await fleet.run(3000);
     },
   },
   {
     name: "manifest-grows",
-    about: "the manifest grows by thousands of bindings",
+    description: "the manifest grows by thousands of bindings",
     run: async (fleet) => {
-      fleet.acts.push("manifest grows");
+      fleet.actions.push("manifest grows");
       for (let round = 0; round < 4; round += 1) {
-        await fleet.change(1000);
+        await fleet.changeConfiguration(1000);
         await fleet.run(3000);
       }
     },
   },
   {
     name: "retire",
-    about: "a store is retired under load, and leaves",
+    description: "a store is retired under load, and leaves",
     run: async (fleet) => {
       const name = fleet.busiestStore();
       const id = await fleet.memberIdOf(name);
@@ -74,7 +74,7 @@
   },
   {
     name: "retire-and-lose",
-    about: "a store is retired while another is lost",
+    description: "a store is retired while another is lost",
     run: async (fleet) => {
       const name = fleet.names("store")[0];
       const id = await fleet.memberIdOf(name);
@@ -90,7 +90,7 @@
   },
   {
     name: "join-and-lose",
-    about: "while a copy joins (by retirement or a machine added), every other member is lost (--point)",
+    description: "while a copy joins (by retirement or a machine added), every other member is lost (--point)",
     points: joining,
     run: async (fleet, point) => {
       let lost: { name: string; disk: boolean }[] = [];
@@ -101,7 +101,7 @@
         const view = fleet.views()[about.shard];
         const others = view.members
           .filter((id) => !about.joiners.includes(id))
-          .flatMap((id) => fleet.storeOf.get(id) ?? []);
+          .flatMap((id) => fleet.storeNameById.get(id) ?? []);
         lost = others.map((name, at) => ({ name, disk: after || at < others.length - 1 }));
         fleet.fault(
           `lost at point ${point}: ${lost.map(({ name, disk }) => `${name}${disk ? " with its disk" : ""}`).join(", ")}`,
@@ -115,7 +115,7 @@
       if (fleet.seed % 2 === 0) fleet.add("store", "store-9");
       else {
         const name = fleet.busiestStore();
-        const id = [...fleet.storeOf].find(([, store]) => store === name)![0];
+        const id = [...fleet.storeNameById].find(([, store]) => store === name)![0];
         fleet.notes.push(`retire: ${await fleet.move({ kind: "retire", store: id }, 1500)}`);
       }
       for (let waited = 0; lost.length === 0 && waited < 40; waited += 1) await fleet.run(500);
@@ -129,7 +129,7 @@
   },
   {
     name: "drain-in-crowd",
-    about: "a district is drained during a crowd, and comes back",
+    description: "a district is drained during a crowd, and comes back",
     run: async (fleet) => {
       fleet.callers.load = 3;
       const zone = pick(fleet, fleet.deployment.districts);
@@ -142,7 +142,7 @@
   },
   ...([false, true] as const).map((draining): UnnumberedScenario => ({
     name: draining ? "district-lost-in-drain" : "district-lost",
-    about: `a district is lost whole${draining ? " while another is drained, under a crowd" : ""}, and comes back (odd seeds: with empty disks)`,
+    description: `a district is lost whole${draining ? " while another is drained, under a crowd" : ""}, and comes back (odd seeds: with empty disks)`,
     run: async (fleet) => {
       const [first, other] = [...fleet.deployment.districts].sort(() => fleet.world.random() - 0.5);
       if (draining) {
--- a/src/simulation/scenarios/processScenarios.ts
+++ b/src/simulation/scenarios/processScenarios.ts
@@ -4,7 +4,7 @@
 export const processScenarios: UnnumberedScenario[] = [
   {
     name: "kill-at-point",
-    about: "a process is killed at a numbered fault point (--point), and started again",
+    description: "a process is killed at a numbered fault point (--point), and started again",
     points: Object.keys(points).map(Number),
     run: async (fleet, point) => {
       const target = points[point];
@@ -50,7 +50,7 @@
   },
   {
     name: "freeze-store",
-    about: "the busiest store freezes past its grant, and wakes",
+    description: "the busiest store freezes past its grant, and wakes",
     run: async (fleet) => {
       const name = fleet.busiestStore();
       fleet.fault(`freeze ${name}`, true);
@@ -62,30 +62,30 @@
   },
   {
     name: "freeze-control",
-    about: "the control lead freezes past its grant during changes, and wakes",
+    description: "the control lead freezes past its grant during changes, and wakes",
     run: async (fleet) => {
       const name = fleet.controlLeader();
       fleet.fault(`freeze ${name}`, true);
       fleet.freeze(name);
-      await fleet.change();
+      await fleet.changeConfiguration();
       await fleet.run(5000);
-      await fleet.change();
+      await fleet.changeConfiguration();
       fleet.wake(name);
       await fleet.run(1000);
-      await fleet.change();
+      await fleet.changeConfiguration();
       await fleet.run(6000);
     },
   },
   {
     name: "freeze-edge",
-    about: "an ingress and another's agent freeze while the configuration changes, and wake",
+    description: "an ingress and another's agent freeze while the configuration changes, and wake",
     run: async (fleet) => {
       const [ingress, ...rest] = fleet.names("ingress");
       fleet.freeze(ingress);
       const agent = fleet.names("agent")[rest.length];
       fleet.freeze(agent);
       await fleet.run(2000);
-      await fleet.change();
+      await fleet.changeConfiguration();
       await fleet.run(3000);
       fleet.wake(ingress);
       fleet.wake(agent);
@@ -94,7 +94,7 @@
   },
   {
     name: "machines-added",
-    about: "a store and a control machine are added",
+    description: "a store and a control machine are added",
     run: async (fleet) => {
       fleet.add("store", "store-9");
       fleet.add("control", "control-9");
@@ -103,29 +103,29 @@
   },
   {
     name: "swap-control",
-    about: "the control lead's machine is swapped for an empty one at a new address",
+    description: "the control lead's machine is swapped for an empty one at a new address",
     run: async (fleet) => {
       const name = fleet.controlLeader();
-      await fleet.change();
+      await fleet.changeConfiguration();
       fleet.fault(`swap ${name}`, true);
       fleet.kill(name);
       await fleet.run(1500);
       fleet.restart(name, { empty: true, moved: true });
       await fleet.run(14_000);
-      await fleet.change();
+      await fleet.changeConfiguration();
       const second = fleet.controlLeader();
       fleet.fault(`swap ${second}`, true);
       fleet.kill(second);
       await fleet.run(1500);
       fleet.restart(second, { empty: true, moved: true });
       await fleet.run(14_000);
-      await fleet.change();
+      await fleet.changeConfiguration();
       await fleet.run(3000);
     },
   },
   {
     name: "swap-store",
-    about: "the busiest store's machine is swapped for an empty one at a new address",
+    description: "the busiest store's machine is swapped for an empty one at a new address",
     run: async (fleet) => {
       const name = fleet.busiestStore();
       fleet.fault(`swap ${name}`, true);
@@ -137,7 +137,7 @@
   },
   {
     name: "power-loss",
-    about: "the busiest store loses power right after acknowledging, and comes back",
+    description: "the busiest store loses power right after acknowledging, and comes back",
     run: async (fleet) => {
       const name = fleet.busiestStore();
       fleet.world.arm(name, 47, 1, () => {
@@ -152,7 +152,7 @@
   },
   {
     name: "disk-loss",
-    about: "the busiest store loses its disk right after acknowledging",
+    description: "the busiest store loses its disk right after acknowledging",
     run: async (fleet) => {
       const name = fleet.busiestStore();
       fleet.world.arm(name, 47, 1, () => {
@@ -166,7 +166,7 @@
   },
   {
     name: "disk-loss-two",
-    about: "the busiest store and another lose their disks at once, while the busiest reaches no other store",
+    description: "the busiest store and another lose their disks at once, while the busiest reaches no other store",
     run: async (fleet) => {
       const name = fleet.busiestStore();
       const second = pick(fleet, others(fleet, "store", name));
--- a/src/simulation/scenarios/replicaScenarios.ts
+++ b/src/simulation/scenarios/replicaScenarios.ts
@@ -4,15 +4,15 @@
 export const endpointScenarios: UnnumberedScenario[] = [
   {
     name: "calm",
-    about: "nothing goes wrong",
+    description: "nothing goes wrong",
     run: async (fleet) => {
-      await fleet.change();
+      await fleet.changeConfiguration();
       await fleet.run(10_000);
     },
   },
   {
     name: "crowd",
-    about: "crowds of live users and of lots at once",
+    description: "crowds of live users and of lots at once",
     load: 1,
     run: async (fleet) => {
       await fleet.run(3000);
@@ -24,7 +24,7 @@
   },
   {
     name: "overload",
-    about: "many times what the replicas can carry: refusals at once, live work ahead of lots",
+    description: "many times what the replicas can carry: refusals at once, live work ahead of lots",
     load: 1,
     run: async (fleet) => {
       await fleet.run(3000);
@@ -42,7 +42,7 @@
       if (busies.length < 50) throw new Error(`only ${busies.length} refusals: nothing was overloaded`);
       const slow = busies[Math.floor(busies.length * 0.95)];
       if (slow > 1000) throw new Error(`one refusal in twenty was told after more than ${slow.toFixed(0)} ms`);
-      const runs = fleet.pastEndpoints
+      const runs = fleet.startedEndpoints
         .flatMap((endpoint) => endpoint.runs)
         .filter((run) => run.at > from + 1500 && run.at < to);
       const items = runs.filter((run) => run.id.includes("/")).length;
@@ -55,9 +55,9 @@
   },
   {
     name: "replicas-crash",
-    about: "a third of the replicas crash, and come back",
+    description: "a third of the replicas crash, and come back",
     run: async (fleet) => {
-      const lost = fleet.plan.replicas.filter((_replica, at) => at % 3 === 0);
+      const lost = fleet.plan.endpoints.filter((_replica, at) => at % 3 === 0);
       fleet.fault("replicas crash", true);
       for (const endpoint of lost) fleet.killEndpoint(endpoint.id);
       await fleet.run(7000);
@@ -71,7 +71,7 @@
   },
   {
     name: "replicas-dark",
-    about: "replicas accept and never reply, or reply nonsense, or never stop",
+    description: "replicas accept and never reply, or reply nonsense, or never stop",
     run: async (fleet) => {
       fleet.fault("replicas dark", true);
       const behaviors = ["unresponsive", "malformed", "endless", "overloaded"] as const;
@@ -85,16 +85,16 @@
   },
   {
     name: "replicas-replaced",
-    about: "replicas are replaced one by one with goodbyes, under a crowd",
+    description: "replicas are replaced one by one with goodbyes, under a crowd",
     run: async (fleet) => {
       fleet.callers.load = 2;
-      for (const endpoint of fleet.plan.replicas.slice(0, 5)) await fleet.replaceEndpoint(endpoint.id, "v2");
+      for (const endpoint of fleet.plan.endpoints.slice(0, 5)) await fleet.replaceEndpoint(endpoint.id, "v2");
       await fleet.run(3000);
     },
   },
   ...["ingress", "agent", "store", "control"].map((program): UnnumberedScenario => ({
     name: `kill-${program}`,
-    about: `a ${program} is killed, and started again`,
+    description: `a ${program} is killed, and started again`,
     run: async (fleet) => {
       const name =
         program === "store"
@@ -107,7 +107,7 @@
       await fleet.run(7000);
       fleet.restart(name);
       await fleet.run(10_000);
-      await fleet.change();
+      await fleet.changeConfiguration();
       await fleet.run(3000);
     },
   })),
--- a/src/simulation/simDisk.ts
+++ b/src/simulation/simDisk.ts
@@ -14,7 +14,7 @@
 /** What a disk needs of the world that it is in. */
 export interface DiskHost {
   random(): number;
-  at(inMs: number, run: () => void): void;
+  schedule(inMs: number, run: () => void): void;
   /** Share of syncs that take much longer than the others. */
   readonly slowDiskShare: number;
 }
@@ -41,7 +41,7 @@
   full = false;
   /** Sync times, ms: base and spread. */
   syncMs: [number, number] = [0.3, 2.5];
-  syncs = 0;
+  syncCount = 0;
   constructor(private readonly world: DiskHost) {}
 
   /** Power is lost. @example disk.losePower(); */
@@ -55,7 +55,7 @@
       if (drawn < 2 * CORRELATED_LOSS_SHARE) return outcomes - 1;
       return Math.min(outcomes - 1, Math.floor(this.world.random() * outcomes));
     };
-    return { pick, cut: (bytes) => Math.floor(this.world.random() * bytes) };
+    return { pickOutcome: pick, pickTearOffset: (bytes) => Math.floor(this.world.random() * bytes) };
   }
   /** Everything is lost. @example disk.wipe(); */
   wipe(): void {
@@ -131,7 +131,7 @@
       const [base, spread] = disk.syncMs;
       const slow = disk.world.random() < disk.world.slowDiskShare ? SLOW_SYNC_MS * disk.world.random() : 0;
       const chan = Csp.chan<true>(1);
-      disk.world.at(base + spread * disk.world.random() + slow, () => process.deliver(() => chan.close()));
+      disk.world.schedule(base + spread * disk.world.random() + slow, () => process.deliver(() => chan.close()));
       yield* Csp.take(chan);
     };
     return new DurableDisk(this.steps(process.name, wait));
--- a/src/simulation/simDiskSteps.ts
+++ b/src/simulation/simDiskSteps.ts
@@ -10,7 +10,7 @@
   readonly failing: boolean;
   readonly full: boolean;
   /** Syncs that succeeded. */
-  syncs: number;
+  syncCount: number;
   find(path: string): SimNode | undefined;
   /** The folder that a path is in, and the name that it has there. */
   folderOf(path: string): { folder: SimFolder; name: string } | undefined;
@@ -36,7 +36,7 @@
       file.failedSync();
       return fail(step, "EIO");
     }
-    disk.syncs += 1;
+    disk.syncCount += 1;
     file.synced(covered);
     return Fault.ok(true as const);
   };
@@ -88,7 +88,7 @@
       const covered = folder.unsynced();
       yield* wait();
       if (disk.failing) return fail(`sync ${path}`, "EIO");
-      disk.syncs += 1;
+      disk.syncCount += 1;
       folder.synced(covered);
       return Fault.ok(true as const);
     },
--- a/src/simulation/simEnvironment.ts
+++ b/src/simulation/simEnvironment.ts
@@ -84,7 +84,7 @@
   private timer(process: SimProcess, ms: number): Timer {
     const chan = Csp.closeSignal();
     let cancelled = false;
-    this.host.at(ms, () => {
+    this.host.schedule(ms, () => {
       if (!cancelled) process.deliver(() => chan.close());
     });
     return { chan, cancel: () => (cancelled = true) };
@@ -100,10 +100,11 @@
     const outcome = Csp.chan<{ value: Result<Link> }>(1);
     const settle = (result: Result<Link>): void => process.deliver(() => void Csp.offer(outcome, { value: result }));
     const refuse = (detail: string): void => settle(Fault.fail("refused", "connect", address, detail));
-    host.at(timeoutMs, () => refuse("no connection in time"));
+    host.schedule(timeoutMs, () => refuse("no connection in time"));
     const listener = this.listeners.get(address);
-    if (listener) host.at(host.network.latency(), () => this.handshake(process, listener, address, settle, refuse));
-    else if (this.anotherRuns(process)) host.at(host.network.latency(), () => refuse("connection refused"));
+    if (listener)
+      host.schedule(host.network.latency(), () => this.handshake(process, listener, address, settle, refuse));
+    else if (this.anotherRuns(process)) host.schedule(host.network.latency(), () => refuse("connection refused"));
     return (yield* Csp.take(outcome))!.value;
   }
   private handshake(
--- a/src/simulation/simFiles.ts
+++ b/src/simulation/simFiles.ts
@@ -1,8 +1,8 @@
 /** Decides what becomes of each unsynced change when power is lost: one of so many outcomes, 0 for lost, the last for kept. */
 export interface PowerLoss {
-  pick(outcomes: number): number;
+  pickOutcome(outcomes: number): number;
   /** Where a write of so many bytes is torn. */
-  cut(bytes: number): number;
+  pickTearOffset(bytes: number): number;
 }
 /** A change of a file's content. */
 export type ContentChange = { tag: "write"; offset: number; data: Buffer } | { tag: "resize"; size: number };
@@ -74,13 +74,13 @@
   }
   private survive(change: ContentChange, loss: PowerLoss): void {
     if (change.tag === "resize") {
-      if (loss.pick(2) === 1) this.durable = applyChange(this.durable, change);
+      if (loss.pickOutcome(2) === 1) this.durable = applyChange(this.durable, change);
       return;
     }
-    const outcome = loss.pick(WRITE_OUTCOMES);
+    const outcome = loss.pickOutcome(WRITE_OUTCOMES);
     if (outcome === WriteOutcome.missing) return;
     const { offset, data } = change;
-    const tornAt = outcome === WriteOutcome.complete ? data.length : loss.cut(data.length);
+    const tornAt = outcome === WriteOutcome.complete ? data.length : loss.pickTearOffset(data.length);
     const isLastPart = outcome === WriteOutcome.lastPart;
     const surviving = isLastPart ? data.subarray(tornAt) : data.subarray(0, tornAt);
     this.durable = applyChange(this.durable, {
@@ -107,7 +107,7 @@
     this.pending = this.pending.filter((change) => !done.has(change));
   }
   losePower(loss: PowerLoss, seen: Set<SimNode>): void {
-    for (const change of this.pending) if (loss.pick(2) === 1) applyNameChange(this.durable, change);
+    for (const change of this.pending) if (loss.pickOutcome(2) === 1) applyNameChange(this.durable, change);
     this.pending = [];
     this.names.clear();
     for (const [name, node] of this.durable) {
--- a/src/simulation/simFleet.ts
+++ b/src/simulation/simFleet.ts
@@ -8,7 +8,7 @@
 import { ShardReplica } from "../shard/shardReplica";
 import { Callers } from "../tools/callers/callers";
 import { CheckOptions, Checker, Violation } from "../tools/checker/checker";
-import { Deployment, Plan, ProcessPlan } from "../tools/deployment";
+import { Deployment, DeploymentPlan, ProcessPlan } from "../tools/deployment";
 import { History } from "../tools/history";
 import { EndpointSettings, StandInEndpoint } from "../tools/standInEndpoint";
 import { MembersBody } from "../cli/operator/responses";
@@ -57,12 +57,12 @@
  */
 export class SimFleet {
   readonly world: SimWorld;
-  readonly plan: Plan;
+  readonly plan: DeploymentPlan;
   readonly history = new History();
   readonly disks = new Map<string, SimDisk>();
-  readonly running = new Map<string, RunningDaemon>();
+  readonly daemons = new Map<string, RunningDaemon>();
   readonly endpoints = new Map<string, FleetEndpoint>();
-  readonly pastEndpoints: StandInEndpoint[] = [];
+  readonly startedEndpoints: StandInEndpoint[] = [];
   readonly errors: string[] = [];
   callers!: Callers;
   private operator!: SimOperator;
@@ -72,7 +72,7 @@
   private nextPort = 60_000;
   plannedOnly = false;
   /** What the scenario did, to show that it did something. */
-  readonly acts: string[] = [];
+  readonly actions: string[] = [];
   readonly notes: string[] = [];
   readonly followed: string[] = [];
 
@@ -84,13 +84,13 @@
     Object.assign(Constants.segmentObjects, Constants.simSegmentObjects);
     this.world = new SimWorld(seed, log);
     this.plan = Deployment.plan(deployment, 30_000, "data");
-    this.world.watch = (process, point) => {
+    this.world.onFaultPoint = (process, point) => {
       if (point === ACKNOWLEDGED_POINT) this.audit.noteAcknowledged(process.name);
       if (point === VIEW_COMMITTED_POINT) this.audit.recordDisks(this.history);
     };
   }
   /** Store members by id, as long as they hold the disk they were born on. */
-  readonly storeOf = new Map<string, string>();
+  readonly storeNameById = new Map<string, string>();
   wall = (): number => WALL_CLOCK_START_MS + this.world.now;
   /** @example await fleet.run(5000); */
   run = (ms: number): Promise<void> => this.world.run(ms);
@@ -101,7 +101,7 @@
   async boot(load = 1): Promise<void> {
     this.operator = new SimOperator(this, this.world.start("operator", new SimDisk(this.world)), this.history);
     for (const each of this.plan.processes) this.start(each.name);
-    for (const settings of this.plan.replicas) this.startEndpoint(settings);
+    for (const settings of this.plan.endpoints) this.startEndpoint(settings);
     await this.run(1500);
     await this.configure("manifest", this.deployment.manifest);
     await this.configure("policies", this.deployment.policies);
@@ -116,7 +116,7 @@
   /** Sends a versioned document, by its name on the wire, until it is taken. */
   private async configure(document: string, content: unknown): Promise<void> {
     for (let attempt = 0; attempt < CONFIGURE_ATTEMPTS; attempt += 1) {
-      const response = await this.operate("PUT", `/v1/${document}`, content, { "if-match": '"0"' });
+      const response = await this.send("PUT", `/v1/${document}`, content, { "if-match": '"0"' });
       if (response?.status === 200 || response?.status === 412) return;
       await this.run(READY_PERIOD_MS);
     }
@@ -131,7 +131,7 @@
   }
   private async everyIngressReady(): Promise<boolean> {
     const answers200 = async (path: string, address: string): Promise<boolean> =>
-      (await this.operate("GET", path, undefined, {}, address))?.status === 200;
+      (await this.send("GET", path, undefined, {}, address))?.status === 200;
     for (const address of this.plan.ingressHttp) if (!(await answers200("/readyz", address))) return false;
     return answers200("/v1/ledger?limit=1", this.plan.ingressHttp[0]);
   }
@@ -182,10 +182,10 @@
   // ---------- what runs, and the views ----------
   /** The running storage node of that name, if it runs. @example fleet.storageNode("store-1")?.replicas.size */
   private storageNode = (name: string): StorageNode | undefined =>
-    this.names("store").includes(name) ? (this.running.get(name) as StorageNode | undefined) : undefined;
+    this.names("store").includes(name) ? (this.daemons.get(name) as StorageNode | undefined) : undefined;
   /** The running control node of that name, if it runs. @example fleet.controlNode("control-1")?.group.hasLeaderLease() */
   private controlNode = (name: string): ControlNode | undefined =>
-    this.names("control").includes(name) ? (this.running.get(name) as ControlNode | undefined) : undefined;
+    this.names("control").includes(name) ? (this.daemons.get(name) as ControlNode | undefined) : undefined;
 
   /** The shard replicas of a running store. @example fleet.replicasOf("store-1").length */
   replicasOf(name: string): ShardReplica[] {
@@ -198,7 +198,7 @@
   }
   /** A store must be a member of some view again. @example fleet.expectInViews("store-1"); */
   expectInViews(name: string): void {
-    const ids = [...this.storeOf].filter(([, store]) => store === name).map(([id]) => id);
+    const ids = [...this.storeNameById].filter(([, store]) => store === name).map(([id]) => id);
     if (!Object.values(this.views()).some((view) => view.members.some((id) => ids.includes(id))))
       throw new Error(`${name} is in no view again`);
   }
@@ -211,14 +211,14 @@
       this.names("store").filter((name) => this.planOf(name).settings.district !== lost).length,
     );
     for (const view of Object.values(this.views())) {
-      const held = new Set(view.members.map((id) => this.planOf(this.storeOf.get(id)!).settings.district));
+      const held = new Set(view.members.map((id) => this.planOf(this.storeNameById.get(id)!).settings.district));
       if (view.members.length < wanted || held.size < wanted)
         throw new Error(`shard ${view.shard} has ${view.members.length} copies in ${[...held].join(", ")}`);
     }
   }
   private inZone = (zone: string): { processes: string[]; replicas: EndpointSettings[] } => ({
     processes: this.plan.processes.filter((each) => each.settings.district === zone).map((each) => each.name),
-    replicas: this.plan.replicas.filter((each) => each.district === zone),
+    replicas: this.plan.endpoints.filter((each) => each.district === zone),
   });
   /** Power is lost in a whole district. @example fleet.loseDistrict("north"); */
   loseZone(zone: string): void {
@@ -269,9 +269,9 @@
     Csp.go(process.scope, "main", function* () {
       const started = yield* Daemon.start(process.env, plan.settings);
       if (started.ok) {
-        fleet.running.set(name, started.value);
+        fleet.daemons.set(name, started.value);
         const { node } = started.value as unknown as { node?: { self: { id: string } } };
-        if (node && plan.settings.program === "store") fleet.storeOf.set(node.self.id, name);
+        if (node && plan.settings.program === "store") fleet.storeNameById.set(node.self.id, name);
       } else {
         fleet.notes.push(`${name} refused to start: ${started.fault.detail}`);
         fleet.world.kill(name);
@@ -284,15 +284,15 @@
   }
   /** @example fleet.kill("store-1"); */
   kill(name: string, powerLost = false): void {
-    this.acts.push(`${powerLost ? "power lost at" : "kill"} ${name} at ${this.world.now.toFixed(0)}`);
+    this.actions.push(`${powerLost ? "power lost at" : "kill"} ${name} at ${this.world.now.toFixed(0)}`);
     this.keepErrors(name);
     this.world.kill(name, powerLost);
-    this.running.delete(name);
+    this.daemons.delete(name);
     this.unreachable.open(this.httpOf(name), this.wall());
   }
   /** A machine comes back with its disk, or with an empty one, perhaps at a new address. @example fleet.restart("store-1", { empty: true, moved: true }); */
   restart(name: string, options: RestartOptions = {}): void {
-    this.acts.push(`restart ${name} ${options.empty ? "empty" : ""}${options.moved ? " at a new address" : ""}`);
+    this.actions.push(`restart ${name} ${options.empty ? "empty" : ""}${options.moved ? " at a new address" : ""}`);
     this.restored(`${name} started again`);
     if (options.empty) this.wipe(name);
     if (options.moved) {
@@ -308,7 +308,7 @@
   /** The disk is gone, and with it the member that stood on it. @example fleet.wipe("store-1"); */
   wipe(name: string): void {
     this.disks.get(name)?.wipe();
-    for (const [id, store] of this.storeOf) if (store === name) this.storeOf.delete(id);
+    for (const [id, store] of this.storeNameById) if (store === name) this.storeNameById.delete(id);
   }
   /** A machine that was not there before. @example fleet.add("store", "store-5"); */
   add(program: "store" | "control", name: string): void {
@@ -324,15 +324,15 @@
         data: `data/${name}`,
       },
     });
-    this.acts.push(`add ${name}`);
+    this.actions.push(`add ${name}`);
     this.start(name);
   }
   /** SIGTERM, and whether it ended by itself. @example await fleet.terminate("ingress-1"); */
   async terminate(name: string): Promise<boolean> {
-    this.acts.push(`terminate ${name}`);
+    this.actions.push(`terminate ${name}`);
     const process = this.world.processes.get(name)!;
-    const running = this.running.get(name)!;
-    const ended = await this.world.finish(
+    const running = this.daemons.get(name)!;
+    const ended = await this.world.runTask(
       process,
       function* () {
         yield* running.stop();
@@ -344,33 +344,33 @@
     this.history.add({ tag: "stopped", at: this.wall(), process: name, unanswered });
     this.keepErrors(name);
     this.world.kill(name);
-    this.running.delete(name);
+    this.daemons.delete(name);
     this.unreachable.open(this.httpOf(name), this.wall() - TERMINATION_MS);
     return ended === true;
   }
   /** @example fleet.freeze("store-1"); */
   freeze(name: string): void {
-    this.acts.push(`freeze ${name}`);
+    this.actions.push(`freeze ${name}`);
     this.unreachable.open(this.httpOf(name), this.wall());
     this.world.processes.get(name)!.freeze();
   }
   wake(name: string): void {
     this.unreachable.closeOldest(this.httpOf(name), this.wall() + AWAKE_AGAIN_MS);
-    this.world.processes.get(name)!.wake();
+    this.world.processes.get(name)!.resume();
     this.restored(`${name} woke`);
   }
   private restored(what: string): void {
     this.history.add({ tag: "restored", at: this.wall(), what });
   }
   /** Cuts a set of processes off from all others. @example fleet.cutOff(["store-1"], "both"); */
-  cutOff(names: string[], way: "in" | "out" | "both" = "both"): void {
-    this.acts.push(`cut off ${names.join(" ")} ${way}`);
+  partition(names: string[], way: "in" | "out" | "both" = "both"): void {
+    this.actions.push(`cut off ${names.join(" ")} ${way}`);
     for (const name of names) this.unreachable.open(this.httpOf(name), this.wall());
     this.world.isolate(names, way);
   }
   /** Nothing comes from some processes to another. @example fleet.deafen("ingress-1", ["store-1"]); */
   deafen(name: string, to: string[]): void {
-    this.acts.push(`${name} hears nothing from ${to.join(" ")}`);
+    this.actions.push(`${name} hears nothing from ${to.join(" ")}`);
     this.unreachable.open(this.httpOf(name), this.wall());
     for (const other of to) this.world.partition(other, name);
   }
@@ -391,19 +391,19 @@
     const process = this.world.start(`replica-${settings.id}`, new SimDisk(this.world));
     const endpoint = new StandInEndpoint(process.env, settings);
     this.endpoints.set(settings.id, { process, replica: endpoint });
-    this.pastEndpoints.push(endpoint);
+    this.startedEndpoints.push(endpoint);
     this.history.add({ tag: "replicaStarted", at: this.wall(), replica: settings.id, capacity: settings.capacity });
     Csp.go(process.scope, "main", () => endpoint.start());
   }
   killEndpoint(id: string): void {
-    this.acts.push(`kill replica ${id}`);
+    this.actions.push(`kill replica ${id}`);
     this.world.kill(`replica-${id}`);
   }
   /** Goodbye, work in flight ends, then the process ends and a new one comes. @example await fleet.replaceReplica("model-1", "v2"); */
   async replaceEndpoint(id: string, version: string): Promise<void> {
-    this.acts.push(`replace replica ${id}`);
+    this.actions.push(`replace replica ${id}`);
     const { process, replica: endpoint } = this.endpoints.get(id)!;
-    if (await this.world.finish(process, () => endpoint.deregister(), 3000))
+    if (await this.world.runTask(process, () => endpoint.deregister(), 3000))
       this.history.add({ tag: "goodbye", at: this.wall(), replica: id });
     await this.run(4000);
     this.world.kill(`replica-${id}`);
@@ -413,7 +413,7 @@
 
   // ---------- operators ----------
   /** Asks some node, as an operator would. @example await fleet.operate("GET", "/v1/members"); */
-  operate = (
+  send = (
     method: string,
     path: string,
     body?: unknown,
@@ -421,20 +421,20 @@
     address?: string,
   ): Promise<NodeResponse | undefined> => this.operator.operate(method, path, body, headers, address);
   /** A configuration with one more marked route, made against the version that is read first. @example await fleet.change(1); */
-  change = (routes = 1): Promise<ChangeOutcome> => this.operator.changeConfiguration(routes);
+  changeConfiguration = (routes = 1): Promise<ChangeOutcome> => this.operator.changeConfiguration(routes);
   /** The same, made against a configuration read before. @example await fleet.changeFrom(body, 400); */
   changeFrom = (base: ConfigurationBody, routes = 1, address?: string): Promise<ChangeOutcome> =>
     this.operator.changeConfigurationFrom(base, routes, address);
   /** The id of the member that runs under a name, as some node knows it. @example await fleet.memberIdOf("store-1") */
   async memberIdOf(name: string): Promise<string> {
-    const response = await this.operate("GET", "/v1/members");
+    const response = await this.send("GET", "/v1/members");
     const { members } = response!.body as MembersBody;
     const { address } = this.planOf(name).settings;
     return members.find((member) => member.address === address)!.id;
   }
   /** A calendar entry due now; its last known state. @example await fleet.move({ kind: "drain", district: "north" }, 10_000); */
   async move(move: Record<string, unknown>, withinMs: number): Promise<string> {
-    this.acts.push(`move ${JSON.stringify(move).slice(0, 80)}`);
+    this.actions.push(`move ${JSON.stringify(move).slice(0, 80)}`);
     return this.operator.runPlanned(move, withinMs);
   }
   /** The store that leads most shards now. @example fleet.busiestStore() */
@@ -453,9 +453,9 @@
   }
 
   /** Ends the day: callers finish, everything is read back, the history is judged. @example const violations = await fleet.close(); */
-  async close(): Promise<Violation[]> {
+  async stopAndCheck(): Promise<Violation[]> {
     this.world.heal();
-    for (const process of this.world.processes.values()) process.wake();
+    for (const process of this.world.processes.values()) process.resume();
     await this.finishCallers();
     await this.readBack();
     for (const name of this.world.processes.keys()) this.keepErrors(name);
@@ -466,12 +466,12 @@
   }
   private async finishCallers(): Promise<void> {
     this.callers.stopNew();
-    for (let waited = 0; this.callers.running > 0 && waited < 120; waited += 1) await this.run(1000);
+    for (let waited = 0; this.callers.callsInFlight > 0 && waited < 120; waited += 1) await this.run(1000);
     for (const address of this.plan.ingressHttp.slice(0, 3))
-      await this.world.finish(this.operator.process, () => this.callers.reread(address), 200_000);
+      await this.world.runTask(this.operator.process, () => this.callers.reread(address), 200_000);
   }
   private async readBack(): Promise<void> {
-    const response = await this.operate("GET", "/v1/manifest");
+    const response = await this.send("GET", "/v1/manifest");
     const configuration = response?.status === 200 ? (response.body as ConfigurationBody) : undefined;
     const mark = configuration ? markersOf(configuration.doc) : "";
     this.history.add({ tag: "dayEnd", at: this.wall(), version: configuration?.version ?? 0, mark });
@@ -487,7 +487,7 @@
       settledAt: this.settledAt,
       unreachable: (node, from, to) => this.unreachable.covers(node, from, to),
     };
-    const violations = Checker.check(this.history, this.pastEndpoints, options);
+    const violations = Checker.check(this.history, this.startedEndpoints, options);
     for (const error of this.errors) violations.push({ invariant: "no-task-error", detail: error.slice(0, 600) });
     const kinds = ["lookup", "streamEnd", "lotFinished"] as const;
     if (kinds.some((kind) => this.history.of(kind).length === 0))
--- a/src/simulation/simHttp.ts
+++ b/src/simulation/simHttp.ts
@@ -188,10 +188,10 @@
   /** Sends a request; the fault says whether the server may have got it. @example yield* http.request(process, address, out) */
   *request(client: SimProcess, address: string, out: HttpRequest): Task<Result<HttpResponse>> {
     const request = new ClientRequest(address);
-    this.clock.at(out.timeoutMs, () => client.deliver(() => request.timeOut()));
+    this.clock.schedule(out.timeoutMs, () => client.deliver(() => request.timeOut()));
     if (out.cancellation) out.cancellation.cancel = () => request.cancel();
     const server = this.servers.get(address);
-    this.clock.at(this.network.latency(), () => {
+    this.clock.schedule(this.network.latency(), () => {
       if (!server?.process.alive) client.deliver(() => request.refuse());
       else this.arrive(request, client, server, out);
     });
--- a/src/simulation/simNetwork.ts
+++ b/src/simulation/simNetwork.ts
@@ -11,7 +11,7 @@
 export interface NetworkClock {
   readonly now: number;
   random(): number;
-  at(inMs: number, run: () => void): void;
+  schedule(inMs: number, run: () => void): void;
 }
 /** Sends an action to the other end of a pipe; `bytes` is what it takes of both links' bandwidth. */
 export type PipeSend = (run: () => void, bytes?: number) => void;
@@ -74,7 +74,7 @@
   /** Delivers one message that has no order with others. @example network.send(client, server, run); */
   send(from: SimProcess, to: SimProcess, run: () => void, inMs = this.latency()): void {
     if (!this.reachable(from, to)) return;
-    this.clock.at(inMs, () => {
+    this.clock.schedule(inMs, () => {
       if (!this.reachable(from, to)) return;
       this.delivered += 1;
       to.deliver(run);
@@ -89,7 +89,7 @@
       if (broken) return;
       const dueAt = Math.max(lastDueAt + ORDERING_GAP_MS, this.transferredAt(from, to, bytes) + this.latency());
       lastDueAt = dueAt;
-      this.clock.at(dueAt - this.clock.now, () => {
+      this.clock.schedule(dueAt - this.clock.now, () => {
         if (!this.reachable(from, to) || from.unsentLost) broken = true;
         if (broken) return;
         this.delivered += 1;
--- a/src/simulation/simOperator.ts
+++ b/src/simulation/simOperator.ts
@@ -2,7 +2,7 @@
 import { EnvironmentTools } from "../runtime/env";
 import { History } from "../tools/history";
 import { CalendarEntryBody, ChangeBody, LedgerEntryBody } from "../cli/operator/responses";
-import { Plan } from "../tools/deployment";
+import { DeploymentPlan } from "../tools/deployment";
 import { SimProcess, SimWorld } from "./simWorld";
 
 const RESPONSE_LIMIT_BYTES = 32_000_000;
@@ -36,7 +36,7 @@
 /** What an operator needs of the fleet that it drives. */
 export interface OperatedFleet {
   readonly world: SimWorld;
-  readonly plan: Plan;
+  readonly plan: DeploymentPlan;
   readonly seed: number;
   /** Wall time, in milliseconds since 1970. */
   wall(): number;
@@ -71,7 +71,7 @@
 /** What an operator needs of the fleet that it operates. */
 export interface OperatedFleet {
   readonly world: SimWorld;
-  readonly plan: Plan;
+  readonly plan: DeploymentPlan;
   readonly seed: number;
   /** Milliseconds since 1970, in the fleet's virtual time. */
   wall(): number;
@@ -117,7 +117,7 @@
     address = this.anyNode(),
   ): Promise<NodeResponse | undefined> {
     const request = { method, path, body, headers, address, timeoutMs: REQUEST_TIMEOUT_MS };
-    return this.fleet.world.finish(this.process, () => this.request(request), OPERATION_TIMEOUT_MS);
+    return this.fleet.world.runTask(this.process, () => this.request(request), OPERATION_TIMEOUT_MS);
   }
   /** Adds marker routes to the configuration that is read first. @example await operator.changeConfiguration(1); */
   async changeConfiguration(routes = 1): Promise<ChangeOutcome> {
--- a/src/simulation/simProcess.ts
+++ b/src/simulation/simProcess.ts
@@ -62,7 +62,7 @@
     this.frozen = true;
   }
   /** Lets a frozen process go on: what came meanwhile is delivered in order. @example process.wake(); */
-  wake(): void {
+  resume(): void {
     if (!this.frozen) return;
     this.frozen = false;
     for (const run of this.deferred.splice(0)) run();
--- a/src/simulation/simWorld.ts
+++ b/src/simulation/simWorld.ts
@@ -41,9 +41,9 @@
   /** Share of disk operations that take much longer than the others. */
   slowDiskShare = 0.004;
   /** Wraps the environment of each process that starts, to count or to disturb what it does. */
-  around: (env: Environment) => Environment = (env) => env;
+  wrapEnvironment: (env: Environment) => Environment = (env) => env;
   /** Called at every fault point that a process reaches. */
-  watch: (process: SimProcess, point: number) => void = () => undefined;
+  onFaultPoint: (process: SimProcess, point: number) => void = () => undefined;
   private readonly environments = new SimEnvironments(this);
   private readonly queue = new EventQueue();
   private scheduled = 0;
@@ -65,7 +65,7 @@
     return ((mixed ^ (mixed >>> 14)) >>> 0) / 4294967296;
   }
   /** Schedules an action, in milliseconds from now. @example world.at(100, () => world.kill("store-1")); */
-  at(inMs: number, run: () => void): void {
+  schedule(inMs: number, run: () => void): void {
     this.scheduled += 1;
     this.queue.push({ time: this.now + Math.max(0, inMs), order: this.scheduled, run });
   }
@@ -98,7 +98,7 @@
     }
   }
   /** Runs a task of a process to its end, virtual time passing; undefined if not in time. @example await world.finish(process, task, 5000) */
-  async finish<T>(process: SimProcess, body: () => Task<T>, withinMs: number): Promise<T | undefined> {
+  async runTask<T>(process: SimProcess, body: () => Task<T>, withinMs: number): Promise<T | undefined> {
     let result: { value: T } | undefined;
     Csp.go(process.scope, "finish", function* () {
       result = { value: yield* body() };
@@ -116,7 +116,7 @@
   }
   /** The environment that a process gets. @example world.environmentFor(process) */
   environmentFor(process: SimProcess): Environment {
-    return this.around(this.environments.of(process));
+    return this.wrapEnvironment(this.environments.of(process));
   }
   /** Ends a process at once; with its power, what it had not synced or was sending may be lost. @example world.kill("store-1", true); */
   kill(name: string, powerLost = false): void {
@@ -148,7 +148,7 @@
   }
   /** Called by a process at a fault point; an armed action may end it there. @example world.reachPoint(process, 41); */
   reachPoint(process: SimProcess, point: number, context?: FaultPointContext): void {
-    this.watch(process, point);
+    this.onFaultPoint(process, point);
     process.pointHits.set(point, (process.pointHits.get(point) ?? 0) + 1);
     for (const armed of this.armed) {
       if (armed.point !== point || !process.name.startsWith(armed.processPrefix)) continue;
--- a/src/tools/batchJobChecker.ts
+++ b/src/tools/batchJobChecker.ts
@@ -44,9 +44,9 @@
   }[];
 };
 export type BatchJobBounds = {
-  endMs: number;
-  settleMs: number;
-  giveUpMs: number;
+  cancellationMs: number;
+  visibilityMs: number;
+  abandonAfterMs: number;
   attempts: number;
   maxTokens: number;
   quotaOverrun: number;
@@ -83,11 +83,11 @@
     rule: "An accepted job stays known, and a position that was read once stays readable",
     check: (day) => [
       ...observationsOf(day, "notFound")
-        .filter((seen) => seen.certain && seen.at > acceptedAt(day, seen.job) + day.bounds.settleMs)
+        .filter((seen) => seen.certain && seen.at > acceptedAt(day, seen.job) + day.bounds.visibilityMs)
         .map((seen) => `job ${seen.job} was reported as not found`),
       ...observationsOf(day, "listed").flatMap((seen) => {
         const read = observationsOf(day, "listed")
-          .filter((before) => before.job === seen.job && before.at < seen.at - day.bounds.settleMs)
+          .filter((before) => before.job === seen.job && before.at < seen.at - day.bounds.visibilityMs)
           .map((before) => before.from + before.results.length);
         const highest = Math.max(0, ...read);
         return seen.from < highest && seen.results.length === 0
@@ -175,7 +175,7 @@
     check: (day) =>
       day.jobs.flatMap((sent) =>
         runsOf(day, sent)
-          .filter((run) => run.requestedAt > endedAt(day, sent.job) + day.bounds.endMs)
+          .filter((run) => run.requestedAt > endedAt(day, sent.job) + day.bounds.cancellationMs)
           .map((run) => `item ${run.id} ran after job ${sent.job} was ended`),
       ),
   },
@@ -199,7 +199,7 @@
         const listed = observationsOf(day, "listed").some(
           (list) =>
             list.job === seen.job &&
-            list.at <= seen.at + day.bounds.settleMs &&
+            list.at <= seen.at + day.bounds.visibilityMs &&
             list.results.some(({ id }) => id === seen.item),
         );
         return listed || seen.at >= endedAt(day, seen.job) || seen.at < acceptedAt(day, seen.job)
@@ -215,7 +215,7 @@
   item: ExpectedJob["items"][number],
 ): boolean {
   const failures = day.runs.filter((run) => run.id === item.id && run.at < seen.at).length;
-  const isLate = seen.at > acceptedAt(day, seen.job) + day.bounds.giveUpMs;
+  const isLate = seen.at > acceptedAt(day, seen.job) + day.bounds.abandonAfterMs;
   return (
     (item.expected === "impossible" && failures > 0) ||
     (item.expected === "fails" && failures >= day.bounds.attempts) ||
--- a/src/tools/callers/callers.ts
+++ b/src/tools/callers/callers.ts
@@ -20,7 +20,7 @@
  */
 export class Callers {
   /** Calls under way. */
-  running = 0;
+  callsInFlight = 0;
   /** Multiple of the mix's rates. */
   load = 1;
   private readonly client: CallerClient;
@@ -39,7 +39,7 @@
   }
 
   /** Ingresses that the platform sends nobody to just now. @example callers.avoid.add("127.0.0.1:7100"); */
-  get avoid(): Set<string> {
+  get avoidedIngresses(): Set<string> {
     return this.client.avoid;
   }
   /** Batch jobs that were accepted, by id. @example callers.acceptedJobs.size */
@@ -88,12 +88,12 @@
     const callers = this;
     this.started += 1;
     const n = this.started;
-    this.running += 1;
+    this.callsInFlight += 1;
     Csp.go(this.env.scope, `${name} ${n}`, function* () {
       try {
         yield* call(n);
       } finally {
-        callers.running -= 1;
+        callers.callsInFlight -= 1;
       }
     });
   }
--- a/src/tools/checker/checker.ts
+++ b/src/tools/checker/checker.ts
@@ -53,7 +53,7 @@
     );
   },
   /** How many observations of each kind, and how many runs, there were to judge. @example Checker.judged(history, endpoints) */
-  judged(history: History, endpoints: ObservedEndpoint[]): Record<string, number> {
+  observationCounts(history: History, endpoints: ObservedEndpoint[]): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const { tag } of history.observations) counts[tag] = (counts[tag] ?? 0) + 1;
     counts.runs = endpoints.reduce((sum, { runs }) => sum + runs.length, 0);
--- a/src/tools/deployment.ts
+++ b/src/tools/deployment.ts
@@ -27,10 +27,10 @@
   mix: Mix;
 };
 export type ProcessPlan = { name: string; settings: Settings };
-export type Plan = {
+export type DeploymentPlan = {
   proxied: ProxiedProcess[];
   processes: ProcessPlan[];
-  replicas: EndpointSettings[];
+  endpoints: EndpointSettings[];
   ingressHttp: string[];
   controlHttp: string[];
 };
@@ -112,7 +112,7 @@
     return Fault.ok(deployment);
   },
   /** Three seeds: the first control members and the first store. @example Deployment.plan(deployment, 7000, "run") */
-  plan(deployment: Deployment, basePort: number, folder: string, proxies = false): Plan {
+  plan(deployment: Deployment, basePort: number, folder: string, proxies = false): DeploymentPlan {
     let port = basePort;
     const next = (): string => `127.0.0.1:${(port += 1)}`;
     const zone = (at: number): string => deployment.districts[at % deployment.districts.length];
@@ -184,6 +184,6 @@
         };
       }),
     );
-    return { proxied, processes, replicas: endpoints, ingressHttp, controlHttp: controls.map((place) => place.http) };
+    return { proxied, processes, endpoints: endpoints, ingressHttp, controlHttp: controls.map((place) => place.http) };
   },
 };
--- a/src/tools/fleet/checkedRun.ts
+++ b/src/tools/fleet/checkedRun.ts
@@ -2,7 +2,7 @@
 import { Environment, EnvironmentTools } from "../../runtime/env";
 import { Callers } from "../callers/callers";
 import { Checker } from "../checker/checker";
-import { Deployment, Plan } from "../deployment";
+import { Deployment, DeploymentPlan } from "../deployment";
 import { History } from "../history";
 import { Report } from "../report";
 import type { Fleet } from "./fleet";
@@ -20,7 +20,7 @@
 
 /** What a checked run does. */
 export interface CheckedRunOptions {
-  plan: Plan;
+  plan: DeploymentPlan;
   deployment: Deployment;
   /** How long the mix is sent before the first fault, in seconds. */
   seconds: number;
@@ -47,7 +47,7 @@
 }
 function* waitForCalls(env: Environment, callers: Callers): Task<void> {
   const deadline = env.monotonicMs() + DRAIN_TIMEOUT_MS;
-  while (callers.running > 0 && env.monotonicMs() < deadline) yield* EnvironmentTools.sleep(env, DRAIN_POLL_MS);
+  while (callers.callsInFlight > 0 && env.monotonicMs() < deadline) yield* EnvironmentTools.sleep(env, DRAIN_POLL_MS);
 }
 
 function slowestAcceptanceMs(history: History, faultAt: number): number {
--- a/src/tools/fleet/fleet.ts
+++ b/src/tools/fleet/fleet.ts
@@ -3,7 +3,7 @@
 import * as path from "path";
 import { Csp, Task } from "../../runtime/csp";
 import { Environment, EnvironmentTools } from "../../runtime/env";
-import { Plan, ProcessPlan } from "../deployment";
+import { DeploymentPlan, ProcessPlan } from "../deployment";
 import { StandInEndpoint } from "../standInEndpoint";
 import { FleetOperator } from "./fleetOperator";
 import { LinkProxies } from "./linkProxies";
@@ -33,7 +33,7 @@
   /** @param folder folder of the processes' settings, output and data */
   constructor(
     readonly env: Environment,
-    readonly plan: Plan,
+    readonly plan: DeploymentPlan,
     private readonly folder: string,
   ) {
     this.operator = new FleetOperator(env, plan);
@@ -78,7 +78,7 @@
   }
   /** Starts the stand-in endpoints in this process, so that the checker sees their runs. @example yield* fleet.startEndpoints(); */
   *startEndpoints(): Task<void> {
-    for (const settings of this.plan.replicas) {
+    for (const settings of this.plan.endpoints) {
       const endpoint = new StandInEndpoint(this.env, settings);
       yield* endpoint.start();
       this.endpoints.push(endpoint);
--- a/src/tools/fleet/fleetOperator.ts
+++ b/src/tools/fleet/fleetOperator.ts
@@ -1,7 +1,7 @@
 import { ChangeBody, MembersBody } from "../../cli/operator/responses";
 import { Task } from "../../runtime/csp";
 import { Environment, EnvironmentTools } from "../../runtime/env";
-import { Deployment, Plan } from "../deployment";
+import { Deployment, DeploymentPlan } from "../deployment";
 
 const REQUEST_TIMEOUT_MS = 8000;
 const RESPONSE_LIMIT_BYTES = 16_000_000;
@@ -41,7 +41,7 @@
 export class FleetOperator {
   constructor(
     private readonly env: Environment,
-    private readonly plan: Plan,
+    private readonly plan: DeploymentPlan,
   ) {}
 
   /** Sends one request; undefined where no response came in time. @example yield* operator.request({ address, method: "GET", path: "/readyz" }) */
@@ -103,7 +103,7 @@
   private *clusterReadable(): Task<boolean> {
     const members = yield* this.members();
     const ledger = yield* this.get(this.plan.ingressHttp[0], "/v1/ledger?limit=1");
-    return members !== undefined && members.replicas.length >= this.plan.replicas.length && ledger?.status === 200;
+    return members !== undefined && members.replicas.length >= this.plan.endpoints.length && ledger?.status === 200;
   }
   /** Puts the first version of a document, at any control node, until one accepts it. */
   private *putInitial(path: string, document: unknown, deadline: number): Task<boolean> {
--- a/src/tools/measurements/configurationDissemination.ts
+++ b/src/tools/measurements/configurationDissemination.ts
@@ -31,7 +31,7 @@
   await fleet.boot();
   const timesMs: number[] = [];
   for (let round = 0; round < ROUNDS; round += 1) {
-    const change = await fleet.change(routes);
+    const change = await fleet.changeConfiguration(routes);
     if (change.outcome !== "acknowledged") continue;
     timesMs.push(await runUntil(fleet, TIMEOUT_MS, STEP_MS, () => isInForce(fleet, change.version)));
     await fleet.run(PAUSE_BETWEEN_CHANGES_MS);
--- a/src/tools/measurements/measuredFleet.ts
+++ b/src/tools/measurements/measuredFleet.ts
@@ -34,7 +34,7 @@
 /** Returns whether every ingress has a configuration of at least this version. */
 export function isInForce(fleet: SimFleet, version: number): boolean {
   return fleet.names("ingress").every((name) => {
-    const ingress = fleet.running.get(name) as IngressNode | undefined;
+    const ingress = fleet.daemons.get(name) as IngressNode | undefined;
     return (ingress!.snapshot().control?.manifest.version ?? 0) >= version;
   });
 }
--- a/src/tools/measurements/memberCosts.ts
+++ b/src/tools/measurements/memberCosts.ts
@@ -45,7 +45,7 @@
 function nodesOf(fleet: SimFleet): Node[] {
   return (["agent", "store", "control"] as const)
     .flatMap((program) => fleet.names(program))
-    .flatMap((name) => (fleet.running.get(name) as { node?: Node } | undefined)?.node ?? []);
+    .flatMap((name) => (fleet.daemons.get(name) as { node?: Node } | undefined)?.node ?? []);
 }
 
 function sum(nodes: Node[], value: (node: Node) => number): number {
@@ -74,7 +74,7 @@
   const costs: ChangeCosts = { smallMs: [], largeMs: [], largeCpuMs: [] };
   for (const { isLarge, routes } of CHANGES) {
     const cpuBefore = userCpuMs();
-    const change = await fleet.change(routes);
+    const change = await fleet.changeConfiguration(routes);
     if (change.outcome !== "acknowledged") continue;
     const tookMs = await runUntil(fleet, IN_FORCE_TIMEOUT_MS, STEP_MS, () => isInForce(fleet, change.version));
     (isLarge ? costs.largeMs : costs.smallMs).push(tookMs);
@@ -87,7 +87,7 @@
 /** Kills an agent; returns the milliseconds until every node considers it dead. */
 async function measureFailureDetection(fleet: SimFleet): Promise<number> {
   const [killed] = fleet.names("agent");
-  const { id } = (fleet.running.get(killed) as unknown as { node: Node }).node.self;
+  const { id } = (fleet.daemons.get(killed) as unknown as { node: Node }).node.self;
   fleet.kill(killed);
   return runUntil(fleet, DETECTION_TIMEOUT_MS, STEP_MS, () =>
     nodesOf(fleet).every((node) => node.membership.find(id)?.state === "dead"),
--- a/src/tools/measurements/prefixAffinity.ts
+++ b/src/tools/measurements/prefixAffinity.ts
@@ -14,7 +14,7 @@
   const fleet = new SimFleet(checkedDeployment(deployment), seed);
   await fleet.boot();
   await fleet.run(RUN_MS);
-  const modelEndpoints = fleet.pastEndpoints.filter((endpoint) => endpoint.settings.pool === "model");
+  const modelEndpoints = fleet.startedEndpoints.filter((endpoint) => endpoint.settings.pool === "model");
   const hits = modelEndpoints.reduce((sum, endpoint) => sum + endpoint.cacheHits, 0);
   const prompts = modelEndpoints.reduce((sum, endpoint) => sum + endpoint.cacheMisses, hits);
   const firstChunkMs = ascending(fleet.history.of("streamEnd").map((stream) => stream.firstMs));
--- a/src/tools/measurements/shardTakeover.ts
+++ b/src/tools/measurements/shardTakeover.ts
@@ -18,7 +18,7 @@
 const LOSSES: Record<string, (fleet: SimFleet, name: string) => void> = {
   kill: (fleet, name) => fleet.kill(name),
   freeze: (fleet, name) => fleet.freeze(name),
-  "network partition": (fleet, name) => fleet.cutOff([name]),
+  "network partition": (fleet, name) => fleet.partition([name]),
   "disk fails": (fleet, name) => {
     fleet.disks.get(name)!.failing = true;
   },
@@ -43,7 +43,7 @@
   await fleet.boot();
   await fleet.run(SETTLE_MS);
   const name = fleet.busiestStore();
-  const [id] = [...fleet.storeOf].find(([, store]) => store === name)!;
+  const [id] = [...fleet.storeNameById].find(([, store]) => store === name)!;
   const views = Object.values(fleet.views());
   lostAt = fleet.world.now;
   LOSSES[loss](fleet, name);
--- a/src/tools/scale/idleFleet.ts
+++ b/src/tools/scale/idleFleet.ts
@@ -44,7 +44,7 @@
 export class IdleFleet {
   private readonly meters = new Map<string, Meter>();
   private constructor(readonly fleet: SimFleet) {
-    fleet.world.around = (env) => {
+    fleet.world.wrapEnvironment = (env) => {
       const meter = new Meter();
       this.meters.set(env.name, meter);
       return meter.wrap(env);
--- a/src/tools/scale/simulatedControlGroup.ts
+++ b/src/tools/scale/simulatedControlGroup.ts
@@ -31,7 +31,7 @@
   private ids = (): string[] => Array.from({ length: this.size }, (_none, index) => `c${index + 1}`);
   private start(id: string, disk: SimDisk, bootstrapIds: string[]): GroupMember {
     const meter = new Meter();
-    this.world.around = (env) => meter.wrap(env);
+    this.world.wrapEnvironment = (env) => meter.wrap(env);
     const process = this.world.start(id, disk);
     const rpc = new Rpc(process.env, "scale", id);
     const hooks = {
--- a/src/tools/scale/simulatedMembership.ts
+++ b/src/tools/scale/simulatedMembership.ts
@@ -37,7 +37,7 @@
     this.world = new SimWorld(plan.seed, (line) => {
       if (line.includes(" PB1102")) this.suspicions += 1;
     });
-    this.world.around = (env) => {
+    this.world.wrapEnvironment = (env) => {
       const meter = new Meter();
       this.meters.set(env.name, meter);
       return meter.wrap(env);
--- a/src/tools/scale/storageExperiments.ts
+++ b/src/tools/scale/storageExperiments.ts
@@ -24,7 +24,7 @@
   const idleRates = (await idleFleet.measureRates(5000)).store;
   const before = idleFleet.averageCounts("store");
   const startedAt = idleFleet.fleet.world.now;
-  const submitted = await idleFleet.fleet.operate(
+  const submitted = await idleFleet.fleet.send(
     "POST",
     "/v1/lots",
     { id: "L1", binding: "confirm", items: Array.from({ length: items }, (_none, index) => ({ n: index })) },
@@ -40,7 +40,7 @@
   const acceptedMs = idleFleet.fleet.world.now - startedAt;
   let isFinished = false;
   for (let attempt = 0; attempt < 600 && !isFinished; attempt += 1) {
-    const response = await idleFleet.fleet.operate(
+    const response = await idleFleet.fleet.send(
       "GET",
       `/v1/lots/L1/results?after=${items - 1}`,
       undefined,
--- a/src/tools/eventStandIn.ts
+++ b/src/tools/standInEventEndpoint.ts
@@ -31,7 +31,7 @@
  * const replica = new EventStandIn(env, "127.0.0.1:9000", "i1", { events: 5, eventMs: 20, slots: 8 });
  * yield* replica.start();
  */
-export class EventStandIn {
+export class StandInEventEndpoint {
   readonly runs: EndpointRun[] = [];
   behavior: (id: string, attempt: number) => RequestBehavior = () => ({ tag: "complete" });
   active = 0;
--- a/test/antiEntropy.test.ts
+++ b/test/antiEntropy.test.ts
@@ -18,7 +18,7 @@
   const replicas = fleet
     .names("store")
     .flatMap((name) => [
-      ...(fleet.running.get(name) as unknown as { replicas: Map<number, ShardReplica> }).replicas.values(),
+      ...(fleet.daemons.get(name) as unknown as { replicas: Map<number, ShardReplica> }).replicas.values(),
     ]);
   const member = replicas.find((replica) => replica.role === "member" && replica.data.jobs.size > 0)!;
   const leader = replicas.find((replica) => replica.shard === member.shard && replica.role === "lead")!;
@@ -32,7 +32,7 @@
   expect(member.counts.repaired).toBeGreaterThanOrEqual(1);
   expect(member.data.jobs.get(jobId)!.items[0].result).toBe(leader.data.jobs.get(jobId)!.items[0].result);
   expect(member.data.jobs.get(jobId)!.positions.slice(0, positions.length)).toEqual(positions);
-  expect(await fleet.close()).toEqual([]);
+  expect(await fleet.stopAndCheck()).toEqual([]);
 }, 120_000);
 
 test("a damaged segment file is detected by its checksum and fetched from another replica", async () => {
@@ -40,7 +40,7 @@
   await fleet.boot();
   await fleet.run(14_000);
   const name = fleet.names("store")[0];
-  const replicas = (fleet.running.get(name) as unknown as { replicas: Map<number, ShardReplica> }).replicas;
+  const replicas = (fleet.daemons.get(name) as unknown as { replicas: Map<number, ShardReplica> }).replicas;
   const damaged = fleet.disks.get(name)!.damage((file) => /shard-\d+\/lots-0\.seg$/.test(file));
   expect(damaged.length).toBeGreaterThan(1);
   const before = damaged.map((file) =>
@@ -49,12 +49,12 @@
   await fleet.run(1000);
   for (const replica of replicas.values())
     for (let turn = 0; turn < replica.segments.list().length; turn += 1)
-      await fleet.world.finish(fleet.world.processes.get(name)!, () => replica.scrub(turn), 10_000);
+      await fleet.world.runTask(fleet.world.processes.get(name)!, () => replica.scrub(turn), 10_000);
   damaged.forEach((file, index) =>
     expect(fleet.disks.get(name)!.under(path.dirname(file)).get(path.basename(file))!.equals(before[index])).toBe(
       false,
     ),
   );
   expect([...replicas.values()].reduce((sum, replica) => sum + replica.counts.repaired, 0)).toBe(damaged.length);
-  expect(await fleet.close()).toEqual([]);
+  expect(await fleet.stopAndCheck()).toEqual([]);
 }, 120_000);
--- a/test/batchJobChecker.test.ts
+++ b/test/batchJobChecker.test.ts
@@ -7,9 +7,9 @@
 } from "../src/tools/batchJobChecker";
 
 const bounds: BatchJobBounds = {
-  endMs: 3000,
-  settleMs: 1000,
-  giveUpMs: 40_000,
+  cancellationMs: 3000,
+  visibilityMs: 1000,
+  abandonAfterMs: 40_000,
   attempts: 3,
   maxTokens: 1000,
   quotaOverrun: 0.1,
--- a/test/batchJobDays.test.ts
+++ b/test/batchJobDays.test.ts
@@ -3,7 +3,7 @@
 import type { BatchJobContext } from "../src/ingress/batchJobContext";
 import { BatchJobReader } from "../src/ingress/batchJobReader";
 import { BatchSubmission } from "../src/ingress/batchSubmission";
-import { EventStandIn } from "../src/tools/eventStandIn";
+import { StandInEventEndpoint } from "../src/tools/standInEventEndpoint";
 import {
   BatchJobBounds,
   BatchJobChecker,
@@ -15,9 +15,9 @@
 
 const EVENTS_PER_ITEM = 8;
 const bounds: BatchJobBounds = {
-  endMs: 3000,
-  settleMs: 1000,
-  giveUpMs: 40_000,
+  cancellationMs: 3000,
+  visibilityMs: 1000,
+  abandonAfterMs: 40_000,
   attempts: 3,
   maxTokens: 12_000,
   quotaOverrun: 0.1,
@@ -57,7 +57,7 @@
     for (const endpoint of fleet.endpoints) endpoint.behavior = usualBehavior;
   },
 };
-const faultyBehavior = (id: string, draw: number): ReturnType<EventStandIn["behavior"]> =>
+const faultyBehavior = (id: string, draw: number): ReturnType<StandInEventEndpoint["behavior"]> =>
   draw < 0.2
     ? { tag: "cut", after: Math.floor(draw * 40) }
     : draw < 0.3
@@ -65,7 +65,7 @@
       : draw < 0.35
         ? { tag: "silent" }
         : usualBehavior(id);
-const usualBehavior = (id: string): ReturnType<EventStandIn["behavior"]> =>
+const usualBehavior = (id: string): ReturnType<StandInEventEndpoint["behavior"]> =>
   id.endsWith("-i7")
     ? { tag: "status", status: 422 }
     : id.endsWith("-i9")
@@ -115,7 +115,7 @@
       items: items.map((item) => ({
         ...item,
         body: Buffer.from(item.body, "base64").toString(),
-        text: EventStandIn.textOf(item.id, EVENTS_PER_ITEM),
+        text: StandInEventEndpoint.textOf(item.id, EVENTS_PER_ITEM),
         expected: expected(item.id),
       })),
     });
--- a/test/batchJobFleet.ts
+++ b/test/batchJobFleet.ts
@@ -16,7 +16,7 @@
 import { JobResultPage } from "../src/storage/messages/batchJobMessages";
 import { ShardClient } from "../src/storage/shardClient";
 import { StorageNode } from "../src/storage/storageNode";
-import { EventStandIn } from "../src/tools/eventStandIn";
+import { StandInEventEndpoint } from "../src/tools/standInEventEndpoint";
 
 const zoneOf = (index: number): string => ["north", "east", "south", "west"][index % 4];
 const seedAddresses = ["127.0.0.1:1"];
@@ -31,7 +31,7 @@
  */
 export class BatchJobFleet {
   readonly world: SimWorld;
-  readonly endpoints: EventStandIn[] = [];
+  readonly endpoints: StandInEventEndpoint[] = [];
   readonly storageNodes = new Map<string, StorageNode>();
   private readonly diskByProcess = new Map<string, SimDisk>();
   private readonly withdrawnEndpoints = new Set<string>();
@@ -127,7 +127,7 @@
       http: `127.0.0.1:${89 + 2 * index}`,
       seeds: seedAddresses,
     };
-    const started = await this.world.finish(process, () => Node.start(env, settings, "agent"), 5000);
+    const started = await this.world.runTask(process, () => Node.start(env, settings, "agent"), 5000);
     if (!started?.ok) throw new Error("the submitting process did not start");
     const node = started.value;
     this.nodes.push(node);
@@ -148,13 +148,13 @@
   async startEndpoint(id: string): Promise<void> {
     const address = `127.0.0.1:${900 + +id.slice(1)}`;
     const process = this.world.start(`replica-${id}`, new SimDisk(this.world));
-    const endpoint = new EventStandIn(process.env, address, `${id}-1`, {
+    const endpoint = new StandInEventEndpoint(process.env, address, `${id}-1`, {
       events: this.size.events,
       eventMs: 25,
       slots: this.size.slots,
     });
     this.endpoints.push(endpoint);
-    await this.world.finish(process, () => endpoint.start(), 1000);
+    await this.world.runTask(process, () => endpoint.start(), 1000);
     const fleet = this;
     Csp.go(this.caller.scope, `announce ${id}`, function* () {
       while (!fleet.withdrawnEndpoints.has(id)) {
@@ -206,7 +206,7 @@
   }
   /** Runs a call in the first submitting process; undefined if it does not end in time. */
   call<T>(body: (context: BatchJobContext) => Task<T>, withinMs = 20_000): Promise<T | undefined> {
-    return this.world.finish(this.caller, () => body(this.context), withinMs);
+    return this.world.runTask(this.caller, () => body(this.context), withinMs);
   }
   items = (job: string, count: number, tokens = 100): SubmittedItem[] =>
     Array.from({ length: count }, (_each, index) => ({
@@ -280,7 +280,7 @@
     this.world.processes.get(name)!.freeze();
   }
   resume(name: string): void {
-    this.world.processes.get(name)!.wake();
+    this.world.processes.get(name)!.resume();
   }
   /** Errors that the simulated processes have recorded. */
   errors = (): string[] => [...this.world.processes.values()].flatMap((process) => process.errors);
--- a/test/batchJobs.test.ts
+++ b/test/batchJobs.test.ts
@@ -1,10 +1,10 @@
 import { BatchJobReader } from "../src/ingress/batchJobReader";
 import { BatchSubmission } from "../src/ingress/batchSubmission";
-import { EventStandIn } from "../src/tools/eventStandIn";
+import { StandInEventEndpoint } from "../src/tools/standInEventEndpoint";
 import { BatchJobFleet } from "./batchJobFleet";
 
 const expectedTexts = (job: string, count: number, events = 4): string[] =>
-  Array.from({ length: count }, (_each, index) => EventStandIn.textOf(`${job}-i${index}`, events));
+  Array.from({ length: count }, (_each, index) => StandInEventEndpoint.textOf(`${job}-i${index}`, events));
 
 test("a job is accepted once, each item is forwarded once as it was submitted, and results keep their positions in the list", async () => {
   const fleet = await BatchJobFleet.start(1);
@@ -67,7 +67,7 @@
     "complete",
   ]);
   for (const { id, state, text } of page.results)
-    expect(text).toBe(state === "complete" ? EventStandIn.textOf(id, 4) : "");
+    expect(text).toBe(state === "complete" ? StandInEventEndpoint.textOf(id, 4) : "");
   const runs = (id: string): { after: number }[] =>
     fleet.endpoints.flatMap((endpoint) => endpoint.runs).filter((run) => run.id === id);
   expect(runs("M-i0").some((run) => run.after === 2)).toBe(true);
--- a/test/checkpointedLogFormats.test.ts
+++ b/test/checkpointedLogFormats.test.ts
@@ -6,7 +6,7 @@
   const world = new SimWorld(1);
   const disk = new SimDisk(world);
   const process = world.start("p", disk);
-  const written = await world.finish(
+  const written = await world.runTask(
     process,
     function* () {
       const slots = new CheckpointedLog(process.env, "g");
--- a/test/consensusGroups.ts
+++ b/test/consensusGroups.ts
@@ -11,7 +11,7 @@
   voter: GroupMember,
   command: Command,
 ): Promise<Result<Outcome> | undefined> {
-  return await control.world.finish(voter.process, () => voter.group.propose(command, 2000), 3000);
+  return await control.world.runTask(voter.process, () => voter.group.propose(command, 2000), 3000);
 }
 
 /** Partitions the given servers from all others; they can still reach each other. */
--- a/test/controlFleet.ts
+++ b/test/controlFleet.ts
@@ -115,7 +115,7 @@
   /** Shuts a process down as after SIGTERM, and waits until it has stopped. */
   async terminate(name: string): Promise<void> {
     const running = this.running.get(name)!;
-    await this.world.finish(
+    await this.world.runTask(
       this.world.processes.get(name)!,
       function* () {
         yield* running.stop();
@@ -188,7 +188,7 @@
     const running = this.names("control").find((name) => this.running.has(name));
     const target = address ?? (running ? this.settings.get(running)!.http : "127.0.0.1:1");
     const text = body === undefined || typeof body === "string" ? body : JSON.stringify(body);
-    const result = await this.world.finish(
+    const result = await this.world.runTask(
       this.operator,
       function* () {
         const response = yield* env.httpRequest(target, { method, path, body: text, headers, timeoutMs: 8000 });
--- a/test/controlHistory.test.ts
+++ b/test/controlHistory.test.ts
@@ -1,7 +1,7 @@
 import { OperatorRaceCampaign } from "./operatorRaceCampaign";
 import { ControlHistory } from "./controlHistory";
 
-const { change, read, order, drained, configurations, zone } = ControlHistory;
+const { change, read, drainOrder: order, drained, configurations, zone } = ControlHistory;
 
 describe("the judge of operators' histories", () => {
   test("finds an order for concurrent calls, lost answers and reads on either side of them", () => {
--- a/test/controlHistory.ts
+++ b/test/controlHistory.ts
@@ -6,7 +6,8 @@
   /** The state after it, or undefined where what the caller saw can't have been seen in this state. */
   apply(state: State): State | undefined;
 };
-export type Judged = { tag: "linearizable" } | { tag: "violated"; reached: string[]; stuck: string[] };
+export type Verdict =
+  { tag: "linearizable" } | { tag: "violated"; longestOrder: string[]; blockedOperations: string[] };
 export type ConfigurationState = { version: number; mark: string };
 type Frame<State> = { state: State; done: bigint; newestBegin: number; path: string[] };
 
@@ -29,7 +30,7 @@
  * Whether operations of concurrent callers can be put in one order that respects real time and gives every caller what it
  * saw: a depth-first search (Wing and Gong) that visits each pair of state and finished operations once.
  */
-function linearize<State>(initial: State, operations: Operation<State>[]): Judged {
+function linearize<State>(initial: State, operations: Operation<State>[]): Verdict {
   const visited = new Set<string>();
   const stack: Frame<State>[] = [{ state: initial, done: 0n, newestBegin: -Infinity, path: [] }];
   let deepest = stack[0];
@@ -49,7 +50,7 @@
     }
   }
   const stuck = candidates(operations, deepest).map((at) => operations[at].name);
-  return { tag: "violated", reached: deepest.path.slice(-6), stuck };
+  return { tag: "violated", longestOrder: deepest.path.slice(-6), blockedOperations: stuck };
 }
 
 /**
@@ -61,10 +62,10 @@
 export const ControlHistory = {
   linearize,
   /** @example ControlHistory.configurations(operations).tag // "linearizable" */
-  configurations: (operations: Operation<ConfigurationState>[]): Judged =>
+  configurations: (operations: Operation<ConfigurationState>[]): Verdict =>
     linearize({ version: 0, mark: "" }, operations),
   /** @example ControlHistory.zone(operations).tag */
-  zone: (operations: Operation<boolean>[]): Judged => linearize(false, operations),
+  zone: (operations: Operation<boolean>[]): Verdict => linearize(false, operations),
   /** A change, resends included. Acknowledged: it took effect once. Refused: another version was current, and it never did. */
   change(
     mark: string,
@@ -97,7 +98,7 @@
     apply: (state) => (state.version === version && state.mark === mark ? state : undefined),
   }),
   /** An order for a zone; without an answer it may take effect until end. @example ControlHistory.order("drain", 0, 900, true) */
-  order: (kind: "drain" | "undrain", begin: number, end: number, acknowledged: boolean): Operation<boolean> => ({
+  drainOrder: (kind: "drain" | "undrain", begin: number, end: number, acknowledged: boolean): Operation<boolean> => ({
     name: `${kind} ${acknowledged ? "acknowledged" : "unknown"}, ${begin.toFixed(0)} to ${end.toFixed(0)}`,
     begin,
     end,
--- a/test/cutOff.test.ts
+++ b/test/cutOff.test.ts
@@ -50,7 +50,7 @@
   return [...old];
 }
 const freeze = (fleet: ControlFleet, name: string): void => fleet.world.processes.get(name)!.freeze();
-const thaw = (fleet: ControlFleet, name: string): void => fleet.world.processes.get(name)!.wake();
+const thaw = (fleet: ControlFleet, name: string): void => fleet.world.processes.get(name)!.resume();
 
 describe("processes that are partitioned from the majority of the control group", () => {
   const cases: { seed: number; direction: Direction; resets: boolean; isLeader: boolean; partitionMs: number }[] = [
--- a/test/dataFolder.test.ts
+++ b/test/dataFolder.test.ts
@@ -10,7 +10,7 @@
   const logged: number[] = [];
   const process = world.start("p", disk);
   const env = { ...process.env, log: (event: number) => void logged.push(event) };
-  const said = await world.finish(
+  const said = await world.runTask(
     process,
     function* () {
       for (const [name, text] of Object.entries(files)) yield* env.disk.write(`data/${name}`, Buffer.from(text));
--- a/test/direct.test.ts
+++ b/test/direct.test.ts
@@ -329,7 +329,7 @@
       deadlineMs: 1000,
       idempotent: false,
     };
-    const response = await world.finish(caller, () => EndpointHttp.single(caller.env, endpoint(0), delivery), 2000);
+    const response = await world.runTask(caller, () => EndpointHttp.single(caller.env, endpoint(0), delivery), 2000);
     expect(response).toMatchObject({ ok: false, fault: { tag: "broken" } });
   }
 });
--- a/test/disk.test.ts
+++ b/test/disk.test.ts
@@ -5,7 +5,7 @@
 
 const inWorld = async <T>(world: SimWorld, disk: SimDisk, body: (slots: CheckpointedLog) => Task<T>): Promise<T> => {
   const process = world.start(`p${world.now}`, disk);
-  return (await world.finish(process, () => body(new CheckpointedLog(process.env, "d")), 60_000)) as T;
+  return (await world.runTask(process, () => body(new CheckpointedLog(process.env, "d")), 60_000)) as T;
 };
 const records = function* (slots: CheckpointedLog): Task<unknown> {
   const opened = yield* slots.open();
@@ -90,7 +90,7 @@
   });
   const bytes = spoil(Buffer.from(disk.under("d").get(name)!));
   const process = world.start("spoiler", disk);
-  await world.finish(process, () => process.env.disk.write(`d/${name}`, bytes), 1000);
+  await world.runTask(process, () => process.env.disk.write(`d/${name}`, bytes), 1000);
   const said = await inWorld(world, disk, records);
   return { said, left: disk.under("d").get(name)!.equals(bytes) };
 };
--- a/test/drainOrders.test.ts
+++ b/test/drainOrders.test.ts
@@ -67,7 +67,7 @@
       const frozen = fleet.world.processes.get(name)!;
       frozen.freeze();
       const { env } = fleet.operator;
-      const lost = await fleet.world.finish(
+      const lost = await fleet.world.runTask(
         fleet.operator,
         () =>
           env.httpRequest(httpAddress(fleet, name), {
@@ -79,7 +79,7 @@
       );
       expect(lost?.ok).toBe(false);
       await fleet.run(20_000);
-      frozen.wake();
+      frozen.resume();
       await fleet.run(6000);
       expect([seed, drained(fleet)]).toEqual([seed, []]);
       expect(fleet.close()).toEqual([]);
@@ -90,7 +90,7 @@
     await fleet.run(3000);
     const [rpc, leader] = [new Rpc(fleet.operator.env, "test", "asker"), fleet.leader()!];
     const call = (body: ControlRequest): Promise<any> =>
-      fleet.world.finish(
+      fleet.world.runTask(
         fleet.operator,
         () => rpc.call(fleet.settings.get(leader)!.address, "control.op", body, 2000),
         3000,
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -8,7 +8,7 @@
 import { Deployment } from "../src/tools/deployment";
 import { Fleet } from "../src/tools/fleet/fleet";
 import { History } from "../src/tools/history";
-import { TestTools } from "./tools";
+import { TaskRunner } from "./taskRunner";
 
 // Separate processes on real sockets and files. Every wait is for a condition; no verdict hangs on speed.
 test("the whole path: processes find each other, take a configuration, serve lookups, streams and lots, and survive a killed store", async () => {
@@ -19,7 +19,7 @@
   const plan = Deployment.plan(deployment, 20_000 + (process.pid % 20_000), folder);
   let fleet: Fleet | undefined;
   try {
-    await TestTools.run(function* (env) {
+    await TaskRunner.run(function* (env) {
       fleet = new Fleet(env, plan, folder);
       fleet.startAll();
       yield* fleet.startEndpoints();
@@ -46,7 +46,8 @@
       )
         yield* EnvironmentTools.sleep(env, 100);
       callers.stopNew();
-      for (let waited = 0; callers.running > 0 && waited < 1200; waited += 1) yield* EnvironmentTools.sleep(env, 100);
+      for (let waited = 0; callers.callsInFlight > 0 && waited < 1200; waited += 1)
+        yield* EnvironmentTools.sleep(env, 100);
       for (const ingress of plan.ingressHttp) yield* callers.reread(ingress);
       // what holds at any speed; the bounds in seconds are judged in virtual time
       const timeless = [
--- a/test/fuzz.test.ts
+++ b/test/fuzz.test.ts
@@ -77,7 +77,7 @@
       });
       const rpc = new Rpc(client.env, "a", "c");
       const asking = rpc.call("10.0.0.1:7", "echo", {}, 400);
-      const got = await world.finish(client, () => asking, 2000);
+      const got = await world.runTask(client, () => asking, 2000);
       expect(got).toEqual({ ok: true, value: "yours" });
       const serving = new Rpc(server.env, "a", "s");
       serving.handle("echo", function* (body) {
@@ -90,7 +90,7 @@
         if (link.ok) for (const snapshot of snapshots) link.value.send(snapshot);
         return yield* rpc.call("10.0.0.2:7", "echo", "well", 400);
       };
-      expect(await world.finish(client, thrown, 2000)).toEqual({ ok: true, value: "well" });
+      expect(await world.runTask(client, thrown, 2000)).toEqual({ ok: true, value: "well" });
       expect([...client.errors, ...server.errors]).toEqual([]);
     }),
     socketSettings,
@@ -139,7 +139,7 @@
           for (const piece of got.value) ids.push(piece.id);
         }
       };
-      const whole = await world.finish(reader, read, 3000);
+      const whole = await world.runTask(reader, read, 3000);
       expect(ids).toEqual(ids.map((_each, index) => index + 1));
       if (given.bytes.equals(given.right)) expect([whole, ids.length]).toEqual([true, given.count]);
       expect(whole === false ? aborted : true).toBe(true);
--- a/test/golden/controlLog.ts
+++ b/test/golden/controlLog.ts
@@ -22,7 +22,7 @@
   const world = new SimWorld(1);
   const process = world.start("control-1", new SimDisk(world));
   const log = new ReplicatedLog(new LogStore(new CheckpointedLog(process.env, folder)));
-  const opened = await world.finish(
+  const opened = await world.runTask(
     process,
     function* () {
       for (const [file, content] of Object.entries(files)) yield* process.env.disk.write(`${folder}/${file}`, content);
--- a/test/golden/goldenFleet.ts
+++ b/test/golden/goldenFleet.ts
@@ -4,7 +4,7 @@
 import { Disk } from "../../src/runtime/env";
 import { SimDisk } from "../../src/simulation/simDisk";
 import { SimProcess } from "../../src/simulation/simWorld";
-import { EventStandIn } from "../../src/tools/eventStandIn";
+import { StandInEventEndpoint } from "../../src/tools/standInEventEndpoint";
 import { EndpointSettings, StandInEndpoint } from "../../src/tools/standInEndpoint";
 import { Rpc } from "../../src/rpc/rpc";
 import { OperatorResponse, ControlFleet } from "../controlFleet";
@@ -27,7 +27,7 @@
   readonly exchanges: Exchange[] = [];
   readonly logLines: string[] = [];
   /** The event replicas, in the order of their start. */
-  readonly replicas: EventStandIn[] = [];
+  readonly replicas: StandInEventEndpoint[] = [];
   private readonly rpc: Rpc;
 
   constructor(seed: number, options: FleetOptions) {
@@ -62,13 +62,13 @@
   /** Sends an internal request as a member would. @example await golden.ask("control-1", "control.status", {}) */
   ask(name: string, method: string, body: unknown): Promise<Result<unknown> | undefined> {
     const { address } = this.fleet.settings.get(name)!;
-    return this.fleet.world.finish(this.fleet.operator, () => this.rpc.call(address, method, body, 2000), 3000);
+    return this.fleet.world.runTask(this.fleet.operator, () => this.rpc.call(address, method, body, 2000), 3000);
   }
   /** Sends bytes on a connection of their own. @example await golden.sendBytes("store-1", Buffer.from("GET /")) */
   async sendBytes(name: string, bytes: Buffer): Promise<void> {
     const { env } = this.fleet.operator;
     const { address } = this.fleet.settings.get(name)!;
-    await this.fleet.world.finish(
+    await this.fleet.world.runTask(
       this.fleet.operator,
       function* () {
         const link = yield* env.connect(address, 500);
@@ -93,7 +93,7 @@
   private async onDisk(name: string, body: (disk: Disk) => Task<unknown>): Promise<void> {
     const { world } = this.fleet;
     const writer = world.start(`writer of ${name}`, this.fleet.disks.get(name)!);
-    await world.finish(writer, () => body(writer.env.disk), 60_000);
+    await world.runTask(writer, () => body(writer.env.disk), 60_000);
     world.kill(`writer of ${name}`);
   }
 
@@ -122,7 +122,7 @@
   startEventReplica(id: string, port: number, names: HeaderNames = defaultHeaderNames): void {
     const address = `127.0.0.1:${port}`;
     const process = this.startProcess(`replica-${id}`);
-    const replica = new EventStandIn(process.env, address, id, { events: 3, eventMs: 20, slots: 8 }, names);
+    const replica = new StandInEventEndpoint(process.env, address, id, { events: 3, eventMs: 20, slots: 8 }, names);
     this.replicas.push(replica);
     Csp.go(process.scope, "main", () => replica.start());
   }
@@ -134,7 +134,7 @@
       Csp.go(env.scope, "renew an announcement", function* () {
         yield* env.httpRequest(address, { method, path, body: JSON.stringify(body), timeoutMs: 500 });
       });
-      world.at(900, once);
+      world.schedule(900, once);
     };
     once();
   }
--- a/test/golden/productRun.ts
+++ b/test/golden/productRun.ts
@@ -193,7 +193,7 @@
 async function troubleClocks({ fleet }: GoldenFleet): Promise<void> {
   for (const name of ["ingress-1", "agent-1"]) fleet.world.processes.get(name)!.freeze();
   await fleet.run(4000);
-  for (const name of ["ingress-1", "agent-1"]) fleet.world.processes.get(name)!.wake();
+  for (const name of ["ingress-1", "agent-1"]) fleet.world.processes.get(name)!.resume();
   await fleet.run(2000);
   const store = fleet.world.processes.get("store-2")!;
   store.skewMs = 200;
--- a/test/goldenFolders.test.ts
+++ b/test/goldenFolders.test.ts
@@ -7,7 +7,7 @@
 import { rareEventRun } from "./golden/rareEventRun";
 import { logEventShapes, readDataFolders, readGolden } from "./golden/recordings";
 import { DataFolders, readFolders, writeFolders } from "./golden/storageRun";
-import { TestTools } from "./tools";
+import { TaskRunner } from "./taskRunner";
 
 /** What differs, by name; whole files would not be readable in a failure. */
 function differing(expected: DataFolders, actual: DataFolders): string[] {
@@ -51,7 +51,7 @@
   const parent = fs.mkdtempSync(path.join(os.tmpdir(), "petrelbeam-golden-"));
   const folder = path.join(parent, "data");
   const identity = { id: "store-1abc", cluster: "golden", program: "store" as const };
-  const opened = await TestTools.run((env) => DataFolder.open(env, folder, "127.0.0.1:7660", identity));
+  const opened = await TaskRunner.run((env) => DataFolder.open(env, folder, "127.0.0.1:7660", identity));
   expect(opened).toEqual({ ok: true, value: "store-1abc" });
   expect(fs.readdirSync(folder).sort()).toEqual(["identity", "lock"]);
   expect(fs.readFileSync(path.join(folder, "identity"), "utf8")).toBe(readGolden<string[]>("identity.json")[0]);
--- a/test/gossip.test.ts
+++ b/test/gossip.test.ts
@@ -33,7 +33,7 @@
   // Three members publish four renewals a second in turn for four seconds.
   let renewalCount = 0;
   for (const at of Array(16).keys())
-    simulation.world.at(at * 250, () =>
+    simulation.world.schedule(at * 250, () =>
       gossip[at % 3].publish("replica/r1/1", endpoint((renewalCount += 1)), LEASE_MS, false),
     );
   const renewing = await simulation.measureRates(4000);
--- a/test/leaderLease.test.ts
+++ b/test/leaderLease.test.ts
@@ -32,7 +32,7 @@
     const lastContactAt = leader.group.quorumContactAt();
     expect(leader.process.env.monotonicMs() - lastContactAt).toBeGreaterThan(3500);
     expect(leader.group.hasLeaderLease()).toBe(false);
-    leader.process.wake();
+    leader.process.resume();
     for (let step = 0; step < 20; step += 1) {
       await control.world.run(5);
       expect(leader.group.hasLeaderLease()).toBe(false);
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -25,7 +25,7 @@
     process.freeze();
     await membership.world.run(600);
     membership.world.heal();
-    process.wake();
+    process.resume();
     await membership.world.run(0.1); // Runs the member's own time-outs, before it can learn of suspicions from others.
     wrongSuspicions.push(...notAlive(membership, 4).filter((id) => !knownBefore.includes(id)));
     await membership.world.run(4000);
--- a/test/messageRejection.test.ts
+++ b/test/messageRejection.test.ts
@@ -23,7 +23,7 @@
     body: object,
   ): Promise<Result<unknown>> => {
     const from = control.members.find((voter) => voter !== target)!;
-    return (await control.world.finish(
+    return (await control.world.runTask(
       from.process,
       () => from.rpc.call(control.addressOf(target.id), method, { to: target.id, ...body }, 500),
       1000,
--- a/test/operatorRaceCampaign.ts
+++ b/test/operatorRaceCampaign.ts
@@ -1,7 +1,7 @@
 import { Csp, Task } from "../src/runtime/csp";
 import { EnvironmentTools } from "../src/runtime/env";
 import { ControlFleet } from "./controlFleet";
-import { ConfigurationState, ControlHistory, Judged, Operation } from "./controlHistory";
+import { ConfigurationState, ControlHistory, Verdict, Operation } from "./controlHistory";
 
 /** A change of the configuration that an operator sent, possibly several times. Times are virtual, in ms. */
 interface ProposedChange {
@@ -157,7 +157,7 @@
         if (!acknowledged) yield* EnvironmentTools.sleep(operator.env, 50 + this.random() * 300);
       }
       const end = acknowledged ? world.now : world.now + ORDER_LIMITS.takeEffectMs;
-      history.push(ControlHistory.order(isDrain ? "drain" : "undrain", begin, end, acknowledged));
+      history.push(ControlHistory.drainOrder(isDrain ? "drain" : "undrain", begin, end, acknowledged));
     }
   }
   private zoneHistory(zone: string): Operation<boolean>[] {
@@ -271,10 +271,10 @@
     this.checkHistory("the configuration", ControlHistory.configurations([...changes, ...this.reads]));
     for (const [zone, history] of this.zones) this.checkHistory(`zone ${zone}`, ControlHistory.zone(history));
   }
-  private checkHistory(subject: string, verdict: Judged): void {
+  private checkHistory(subject: string, verdict: Verdict): void {
     if (verdict.tag === "linearizable") return;
     this.violations.push(
-      `the history of ${subject} is not linearizable: after ${verdict.reached.join("; ")} none of ${verdict.stuck.join("; ")}`,
+      `the history of ${subject} is not linearizable: after ${verdict.longestOrder.join("; ")} none of ${verdict.blockedOperations.join("; ")}`,
     );
   }
   private recordFault(fault: string): void {
@@ -350,7 +350,7 @@
       }
     }
     await fleet.run(forMs);
-    if (kind === "freeze") world.processes.get(name)!.wake();
+    if (kind === "freeze") world.processes.get(name)!.resume();
     else if (kind === "isolate" || kind === "isolate inbound") world.heal();
     else if (kind === "replace") {
       fleet.settings.delete(name);
--- a/test/powerLoss.test.ts
+++ b/test/powerLoss.test.ts
@@ -22,7 +22,7 @@
       if (next === choices.length) choices.push({ picked: 0, outcomes });
       return choices[next++].picked;
     };
-    body({ pick, cut: (bytes) => bytes >> 1 });
+    body({ pickOutcome: pick, pickTearOffset: (bytes) => bytes >> 1 });
     while (choices.length > 0 && choices[choices.length - 1].picked === choices[choices.length - 1].outcomes - 1)
       choices.pop();
     if (choices.length === 0) return runCount;
--- a/test/segments.test.ts
+++ b/test/segments.test.ts
@@ -96,7 +96,7 @@
   ]);
 }
 const runInProcess = async <T>(world: SimWorld, process: SimProcess, body: () => Task<T>): Promise<T> => {
-  const done = await world.finish(process, body, 10_000_000);
+  const done = await world.runTask(process, body, 10_000_000);
   expect(process.errors).toEqual([]);
   return done as T;
 };
--- a/test/singleVoterRecovery.test.ts
+++ b/test/singleVoterRecovery.test.ts
@@ -12,7 +12,7 @@
     const restarted = control.restart(survivor.id);
     await control.world.run(200);
     const request = { group: "group-scale", voter: survivor.id, by: "ann" };
-    const recovered = await control.world.finish(restarted.process, () => restarted.group.recover(request, []), 2000);
+    const recovered = await control.world.runTask(restarted.process, () => restarted.group.recover(request, []), 2000);
     expect(recovered).toMatchObject({ ok: true });
     await control.world.run(3000);
     expect(control.leader()!.id).toBe(survivor.id);
--- a/test/stopping.test.ts
+++ b/test/stopping.test.ts
@@ -3,10 +3,10 @@
 import * as path from "path";
 import { Csp } from "../src/runtime/csp";
 import { EnvironmentTools, HttpExchange } from "../src/runtime/env";
-import { TestTools } from "./tools";
+import { TaskRunner } from "./taskRunner";
 
 test("a process that stops serving refuses new connections, and still sends complete responses to requests in flight", async () => {
-  const result = await TestTools.run(function* (env) {
+  const result = await TaskRunner.run(function* (env) {
     const address = "127.0.0.1:17991";
     const receivedExchanges = Csp.chan<HttpExchange>(4);
     yield* env.serveHttp(address, function* (exchange: HttpExchange) {
@@ -37,7 +37,7 @@
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "petrelbeam-lock-"));
   const parent = fs.readFileSync(`/proc/${process.ppid}/stat`, "utf8");
   const liveOwner = `${process.ppid} ${parent.slice(parent.lastIndexOf(")") + 2).split(" ")[19]}`;
-  const locked = await TestTools.run(function* (env) {
+  const locked = await TaskRunner.run(function* (env) {
     fs.writeFileSync(path.join(folder, "lock"), `${liveOwner} 127.0.0.1:7001\n`);
     const otherAddress = yield* env.disk.lock(folder, "127.0.0.1:7002");
     return [otherAddress.ok, (yield* env.disk.lock(folder, "127.0.0.1:7001")).ok];
@@ -56,7 +56,7 @@
     "4194304 undefined 127.0.0.1:7001\n",
     "\0".repeat(completeText.length),
   ];
-  const outcome = await TestTools.run(function* (env) {
+  const outcome = await TaskRunner.run(function* (env) {
     const refusedTexts: string[] = [];
     for (const text of truncatedTexts) {
       fs.writeFileSync(path.join(folder, "lock"), text);
--- a/test/surface.test.ts
+++ b/test/surface.test.ts
@@ -166,7 +166,7 @@
     headers: Record<string, string> = {},
     address = ingress,
   ): Promise<{ status: number; body: any }> => {
-    const said = await fleet.operate(method, path_, body, headers, address);
+    const said = await fleet.send(method, path_, body, headers, address);
     if (!said) throw new Error(`no answer to ${method} ${path_}`);
     return said;
   };
@@ -225,7 +225,7 @@
   expect((await ask("POST", "/v1/requests/status", { q: "x".repeat(1_100_000) })).status).toBe(413);
   const raw = fleet.world.start("raw", fleet.disks.get("store-1")!);
   for (const path_ of ["/v1/requests/status", "/v1/requests/confirm", "/v1/lots"]) {
-    const notJson = await fleet.world.finish(
+    const notJson = await fleet.world.runTask(
       raw,
       () => raw.env.httpRequest(ingress, { method: "POST", path: path_, body: "{", timeoutMs: 1000 }),
       2000,
@@ -289,7 +289,7 @@
   // a foreign datagram and a foreign frame are dropped, and nothing falls
   const stranger = fleet.world.start("stranger", fleet.disks.get("store-1")!);
   const to = fleet.plan.processes[0].settings.address;
-  await fleet.world.finish(
+  await fleet.world.runTask(
     stranger,
     function* () {
       const socket = yield* stranger.env.bindDatagrams("127.0.0.1:9");
@@ -303,5 +303,5 @@
   await fleet.run(1000);
   expect((await ask("GET", "/livez", undefined, {}, fleet.plan.processes[0].settings.http)).status).toBe(200);
   fleet.notes.length = 0;
-  expect(await fleet.close()).toEqual([]);
+  expect(await fleet.stopAndCheck()).toEqual([]);
 }, 120_000);
--- a/test/tools.ts
+++ b/test/taskRunner.ts
@@ -8,7 +8,7 @@
  * @example
  * const got = await TestTools.run(function* (env) { return yield* EnvironmentTools.sleep(env, 1); });
  */
-export const TestTools = {
+export const TaskRunner = {
   run<T>(body: (env: Environment) => Task<T>): Promise<T> {
     return new Promise((resolve, reject) => {
       const scope = new Scope("test", (_task, error) =>
--- a/test/voterManagement.test.ts
+++ b/test/voterManagement.test.ts
@@ -69,10 +69,12 @@
     const rpc = new Rpc(fleet.operator.env, "test", "asker");
     const vote = { to: former, group: group.groupId(), term: 99, candidate: "asker", lastIndex: 10_000, lastTerm: 98 };
     for (const method of ["group.vote", "group.preVote"])
-      expect(await fleet.world.finish(fleet.operator, () => rpc.call(address, method, vote, 500), 1000)).toMatchObject({
-        ok: false,
-        fault: { tag: "refused" },
-      });
+      expect(await fleet.world.runTask(fleet.operator, () => rpc.call(address, method, vote, 500), 1000)).toMatchObject(
+        {
+          ok: false,
+          fault: { tag: "refused" },
+        },
+      );
     // With the other voter back, a majority of the voters that hold the log is available again.
     fleet.restart(down);
     expect(await fleet.until(async () => (await put(fleet, 2, 1)) === 200, 8000, 100)).toBeDefined();
