--- a/src/cli/scale/fullScaleCommand.ts
+++ b/src/cli/scale/fullScaleCommand.ts
@@ -5,41 +5,41 @@
 import { exitWithUsageError, printLine } from "../output";
 import { readInteger, ScaleOptions } from "./sizeOptions";
 
-const memberBound: Bound = { name: "members", min: 3, max: 5000, reason: "loopback addresses are made for no more" };
-const endpointBound: Bound = { name: "replicas", min: 0, max: 100_000, reason: "ten times the size to design for" };
+const memberBound: Bound = { name: "members", least: 3, most: 5000, why: "there are loopback addresses for no more" };
+const endpointBound: Bound = { name: "replicas", least: 0, most: 100_000, why: "ten times the design size" };
 const processBound: Bound = {
   name: "processes",
-  min: 1,
-  max: Math.max(1, os.cpus().length),
-  reason: "the machine has no more cores",
+  least: 1,
+  most: Math.max(1, os.cpus().length),
+  why: "the machine has no more cores",
 };
-const secondsBound: Bound = { name: "seconds", min: 10, max: 600, reason: "others use this machine" };
+const secondsBound: Bound = { name: "seconds", least: 10, most: 600, why: "the machine is shared" };
 
 async function measureFullScale(options: ScaleOptions): Promise<void> {
   const members = readInteger(options.members, memberBound);
   const endpoints = readInteger(options.replicas, endpointBound);
   const processes = readInteger(options.processes, processBound);
   const seconds = readInteger(options.seconds, secondsBound);
-  const fits = Sizes.checkMemory(members, endpoints);
+  const fits = Sizes.fits(members, endpoints);
   if (!fits.ok) exitWithUsageError(fits.fault.detail);
-  const plan = { members, endpoints: endpoints, processes, seconds, memoryLimitBytes: Sizes.memoryLimitBytes() };
+  const plan = { members, replicas: endpoints, processes, seconds, memoryLimit: Sizes.memoryLimit() };
   const run = new FullScaleRun(plan, printLine);
-  process.on("SIGINT", () => (run.isInterrupted = true));
-  process.on("SIGTERM", () => (run.isInterrupted = true));
+  process.on("SIGINT", () => (run.cut = true));
+  process.on("SIGTERM", () => (run.cut = true));
   await run.run();
   process.exit(0);
 }
 
-/** The command that runs all members and endpoints of a full-size fleet at once. @example addFullScaleCommand(program); */
+/** Adds the command that measures all members and endpoints of a full-size fleet at once. */
 export function addFullScaleCommand(program: Sade): void {
   program
     .command("scale whole")
     .describe(
-      "All members and replicas at once: hollow members over the real wire on loopback addresses, in a few processes.",
+      "Measures all members and endpoints at once: lightweight members over real sockets on loopback addresses, in a few processes.",
     )
-    .option("--members", "Members", 780)
-    .option("--replicas", "Replicas that announce themselves", 10_000)
-    .option("--processes", "Processes that share the members; each takes a core when it is busy", 3)
-    .option("--seconds", "How long", 60)
+    .option("--members", "Number of members", 780)
+    .option("--replicas", "Number of endpoints that announce themselves", 10_000)
+    .option("--processes", "Number of processes that run the members; each uses a core when it is busy", 3)
+    .option("--seconds", "Duration in seconds", 60)
     .action(measureFullScale);
 }
