--- a/src/tools/scale/fullScaleRun.ts
+++ b/src/tools/scale/fullScaleRun.ts
@@ -1,6 +1,6 @@
 import { ChildProcess, fork } from "child_process";
 import * as path from "path";
-import { WorkerAssignment, WorkerReport } from "./fullScaleWorker";
+import { WorkerSetup, WorkerReport } from "./fullScaleWorker";
 
 export type FullScalePlan = {
   members: number;
@@ -44,7 +44,7 @@
       child.on("message", (message) => (this.reports[worker] = message as WorkerReport));
       child.on("exit", (code, signal) => (this.endReason ??= `process ${worker + 1} exited with ${signal ?? code}`));
       const firstMember = (index: number): number => Math.floor((members * index) / processes);
-      const assignment: WorkerAssignment = {
+      const setup: WorkerSetup = {
         from: firstMember(worker),
         to: firstMember(worker + 1),
         members,
@@ -53,7 +53,7 @@
         regions: REGIONS,
         startEveryMs: START_INTERVAL_MS,
       };
-      child.send({ tag: "start", order: assignment });
+      child.send({ tag: "start", order: setup });
     }
   }
   private async collectReports(): Promise<WorkerReport[]> {
--- a/src/tools/scale/fullScaleWorker.ts
+++ b/src/tools/scale/fullScaleWorker.ts
@@ -7,7 +7,7 @@
 import { Counts, Meter } from "./meter";
 
 /** The members that one worker runs, `from` to `to` (exclusive) of all, and the size of the whole run. */
-export type WorkerAssignment = {
+export type WorkerSetup = {
   from: number;
   to: number;
   members: number;
@@ -47,7 +47,7 @@
   private suspicions = 0;
   private deaths = 0;
   private stallMs = 0;
-  constructor(private readonly assignment: WorkerAssignment) {
+  constructor(private readonly setup: WorkerSetup) {
     this.scope = new Scope("full-scale worker", (task, error) =>
       process.stderr.write(`${task}: ${String((error as Error).stack ?? error)}\n`),
     );
@@ -65,7 +65,7 @@
     }
   }
   private *startAll(): Task<void> {
-    const { from, to, members, replicas: endpoints, zones, regions, startEveryMs } = this.assignment;
+    const { from, to, members, replicas: endpoints, zones, regions, startEveryMs } = this.setup;
     const seeds = [0, 1, 2].map(addressOf);
     for (let index = from; index < to; index += 1) {
       const scope = this.scope.branch(`member-${index}`);
@@ -127,9 +127,7 @@
       "message",
       (
         message:
-          | { tag: "start"; order: WorkerAssignment }
-          | { tag: "say" }
-          | { tag: "offer"; bindings: number; index: number },
+          { tag: "start"; order: WorkerSetup } | { tag: "say" } | { tag: "offer"; bindings: number; index: number },
       ) => {
         switch (message.tag) {
           case "start":
