--- a/test/golden/goldenFleet.ts
+++ b/test/golden/goldenFleet.ts
@@ -27,7 +27,7 @@
   readonly exchanges: Exchange[] = [];
   readonly logLines: string[] = [];
   /** The event replicas, in the order of their start. */
-  readonly replicas: StandInEventEndpoint[] = [];
+  readonly eventEndpoints: StandInEventEndpoint[] = [];
   private readonly rpc: Rpc;
 
   constructor(seed: number, options: FleetOptions) {
@@ -119,15 +119,15 @@
     Csp.go(process.scope, "main", () => replica.start());
   }
   /** A replica that takes requests as they are; it is announced by whoever starts it. @example golden.startEventReplica("e1", 9001) */
-  startEventReplica(id: string, port: number, names: HeaderNames = defaultHeaderNames): void {
+  startEventEndpoint(id: string, port: number, names: HeaderNames = defaultHeaderNames): void {
     const address = `127.0.0.1:${port}`;
     const process = this.startProcess(`replica-${id}`);
     const replica = new StandInEventEndpoint(process.env, address, id, { events: 3, eventMs: 20, slots: 8 }, names);
-    this.replicas.push(replica);
+    this.eventEndpoints.push(replica);
     Csp.go(process.scope, "main", () => replica.start());
   }
   /** Repeats a request every 900 ms, as a replica renews its announcement. @example golden.renew("PUT", "/v1/replicas/e1", body, address) */
-  renew(method: string, path: string, body: unknown, address: string): void {
+  repeatRequest(method: string, path: string, body: unknown, address: string): void {
     const { env } = this.fleet.operator;
     const { world } = this.fleet;
     const once = (): void => {
--- a/test/golden/productRun.ts
+++ b/test/golden/productRun.ts
@@ -39,9 +39,9 @@
   const { call } = golden;
   golden.startReplica("model-1", "model", 9001, ["ingress-1", "ingress-2"]);
   golden.startReplica("desk-1", "desk", 9002, ["ingress-2"]);
-  golden.startEventReplica("e1", 9003);
+  golden.startEventEndpoint("e1", 9003);
   const body = announcement("e1", "127.0.0.1:9003");
-  golden.renew("PUT", "/v1/replicas/e1", body, golden.http("ingress-1"));
+  golden.repeatRequest("PUT", "/v1/replicas/e1", body, golden.http("ingress-1"));
   await golden.fleet.run(500);
   await call("PUT", "/v1/replicas/e1", { at: "ingress-1", body });
   await call("PUT", "/v1/replicas/e2", { at: "ingress-2", body: announcement("e2", "127.0.0.1:9004") });
