--- a/test/golden/controlLog.ts
+++ b/test/golden/controlLog.ts
@@ -15,17 +15,18 @@
   /** Index and term of each entry after the snapshot. */
   entries: [index: number, term: number][];
 };
-const folder = "data/group";
+const LOG_FOLDER = "data/group";
 
 /** Opens a control log from the files of its folder. @example (await openControlLog(files)).term */
 export async function openControlLog(files: Record<string, Buffer>): Promise<ControlLogContent> {
   const world = new SimWorld(1);
   const process = world.start("control-1", new SimDisk(world));
-  const log = new ReplicatedLog(new LogStore(new CheckpointedLog(process.env, folder)));
+  const log = new ReplicatedLog(new LogStore(new CheckpointedLog(process.env, LOG_FOLDER)));
   const opened = await world.runTask(
     process,
     function* () {
-      for (const [file, content] of Object.entries(files)) yield* process.env.disk.write(`${folder}/${file}`, content);
+      for (const [file, content] of Object.entries(files))
+        yield* process.env.disk.write(`${LOG_FOLDER}/${file}`, content);
       return yield* log.open();
     },
     60_000,
--- a/test/golden/storageRun.ts
+++ b/test/golden/dataFolderRun.ts
@@ -2,39 +2,39 @@
 import { requestItems } from "./configuration";
 import { Exchange } from "./exchange";
 import { GoldenFleet } from "./goldenFleet";
-import { configure, planMoves } from "./operatorSteps";
+import { configure, scheduleOperations } from "./operatorSteps";
 import { withShortLogs } from "./shortLogs";
 
 /** The files of each process's data folder, by path below it. */
 export type DataFolders = Record<string, Record<string, Buffer>>;
 
-const options = { controls: 1, stores: 2, ingresses: 1, losses: 0 };
-const processes = ["control-1", "store-1", "store-2"];
-const singleRequests = 40;
-const lots = 16;
+const fleetOptions = { controls: 1, stores: 2, ingresses: 1, losses: 0 };
+const recordedProcesses = ["control-1", "store-1", "store-2"];
+const LIVE_REQUEST_COUNT = 40;
+const BATCH_JOB_COUNT = 16;
 
 /** When the recorded folders are opened, on the clock of the run: after all that stands in them. */
-const openedAfterMs = 15_000;
+const OPENED_AFTER_MS = 15_000;
 
-async function start(seed: number): Promise<GoldenFleet> {
-  const golden = new GoldenFleet(seed, options);
+async function startFleet(seed: number): Promise<GoldenFleet> {
+  const golden = new GoldenFleet(seed, fleetOptions);
   await golden.fleet.run(200);
   return golden;
 }
-function startReplicas(golden: GoldenFleet): void {
-  golden.startReplica("model-1", "model", 9001, ["ingress-1"]);
-  golden.startReplica("desk-1", "desk", 9002, ["ingress-1"]);
+function startEndpoints(golden: GoldenFleet): void {
+  golden.startEndpoint("model-1", "model", 9001, ["ingress-1"]);
+  golden.startEndpoint("desk-1", "desk", 9002, ["ingress-1"]);
 }
-async function fill({ call, fleet }: GoldenFleet): Promise<void> {
+async function runWorkload({ call, fleet }: GoldenFleet): Promise<void> {
   const at = "ingress-1";
-  for (let index = 0; index < singleRequests; index += 1)
+  for (let index = 0; index < LIVE_REQUEST_COUNT; index += 1)
     await call("POST", "/v1/requests/confirm", { at, body: { index }, headers: { "idempotency-key": `k${index}` } });
   await call("POST", "/v1/requests/ask", {
     at,
     body: { prompt: "a closed stream", pieces: 3 },
     headers: { "idempotency-key": "closed-stream" },
   });
-  for (let index = 0; index < lots; index += 1)
+  for (let index = 0; index < BATCH_JOB_COUNT; index += 1)
     await call("POST", "/v1/lots", { at, body: { id: `lot-${index}`, binding: "confirm", items: [{ index }, {}] } });
   await call("POST", "/v1/lots", { at, body: { id: "ended", binding: "confirm", items: Array(30).fill({}) } });
   await call("POST", "/v1/lots/ended/end", { at });
@@ -42,7 +42,7 @@
   await fleet.run(2000);
 }
 /** Leaves a stream and two lots unfinished. */
-async function openWork(golden: GoldenFleet): Promise<void> {
+async function leaveWorkUnfinished(golden: GoldenFleet): Promise<void> {
   const { call, fleet } = golden;
   const { env } = fleet.operator;
   const body = JSON.stringify({ prompt: "an open stream", pieces: 90 });
@@ -57,15 +57,15 @@
   await call("POST", "/v1/lots", { at: "ingress-1", body: open });
   await fleet.run(150);
 }
-function foldersOf(golden: GoldenFleet): DataFolders {
+function dataFoldersOf(golden: GoldenFleet): DataFolders {
   const files = (name: string): [string, Buffer][] =>
     [...golden.fleet.disks.get(name)!.under(`data/${name}`)]
       .filter(([file]) => file !== "lock")
       .sort(([left], [right]) => (left < right ? -1 : 1));
   // a simulated lock has no content of its own
-  return Object.fromEntries(processes.map((name) => [name, Object.fromEntries(files(name))]));
+  return Object.fromEntries(recordedProcesses.map((name) => [name, Object.fromEntries(files(name))]));
 }
-async function readBack(golden: GoldenFleet): Promise<void> {
+async function readRestoredState(golden: GoldenFleet): Promise<void> {
   const { call } = golden;
   const at = "ingress-1";
   for (const path of ["/v1/manifest", "/v1/policies", "/v1/calendar", "/v1/changes/golden-1", "/v1/members"])
@@ -76,7 +76,7 @@
     await call("GET", `/v1/lots/${id}`, { at });
     await call("GET", `/v1/lots/${id}/results`, { at });
   }
-  for (const key of ["k0", `k${singleRequests - 1}`])
+  for (const key of ["k0", `k${LIVE_REQUEST_COUNT - 1}`])
     await call("POST", "/v1/requests/confirm", {
       at,
       body: { index: +key.slice(1) },
@@ -93,37 +93,37 @@
 }
 
 /** What the code writes to its data folders in a fixed run. @example (await writeFolders())["store-1"]["shard-0/slot-a"] */
-export const writeFolders = (): Promise<DataFolders> =>
+export const generateDataFolders = (): Promise<DataFolders> =>
   withShortLogs(async () => {
-    const golden = await start(21);
+    const golden = await startFleet(21);
     await golden.fleet.run(3000);
     await configure(golden);
-    await planMoves(golden);
-    startReplicas(golden);
+    await scheduleOperations(golden);
+    startEndpoints(golden);
     await golden.waitFor("GET", "/readyz", { at: "ingress-1" });
     await golden.fleet.run(1500);
-    await fill(golden);
-    await openWork(golden);
-    const folders = foldersOf(golden);
+    await runWorkload(golden);
+    await leaveWorkUnfinished(golden);
+    const folders = dataFoldersOf(golden);
     golden.fleet.close();
     return folders;
   });
 
 /** What a fleet tells that is started on given data folders. @example (await readFolders(folders))[0].body */
-export const readFolders = (folders: DataFolders): Promise<Exchange[]> =>
+export const reopenDataFolders = (folders: DataFolders): Promise<Exchange[]> =>
   withShortLogs(async () => {
-    const golden = await start(22);
+    const golden = await startFleet(22);
     for (const name of Object.keys(folders)) golden.fleet.kill(name);
-    await golden.fleet.run(openedAfterMs);
+    await golden.fleet.run(OPENED_AFTER_MS);
     for (const [name, files] of Object.entries(folders)) {
       golden.fleet.disks.get(name)!.wipe();
       await golden.writeFiles(name, files);
     }
     for (const name of Object.keys(folders)) golden.fleet.restart(name);
-    startReplicas(golden);
+    startEndpoints(golden);
     await golden.waitFor("GET", "/readyz", { at: "ingress-1" });
     await golden.waitFor("GET", "/v1/ledger?limit=1", { at: "ingress-1" });
-    await readBack(golden);
+    await readRestoredState(golden);
     golden.fleet.close();
     return golden.exchanges;
   });
--- a/test/golden/exchange.ts
+++ b/test/golden/exchange.ts
@@ -10,7 +10,7 @@
 export type ResponseShape = { status: number; headers: string[]; body: Shape | string };
 
 /** The events of an event stream: name, and data as JSON. */
-function eventsOf(text: string): { event: string; data: unknown }[] {
+function parseEvents(text: string): { event: string; data: unknown }[] {
   return text
     .split("\n\n")
     .filter((block) => block.startsWith("id:") || block.startsWith("event:"))
@@ -26,7 +26,7 @@
 }
 function streamShape(text: string): Shape {
   const byEvent: Record<string, unknown[]> = {};
-  for (const { event, data } of eventsOf(text)) (byEvent[event] ??= []).push(data);
+  for (const { event, data } of parseEvents(text)) (byEvent[event] ??= []).push(data);
   const shapes = Object.entries(byEvent).map(([event, values]) =>
     Object.entries(shapeOf(values)).map(([path, types]) => [`${event} ${path}`, types]),
   );
--- a/test/golden/frame.ts
+++ b/test/golden/frame.ts
@@ -9,13 +9,13 @@
   sender: string;
   body: unknown;
 };
-const magic = 0x5042;
-const deflatedVersion = 2;
-const kinds = ["request", "response", "failure", "datagram"];
+const MAGIC = 0x5042;
+const DEFLATED_VERSION = 2;
+const messageKinds = ["request", "response", "failure", "datagram"];
 
 /** Reads a frame by the layout that version 0.1.0 wrote. @example parseFrame(bytes).method */
 export function parseFrame(bytes: Buffer): Frame {
-  if (bytes.readUInt16BE(0) !== magic) throw new Error("not a frame");
+  if (bytes.readUInt16BE(0) !== MAGIC) throw new Error("not a frame");
   const [version, kind] = [bytes.readUInt8(2), bytes.readUInt8(3)];
   const correlation = bytes.readUInt32BE(4);
   let offset = 8;
@@ -26,7 +26,7 @@
     return text;
   };
   const [cluster, method, sender] = [readText(), readText(), readText()];
-  const stored = bytes.subarray(offset + 4, offset + 4 + bytes.readUInt32BE(offset));
-  const body = version === deflatedVersion ? inflateRawSync(stored) : stored;
-  return { kind: kinds[kind], correlation, cluster, method, sender, body: JSON.parse(body.toString("utf8")) };
+  const storedBody = bytes.subarray(offset + 4, offset + 4 + bytes.readUInt32BE(offset));
+  const body = version === DEFLATED_VERSION ? inflateRawSync(storedBody) : storedBody;
+  return { kind: messageKinds[kind], correlation, cluster, method, sender, body: JSON.parse(body.toString("utf8")) };
 }
--- a/test/golden/goldenFleet.ts
+++ b/test/golden/goldenFleet.ts
@@ -27,7 +27,7 @@
   readonly exchanges: Exchange[] = [];
   readonly logLines: string[] = [];
   /** The event replicas, in the order of their start. */
-  readonly replicas: StandInEventEndpoint[] = [];
+  readonly eventEndpoints: StandInEventEndpoint[] = [];
   private readonly rpc: Rpc;
 
   constructor(seed: number, options: FleetOptions) {
@@ -60,7 +60,7 @@
     throw new Error(`${method} ${target} at ${address}: ${JSON.stringify(last)}`);
   }
   /** Sends an internal request as a member would. @example await golden.ask("control-1", "control.status", {}) */
-  ask(name: string, method: string, body: unknown): Promise<Result<unknown> | undefined> {
+  sendRpc(name: string, method: string, body: unknown): Promise<Result<unknown> | undefined> {
     const { address } = this.fleet.settings.get(name)!;
     return this.fleet.world.runTask(this.fleet.operator, () => this.rpc.call(address, method, body, 2000), 3000);
   }
@@ -81,16 +81,16 @@
   }
   /** Writes files below the data folder of a process that is down. @example await golden.writeFiles("store-1", files) */
   async writeFiles(name: string, files: Record<string, Buffer>): Promise<void> {
-    await this.onDisk(name, function* (disk) {
+    await this.runOnDisk(name, function* (disk) {
       for (const [file, content] of Object.entries(files)) yield* disk.write(`data/${name}/${file}`, content);
       return true;
     });
   }
   /** Appends to a file of a process that is down. @example await golden.appendFile("store-1", "shard-0/log-0", bytes) */
   async appendFile(name: string, file: string, content: Buffer): Promise<void> {
-    await this.onDisk(name, (disk) => disk.append(`data/${name}/${file}`, content));
+    await this.runOnDisk(name, (disk) => disk.append(`data/${name}/${file}`, content));
   }
-  private async onDisk(name: string, body: (disk: Disk) => Task<unknown>): Promise<void> {
+  private async runOnDisk(name: string, body: (disk: Disk) => Task<unknown>): Promise<void> {
     const { world } = this.fleet;
     const writer = world.start(`writer of ${name}`, this.fleet.disks.get(name)!);
     await world.runTask(writer, () => body(writer.env.disk), 60_000);
@@ -99,7 +99,7 @@
 
   private startProcess = (name: string): SimProcess => this.fleet.world.start(name, new SimDisk(this.fleet.world));
   /** A replica that speaks the product's own form and announces itself. @example golden.startReplica("model-1", "model", 10, ["ingress-1"]) */
-  startReplica(id: string, pool: string, port: number, announceTo: string[]): void {
+  startEndpoint(id: string, pool: string, port: number, announceTo: string[]): void {
     const settings: EndpointSettings = {
       id,
       pool,
@@ -119,23 +119,23 @@
     Csp.go(process.scope, "main", () => replica.start());
   }
   /** A replica that takes requests as they are; it is announced by whoever starts it. @example golden.startEventReplica("e1", 9001) */
-  startEventReplica(id: string, port: number, names: HeaderNames = defaultHeaderNames): void {
+  startEventEndpoint(id: string, port: number, names: HeaderNames = defaultHeaderNames): void {
     const address = `127.0.0.1:${port}`;
     const process = this.startProcess(`replica-${id}`);
     const replica = new StandInEventEndpoint(process.env, address, id, { events: 3, eventMs: 20, slots: 8 }, names);
-    this.replicas.push(replica);
+    this.eventEndpoints.push(replica);
     Csp.go(process.scope, "main", () => replica.start());
   }
   /** Repeats a request every 900 ms, as a replica renews its announcement. @example golden.renew("PUT", "/v1/replicas/e1", body, address) */
-  renew(method: string, path: string, body: unknown, address: string): void {
+  repeatRequest(method: string, path: string, body: unknown, address: string): void {
     const { env } = this.fleet.operator;
     const { world } = this.fleet;
-    const once = (): void => {
+    const sendOnce = (): void => {
       Csp.go(env.scope, "renew an announcement", function* () {
         yield* env.httpRequest(address, { method, path, body: JSON.stringify(body), timeoutMs: 500 });
       });
-      world.schedule(900, once);
+      world.schedule(900, sendOnce);
     };
-    once();
+    sendOnce();
   }
 }
--- a/test/golden/productRun.ts
+++ b/test/golden/messageRun.ts
@@ -2,11 +2,11 @@
 import { Exchange } from "./exchange";
 import { GoldenFleet } from "./goldenFleet";
 import { observeFrames } from "./observeFrames";
-import { configure, planMoves } from "./operatorSteps";
+import { configure, scheduleOperations } from "./operatorSteps";
 import { withShortLogs } from "./shortLogs";
 
-export type ProductRecording = { exchanges: Exchange[]; frames: Buffer[]; logLines: string[] };
-const seed = 11;
+export type MessageRecording = { exchanges: Exchange[]; frames: Buffer[]; logLines: string[] };
+const SEED = 11;
 const announcement = (id: string, address: string): Record<string, unknown> => ({
   address,
   pool: "events",
@@ -35,13 +35,13 @@
   await call("GET", "/page/1", { at: "ingress-1", headers: { host: "golden.example" } });
   await fleet.run(4000);
 }
-async function startReplicas(golden: GoldenFleet): Promise<void> {
+async function startEndpoints(golden: GoldenFleet): Promise<void> {
   const { call } = golden;
-  golden.startReplica("model-1", "model", 9001, ["ingress-1", "ingress-2"]);
-  golden.startReplica("desk-1", "desk", 9002, ["ingress-2"]);
-  golden.startEventReplica("e1", 9003);
+  golden.startEndpoint("model-1", "model", 9001, ["ingress-1", "ingress-2"]);
+  golden.startEndpoint("desk-1", "desk", 9002, ["ingress-2"]);
+  golden.startEventEndpoint("e1", 9003);
   const body = announcement("e1", "127.0.0.1:9003");
-  golden.renew("PUT", "/v1/replicas/e1", body, golden.http("ingress-1"));
+  golden.repeatRequest("PUT", "/v1/replicas/e1", body, golden.http("ingress-1"));
   await golden.fleet.run(500);
   await call("PUT", "/v1/replicas/e1", { at: "ingress-1", body });
   await call("PUT", "/v1/replicas/e2", { at: "ingress-2", body: announcement("e2", "127.0.0.1:9004") });
@@ -74,7 +74,7 @@
     await call("GET", path, { at: "ingress-1", headers: { host: "golden.example", "x-request-id": "direct-1" } });
   await call("POST", "/bulk/1", { at: "ingress-1", headers: { host: "golden.example" }, body: {} });
 }
-async function sendLots({ call, fleet }: GoldenFleet): Promise<void> {
+async function submitBatchJobs({ call, fleet }: GoldenFleet): Promise<void> {
   const post = (body: unknown, at = "ingress-1"): Promise<Exchange> => call("POST", "/v1/lots", { at, body });
   const items = [{ a: 1 }, { a: 2 }, { a: 3 }];
   await post({ id: "lot-1", binding: "confirm", items });
@@ -116,7 +116,7 @@
   await call("GET", "/v1/calendar/%ff");
   await call("DELETE", "/v1/manifest");
 }
-async function giveOrders({ call, fleet }: GoldenFleet): Promise<void> {
+async function drainAndRetire({ call, fleet }: GoldenFleet): Promise<void> {
   await call("POST", "/v1/districts/east/drain", { headers: { "x-change-id": "drain-1" } });
   await fleet.run(500);
   await call("GET", "/v1/members");
@@ -129,26 +129,26 @@
   await call("GET", "/v1/calendar");
 }
 /** Requests that members seldom send to each other. */
-async function askMembers(golden: GoldenFleet): Promise<void> {
+async function sendRareRpcs(golden: GoldenFleet): Promise<void> {
   const { fleet } = golden;
   const stamp = { time: 1_790_000_000_000 + fleet.world.now, node: "golden", seq: 1 };
-  await golden.ask("control-1", "control.status", {});
-  await golden.ask("control-1", "group.takeOver", { to: "nobody", group: "none", term: 0 });
-  await golden.ask("control-1", "control.op", { op: "read", what: "manifest" });
-  await golden.ask("agent-1", "agent.tell", { key: "crowd/golden/desk", value: { pool: "desk" }, grantMs: 600 });
+  await golden.sendRpc("control-1", "control.status", {});
+  await golden.sendRpc("control-1", "group.takeOver", { to: "nobody", group: "none", term: 0 });
+  await golden.sendRpc("control-1", "control.op", { op: "read", what: "manifest" });
+  await golden.sendRpc("agent-1", "agent.tell", { key: "crowd/golden/desk", value: { pool: "desk" }, grantMs: 600 });
   for (const name of ["store-1", "store-2", "store-3"]) {
-    await golden.ask(name, "work.running", { ids: ["nobody"] });
-    await golden.ask(name, "quota.tallies", { binding: "bulk", shards: [0, 1, 2, 3], anyCopy: true });
+    await golden.sendRpc(name, "work.running", { ids: ["nobody"] });
+    await golden.sendRpc(name, "quota.tallies", { binding: "bulk", shards: [0, 1, 2, 3], anyCopy: true });
     for (let shard = 0; shard < 8; shard += 1) {
-      await golden.ask(name, "lot.list", { shard, id: "lot-3", from: 0, waitMs: 0 });
-      await golden.ask(name, "shard.goesOn", { shard, epoch: 1 });
-      await golden.ask(name, "shard.mend", { shard, epoch: 0, seq: 0, works: [], lots: [] });
-      await golden.ask(name, "lot.refuse", { shard, id: `refused-${shard}`, stamp });
-      await golden.ask(name, "work.refuse", { shard, id: `refused-${shard}`, stamp });
+      await golden.sendRpc(name, "lot.list", { shard, id: "lot-3", from: 0, waitMs: 0 });
+      await golden.sendRpc(name, "shard.goesOn", { shard, epoch: 1 });
+      await golden.sendRpc(name, "shard.mend", { shard, epoch: 0, seq: 0, works: [], lots: [] });
+      await golden.sendRpc(name, "lot.refuse", { shard, id: `refused-${shard}`, stamp });
+      await golden.sendRpc(name, "work.refuse", { shard, id: `refused-${shard}`, stamp });
     }
-    await golden.ask(name, "shard.mendSegments", { shard: 0, from: fleet.settings.get("store-1")!.address });
+    await golden.sendRpc(name, "shard.mendSegments", { shard: 0, from: fleet.settings.get("store-1")!.address });
   }
-  await golden.ask("store-1", "no.such", {});
+  await golden.sendRpc("store-1", "no.such", {});
   await golden.sendBytes("store-1", Buffer.from("GET / HTTP/1.1\r\n\r\n"));
 }
 /** A store whose disk fails for a while. */
@@ -169,14 +169,16 @@
   const tornLog = files.filter((file) => /\/log-\d+$/.test(file)).at(-1)!;
   await golden.appendFile("store-1", tornLog, Buffer.from("PBR2"));
   // a snapshot whose former log is still there: the logs hold everything
-  const spare = files.find((file) => file.endsWith("slot-b") && files.includes(file.replace("slot-b", "log-0")));
-  disk.damage((path) => spare !== undefined && path.endsWith(spare));
+  const redundantSnapshot = files.find(
+    (file) => file.endsWith("slot-b") && files.includes(file.replace("slot-b", "log-0")),
+  );
+  disk.damage((path) => redundantSnapshot !== undefined && path.endsWith(redundantSnapshot));
   disk.damage((path) => path.endsWith(".seg"));
   fleet.restart("store-1");
   await fleet.run(7000);
 }
 /** A store that comes back without its disk, then all stores down at once. */
-async function loseStores({ fleet, call }: GoldenFleet): Promise<void> {
+async function loseStorageNodes({ fleet, call }: GoldenFleet): Promise<void> {
   fleet.kill("store-3", true);
   await call("POST", "/v1/lots", { at: "ingress-1", body: { id: "lot-6", binding: "confirm", items: [1, 2] } });
   fleet.restart("store-3", { withEmptyDisk: true });
@@ -190,7 +192,7 @@
   for (const name of stores) fleet.restart(name);
   await fleet.run(4000);
 }
-async function troubleClocks({ fleet }: GoldenFleet): Promise<void> {
+async function freezeProcessesAndSkewClocks({ fleet }: GoldenFleet): Promise<void> {
   for (const name of ["ingress-1", "agent-1"]) fleet.world.processes.get(name)!.freeze();
   await fleet.run(4000);
   for (const name of ["ingress-1", "agent-1"]) fleet.world.processes.get(name)!.resume();
@@ -201,7 +203,7 @@
   store.skewMs = 0;
   await fleet.run(4000);
 }
-async function troubleControls(golden: GoldenFleet): Promise<void> {
+async function recoverControlGroup(golden: GoldenFleet): Promise<void> {
   const { fleet, call } = golden;
   const leader = fleet.leader()!;
   await fleet.terminate(leader);
@@ -228,29 +230,29 @@
 const steps = [
   beforeConfiguration,
   configure,
-  planMoves,
-  startReplicas,
+  scheduleOperations,
+  startEndpoints,
   sendRequests,
-  sendLots,
+  submitBatchJobs,
   readLedger,
   readState,
-  giveOrders,
-  askMembers,
+  drainAndRetire,
+  sendRareRpcs,
   failDisk,
   damageFiles,
-  loseStores,
-  troubleClocks,
-  troubleControls,
+  loseStorageNodes,
+  freezeProcessesAndSkewClocks,
+  recoverControlGroup,
 ];
 
 /** The run whose messages, responses and log events the golden files keep. */
-export async function productRun(): Promise<ProductRecording> {
+export async function runMessageScenario(): Promise<MessageRecording> {
   const frames: Buffer[] = [];
   const golden = await observeFrames(
     (bytes) => frames.push(bytes),
     () =>
       withShortLogs(async () => {
-        const started = new GoldenFleet(seed, { controls: 4, stores: 4, agents: 1, ingresses: 2 });
+        const started = new GoldenFleet(SEED, { controls: 4, stores: 4, agents: 1, ingresses: 2 });
         useAgent(started, "ingress-2", "agent-1");
         for (const step of steps) await step(started);
         started.fleet.close();
--- a/test/golden/operatorSteps.ts
+++ b/test/golden/operatorSteps.ts
@@ -2,7 +2,7 @@
 import { Exchange } from "./exchange";
 import { GoldenFleet } from "./goldenFleet";
 
-const farFuture = "2040-01-01T00:00:00Z";
+const FAR_FUTURE = "2040-01-01T00:00:00Z";
 
 /** Sets the configuration and the policies, with refused changes between. */
 export async function configure(golden: GoldenFleet): Promise<void> {
@@ -28,17 +28,17 @@
   await call("GET", "/v1/changes/nobody");
 }
 /** Puts moves into the calendar: one due now, the others in the far future. */
-export async function planMoves({ call }: GoldenFleet): Promise<void> {
+export async function scheduleOperations({ call }: GoldenFleet): Promise<void> {
   const put = (id: string, ifMatch: number, due: string, move: Record<string, unknown>): Promise<Exchange> =>
     call("PUT", `/v1/calendar/${id}`, { body: { due, move }, headers: { "if-match": `"${ifMatch}"` } });
-  await put("later", 0, farFuture, { kind: "drain", district: "west", until: 2_300_000_000_000 });
-  await put("later", 0, farFuture, { kind: "undrain", district: "west" });
+  await put("later", 0, FAR_FUTURE, { kind: "drain", district: "west", until: 2_300_000_000_000 });
+  await put("later", 0, FAR_FUTURE, { kind: "undrain", district: "west" });
   await put("odd", 0, "soon", { kind: "drain", district: "west" });
-  await put("erased", 0, farFuture, { kind: "retire", store: "store-9" });
+  await put("erased", 0, FAR_FUTURE, { kind: "retire", store: "store-9" });
   await call("DELETE", "/v1/calendar/erased", { headers: { "if-match": '"1"' } });
-  await put("manifest", 0, farFuture, { kind: "manifest", ifVersion: 3, doc: { bindings: {} } });
+  await put("manifest", 0, FAR_FUTURE, { kind: "manifest", ifVersion: 3, doc: { bindings: {} } });
   await put("release", 0, "now", { kind: "release", pool: "desk", version: "v2", overMs: 1000 });
-  await put("rollback", 0, farFuture, { kind: "rollback", pool: "desk" });
+  await put("rollback", 0, FAR_FUTURE, { kind: "rollback", pool: "desk" });
   await call("GET", "/v1/calendar");
   await call("GET", "/v1/calendar/later");
   await call("GET", "/v1/calendar/nobody");
--- a/test/golden/rareEventRun.ts
+++ b/test/golden/rareEventRun.ts
@@ -1,21 +1,21 @@
 import { goldenConfiguration } from "./configuration";
 import { GoldenFleet } from "./goldenFleet";
-import type { DataFolders } from "./storageRun";
+import type { DataFolders } from "./dataFolderRun";
 
 /** Log events that the operators' pages name and the product's run does not reach. */
-export const rareEvents = ["1006", "1309", "1408", "1410", "1501"];
-const openedAfterMs = 15_000;
+export const rareEventNumbers = ["1006", "1309", "1408", "1410", "1501"];
+const OPENED_AFTER_MS = 15_000;
 /** A snapshot that is not needed: the logs beside it hold everything. */
-const spareSnapshot = "shard-7/slot-b";
-const damagedOffset = 18;
+const REDUNDANT_SNAPSHOT = "shard-7/slot-b";
+const DAMAGED_OFFSET = 18;
 
-function damaged(content: Buffer): Buffer {
+function withCorruptByte(content: Buffer): Buffer {
   const copy = Buffer.from(content);
-  copy[damagedOffset] ^= 0xff;
+  copy[DAMAGED_OFFSET] ^= 0xff;
   return copy;
 }
 /** A control group of one that is to have three voters. */
-async function runShortOfVoters(): Promise<string[]> {
+async function runWithTooFewVoters(): Promise<string[]> {
   const golden = new GoldenFleet(41, { controls: 1, losses: 1 });
   await golden.fleet.run(1000);
   await golden.waitFor("PUT", "/v1/manifest", { body: goldenConfiguration, headers: { "if-match": '"0"' } });
@@ -23,25 +23,25 @@
   return golden.logLines;
 }
 /** Stores with a damaged snapshot and with another cluster's folder, an object that differs, and a move due now. */
-async function runOnOddFolders(folders: DataFolders): Promise<string[]> {
+async function runOnDamagedFolders(folders: DataFolders): Promise<string[]> {
   const golden = new GoldenFleet(42, { controls: 1, stores: 2, losses: 0 });
   await golden.fleet.run(200);
   for (const name of Object.keys(folders)) golden.fleet.kill(name);
-  await golden.fleet.run(openedAfterMs);
+  await golden.fleet.run(OPENED_AFTER_MS);
   const store = folders["store-1"];
-  const odd: DataFolders = {
+  const damagedFolders: DataFolders = {
     "control-1": folders["control-1"],
-    "store-1": { ...store, [spareSnapshot]: damaged(store[spareSnapshot]) },
+    "store-1": { ...store, [REDUNDANT_SNAPSHOT]: withCorruptByte(store[REDUNDANT_SNAPSHOT]) },
     "store-2": { identity: Buffer.from('{"id":"store-9","cluster":"another","program":"store"}') },
   };
-  for (const [name, files] of Object.entries(odd)) {
+  for (const [name, files] of Object.entries(damagedFolders)) {
     golden.fleet.disks.get(name)!.wipe();
     await golden.writeFiles(name, files);
     golden.fleet.restart(name);
   }
   await golden.fleet.run(3000);
   const request = { id: "mended", state: "done", pieces: [], version: 1, closedAt: null };
-  await golden.ask("store-1", "shard.mend", { shard: 7, epoch: 1_000_000, seq: 0, works: [request], lots: [] });
+  await golden.sendRpc("store-1", "shard.mend", { shard: 7, epoch: 1_000_000, seq: 0, works: [request], lots: [] });
   const move = { due: "now", move: { kind: "drain", district: "north" } };
   await golden.call("PUT", "/v1/calendar/now", { body: move, headers: { "if-match": '"0"' } });
   await golden.fleet.run(1500);
@@ -50,7 +50,7 @@
 }
 
 /** The log lines of runs that reach the rare events. @example logEventShapes(await rareEventRun(readDataFolders())) */
-export async function rareEventRun(folders: DataFolders): Promise<string[]> {
-  const lines = [...(await runShortOfVoters()), ...(await runOnOddFolders(folders))];
-  return lines.filter((line) => rareEvents.some((event) => line.includes(` PB${event} `)));
+export async function recordRareEvents(folders: DataFolders): Promise<string[]> {
+  const lines = [...(await runWithTooFewVoters()), ...(await runOnDamagedFolders(folders))];
+  return lines.filter((line) => rareEventNumbers.some((event) => line.includes(` PB${event} `)));
 }
--- a/test/golden/record.ts
+++ b/test/golden/record.ts
@@ -3,7 +3,7 @@
  * Only a change that is meant to change what is sent, answered, logged or stored may do so, and its commit says why.
  */
 import { groupFiles, openControlLog } from "./controlLog";
-import { productRun } from "./productRun";
+import { runMessageScenario } from "./messageRun";
 import {
   goldenResponses,
   logCatalogue,
@@ -14,11 +14,11 @@
   writeDataFolders,
   writeGolden,
 } from "./recordings";
-import { rareEventRun } from "./rareEventRun";
-import { readFolders, writeFolders } from "./storageRun";
+import { recordRareEvents } from "./rareEventRun";
+import { reopenDataFolders, generateDataFolders } from "./dataFolderRun";
 
 async function recordMessages(): Promise<void> {
-  const { exchanges, frames, logLines } = await productRun();
+  const { exchanges, frames, logLines } = await runMessageScenario();
   writeGolden("messages.json", messageShapes(frames));
   writeGolden("frames.json", shortestFrames(frames));
   writeGolden("responses.json", goldenResponses(exchanges));
@@ -26,14 +26,14 @@
   writeGolden("logCatalogue.json", logCatalogue());
 }
 async function recordFolders(): Promise<void> {
-  writeDataFolders(await writeFolders());
+  writeDataFolders(await generateDataFolders());
   const folders = readDataFolders();
   writeGolden("controlLog.json", {
     fromSnapshot: await openControlLog(groupFiles(folders["control-1"], true)),
     fromLogs: await openControlLog(groupFiles(folders["control-1"], false)),
   });
-  writeGolden("rareLogEvents.json", logEventShapes(await rareEventRun(folders)));
-  writeGolden("readBack.json", await readFolders(folders));
+  writeGolden("rareLogEvents.json", logEventShapes(await recordRareEvents(folders)));
+  writeGolden("readBack.json", await reopenDataFolders(folders));
 }
 
 const recorders: Record<string, () => Promise<void>> = { messages: recordMessages, folders: recordFolders };
--- a/test/golden/recordings.ts
+++ b/test/golden/recordings.ts
@@ -4,7 +4,7 @@
 import { Exchange, ResponseShape, responseShape } from "./exchange";
 import { Frame, parseFrame } from "./frame";
 import { Shape, shapeOf } from "./shape";
-import type { DataFolders } from "./storageRun";
+import type { DataFolders } from "./dataFolderRun";
 
 /** Where the golden files stand, seen from the compiled tests. */
 export const goldenFolder = path.join(__dirname, "../../../test/golden/data");
@@ -24,7 +24,7 @@
     return entry.isDirectory() ? filesBelow(folder, name) : [name];
   });
 }
-const firstStore = "store-1";
+const FIRST_STORE = "store-1";
 /** A replica's files that equal the first store's are kept once. */
 export function readDataFolders(): DataFolders {
   const read = (process: string): Record<string, Buffer> =>
@@ -36,23 +36,23 @@
     );
   const folders = Object.fromEntries(fs.readdirSync(dataFoldersPath).map((process) => [process, read(process)]));
   for (const process of Object.keys(folders))
-    if (process.startsWith("store-")) folders[process] = { ...folders[firstStore], ...folders[process] };
+    if (process.startsWith("store-")) folders[process] = { ...folders[FIRST_STORE], ...folders[process] };
   return folders;
 }
 export function writeDataFolders(folders: DataFolders): void {
   fs.rmSync(dataFoldersPath, { recursive: true, force: true });
   for (const [process, files] of Object.entries(folders))
     for (const [file, content] of Object.entries(files)) {
-      const isReplica = process.startsWith("store-") && process !== firstStore;
-      if (isReplica && folders[firstStore][file]?.equals(content)) continue;
+      const isReplica = process.startsWith("store-") && process !== FIRST_STORE;
+      if (isReplica && folders[FIRST_STORE][file]?.equals(content)) continue;
       const target = path.join(dataFoldersPath, process, file);
       fs.mkdirSync(path.dirname(target), { recursive: true });
       fs.writeFileSync(target, content);
     }
 }
 
-const kindOf = ({ method, kind }: Frame): string => `${method} ${kind}`;
-const sorted = <T>(record: Record<string, T>): Record<string, T> =>
+const messageKind = ({ method, kind }: Frame): string => `${method} ${kind}`;
+const sortedByKey = <T>(record: Record<string, T>): Record<string, T> =>
   Object.fromEntries(Object.entries(record).sort(([left], [right]) => (left < right ? -1 : 1)));
 
 /** Fields of the messages of each method and kind. @example messageShapes(frames)["shard.put request"] */
@@ -60,23 +60,26 @@
   const bodies: Record<string, unknown[]> = {};
   for (const bytes of frames) {
     const frame = parseFrame(bytes);
-    (bodies[kindOf(frame)] ??= []).push(frame.body);
+    (bodies[messageKind(frame)] ??= []).push(frame.body);
   }
-  return sorted(Object.fromEntries(Object.entries(bodies).map(([kind, each]) => [kind, shapeOf(each)])));
+  return sortedByKey(Object.fromEntries(Object.entries(bodies).map(([kind, each]) => [kind, shapeOf(each)])));
 }
 
 export type GoldenFrame = Frame & { bytes: string };
 /** The shortest message of each method and kind, and one deflated message. @example shortestFrames(frames)[0].bytes */
 export function shortestFrames(frames: Buffer[]): GoldenFrame[] {
   const shortest: Record<string, Buffer> = {};
-  const keep = (kind: string, bytes: Buffer): void => {
+  const keepIfShortest = (kind: string, bytes: Buffer): void => {
     if (!shortest[kind] || bytes.length < shortest[kind].length) shortest[kind] = bytes;
   };
   for (const bytes of frames) {
-    keep(kindOf(parseFrame(bytes)), bytes);
-    if (bytes.readUInt8(2) === 2) keep("~deflated", bytes);
+    keepIfShortest(messageKind(parseFrame(bytes)), bytes);
+    if (bytes.readUInt8(2) === 2) keepIfShortest("~deflated", bytes);
   }
-  return Object.values(sorted(shortest)).map((bytes) => ({ ...parseFrame(bytes), bytes: bytes.toString("base64") }));
+  return Object.values(sortedByKey(shortest)).map((bytes) => ({
+    ...parseFrame(bytes),
+    bytes: bytes.toString("base64"),
+  }));
 }
 
 /** What callers may rely on in each response, in the order of the run. */
@@ -84,15 +87,15 @@
 export const goldenResponses = (exchanges: Exchange[]): GoldenResponse[] =>
   exchanges.map((exchange) => ({ request: exchange.request, ...responseShape(exchange) }));
 
-const logLine = /^\S+ \S+ PB(\d+) (.*)$/;
+const logLinePattern = /^\S+ \S+ PB(\d+) (.*)$/;
 /** Fields of each log event. @example logEventShapes(lines)["1401"] */
 export function logEventShapes(lines: string[]): Record<string, Shape> {
   const fields: Record<string, unknown[]> = {};
   for (const line of lines) {
-    const [, event, text] = logLine.exec(line)!;
+    const [, event, text] = logLinePattern.exec(line)!;
     (fields[event] ??= []).push(text === "" ? {} : JSON.parse(text));
   }
-  return sorted(Object.fromEntries(Object.entries(fields).map(([event, each]) => [event, shapeOf(each)])));
+  return sortedByKey(Object.fromEntries(Object.entries(fields).map(([event, each]) => [event, shapeOf(each)])));
 }
 
 /** Level and text of each numbered log event. @example logCatalogue()["1401"] // "info view installed" */
--- a/test/golden/shape.ts
+++ b/test/golden/shape.ts
@@ -4,16 +4,16 @@
  */
 export type Shape = Record<string, string>;
 
-const generatedKey = /^\d+$|~|^[a-z]+-[0-9a-z]{9,}|^crowd\/|^demand\/|^replica\//;
-const caseKey = /\.(tag|op|kind|state|fate|role|code|title|program)$/;
+const generatedKeyPattern = /^\d+$|~|^[a-z]+-[0-9a-z]{9,}|^crowd\/|^demand\/|^replica\//;
+const caseFieldPattern = /\.(tag|op|kind|state|fate|role|code|title|program)$/;
 const typeOf = (value: unknown): string =>
   value === null ? "null" : Array.isArray(value) ? "array" : typeof value === "object" ? "object" : typeof value;
 /** A key that a run makes up, such as a number or a node's id, stands as "*". */
-const pathKey = (key: string): string => (generatedKey.test(key) ? "*" : key);
+const pathKey = (key: string): string => (generatedKeyPattern.test(key) ? "*" : key);
 
 function collect(path: string, value: unknown, found: Map<string, Set<string>>): void {
   const types = found.get(path) ?? new Set<string>();
-  const isCase = typeof value === "string" && caseKey.test(path);
+  const isCase = typeof value === "string" && caseFieldPattern.test(path);
   found.set(path, types.add(isCase ? `'${value}'` : typeOf(value)));
   if (Array.isArray(value)) for (const item of value) collect(`${path}[]`, item, found);
   else if (typeof value === "object" && value !== null)
--- a/test/goldenFolders.test.ts
+++ b/test/goldenFolders.test.ts
@@ -4,9 +4,9 @@
 import { DataFolder } from "../src/runtime/dataFolder";
 import { groupFiles, openControlLog } from "./golden/controlLog";
 import { Exchange } from "./golden/exchange";
-import { rareEventRun } from "./golden/rareEventRun";
+import { recordRareEvents } from "./golden/rareEventRun";
 import { logEventShapes, readDataFolders, readGolden } from "./golden/recordings";
-import { DataFolders, readFolders, writeFolders } from "./golden/storageRun";
+import { DataFolders, reopenDataFolders, generateDataFolders } from "./golden/dataFolderRun";
 import { TaskRunner } from "./taskRunner";
 
 /** What differs, by name; whole files would not be readable in a failure. */
@@ -25,7 +25,7 @@
 }
 
 test("data folders of an earlier version are opened, and tell what was recorded of them", async () => {
-  const exchanges = JSON.parse(JSON.stringify(await readFolders(readDataFolders()))) as Exchange[];
+  const exchanges = JSON.parse(JSON.stringify(await reopenDataFolders(readDataFolders()))) as Exchange[];
   const recorded = readGolden<Exchange[]>("readBack.json");
   expect(exchanges.map(({ request, status }) => ({ request, status }))).toEqual(
     recorded.map(({ request, status }) => ({ request, status })),
@@ -40,12 +40,12 @@
   }).toEqual(readGolden("controlLog.json"));
 });
 test("a damaged snapshot, a foreign folder, a mended replica and a move that starts are logged as recorded", async () => {
-  expect(logEventShapes(await rareEventRun(readDataFolders()))).toEqual(readGolden("rareLogEvents.json"));
+  expect(logEventShapes(await recordRareEvents(readDataFolders()))).toEqual(readGolden("rareLogEvents.json"));
 });
 test("a fixed run writes the recorded bytes into every file of its data folders", async () => {
   const recorded = readDataFolders();
   expect(Object.keys(recorded)).toEqual(["control-1", "store-1", "store-2"]);
-  expect(differing(recorded, await writeFolders())).toEqual([]);
+  expect(differing(recorded, await generateDataFolders())).toEqual([]);
 });
 test("a real data folder holds the lock and the identity in their recorded form", async () => {
   const parent = fs.mkdtempSync(path.join(os.tmpdir(), "petrelbeam-golden-"));
--- a/test/goldenMessages.test.ts
+++ b/test/goldenMessages.test.ts
@@ -1,7 +1,7 @@
 import * as fs from "fs";
 import * as path from "path";
 import { EnvelopeCodec } from "../src/rpc/envelopeCodec";
-import { ProductRecording, productRun } from "./golden/productRun";
+import { MessageRecording, runMessageScenario } from "./golden/messageRun";
 import {
   GoldenFrame,
   GoldenResponse,
@@ -14,9 +14,9 @@
 import { Shape } from "./golden/shape";
 
 describe("a fixed run sends, answers and logs what was recorded", () => {
-  let recording: ProductRecording;
+  let recording: MessageRecording;
   beforeAll(async () => {
-    recording = await productRun();
+    recording = await runMessageScenario();
   });
 
   test("messages of the same methods, with the same fields", () => {
