--- a/scripts/affinity.js
+++ b/scripts/affinity.js
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
-// Prefix affinity against two random choices: how often a model's replica had the prompt's prefix, in virtual time.
+// Compares prefix affinity with the power of two random choices: how often the chosen endpoint of a model already has the
+// prefix of the prompt in its cache. Runs in virtual time.
 //   node scripts/affinity.js [seed ...]
 require("../dist/src/tools/measurements/prefixAffinity.js");
--- a/scripts/checkNode.js
+++ b/scripts/checkNode.js
@@ -1,22 +1,25 @@
 #!/usr/bin/env node
-// First step of the build line in deploy/system.toml: refuses a Node.js that is too old, or one without npm, by a message that
-// says what is missing. Written for old versions of Node.js too: nothing newer than ES2015.
+// First step of the build command in deploy/system.toml: fails with a message that says what is missing if Node.js is too
+// old or npm is not installed. Uses nothing newer than ES2015, so that old versions of Node.js can run it.
 const fs = require("fs");
 const path = require("path");
 
-const leastMajor = 20;
+const MIN_MAJOR_VERSION = 20;
 
-/** Why this machine can't build, or undefined. `version` as in process.version, `searchPath` as in PATH. */
+/**
+ * Returns the reason why the project can't be built on this machine, or undefined if it can.
+ * `version` has the format of process.version, `searchPath` that of PATH.
+ */
 function unfit(version, searchPath) {
   const major = Number(version.replace(/^v/, "").split(".")[0]);
-  if (!(major >= leastMajor))
+  if (!(major >= MIN_MAJOR_VERSION))
     return (
-      `Node.js ${leastMajor} or later is needed, this is ${version}. Install a package \`nodejs\` of that version, ` +
-      `with its npm in it, and take the distribution's own \`npm\` off first: the two conflict.`
+      `Node.js ${MIN_MAJOR_VERSION} or later is needed, this is ${version}. Remove the distribution's own package \`npm\`, ` +
+      `then install a package \`nodejs\` of that version that includes npm: the two packages conflict.`
     );
   const folders = searchPath.split(path.delimiter);
   if (!folders.some((folder) => fs.existsSync(path.join(folder, "npm"))))
-    return `npm is missing: no folder of PATH (${searchPath}) holds it. The package \`nodejs\` of Node.js ${leastMajor} brings it.`;
+    return `npm is missing: no folder of PATH (${searchPath}) contains it. The package \`nodejs\` of Node.js ${MIN_MAJOR_VERSION} includes it.`;
   return undefined;
 }
 
--- a/scripts/days.js
+++ b/scripts/days.js
@@ -1,14 +1,14 @@
 #!/usr/bin/env node
-// Writes one day of faults and planned operations for a deployment of the users' platform, drawn from a seed: the same seed
-// gives the same day.
+// Generates a day file: a random schedule of faults and planned operations for a deployment on the users' platform. The same
+// seed gives the same file.
 //   node scripts/days.js --site FILE --seed N [--shape NAME] [--kinds A,B] [--listed FILE] [--out FILE]
 //   node scripts/days.js --shapes
 // --site    the site file, which names the deployment's zones, machines, services and request classes.
-// --shape   one of the shapes that --shapes lists; left out, the seed draws it.
-// --kinds   every entry of the day is one of these kinds (shape "mix").
-// --listed  a file with the test bench's own list of the kinds that the deployment may meet: no other is drawn, and a kind of
-//           that list that is not known here is an error.
-// --out     the file to write; standard output if left out.
+// --shape   one of the shapes that --shapes lists; by default the seed decides.
+// --kinds   the only kinds of fault and operation to draw from (shape "mix").
+// --listed  a file with the test bench's list of kinds that may occur in this deployment. Other kinds are left out of the
+//           schedule; a kind in the list that this script doesn't know is an error.
+// --out     the file to write; standard output by default.
 const fs = require("fs");
 const { dayFileText } = require("./days/dayFile");
 const { DAY_SHAPES } = require("./days/dayShapes");
@@ -19,15 +19,15 @@
 const EXIT_BAD_INPUT = 2;
 
 function printShapes() {
-  for (const [name, shape] of Object.entries(DAY_SHAPES)) console.log(`${name.padEnd(8)} ${shape.about}`);
+  for (const [name, shape] of Object.entries(DAY_SHAPES)) console.log(`${name.padEnd(8)} ${shape.description}`);
 }
 
-function main(words) {
-  if (words.length === 1 && words[0] === "--shapes") {
+function main(args) {
+  if (args.length === 1 && args[0] === "--shapes") {
     printShapes();
     return;
   }
-  const options = parseOptions(words);
+  const options = parseOptions(args);
   const text = dayFileText(readSite(options.site), options);
   if (options.out === undefined) process.stdout.write(text);
   else fs.writeFileSync(options.out, text);
--- a/scripts/days/dayFile.js
+++ b/scripts/days/dayFile.js
@@ -1,10 +1,10 @@
-// Writes a day in the platform's own format, TOML.
+// Formats a day as TOML, in the platform's format.
 const { DAY_SHAPES } = require("./dayShapes");
 const { DaySchedule } = require("./daySchedule");
 const { FAULT_KINDS } = require("./faultKinds");
 const { SeededRandom } = require("./seededRandom");
 
-/** How the day may end: nothing special, or the whole system stopped for `down_s` seconds and checked afterwards. */
+/** Draws how the day ends: normally (null), or with the whole system down for `down_s` seconds and checked afterwards. */
 function drawClosing(random) {
   return random.pick([
     null,
@@ -25,20 +25,23 @@
   return `{ ${pairs.join(", ")} }`;
 }
 
-function tomlEntries(entries, wantPlanned) {
+function tomlEntries(entries, isPlanned) {
   return entries
-    .filter((entry) => entry.planned === wantPlanned)
+    .filter((entry) => entry.planned === isPlanned)
     .map(({ planned: _planned, ...fields }) => `  ${tomlInlineTable(fields)},`);
 }
 
-/** The site's traffic with its rates multiplied by `share`. */
+/** Returns the traffic lines of the site with their rates multiplied by `share`. */
 function scaledTraffic(trafficLines, share) {
   return trafficLines.map((line) =>
     line.replace(/per_s = ([\d.]+)/, (_match, rate) => `per_s = ${(Number(rate) * share).toFixed(1)}`),
   );
 }
 
-/** The name of the day's shape: the one asked for, "mix" for named kinds, else one drawn. */
+/**
+ * Chooses the shape of the day: the requested one, "mix" if kinds are given, else a random one. It draws in any case, so that
+ * later draws don't depend on the options.
+ */
 function shapeName(random, options) {
   const drawn = random.pick(Object.keys(DAY_SHAPES));
   if (options.shape !== undefined) return options.shape;
@@ -46,7 +49,7 @@
 }
 
 /**
- * The text of one day. The order of the draws is part of the result: the same options give the same day.
+ * Returns the text of a day file. The same options must always give the same text, so the order of the draws is fixed.
  * @param {import("./siteFile").Site} site
  * @param {import("./options").Options} options
  */
@@ -57,7 +60,7 @@
   const kinds = (options.kinds ?? Object.keys(FAULT_KINDS)).filter((kind) => options.listedKinds?.has(kind) ?? true);
   const closing = drawClosing(random);
   const schedule = new DaySchedule(random, site, kinds, options.listedKinds);
-  shape.fill(schedule);
+  shape.addEntries(schedule);
   const entries = schedule.entries.sort((left, right) => left.at - right.at);
 
   const kindsArgument = options.kinds === null ? "" : ` --kinds ${options.kinds.join(",")}`;
--- a/scripts/days/faultKinds.js
+++ b/scripts/days/faultKinds.js
@@ -1,14 +1,14 @@
-// The kinds of planned operations and faults, and what the entry of each holds. A seed gives the same day as long as the order
-// of the kinds and of the draws stays.
+// The kinds of planned operations and faults, and the random fields of their entries. The order of the kinds and of the draws
+// must not change, or a seed gives another day than before.
 const { ALL_MACHINES, MACHINES_WITH_DISK } = require("./machineClasses");
 const { RETURN_QUALIFIERS, joinWords } = require("./qualifiers");
 
-/** Which machine of the class is killed: any, the leader, one that is being read from, or a seed of the membership. */
+/** Which machine of the class is killed: any machine, the leader, one that serves a read, or a membership seed node. */
 const MACHINE_QUALIFIERS = ["", "leader", "reader", "seed"];
 
 /**
  * @typedef {object} FaultKind
- * @property {boolean} [planned] planned work rather than a fault
+ * @property {boolean} [planned] whether this is a planned operation, not a fault
  * @property {(random: import("./seededRandom").SeededRandom, site: import("./siteFile").Site) => object} drawFields
  *   draws the fields of one entry
  */
--- a/scripts/days/input.js
+++ b/scripts/days/input.js
@@ -1,9 +1,9 @@
 const fs = require("fs");
 
-/** An argument or an input file was refused. The command prints the message without a stack and exits with 2. */
+/** An argument or an input file is invalid. The command prints the message without a stack trace and exits with 2. */
 class InputError extends Error {}
 
-/** Reads a text file that the command line named; `argument` is the option that named it. */
+/** Reads a text file given on the command line; `argument` is its option, for the error message. */
 function readInputFile(file, argument) {
   try {
     return fs.readFileSync(file, "utf8");
--- a/scripts/days/machineClasses.js
+++ b/scripts/days/machineClasses.js
@@ -1,7 +1,7 @@
-/** Classes of machines that keep data on a disk. */
+/** Machine classes that store data on a disk. */
 const MACHINES_WITH_DISK = ["core", "store"];
 
-/** Every class of machine. */
+/** All machine classes. */
 const ALL_MACHINES = [...MACHINES_WITH_DISK, "front"];
 
 module.exports = { MACHINES_WITH_DISK, ALL_MACHINES };
--- a/scripts/days/options.js
+++ b/scripts/days/options.js
@@ -1,4 +1,4 @@
-// Reads the command line of scripts/days.js.
+// Parses the command line of scripts/days.js.
 const { DAY_SHAPES } = require("./dayShapes");
 const { FAULT_KINDS } = require("./faultKinds");
 const { InputError, readInputFile } = require("./input");
@@ -10,24 +10,24 @@
 
 /**
  * @typedef {object} Options
- * @property {string} site the site file
+ * @property {string} site path of the site file
  * @property {number} seed
- * @property {string} [shape] a key of DAY_SHAPES; drawn from the seed if left out
- * @property {string[] | null} kinds the only kinds of the day (shape "mix")
- * @property {Set<string> | null} listedKinds the only kinds that the deployment may meet
- * @property {string} [out] the file to write; standard output if left out
+ * @property {string} [shape] a key of DAY_SHAPES; chosen by the seed if absent
+ * @property {string[] | null} kinds the only kinds to draw from (shape "mix"), or null for all
+ * @property {Set<string> | null} listedKinds the kinds that may occur in the deployment, or null for all
+ * @property {string} [out] the file to write; standard output if absent
  */
 
-/** The `--name value` pairs by name. */
-function optionValues(words) {
+/** Returns the values of the `--name value` pairs by name. */
+function optionValues(args) {
   const values = {};
-  for (let index = 0; index < words.length; index += 2) {
-    const word = words[index];
-    const value = words[index + 1];
-    const name = word.startsWith("--") ? word.slice(2) : "";
+  for (let index = 0; index < args.length; index += 2) {
+    const arg = args[index];
+    const value = args[index + 1];
+    const name = arg.startsWith("--") ? arg.slice(2) : "";
     if (!OPTION_NAMES.includes(name)) {
       const expected = OPTION_NAMES.map((option) => `--${option}`).join(", ");
-      throw new InputError(`unknown argument \`${word}\`, expected one of ${expected}`);
+      throw new InputError(`unknown argument \`${arg}\`, expected one of ${expected}`);
     }
     if (name in values) throw new InputError(`--${name} is given twice`);
     if (value === undefined) throw new InputError(`--${name} has no value`);
@@ -59,7 +59,7 @@
   return kinds;
 }
 
-/** The kinds of a list that the test bench printed: lines of the form `kind: what it means`. */
+/** Reads the kinds from a list that the test bench printed, in lines of the form `kind: description`. */
 function readListedKinds(file) {
   if (file === undefined) return null;
   const listed = new Set();
@@ -73,15 +73,15 @@
   return listed;
 }
 
-/** Parses the command line; a wrong argument is refused by name. @returns {Options} */
-function parseOptions(words) {
-  const values = optionValues(words);
+/** Parses the command line. Throws an InputError that names the first invalid argument. @returns {Options} */
+function parseOptions(args) {
+  const values = optionValues(args);
   const seed = parseSeed(values.seed);
   checkShape(values.shape);
   const kinds = parseKinds(values.kinds, values.shape);
   const listedKinds = readListedKinds(values.listed);
-  const absent = (kinds ?? []).find((kind) => listedKinds !== null && !listedKinds.has(kind));
-  if (absent !== undefined) throw new InputError(`--kinds: \`${absent}\` is not in the list of --listed`);
+  const unlisted = (kinds ?? []).find((kind) => listedKinds !== null && !listedKinds.has(kind));
+  if (unlisted !== undefined) throw new InputError(`--kinds: \`${unlisted}\` is not in the list of --listed`);
   return { site: values.site, seed, shape: values.shape, kinds, listedKinds, out: values.out };
 }
 
--- a/scripts/days/qualifiers.js
+++ b/scripts/days/qualifiers.js
@@ -1,9 +1,9 @@
-// The field `how` of an entry: qualifiers separated by spaces.
+// The field `how` of an entry consists of qualifiers separated by spaces.
 
-/** What a machine meets when it comes back after a kill. */
+/** Conditions under which a machine returns after a kill. */
 const RETURN_QUALIFIERS = ["", "meet", "race", "hard", "drain", "race drain", "race drain hard", "race hard"];
 
-/** The non-empty words, separated by spaces. */
+/** Joins the non-empty words with spaces. */
 function joinWords(...words) {
   return words.filter((word) => word !== "").join(" ");
 }
--- a/scripts/days/seededRandom.js
+++ b/scripts/days/seededRandom.js
@@ -1,11 +1,11 @@
-/** Pseudo-random numbers from a seed (mulberry32): the same sequence on every machine. */
+/** Generator of pseudo-random numbers (mulberry32). A seed gives the same sequence on every machine. */
 class SeededRandom {
-  /** @param {number} seed a whole number; its lowest 32 bits count */
+  /** @param {number} seed an integer, of which the lowest 32 bits are used */
   constructor(seed) {
     this.state = seed >>> 0;
   }
 
-  /** A number from 0 up to, but not including, 1. */
+  /** Returns a number in [0, 1). */
   next() {
     this.state = (this.state + 0x6d2b79f5) >>> 0;
     let mixed = Math.imul(this.state ^ (this.state >>> 15), this.state | 1);
@@ -13,22 +13,22 @@
     return ((mixed ^ (mixed >>> 14)) >>> 0) / 2 ** 32;
   }
 
-  /** A number between `low` and `high`, rounded to `digits` decimals. */
+  /** Returns a number between `low` and `high`, rounded to `digits` decimals. */
   between(low, high, digits = 1) {
     return Number((low + (high - low) * this.next()).toFixed(digits));
   }
 
-  /** A whole number from `low` to `high`, both included. */
+  /** Returns an integer from `low` to `high`, both inclusive. */
   integer(low, high) {
     return low + Math.floor(this.next() * (high - low + 1));
   }
 
-  /** One element of the list, each as likely as the others. */
+  /** Returns an element of the list with uniform probability. */
   pick(list) {
     return list[Math.floor(this.next() * list.length)];
   }
 
-  /** True with the given probability. */
+  /** Returns true with the given probability. */
   chance(probability) {
     return this.next() < probability;
   }
--- a/scripts/days/shapes/configurationShapes.js
+++ b/scripts/days/shapes/configurationShapes.js
@@ -1,16 +1,16 @@
-// Shapes that try the configuration: changes from operators while the control group loses machines or acknowledgements.
+// Shapes that test configuration changes by operators while the control group loses machines or acknowledgements.
 const { RETURN_QUALIFIERS, joinWords } = require("../qualifiers");
 
-const CUT_QUALIFIERS = ["one_way", "seeds", "both", "reset", "refuse", "leader", "race", "meet", "hard"];
-const FREQUENT_CUT_QUALIFIERS = ["one_way", "leader"];
+const PARTITION_QUALIFIERS = ["one_way", "seeds", "both", "reset", "refuse", "leader", "race", "meet", "hard"];
+const FREQUENT_PARTITION_QUALIFIERS = ["one_way", "leader"];
 
 const cut = {
-  about: "a counted machine cut off for twenty seconds and more, while orders come",
+  description: "a core or store machine is partitioned for 20 s or more during configuration changes",
   lengthSeconds: 40,
-  fill(schedule) {
+  addEntries(schedule) {
     const { random } = schedule;
-    const qualifiers = CUT_QUALIFIERS.filter((qualifier) =>
-      random.chance(FREQUENT_CUT_QUALIFIERS.includes(qualifier) ? 0.5 : 0.25),
+    const qualifiers = PARTITION_QUALIFIERS.filter((qualifier) =>
+      random.chance(FREQUENT_PARTITION_QUALIFIERS.includes(qualifier) ? 0.5 : 0.25),
     );
     schedule.add("core_cut", random.between(2, 6), {
       on: random.chance(0.75) ? "core" : "store",
@@ -26,9 +26,9 @@
 };
 
 const orders = {
-  about: "races of orders under lost acknowledgements, evacuations, kills of the leader",
+  description: "concurrent configuration changes with lost acknowledgements, evacuations and kills of the leader",
   lengthSeconds: 34,
-  fill(schedule) {
+  addEntries(schedule) {
     const { random } = schedule;
     schedule.add("ack_lost", 1, { x: random.between(0.5, 1), for_s: random.between(12, 26) });
     schedule.add("config_race", 2, { count: random.integer(4, 12), gap_s: random.between(0.3, 1) });
--- a/scripts/days/shapes/generalShapes.js
+++ b/scripts/days/shapes/generalShapes.js
@@ -1,12 +1,12 @@
-// Shapes that mix kinds of any sort, fill a long day, or strike whole places.
+// Shapes that mix all kinds, last long, or affect whole zones and groups of nodes.
 
-/** Up to so many named kinds, all of them are put in. */
-const MOST_KINDS_PUT_IN = 3;
+/** If no more kinds than this are given, the day has entries of all of them instead of a random selection. */
+const MAX_KINDS_WITHOUT_SELECTION = 3;
 
-const AWAY_KINDS = ["core_cut", "node_kill", "after_ack_wipe", "disk_stall", "node_freeze"];
-const SHORT_AWAY_KINDS = ["disk_stall", "node_freeze"];
+const ABSENCE_KINDS = ["core_cut", "node_kill", "after_ack_wipe", "disk_stall", "node_freeze"];
+const SHORT_ABSENCE_KINDS = ["disk_stall", "node_freeze"];
 
-const PLACE_KINDS = [
+const ZONE_AND_NODE_KINDS = [
   "zone_loss",
   "zone_cut",
   "node_cut",
@@ -20,13 +20,13 @@
 ];
 
 const mix = {
-  about: "one to three kinds of any sort, drawn alike, at any moment",
+  description: "one to three random kinds, each with the same probability, at random times",
   lengthSeconds: 34,
-  fill(schedule) {
+  addEntries(schedule) {
     const { random, kinds } = schedule;
     const count = random.integer(1, 3);
     const drawn = Array.from({ length: count }, () => random.pick(kinds));
-    const chosen = kinds.length <= MOST_KINDS_PUT_IN ? kinds : drawn;
+    const chosen = kinds.length <= MAX_KINDS_WITHOUT_SELECTION ? kinds : drawn;
     for (const kind of chosen) {
       schedule.add(kind, random.between(2, 22));
       if (random.chance(0.35)) schedule.add(kind, random.between(4, 25));
@@ -36,17 +36,18 @@
 };
 
 const long = {
-  about: "a long day with hundreds of changes; a counted machine is away for most of it and returns",
+  description:
+    "a long day with hundreds of configuration changes; a core machine is absent for a long part of it and returns",
   lengthSeconds: 70,
   trafficShare: 0.35,
-  fill(schedule) {
+  addEntries(schedule) {
     const { random } = schedule;
-    const awayKind = random.pick(AWAY_KINDS);
-    const awaySeconds = SHORT_AWAY_KINDS.includes(awayKind) ? random.between(6, 15) : random.between(20, 40);
-    const awayAt = random.between(3, 8);
-    const awayFields = { on: "core", count: 1, for_s: awaySeconds };
-    if (awayKind === "node_kill") awayFields.how = random.pick(["power", "power race", "leader power meet"]);
-    schedule.add(awayKind, awayAt, awayFields);
+    const absenceKind = random.pick(ABSENCE_KINDS);
+    const absenceSeconds = SHORT_ABSENCE_KINDS.includes(absenceKind) ? random.between(6, 15) : random.between(20, 40);
+    const absenceAt = random.between(3, 8);
+    const absenceFields = { on: "core", count: 1, for_s: absenceSeconds };
+    if (absenceKind === "node_kill") absenceFields.how = random.pick(["power", "power race", "leader power meet"]);
+    schedule.add(absenceKind, absenceAt, absenceFields);
     for (let at = 2; at < 58; at += 0.4)
       schedule.add("config_change", at, { how: random.pick(["route", "weights", "timeout", "idle"]) });
     schedule.add("config_race", 10, { count: 60, gap_s: 0.7 });
@@ -56,11 +57,11 @@
 };
 
 const places = {
-  about: "zones lost and cut off, nodes cut off, machines added, emptied and rolled",
+  description: "zones lost and partitioned, nodes partitioned, machines added, evacuated and restarted in turn",
   lengthSeconds: 38,
-  fill(schedule) {
+  addEntries(schedule) {
     const { random } = schedule;
-    for (let at = 2.5; at < 24; at += random.between(5, 9)) schedule.add(random.pick(PLACE_KINDS), at);
+    for (let at = 2.5; at < 24; at += random.between(5, 9)) schedule.add(random.pick(ZONE_AND_NODE_KINDS), at);
     schedule.addConfigChanges(random.between(2, 5), 30);
   },
 };
--- a/scripts/days/shapes/lossShapes.js
+++ b/scripts/days/shapes/lossShapes.js
@@ -1,7 +1,7 @@
-// Shapes that lose machines, their power or their disks, one after another.
+// Shapes with successive losses of machines, their power or their disks.
 const { MACHINES_WITH_DISK } = require("../machineClasses");
 
-/** The first loss of the shape "second": how long it lasts, and the fields that are not drawn. */
+/** First losses in the shape "second": how long each lasts, and its fixed fields. */
 const FIRST_LOSSES = {
   replace_core: { seconds: 1, fields: () => ({ x: 1 }) },
   retire: { seconds: 9, fields: () => ({ for_s: 9 }) },
@@ -13,7 +13,7 @@
 
 const BEFORE_POWER_LOSS_KINDS = ["after_ack_wipe", "retire", "replace_core", "add_nodes", "core_cut", "config_race"];
 
-/** Every core at once by power or with its disk taken, or every machine by power. */
+/** All core machines lose power or their disks at once, or all machines lose power. */
 const POWER_LOSSES = [
   { on: "core", how: "power" },
   { on: "core", how: "taken" },
@@ -31,13 +31,14 @@
 ];
 
 const second = {
-  about: "a second loss a number of half seconds after a replacement, a retirement, an empty return or a cut",
+  description:
+    "a second loss a multiple of 0.5 s after a replacement, retirement, return with an empty disk, kill, partition or addition",
   lengthSeconds: 38,
-  fill(schedule) {
+  addEntries(schedule) {
     const { random } = schedule;
     const kind = random.pick(Object.keys(FIRST_LOSSES));
     const at = random.between(2, 6);
-    // Drawn for every kind, so that the draws after it don't depend on the kind.
+    // This is drawn for every kind, so that later draws don't depend on the kind.
     const killedClass = random.pick(MACHINES_WITH_DISK);
     const loss = FIRST_LOSSES[kind];
     schedule.add(kind, at, loss.fields(killedClass));
@@ -49,9 +50,9 @@
 };
 
 const acks = {
-  about: "power or disk lost right after an acknowledgement, again and again",
+  description: "repeated loss of power or a disk right after an acknowledgement",
   lengthSeconds: 38,
-  fill(schedule) {
+  addEntries(schedule) {
     const { random } = schedule;
     for (let at = 3; at < 28; at += random.between(3, 8))
       schedule.add(random.pick(["after_ack_wipe", "after_ack_kill"]), at);
@@ -60,9 +61,9 @@
 };
 
 const power = {
-  about: "the whole system loses power in the middle of the day, once or twice",
+  description: "all core machines or the whole system lose power in the middle of the day, once or twice",
   lengthSeconds: 40,
-  fill(schedule) {
+  addEntries(schedule) {
     const { random } = schedule;
     if (random.chance(0.6)) {
       const before = random.pick(BEFORE_POWER_LOSS_KINDS);
@@ -76,9 +77,10 @@
 };
 
 const storm = {
-  about: "a loss of a counted machine every few seconds, as each is borne, under orders and lost acknowledgements",
+  description:
+    "a core or store machine is lost every few seconds, each loss tolerable on its own, with configuration changes and lost acknowledgements",
   lengthSeconds: 46,
-  fill(schedule) {
+  addEntries(schedule) {
     const { random } = schedule;
     for (let at = random.between(2, 4); at < 34; at += random.pick([0.5, 1, 1.5, 2, 3, 4])) {
       const kind = random.pick(STORM_KINDS);
--- a/scripts/days/shapes/resourceShapes.js
+++ b/scripts/days/shapes/resourceShapes.js
@@ -1,8 +1,8 @@
-// Shapes that try what a process stands on: its disk, its clock and processor, and the replicas that it calls.
+// Shapes with faults of the resources of a process: its disk, clock and processor, and the endpoints that it calls.
 
 const DISK_KINDS = ["disk_stall", "disk_full", "disk_slow"];
 
-/** Twice in the list: clock steps are drawn twice as often. */
+/** Clock steps are listed twice, so that they are drawn twice as often. */
 const CLOCK_KINDS = ["clock_step", "clock_step", "node_freeze", "node_slow"];
 
 const CALL_KINDS = [
@@ -20,9 +20,9 @@
 ];
 
 const disks = {
-  about: "disks stalled, slow and full, with losses beside them",
+  description: "stalled, slow and full disks, with losses of machines",
   lengthSeconds: 36,
-  fill(schedule) {
+  addEntries(schedule) {
     const { random } = schedule;
     for (let at = 2.5; at < 24; at += random.between(4, 9)) schedule.add(random.pick(DISK_KINDS), at);
     if (random.chance(0.6)) schedule.addSecondLoss(random.between(4, 20));
@@ -31,9 +31,9 @@
 };
 
 const clocks = {
-  about: "clocks stepped, processes frozen and slowed, under orders and a loss",
+  description: "stepped clocks, frozen and slow processes, with configuration changes and a loss",
   lengthSeconds: 36,
-  fill(schedule) {
+  addEntries(schedule) {
     const { random } = schedule;
     for (let at = 2.5; at < 24; at += random.between(3, 7)) schedule.add(random.pick(CLOCK_KINDS), at);
     if (random.chance(0.6)) schedule.addSecondLoss(random.between(4, 20));
@@ -42,9 +42,10 @@
 };
 
 const calls = {
-  about: "replicas that hang, reset, answer twice or not at all, and connections that break",
+  description:
+    "endpoints that hang, reset connections or send garbled, duplicate or no responses, and broken connections",
   lengthSeconds: 34,
-  fill(schedule) {
+  addEntries(schedule) {
     const { random } = schedule;
     for (let at = 2; at < 24; at += random.between(2, 5)) schedule.add(random.pick(CALL_KINDS), at);
     if (random.chance(0.4)) schedule.add("node_kill", random.between(6, 18), { on: "front" });
--- a/scripts/days/siteFile.js
+++ b/scripts/days/siteFile.js
@@ -1,22 +1,22 @@
-// Reads the site file: the deployment's zones, machine classes, services, request classes and traffic. The platform writes
-// each list with one item a line, so lines are matched and no TOML parser is needed.
+// Reads the zones, machine classes, services, request classes and traffic of a deployment from the site file. The platform
+// writes each list with one item per line, so matching lines is enough and no TOML parser is needed.
 const { InputError, readInputFile } = require("./input");
 
 const listHeader = (list) => `${list} = [`;
 const DAY_HEADER = "[[day]]";
 
 /**
- * What a day may name of its deployment.
+ * The parts of a deployment that a day file can refer to.
  * @typedef {object} Site
  * @property {string[]} zones
  * @property {string[]} machines machine classes
  * @property {string[]} services
  * @property {string[]} classes request classes
- * @property {string[]} traffic the lines of the deployment's own traffic list
+ * @property {string[]} traffic lines of the deployment's own traffic list
  */
 
-/** The distinct values of `field` in the items of `list`, in the file's order. */
-function listedNames(file, lines, list, field) {
+/** Returns the distinct values of `field` in the items of `list`, in the order of the file. */
+function distinctValues(file, lines, list, field) {
   const start = lines.findIndex((line) => line.startsWith(listHeader(list)));
   if (start < 0) throw new InputError(`${file}: missing field \`${list}\``);
   const pattern = new RegExp(`^  \\{(?: |.*?, )${field} = "([^"]+)"`);
@@ -30,7 +30,7 @@
   return [...names];
 }
 
-/** The items of the traffic list at the top of the file; a list inside one of the days doesn't count. */
+/** Returns the items of the top-level traffic list. Traffic lists inside a day are ignored. */
 function trafficLines(lines) {
   const start = lines.findIndex((line) => line.startsWith(listHeader("traffic")));
   const firstDay = lines.findIndex((line) => line.startsWith(DAY_HEADER));
@@ -44,10 +44,10 @@
 function readSite(file) {
   const lines = readInputFile(file, "--site").split("\n");
   return {
-    zones: listedNames(file, lines, "zones", "name"),
-    machines: listedNames(file, lines, "machines", "class"),
-    services: listedNames(file, lines, "services", "name"),
-    classes: listedNames(file, lines, "classes", "name"),
+    zones: distinctValues(file, lines, "zones", "name"),
+    machines: distinctValues(file, lines, "machines", "class"),
+    services: distinctValues(file, lines, "services", "name"),
+    classes: distinctValues(file, lines, "classes", "name"),
     traffic: trafficLines(lines),
   };
 }
--- a/scripts/dissemination.js
+++ b/scripts/dissemination.js
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
-// How long after its acknowledgement a manifest is in force at every ingress, in virtual time, by fleet size and by
-// manifest size.   node scripts/dissemination.js
+// Measures how long after its acknowledgement a configuration is in force at every ingress, by fleet size and by
+// configuration size. Runs in virtual time.
+//   node scripts/dissemination.js
 require("../dist/src/tools/measurements/configurationDissemination.js");
--- a/scripts/guardMutations/builtCopy.js
+++ b/scripts/guardMutations/builtCopy.js
@@ -9,18 +9,18 @@
   return fs.readFileSync(path.join(root, BUILT_SOURCES, edit.file), "utf8");
 }
 
-/** How often the text to be replaced occurs in the built file. */
+/** Counts the occurrences of the edit's `find` text in the built file. */
 function occurrences(edit, root = ROOT) {
   if (!fs.existsSync(path.join(root, BUILT_SOURCES, edit.file))) return 0;
   return builtText(edit, root).split(edit.find).length - 1;
 }
 
-/** The text of the built file with this one edit made. */
+/** Returns the text of the built file with the edit applied. */
 function mutatedText(edit, root = ROOT) {
   return builtText(edit, root).replace(edit.find, () => edit.replacement);
 }
 
-/** A copy of the built code in a temporary folder, to be mutated and run; the original is not touched. */
+/** A copy of the built code in a temporary folder, where mutations are applied and run. The original stays unchanged. */
 class BuiltCopy {
   constructor() {
     this.folder = fs.mkdtempSync(path.join(os.tmpdir(), "petrelbeam-mutation-"));
@@ -29,7 +29,7 @@
   }
 
   /**
-   * Applies the edits in order. False if the text of one doesn't occur exactly once.
+   * Applies the edits in order. Returns false as soon as the `find` text of one doesn't occur exactly once.
    * @param {import("./mutations").Edit[]} edits
    */
   apply(edits) {
--- a/scripts/guardMutations/mutations.js
+++ b/scripts/guardMutations/mutations.js
@@ -1,19 +1,19 @@
-// The guards that scripts/guardMutations.js takes out, one mutation each.
+// The mutations of scripts/guardMutations.js. Each removes one guard.
 
 /**
- * A piece of built code to be replaced. `find` must occur exactly once in the file.
+ * A replacement of text in the built code. `find` must occur exactly once in the file.
  * @typedef {object} Edit
- * @property {string} file below dist/src
+ * @property {string} file path relative to dist/src
  * @property {string} find
  * @property {string} replacement
  */
 
 /**
- * One guard taken out of the built code, and what must go wrong without it.
+ * Edits that remove one guard from the built code, and the invariants that are expected to be violated without it.
  * @typedef {object} Mutation
  * @property {string} name
- * @property {string} scenario the scenarios to run, separated by commas
- * @property {string[]} expectedInvariants at least one of these must be broken
+ * @property {string} scenario one scenario, or several separated by commas
+ * @property {string[]} expectedInvariants at least one of these must be violated
  * @property {Edit[]} edits
  */
 
--- a/scripts/knownImports.js
+++ b/scripts/knownImports.js
@@ -1,29 +1,32 @@
 #!/usr/bin/env node
-// Rewrites the list of known violations of the import rules after some were repaired, or after files were renamed. Refused
-// when a rule is broken more often than before.
+// Rewrites the list of known violations of the import rules after violations were fixed or files were renamed. Fails if any
+// rule has more violations than before.
 //   node scripts/knownImports.js
 const { spawnSync } = require("child_process");
 const fs = require("fs");
 const path = require("path");
-const { ViolationsAddedError, listText, refuseAdded } = require("./lint/knownViolations");
+const { ViolationsAddedError, listText, checkNoneAdded } = require("./lint/knownViolations");
 
 const ROOT = path.join(__dirname, "..");
 const KNOWN_FILE = path.join(ROOT, ".dependency-cruiser-known-violations.json");
-const CRUISER = path.join(ROOT, "node_modules/.bin/depcruise");
+const DEPCRUISE_COMMAND = path.join(ROOT, "node_modules/.bin/depcruise");
 const FOLDERS = ["src", "platform", "test"];
 
-/** Every violation in the sources, known or not. */
+/** Returns all violations in the sources, known or not. */
 function findViolations() {
-  const ended = spawnSync(CRUISER, ["--output-type", "baseline", ...FOLDERS], { cwd: ROOT, encoding: "utf8" });
-  if (ended.stdout === "") throw new Error(`dependency-cruiser failed: ${ended.stderr}`);
-  return JSON.parse(ended.stdout);
+  const child = spawnSync(DEPCRUISE_COMMAND, ["--output-type", "baseline", ...FOLDERS], {
+    cwd: ROOT,
+    encoding: "utf8",
+  });
+  if (child.stdout === "") throw new Error(`dependency-cruiser failed: ${child.stderr}`);
+  return JSON.parse(child.stdout);
 }
 
 function main() {
   const known = JSON.parse(fs.readFileSync(KNOWN_FILE, "utf8"));
   const found = findViolations();
   try {
-    refuseAdded(known, found);
+    checkNoneAdded(known, found);
   } catch (error) {
     if (!(error instanceof ViolationsAddedError)) throw error;
     console.error(`known violations: ${error.message}`);
--- a/scripts/knownRedPattern.js
+++ b/scripts/knownRedPattern.js
@@ -1,18 +1,18 @@
 #!/usr/bin/env node
-// Prints the pattern of test names that jest runs when the tests named in KNOWN-RED.txt are passed over; nothing if none is.
-// A line names a test up to its first semicolon; what follows is the reason.
+// Prints a jest test name pattern that matches every test except the known failures listed in KNOWN-RED.txt, or nothing if
+// the list is empty. In each line of the file, the text before the first semicolon is the test name and the rest explains it.
 //   node scripts/knownRedPattern.js
 const fs = require("fs");
 const path = require("path");
 
 const KNOWN_RED_FILE = path.join(__dirname, "../KNOWN-RED.txt");
 
-/** The text as a regular expression that matches it literally. */
+/** Escapes the text for use as a literal in a regular expression. */
 function escapeForPattern(text) {
   return text.replace(/[.*+?^${}()|[\]\\]/g, "\\$&");
 }
 
-/** The names of the tests in the file's text. */
+/** Extracts the test names from the text of the file. */
 function testNames(text) {
   return text
     .split("\n")
--- a/scripts/lint/warningBudget.js
+++ b/scripts/lint/warningBudget.js
@@ -1,7 +1,8 @@
-// The budget of lint warnings: how many each folder may have. It only falls, so that warnings of old code don't hide new ones.
+// The budget of lint warnings: how many warnings each folder may have. It is only ever lowered, so that warnings in old code
+// don't hide new ones.
 
 /**
- * Warnings by folder; a folder that is not named has none.
+ * Number of warnings by folder; folders without warnings are absent.
  * @typedef {Record<string, number>} WarningCounts
  */
 
@@ -13,10 +14,10 @@
  * @property {number} found
  */
 
-/** A new budget was refused because it would allow more warnings than before. */
+/** The new budget would allow more warnings than before, so it is not accepted. */
 class BudgetRaisedError extends Error {}
 
-/** The folder that a file counts for: `src/NAME` inside src, else the folder at the top ("." for files at the root). */
+/** Returns the folder that a file counts for: `src/NAME` in a folder of src, else the top-level folder ("." for the root). */
 function folderOf(file) {
   const parts = file.split("/");
   if (parts.length === 1) return ".";
@@ -40,7 +41,7 @@
 }
 
 /**
- * The folders whose count differs from the budget, by name.
+ * Lists the folders whose count differs from the budget, sorted by name.
  * @param {WarningCounts} budget
  * @param {WarningCounts} counts
  * @returns {Difference[]}
@@ -57,8 +58,8 @@
 }
 
 /**
- * The budget after warnings were removed. A folder's number is never raised; a folder that has none yet gets one only if the
- * total doesn't rise (files were moved into it).
+ * Returns the budget lowered to the current counts. The budget of a folder never rises. A folder without a budget gets
+ * one if the total doesn't rise, so that files can be moved into a new folder.
  * @param {WarningCounts} budget
  * @param {WarningCounts} counts
  * @returns {WarningCounts}
@@ -70,7 +71,7 @@
     throw new BudgetRaisedError(`more warnings than before: ${list}`);
   }
   if (total(counts) > total(budget)) {
-    throw new BudgetRaisedError(`more warnings than before in all: ${total(budget)} -> ${total(counts)}`);
+    throw new BudgetRaisedError(`more warnings in total than before: ${total(budget)} -> ${total(counts)}`);
   }
   return Object.fromEntries(Object.entries(counts).sort(([left], [right]) => (left < right ? -1 : 1)));
 }
--- a/scripts/lintBudget.js
+++ b/scripts/lintBudget.js
@@ -1,8 +1,8 @@
 #!/usr/bin/env node
-// Runs ESLint over the repository. Errors fail, and so do more warnings in a folder than lint-budget.json allows it.
-//   node scripts/lintBudget.js            checks; a folder with fewer warnings than its budget is named
-//   node scripts/lintBudget.js --exact    checks; a folder with fewer warnings than its budget fails as well
-//   node scripts/lintBudget.js --lower    rewrites lint-budget.json downwards; a rise is refused
+// Runs ESLint over the repository. Fails on errors and on folders with more warnings than lint-budget.json allows.
+//   node scripts/lintBudget.js            checks; reports folders with fewer warnings than their budget
+//   node scripts/lintBudget.js --exact    checks; also fails on folders with fewer warnings than their budget
+//   node scripts/lintBudget.js --lower    lowers the budgets to the current counts; fails if one would rise
 const { ESLint } = require("eslint");
 const fs = require("fs");
 const path = require("path");
@@ -23,13 +23,13 @@
 
 const relativeName = (result) => path.relative(ROOT, result.filePath).split(path.sep).join("/");
 
-/** Prints the problems of the results as ESLint itself does. */
+/** Prints the problems in ESLint's default format. */
 async function printProblems(eslint, results) {
   const formatter = await eslint.loadFormatter("stylish");
   process.stdout.write(await formatter.format(results));
 }
 
-/** Checks the counts; prints what differs from the budget and returns whether the check has passed. */
+/** Compares the counts with the budget and prints the differences. Returns whether the check passed. */
 async function checkCounts(eslint, results, budget, counts, isExact) {
   const found = differences(budget, counts);
   const over = found.filter((difference) => difference.found > difference.budgeted);
@@ -41,7 +41,9 @@
     console.error(`${folder}: ${found} warnings, ${budgeted} allowed by lint-budget.json`);
   }
   for (const { folder, budgeted, found } of under) {
-    console.error(`${folder}: ${found} warnings, fewer than the ${budgeted} of lint-budget.json: npm run lint:budget`);
+    console.error(
+      `${folder}: ${found} warnings, ${budgeted} allowed by lint-budget.json; lower the budget with npm run lint:budget`,
+    );
   }
   console.log(`${total(counts)} warnings, ${total(budget)} allowed`);
   return over.length === 0 && !(isExact && under.length > 0);
@@ -60,9 +62,9 @@
   }
 }
 
-async function main(words) {
-  const unknown = words.find((word) => !OPTIONS.includes(word));
-  if (unknown !== undefined || words.length > 1) {
+async function main(args) {
+  const unknown = args.find((arg) => !OPTIONS.includes(arg));
+  if (unknown !== undefined || args.length > 1) {
     console.error(`expected at most one of ${OPTIONS.join(", ")}`);
     return EXIT_BAD_INPUT;
   }
@@ -75,9 +77,9 @@
   }
   const budget = JSON.parse(fs.readFileSync(BUDGET_FILE, "utf8"));
   const counts = countByFolder(results.map((each) => ({ file: relativeName(each), warnings: each.warningCount })));
-  const passed = words.includes("--lower")
+  const passed = args.includes("--lower")
     ? lowerBudget(budget, counts)
-    : await checkCounts(eslint, results, budget, counts, words.includes("--exact"));
+    : await checkCounts(eslint, results, budget, counts, args.includes("--exact"));
   return passed ? 0 : EXIT_FAILED;
 }
 
--- a/scripts/scale.js
+++ b/scripts/scale.js
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
-// What membership, news and configuration cost by the number of members, in virtual time, with the real processor time of
-// the whole fleet (all nodes run in this one process).   node scripts/scale.js [members ...]
+// Measures what membership, gossip and configuration cost by the number of members. Runs in virtual time; the processor time
+// is the real one of the whole fleet, since all nodes run in this process.
+//   node scripts/scale.js [members ...]
 require("../dist/src/tools/measurements/memberCosts.js");
--- a/scripts/traceDigest.js
+++ b/scripts/traceDigest.js
@@ -1,15 +1,16 @@
 #!/usr/bin/env node
 /**
- * Digests of simulated runs, to show that a change of the code left its behaviour as it was: the same scenario and seed
- * must give the same digests before and after.
+ * Prints digests of simulated runs. They show whether a change of the code preserves its behaviour: the same scenario and
+ * seed must give the same digests before and after the change.
  *
  *   node scripts/traceDigest.js CHECKOUT [--scenario name,...|all] [--seed N] [--point N]
  *
- * CHECKOUT is a built checkout or its dist folder. One line a run: scenario, seed, fault point, then three digests
- * (SHA-256, 16 hex digits):
- *   - the trace: every envelope the codec encoded, in order, then the history that callers saw, then the virtual time;
- *   - the log: every line the simulated processes logged, in order;
- *   - the disks: name and content of every file that the simulated disks hold at the end.
+ * CHECKOUT is a built checkout or its dist folder. Each run prints one line: scenario, seed, fault point, then three digests
+ * (the first 16 hex digits of SHA-256):
+ *   - the trace: every envelope that the codec encoded, in order, then the history that callers observed, then the
+ *     virtual time;
+ *   - the log: every line that the simulated processes logged, in order;
+ *   - the disks: name and content of every file on the simulated disks at the end.
  */
 const crypto = require("crypto");
 const fs = require("fs");
@@ -17,7 +18,7 @@
 
 const DIGEST_HEX_DIGITS = 16;
 
-/** Where each module is found, relative to dist/src: the newest layout first. */
+/** Paths of each module relative to dist/src, newest source layout first. Older paths allow comparison with older builds. */
 const MODULE_PATHS = {
   codec: ["rpc/envelope.js", "rpc/envelopeCodec.js", "rpc/codec.js", "rpc/wire.js", "wire/wire.js"],
   campaign: ["simulation/campaign.js", "sim/campaign.js"],
@@ -45,19 +46,19 @@
   return options;
 }
 
-/** The checkout's root and its compiled sources, whichever of root and dist was named. */
+/** Returns the root of the checkout and its compiled sources; `checkout` is either the root or its dist folder. */
 function locate(checkout) {
   const root = fs.existsSync(path.join(checkout, "dist")) ? checkout : path.dirname(checkout);
   return { root, sources: path.join(root, "dist", "src") };
 }
 
 function load(sources, name) {
-  const found = MODULE_PATHS[name].map((each) => path.join(sources, each)).find((each) => fs.existsSync(each));
-  if (!found) fail(`no module ${name} under ${sources}; looked for ${MODULE_PATHS[name].join(", ")}`);
-  return require(found);
+  const file = MODULE_PATHS[name].map((candidate) => path.join(sources, candidate)).find((each) => fs.existsSync(each));
+  if (!file) fail(`no module ${name} under ${sources}; looked for ${MODULE_PATHS[name].join(", ")}`);
+  return require(file);
 }
 
-/** The object that has all these functions: one of the module's exports, or the module itself. */
+/** Finds the object that has all these functions: one of the module's exports, or the module itself. */
 function exportWith(module, ...functions) {
   const owner = [...Object.values(module), module].find(
     (each) => each && functions.every((name) => typeof each[name] === "function"),
@@ -66,7 +67,7 @@
   return owner;
 }
 
-/** Calls `observe` with each encoded envelope; the codec itself works as before. */
+/** Wraps the codec's `encode` so that `observe` is called with each encoded envelope. */
 function observeEncoding(codec, observe) {
   const encode = codec.encode;
   codec.encode = function observedEncode(...args) {
@@ -76,14 +77,14 @@
   };
 }
 
-function select(catalog, wanted) {
-  if (wanted === "all") return catalog.all;
-  return wanted.split(",").map((name) => catalog.find(name) ?? fail(`no scenario ${name}`));
+function selectScenarios(catalog, names) {
+  if (names === "all") return catalog.all;
+  return names.split(",").map((name) => catalog.find(name) ?? fail(`no scenario ${name}`));
 }
 
-function pointsOf(scenario, wanted) {
+function faultPointsOf(scenario, selected) {
   const points = scenario.points ?? [0];
-  return wanted === undefined ? points : points.filter((point) => point === wanted);
+  return selected === undefined ? points : points.filter((point) => point === selected);
 }
 
 /** Hashes the synced files of every process's disk. */
@@ -96,7 +97,7 @@
   return hash;
 }
 
-/** What callers observed, in order; builds from before the type had its name call the list `seen`. */
+/** Returns what callers observed, in order. Older builds name the list `seen`. */
 const observationsOf = (history) => history.observations ?? history.seen;
 const shortDigest = (hash) => hash.digest("hex").slice(0, DIGEST_HEX_DIGITS);
 
@@ -111,8 +112,8 @@
 
   let trace;
   observeEncoding(exportWith(load(sources, "codec"), "encode", "decode"), (bytes) => trace.update(bytes));
-  for (const scenario of select(Scenarios, options.scenario))
-    for (const point of pointsOf(scenario, options.point)) {
+  for (const scenario of selectScenarios(Scenarios, options.scenario))
+    for (const point of faultPointsOf(scenario, options.point)) {
       trace = crypto.createHash("sha256");
       const log = crypto.createHash("sha256");
       const logLine = (line) => log.update(`${line}\n`);
--- a/test/days.test.ts
+++ b/test/days.test.ts
@@ -3,14 +3,14 @@
 import * as os from "os";
 import * as path from "path";
 
-const generator = path.join(__dirname, "../../scripts/days.js");
+const script = path.join(__dirname, "../../scripts/days.js");
 const folder = fs.mkdtempSync(path.join(os.tmpdir(), "days-"));
 afterAll(() => fs.rmSync(folder, { recursive: true }));
 
-function file(name: string, text: string): string {
-  const full = path.join(folder, name);
-  fs.writeFileSync(full, text);
-  return full;
+function writeInputFile(name: string, text: string): string {
+  const filePath = path.join(folder, name);
+  fs.writeFileSync(filePath, text);
+  return filePath;
 }
 const siteText = `name = "stub"
 zones = [
@@ -36,38 +36,38 @@
   { zone = "south", mix = { question = 1.0 }, per_s = 7.0, clients = 5 },
 ]
 `;
-const site = file("site.toml", siteText);
+const site = writeInputFile("site.toml", siteText);
 
-function days(...words: string[]): { status: number | null; text: string; error: string } {
-  const ended = spawnSync(process.execPath, [generator, ...words], { encoding: "utf8" });
-  return { status: ended.status, text: ended.stdout, error: ended.stderr };
+function runScript(...args: string[]): { status: number | null; text: string; error: string } {
+  const child = spawnSync(process.execPath, [script, ...args], { encoding: "utf8" });
+  return { status: child.status, text: child.stdout, error: child.stderr };
 }
-function day(...words: string[]): string {
-  const written = days("--site", site, ...words);
-  expect([written.status, written.error]).toEqual([0, ""]);
-  return written.text;
+function generateDay(...args: string[]): string {
+  const result = runScript("--site", site, ...args);
+  expect([result.status, result.error]).toEqual([0, ""]);
+  return result.text;
 }
-/** The text of every field `name` of the day's entries. */
+/** Returns the values of every field `name` in the day's entries, as text without quotes. */
 function values(text: string, name: string): string[] {
   return [...text.matchAll(new RegExp(`[{,] ${name} = ("[^"]*"|[^,} ]+)`, "g"))].map((match) =>
     match[1].replace(/"/g, ""),
   );
 }
 
-test("a seed gives the same day each time, another seed another day", () => {
-  const first = day("--seed", "41");
-  expect(day("--seed", "41")).toBe(first);
-  expect(day("--seed", "42").split("\n").slice(3)).not.toEqual(first.split("\n").slice(3));
+test("the same seed always gives the same day, and another seed gives another day", () => {
+  const first = generateDay("--seed", "41");
+  expect(generateDay("--seed", "41")).toBe(first);
+  expect(generateDay("--seed", "42").split("\n").slice(3)).not.toEqual(first.split("\n").slice(3));
 });
 
-test("every shape writes days whose entries lie within the day and name only what the site has", () => {
-  const shapes = days("--shapes")
+test("entries of every shape lie within the day and refer only to zones and services of the site", () => {
+  const shapes = runScript("--shapes")
     .text.trim()
     .split("\n")
     .map((line) => line.split(" ")[0]);
   expect(shapes.length).toBeGreaterThanOrEqual(12);
   for (const shape of shapes) {
-    const text = day("--seed", String(shapes.indexOf(shape)), "--shape", shape);
+    const text = generateDay("--seed", String(shapes.indexOf(shape)), "--shape", shape);
     expect(text).toMatch(/^name = "[a-z]+-\d+"\nseed = \d+\nlength_s = \d+\.0\n/m);
     expect(text).not.toMatch(/undefined|NaN|how = ""/);
     const length = Number(/^length_s = (.*)$/m.exec(text)?.[1]);
@@ -78,50 +78,53 @@
   }
 });
 
-test("a long day holds hundreds of changes and a part of the deployment's own traffic", () => {
-  const text = day("--seed", "3", "--shape", "long");
+test("a long day has more than 200 configuration changes and a fraction of the deployment's own traffic", () => {
+  const text = generateDay("--seed", "3", "--shape", "long");
   const races = [...text.matchAll(/config_race", count = (\d+)/g)].map((match) => Number(match[1]));
   const changes = values(text, "kind").filter((kind) => kind === "config_change").length;
   expect(changes + 2 * races.reduce((sum, count) => sum + count, 0)).toBeGreaterThan(200);
   expect(text).toContain("per_s = 14.0");
 });
 
-test("named kinds come alone, and a list of the deployment's kinds keeps others out", () => {
-  const named = day("--seed", "5", "--kinds", "disk_stall,after_ack_wipe");
-  const kinds = new Set(values(named, "kind"));
+test("--kinds gives days with all of these kinds and no others but changes and closings; --listed leaves out other kinds", () => {
+  const withKinds = generateDay("--seed", "5", "--kinds", "disk_stall,after_ack_wipe");
+  const kinds = new Set(values(withKinds, "kind"));
   kinds.delete("config_change");
-  const closing = /^closing = \{ kind = "([a-z_]+)"/m.exec(named)?.[1];
+  const closing = /^closing = \{ kind = "([a-z_]+)"/m.exec(withKinds)?.[1];
   if (closing !== undefined) kinds.delete(closing);
   expect([...kinds].sort()).toEqual(["after_ack_wipe", "disk_stall"]);
 
-  const listed = file("listed", "Each entry has a kind.\n\nburst: more traffic\nnode_kill: a machine is killed\n");
+  const listed = writeInputFile(
+    "listed",
+    "Each entry has a kind.\n\nburst: more traffic\nnode_kill: a machine is killed\n",
+  );
   for (const seed of ["1", "2", "3"]) {
-    const text = day("--seed", seed, "--shape", "places", "--listed", listed).replace(/^closing.*$/m, "");
+    const text = generateDay("--seed", seed, "--shape", "places", "--listed", listed).replace(/^closing.*$/m, "");
     for (const kind of values(text, "kind")) expect(["burst", "node_kill"]).toContain(kind);
   }
 });
 
-test("bad input is refused by name with exit 2", () => {
-  const refused = (...words: string[]): string => {
-    const ended = days(...words);
-    expect([ended.status, ended.text]).toEqual([2, ""]);
-    return ended.error;
+test("invalid input fails with exit code 2 and a message that names it", () => {
+  const errorOf = (...args: string[]): string => {
+    const result = runScript(...args);
+    expect([result.status, result.text]).toEqual([2, ""]);
+    return result.error;
   };
-  const good = ["--site", site, "--seed", "1"];
-  expect(refused(...good, "--sed", "1")).toContain("unknown argument `--sed`");
-  expect(refused(...good, "stray")).toContain("unknown argument `stray`");
-  expect(refused("--seed", "1")).toContain("missing argument --site");
-  expect(refused("--site", site)).toContain("missing argument --seed");
-  expect(refused(...good, "--out")).toContain("--out has no value");
-  expect(refused(...good, "--seed", "2")).toContain("--seed is given twice");
-  expect(refused("--site", site, "--seed", "-4")).toContain("--seed: -4 is not a whole number");
-  expect(refused(...good, "--shape", "tempest")).toContain("--shape: unknown shape `tempest`");
-  expect(refused(...good, "--kinds", "burst,flood")).toContain("--kinds: unknown kind `flood`");
-  expect(refused("--site", path.join(folder, "none"), "--seed", "1")).toContain("--site: ENOENT");
-  const noZones = file("no-zones.toml", siteText.replace("zones = [", "places = ["));
-  expect(refused("--site", noZones, "--seed", "1")).toContain("missing field `zones`");
-  const noName = file("no-name.toml", siteText.replace('{ name = "model"', '{ nme = "model"'));
-  expect(refused("--site", noName, "--seed", "1")).toMatch(/no-name\.toml:12: missing field `services\.name`/);
-  const listed = file("listed-odd", "burst: more\nflood_all: water\n");
-  expect(refused(...good, "--listed", listed)).toContain("--listed: unknown kind `flood_all`");
+  const validArgs = ["--site", site, "--seed", "1"];
+  expect(errorOf(...validArgs, "--sed", "1")).toContain("unknown argument `--sed`");
+  expect(errorOf(...validArgs, "stray")).toContain("unknown argument `stray`");
+  expect(errorOf("--seed", "1")).toContain("missing argument --site");
+  expect(errorOf("--site", site)).toContain("missing argument --seed");
+  expect(errorOf(...validArgs, "--out")).toContain("--out has no value");
+  expect(errorOf(...validArgs, "--seed", "2")).toContain("--seed is given twice");
+  expect(errorOf("--site", site, "--seed", "-4")).toContain("--seed: -4 is not a whole number");
+  expect(errorOf(...validArgs, "--shape", "tempest")).toContain("--shape: unknown shape `tempest`");
+  expect(errorOf(...validArgs, "--kinds", "burst,flood")).toContain("--kinds: unknown kind `flood`");
+  expect(errorOf("--site", path.join(folder, "none"), "--seed", "1")).toContain("--site: ENOENT");
+  const noZones = writeInputFile("no-zones.toml", siteText.replace("zones = [", "places = ["));
+  expect(errorOf("--site", noZones, "--seed", "1")).toContain("missing field `zones`");
+  const noName = writeInputFile("no-name.toml", siteText.replace('{ name = "model"', '{ nme = "model"'));
+  expect(errorOf("--site", noName, "--seed", "1")).toMatch(/no-name\.toml:12: missing field `services\.name`/);
+  const listed = writeInputFile("listed-unknown", "burst: more\nflood_all: water\n");
+  expect(errorOf(...validArgs, "--listed", listed)).toContain("--listed: unknown kind `flood_all`");
 });
--- a/test/golden/configuration.ts
+++ b/test/golden/configuration.ts
@@ -1,4 +1,4 @@
-/** What the recorded runs configure: one route of each kind, in the product's own form. */
+/** The configuration of the recorded runs, in the internal format. It has routes of each kind. */
 export const goldenConfiguration = {
   bindings: {
     ask: {
@@ -77,12 +77,12 @@
   { match: { binding: "ask", caller: "batch" }, limit: 40, land: { avoid: ["south"] } },
 ];
 
-/** A lot of items that are whole requests. */
-export const requestItems = (lot: string, count: number, tokens: number): Record<string, unknown>[] =>
-  Array.from({ length: count }, (_each, index) => ({
-    id: `${lot}-i${index}`,
+/** Returns the items of a batch job, each a complete HTTP request. */
+export const requestItems = (jobId: string, count: number, tokens: number): Record<string, unknown>[] =>
+  Array.from({ length: count }, (_unused, index) => ({
+    id: `${jobId}-i${index}`,
     target: `/bulk/${index}?x=1`,
     headers: { "x-prompt-parts": "shared:30,own:20" },
-    body: Buffer.from(`body ${lot} ${index}`).toString("base64"),
+    body: Buffer.from(`body ${jobId} ${index}`).toString("base64"),
     tokens,
   }));
--- a/test/golden/controlLog.ts
+++ b/test/golden/controlLog.ts
@@ -4,7 +4,7 @@
 import { SimDisk } from "../../src/simulation/simDisk";
 import { SimWorld } from "../../src/simulation/simWorld";
 
-/** What a control log holds after a start. */
+/** The state of a control log after it was opened. */
 export type ControlLogContent = {
   term: number;
   votedFor: string;
@@ -17,7 +17,7 @@
 };
 const LOG_FOLDER = "data/group";
 
-/** Opens a control log from the files of its folder. @example (await openControlLog(files)).term */
+/** Opens a control log from the files of its folder. */
 export async function openControlLog(files: Record<string, Buffer>): Promise<ControlLogContent> {
   const world = new SimWorld(1);
   const process = world.start("control-1", new SimDisk(world));
@@ -42,7 +42,7 @@
     entries: log.entries.map(({ index, term }) => [index, term]),
   };
 }
-/** A control member's log files, with its snapshot or without. @example groupFiles(folders["control-1"], false) */
+/** Returns the consensus log files of a control member's data folder, with or without the snapshot files. */
 export const groupFiles = (files: Record<string, Buffer>, withSnapshot: boolean): Record<string, Buffer> =>
   Object.fromEntries(
     Object.entries(files)
--- a/test/golden/dataFolderRun.ts
+++ b/test/golden/dataFolderRun.ts
@@ -5,7 +5,7 @@
 import { configure, scheduleOperations } from "./operatorSteps";
 import { withShortLogs } from "./shortLogs";
 
-/** The files of each process's data folder, by path below it. */
+/** The files in the data folder of each process, by path relative to the folder. */
 export type DataFolders = Record<string, Record<string, Buffer>>;
 
 const fleetOptions = { controls: 1, stores: 2, ingresses: 1, losses: 0 };
@@ -13,7 +13,7 @@
 const LIVE_REQUEST_COUNT = 40;
 const BATCH_JOB_COUNT = 16;
 
-/** When the recorded folders are opened, on the clock of the run: after all that stands in them. */
+/** Virtual time at which the recorded folders are opened. It is later than all times in them. */
 const OPENED_AFTER_MS = 15_000;
 
 async function startFleet(seed: number): Promise<GoldenFleet> {
@@ -41,7 +41,7 @@
   await call("POST", "/v1/districts/east/drain", { headers: { "x-change-id": "drain-1" } });
   await fleet.run(2000);
 }
-/** Leaves a stream and two lots unfinished. */
+/** Starts a stream and two batch jobs that are unfinished when the folders are recorded. */
 async function leaveWorkUnfinished(golden: GoldenFleet): Promise<void> {
   const { call, fleet } = golden;
   const { env } = fleet.operator;
@@ -51,18 +51,18 @@
     const path = "/v1/requests/ask";
     yield* env.httpRequest(golden.http("ingress-1"), { method: "POST", path, body, headers, timeoutMs: 9000 });
   });
-  const waiting = { id: "waiting", binding: "bulk", requests: requestItems("waiting", 3, 10) };
-  await call("POST", "/v1/lots", { at: "ingress-1", body: waiting });
-  const open = { id: "open", binding: "confirm", items: Array(30).fill({}) };
-  await call("POST", "/v1/lots", { at: "ingress-1", body: open });
+  const waitingJob = { id: "waiting", binding: "bulk", requests: requestItems("waiting", 3, 10) };
+  await call("POST", "/v1/lots", { at: "ingress-1", body: waitingJob });
+  const openJob = { id: "open", binding: "confirm", items: Array(30).fill({}) };
+  await call("POST", "/v1/lots", { at: "ingress-1", body: openJob });
   await fleet.run(150);
 }
 function dataFoldersOf(golden: GoldenFleet): DataFolders {
   const files = (name: string): [string, Buffer][] =>
     [...golden.fleet.disks.get(name)!.under(`data/${name}`)]
+      // The content of a lock file is not simulated.
       .filter(([file]) => file !== "lock")
       .sort(([left], [right]) => (left < right ? -1 : 1));
-  // a simulated lock has no content of its own
   return Object.fromEntries(recordedProcesses.map((name) => [name, Object.fromEntries(files(name))]));
 }
 async function readRestoredState(golden: GoldenFleet): Promise<void> {
@@ -92,7 +92,7 @@
   await call("GET", "/v1/shards");
 }
 
-/** What the code writes to its data folders in a fixed run. @example (await writeFolders())["store-1"]["shard-0/slot-a"] */
+/** Returns the data folders that a run with a fixed seed writes. */
 export const generateDataFolders = (): Promise<DataFolders> =>
   withShortLogs(async () => {
     const golden = await startFleet(21);
@@ -109,7 +109,7 @@
     return folders;
   });
 
-/** What a fleet tells that is started on given data folders. @example (await readFolders(folders))[0].body */
+/** Starts a fleet on the given data folders and returns its responses to a fixed sequence of requests. */
 export const reopenDataFolders = (folders: DataFolders): Promise<Exchange[]> =>
   withShortLogs(async () => {
     const golden = await startFleet(22);
--- a/test/golden/exchange.ts
+++ b/test/golden/exchange.ts
@@ -1,6 +1,6 @@
 import { Shape, shapeOf } from "./shape";
 
-/** One HTTP request of a recorded run, and its response. */
+/** An HTTP request of a recorded run with its response. */
 export type Exchange = {
   request: string;
   status: number;
@@ -9,7 +9,7 @@
 };
 export type ResponseShape = { status: number; headers: string[]; body: Shape | string };
 
-/** The events of an event stream: name, and data as JSON. */
+/** Parses the events of an event stream. Data that is a JSON object is parsed too. */
 function parseEvents(text: string): { event: string; data: unknown }[] {
   return text
     .split("\n\n")
@@ -32,7 +32,7 @@
   );
   return Object.fromEntries(shapes.flat()) as Shape;
 }
-/** Metrics by name, without their values. */
+/** Returns the sorted names of the metrics, without their values. */
 const metricNames = (text: string): string =>
   text
     .trim()
@@ -49,12 +49,7 @@
   return body === "" ? "empty" : "text";
 }
 
-/**
- * What a caller can rely on in a response: status, names of headers, fields of the body.
- *
- * @example
- * responseShape({ request: "GET /livez", status: 200, headers, body: { live: true } }).body; // { "$": "object", ... }
- */
+/** Returns the parts of a response that callers may rely on: status, header names and the fields and types of the body. */
 export const responseShape = ({ status, headers, body }: Exchange): ResponseShape => ({
   status,
   headers: Object.keys(headers).sort(),
--- a/test/golden/frame.ts
+++ b/test/golden/frame.ts
@@ -1,6 +1,6 @@
 import { inflateRawSync } from "zlib";
 
-/** A message between processes, read from its bytes without the product's codec. */
+/** A message between processes, parsed independently of the production codec. */
 export type Frame = {
   kind: string;
   correlation: number;
@@ -13,9 +13,9 @@
 const DEFLATED_VERSION = 2;
 const messageKinds = ["request", "response", "failure", "datagram"];
 
-/** Reads a frame by the layout that version 0.1.0 wrote. @example parseFrame(bytes).method */
+/** Parses a frame in the layout of version 0.1.0. */
 export function parseFrame(bytes: Buffer): Frame {
-  if (bytes.readUInt16BE(0) !== MAGIC) throw new Error("not a frame");
+  if (bytes.readUInt16BE(0) !== MAGIC) throw new Error("the frame does not begin with the magic number");
   const [version, kind] = [bytes.readUInt8(2), bytes.readUInt8(3)];
   const correlation = bytes.readUInt32BE(4);
   let offset = 8;
--- a/test/golden/goldenFleet.ts
+++ b/test/golden/goldenFleet.ts
@@ -14,7 +14,7 @@
 type FleetOptions = NonNullable<ConstructorParameters<typeof ControlFleet>[1]>;
 
 /**
- * A simulated fleet of which every HTTP exchange and every log line is kept.
+ * A simulated fleet that records the HTTP exchanges of `call` and every log line.
  *
  * @example
  * const golden = new GoldenFleet(11, { controls: 1, stores: 1, ingresses: 1 });
@@ -26,7 +26,7 @@
   readonly fleet: ControlFleet;
   readonly exchanges: Exchange[] = [];
   readonly logLines: string[] = [];
-  /** The event replicas, in the order of their start. */
+  /** The event endpoints, in the order in which they were started. */
   readonly eventEndpoints: StandInEventEndpoint[] = [];
   private readonly rpc: Rpc;
 
@@ -35,70 +35,71 @@
     this.rpc = new Rpc(this.fleet.operator.env, "test", "golden-operator");
   }
 
-  /** The HTTP address of a process. @example golden.http("ingress-1") */
+  /** Returns the HTTP address of a process. */
   http = (name: string): string => this.fleet.settings.get(name)!.http;
 
-  /** Sends a request to a process and keeps the exchange. @example await golden.call("GET", "/livez", { at: "store-1" }) */
+  /** Sends a request to a process, by default to control-1, and records the exchange. */
   call = async (method: string, target: string, options: CallOptions = {}): Promise<Exchange> => {
     const address = options.address ?? this.http(options.at ?? "control-1");
-    const answer = await this.fleet.send(method, target, options.body, options.headers ?? {}, address);
+    const response = await this.fleet.send(method, target, options.body, options.headers ?? {}, address);
     const label = options.label ?? (options.at ?? "control-1").split("-")[0];
-    const exchange: Exchange = { request: `${method} ${target} ${label}`, ...answer };
+    const exchange: Exchange = { request: `${method} ${target} ${label}`, ...response };
     this.exchanges.push(exchange);
     return exchange;
   };
-  /** Repeats a call that is not kept until it succeeds. @example await golden.waitFor("GET", "/readyz", { at: "ingress-1" }) */
+  /** Repeats a request until it succeeds, at most 60 times. The exchanges are not recorded. */
   async waitFor(method: string, target: string, options: CallOptions = {}): Promise<void> {
     const address = options.address ?? this.http(options.at ?? "control-1");
     let last: OperatorResponse | undefined;
     for (let attempt = 0; attempt < 60; attempt += 1) {
-      const answer = await this.fleet.send(method, target, options.body, options.headers ?? {}, address);
-      if (answer.status >= 200 && answer.status < 300) return;
-      last = answer;
+      const response = await this.fleet.send(method, target, options.body, options.headers ?? {}, address);
+      if (response.status >= 200 && response.status < 300) return;
+      last = response;
       await this.fleet.run(250);
     }
     throw new Error(`${method} ${target} at ${address}: ${JSON.stringify(last)}`);
   }
-  /** Sends an internal request as a member would. @example await golden.ask("control-1", "control.status", {}) */
+  /** Sends an RPC to a process, as a member of the cluster would. */
   sendRpc(name: string, method: string, body: unknown): Promise<Result<unknown> | undefined> {
     const { address } = this.fleet.settings.get(name)!;
     return this.fleet.world.runTask(this.fleet.operator, () => this.rpc.call(address, method, body, 2000), 3000);
   }
-  /** Sends bytes on a connection of their own. @example await golden.sendBytes("store-1", Buffer.from("GET /")) */
+  /** Sends raw bytes to the RPC address of a process over a new connection. */
   async sendBytes(name: string, bytes: Buffer): Promise<void> {
     const { env } = this.fleet.operator;
     const { address } = this.fleet.settings.get(name)!;
     await this.fleet.world.runTask(
       this.fleet.operator,
       function* () {
-        const link = yield* env.connect(address, 500);
-        if (link.ok) link.value.send(bytes);
+        const connection = yield* env.connect(address, 500);
+        if (connection.ok) connection.value.send(bytes);
         return true;
       },
       1000,
     );
     await this.fleet.run(100);
   }
-  /** Writes files below the data folder of a process that is down. @example await golden.writeFiles("store-1", files) */
+  /** Writes files to the data folder of a stopped process. */
   async writeFiles(name: string, files: Record<string, Buffer>): Promise<void> {
     await this.runOnDisk(name, function* (disk) {
       for (const [file, content] of Object.entries(files)) yield* disk.write(`data/${name}/${file}`, content);
       return true;
     });
   }
-  /** Appends to a file of a process that is down. @example await golden.appendFile("store-1", "shard-0/log-0", bytes) */
+  /** Appends to a file in the data folder of a stopped process. */
   async appendFile(name: string, file: string, content: Buffer): Promise<void> {
     await this.runOnDisk(name, (disk) => disk.append(`data/${name}/${file}`, content));
   }
-  private async runOnDisk(name: string, body: (disk: Disk) => Task<unknown>): Promise<void> {
+  /** Runs a task with the disk of a process, in a temporary process of its own. */
+  private async runOnDisk(name: string, task: (disk: Disk) => Task<unknown>): Promise<void> {
     const { world } = this.fleet;
     const writer = world.start(`writer of ${name}`, this.fleet.disks.get(name)!);
-    await world.runTask(writer, () => body(writer.env.disk), 60_000);
+    await world.runTask(writer, () => task(writer.env.disk), 60_000);
     world.kill(`writer of ${name}`);
   }
 
   private startProcess = (name: string): SimProcess => this.fleet.world.start(name, new SimDisk(this.fleet.world));
-  /** A replica that speaks the product's own form and announces itself. @example golden.startReplica("model-1", "model", 10, ["ingress-1"]) */
+  /** Starts an endpoint that uses the internal format and announces itself to the ingresses. */
   startEndpoint(id: string, pool: string, port: number, announceTo: string[]): void {
     const settings: EndpointSettings = {
       id,
@@ -115,18 +116,18 @@
       itemMs: 40,
     };
     const process = this.startProcess(`replica-${id}`);
-    const replica = new StandInEndpoint(process.env, settings);
-    Csp.go(process.scope, "main", () => replica.start());
+    const endpoint = new StandInEndpoint(process.env, settings);
+    Csp.go(process.scope, "main", () => endpoint.start());
   }
-  /** A replica that takes requests as they are; it is announced by whoever starts it. @example golden.startEventReplica("e1", 9001) */
+  /** Starts an event endpoint, which takes plain HTTP requests. The caller announces it. */
   startEventEndpoint(id: string, port: number, names: HeaderNames = defaultHeaderNames): void {
     const address = `127.0.0.1:${port}`;
     const process = this.startProcess(`replica-${id}`);
-    const replica = new StandInEventEndpoint(process.env, address, id, { events: 3, eventMs: 20, slots: 8 }, names);
-    this.eventEndpoints.push(replica);
-    Csp.go(process.scope, "main", () => replica.start());
+    const endpoint = new StandInEventEndpoint(process.env, address, id, { events: 3, eventMs: 20, slots: 8 }, names);
+    this.eventEndpoints.push(endpoint);
+    Csp.go(process.scope, "main", () => endpoint.start());
   }
-  /** Repeats a request every 900 ms, as a replica renews its announcement. @example golden.renew("PUT", "/v1/replicas/e1", body, address) */
+  /** Repeats a request every 900 ms, as an endpoint does to renew its announcement. */
   repeatRequest(method: string, path: string, body: unknown, address: string): void {
     const { env } = this.fleet.operator;
     const { world } = this.fleet;
--- a/test/golden/messageRun.ts
+++ b/test/golden/messageRun.ts
@@ -18,15 +18,15 @@
   instance: id,
 });
 
-/** Points an ingress to a separate agent, in place of one inside the ingress. */
-function useAgent(golden: GoldenFleet, ingress: string, agent: string): void {
+/** Restarts an ingress with a separate agent process instead of the agent inside the ingress. */
+function useSeparateAgent(golden: GoldenFleet, ingress: string, agent: string): void {
   const { fleet } = golden;
   fleet.kill(ingress);
   const { seeds: _seeds, ...settings } = fleet.settings.get(ingress)!;
   fleet.settings.set(ingress, { ...settings, agent: fleet.settings.get(agent)!.address });
   fleet.start(ingress);
 }
-async function beforeConfiguration({ call, fleet }: GoldenFleet): Promise<void> {
+async function sendRequestsBeforeConfiguration({ call, fleet }: GoldenFleet): Promise<void> {
   await fleet.run(200);
   await call("GET", "/readyz");
   await call("GET", "/readyz", { at: "ingress-1" });
@@ -82,7 +82,7 @@
   await post({ id: "lot-1", binding: "confirm", items: [{ a: 9 }] });
   await post({ binding: "confirm", items: [] });
   await post({ binding: "status", items });
-  await post({ id: "lot-2", binding: "confirm", items: Array.from({ length: 40 }, (_each, index) => ({ index })) });
+  await post({ id: "lot-2", binding: "confirm", items: Array.from({ length: 40 }, (_unused, index) => ({ index })) });
   await call("POST", "/v1/lots/lot-2/end", { at: "ingress-2", headers: { "x-caller": "batch" } });
   await post({ id: "lot-3", binding: "bulk", requests: requestItems("lot-3", 3, 10) });
   await post({ id: "lot-3", binding: "bulk", requests: requestItems("lot-3", 3, 10) });
@@ -107,7 +107,7 @@
   await call("GET", "/v1/at/lot%20lot-1?time=1790000000000", { at: "ingress-1" });
   await call("GET", "/v1/at/nobody?waitMs=100");
 }
-async function readState({ call }: GoldenFleet): Promise<void> {
+async function readProcessState({ call }: GoldenFleet): Promise<void> {
   for (const at of ["control-1", "store-1", "agent-1", "ingress-1", "ingress-2"])
     for (const path of ["/livez", "/readyz", "/metrics", "/v1/inforce"]) await call("GET", path, { at });
   await call("GET", "/v1/members");
@@ -128,7 +128,7 @@
   await fleet.run(4000);
   await call("GET", "/v1/calendar");
 }
-/** Requests that members seldom send to each other. */
+/** Sends RPCs that members rarely send to each other, and bytes that are not an RPC. */
 async function sendRareRpcs(golden: GoldenFleet): Promise<void> {
   const { fleet } = golden;
   const stamp = { time: 1_790_000_000_000 + fleet.world.now, node: "golden", seq: 1 };
@@ -151,7 +151,7 @@
   await golden.sendRpc("store-1", "no.such", {});
   await golden.sendBytes("store-1", Buffer.from("GET / HTTP/1.1\r\n\r\n"));
 }
-/** A store whose disk fails for a while. */
+/** Lets the disk of a storage node fail for a while. */
 async function failDisk({ fleet, call }: GoldenFleet): Promise<void> {
   const disk = fleet.disks.get("store-2")!;
   disk.failing = true;
@@ -160,7 +160,7 @@
   disk.failing = false;
   await fleet.run(5000);
 }
-/** A store that finds a damaged snapshot, a torn log and a damaged segment when it starts. */
+/** Restarts a storage node with a damaged snapshot, a torn log and damaged segments. */
 async function damageFiles(golden: GoldenFleet): Promise<void> {
   const { fleet } = golden;
   const disk = fleet.disks.get("store-1")!;
@@ -168,7 +168,7 @@
   const files = [...disk.under("data/store-1").keys()].sort();
   const tornLog = files.filter((file) => /\/log-\d+$/.test(file)).at(-1)!;
   await golden.appendFile("store-1", tornLog, Buffer.from("PBR2"));
-  // a snapshot whose former log is still there: the logs hold everything
+  // The log from before this snapshot still exists, so the logs are complete without the snapshot.
   const redundantSnapshot = files.find(
     (file) => file.endsWith("slot-b") && files.includes(file.replace("slot-b", "log-0")),
   );
@@ -177,7 +177,7 @@
   fleet.restart("store-1");
   await fleet.run(7000);
 }
-/** A store that comes back without its disk, then all stores down at once. */
+/** Restarts one storage node with an empty disk, then all storage nodes at once. */
 async function loseStorageNodes({ fleet, call }: GoldenFleet): Promise<void> {
   fleet.kill("store-3", true);
   await call("POST", "/v1/lots", { at: "ingress-1", body: { id: "lot-6", binding: "confirm", items: [1, 2] } });
@@ -213,9 +213,9 @@
   const group = fleet.control("control-1")!.group.groupId();
   const voters = fleet.control("control-1")!.group.voters();
   const survivor = fleet.names("control").find((name) => voters.includes(fleet.control(name)!.node.self.id))!;
-  const voter = fleet.control(survivor)!.node.self.id;
-  const recovery = { group, voter, acceptLoss: true };
-  await call("POST", "/v1/control/recover", { at: survivor, body: { group, voter } });
+  const voterId = fleet.control(survivor)!.node.self.id;
+  const recovery = { group, voter: voterId, acceptLoss: true };
+  await call("POST", "/v1/control/recover", { at: survivor, body: { group, voter: voterId } });
   await call("POST", "/v1/control/recover", { at: survivor, body: { ...recovery, voter: "nobody" } });
   await call("POST", "/v1/control/recover", { at: survivor, body: recovery });
   for (const name of fleet.names("control")) if (name !== survivor) fleet.kill(name, true);
@@ -228,14 +228,14 @@
 }
 
 const steps = [
-  beforeConfiguration,
+  sendRequestsBeforeConfiguration,
   configure,
   scheduleOperations,
   startEndpoints,
   sendRequests,
   submitBatchJobs,
   readLedger,
-  readState,
+  readProcessState,
   drainAndRetire,
   sendRareRpcs,
   failDisk,
@@ -245,18 +245,18 @@
   recoverControlGroup,
 ];
 
-/** The run whose messages, responses and log events the golden files keep. */
+/** Runs the scenario whose messages, responses and log events are recorded in the golden files. */
 export async function runMessageScenario(): Promise<MessageRecording> {
   const frames: Buffer[] = [];
   const golden = await observeFrames(
     (bytes) => frames.push(bytes),
     () =>
       withShortLogs(async () => {
-        const started = new GoldenFleet(SEED, { controls: 4, stores: 4, agents: 1, ingresses: 2 });
-        useAgent(started, "ingress-2", "agent-1");
-        for (const step of steps) await step(started);
-        started.fleet.close();
-        return started;
+        const recorded = new GoldenFleet(SEED, { controls: 4, stores: 4, agents: 1, ingresses: 2 });
+        useSeparateAgent(recorded, "ingress-2", "agent-1");
+        for (const step of steps) await step(recorded);
+        recorded.fleet.close();
+        return recorded;
       }),
   );
   return { exchanges: golden.exchanges, frames, logLines: golden.logLines };
--- a/test/golden/observeFrames.ts
+++ b/test/golden/observeFrames.ts
@@ -1,7 +1,7 @@
 import { EnvelopeCodec } from "../../src/rpc/envelopeCodec";
 
-/** Calls `observe` with the bytes of each message that is encoded while `body` runs. */
-export async function observeFrames<T>(observe: (bytes: Buffer) => void, body: () => Promise<T>): Promise<T> {
+/** Calls `observe` with the bytes of each message that is encoded while `action` runs. */
+export async function observeFrames<T>(observe: (bytes: Buffer) => void, action: () => Promise<T>): Promise<T> {
   const { encode } = EnvelopeCodec;
   EnvelopeCodec.encode = (envelope) => {
     const bytes = encode(envelope);
@@ -9,7 +9,7 @@
     return bytes;
   };
   try {
-    return await body();
+    return await action();
   } finally {
     EnvelopeCodec.encode = encode;
   }
--- a/test/golden/operatorSteps.ts
+++ b/test/golden/operatorSteps.ts
@@ -4,7 +4,7 @@
 
 const FAR_FUTURE = "2040-01-01T00:00:00Z";
 
-/** Sets the configuration and the policies, with refused changes between. */
+/** Sets the configuration and the policies. Valid changes alternate with changes that are rejected. */
 export async function configure(golden: GoldenFleet): Promise<void> {
   const { call } = golden;
   const body = goldenConfiguration;
@@ -27,10 +27,10 @@
   await call("GET", "/v1/changes/golden-1");
   await call("GET", "/v1/changes/nobody");
 }
-/** Puts moves into the calendar: one due now, the others in the far future. */
+/** Adds planned operations to the calendar: one due now, the others in the far future. */
 export async function scheduleOperations({ call }: GoldenFleet): Promise<void> {
-  const put = (id: string, ifMatch: number, due: string, move: Record<string, unknown>): Promise<Exchange> =>
-    call("PUT", `/v1/calendar/${id}`, { body: { due, move }, headers: { "if-match": `"${ifMatch}"` } });
+  const put = (id: string, ifMatch: number, due: string, operation: Record<string, unknown>): Promise<Exchange> =>
+    call("PUT", `/v1/calendar/${id}`, { body: { due, move: operation }, headers: { "if-match": `"${ifMatch}"` } });
   await put("later", 0, FAR_FUTURE, { kind: "drain", district: "west", until: 2_300_000_000_000 });
   await put("later", 0, FAR_FUTURE, { kind: "undrain", district: "west" });
   await put("odd", 0, "soon", { kind: "drain", district: "west" });
--- a/test/golden/rareEventRun.ts
+++ b/test/golden/rareEventRun.ts
@@ -2,10 +2,11 @@
 import { GoldenFleet } from "./goldenFleet";
 import type { DataFolders } from "./dataFolderRun";
 
-/** Log events that the operators' pages name and the product's run does not reach. */
+/** Numbers of the log events that the operators' documentation mentions and that the message run does not log. */
 export const rareEventNumbers = ["1006", "1309", "1408", "1410", "1501"];
+/** Virtual time at which the recorded folders are opened. It is later than all times in them. */
 const OPENED_AFTER_MS = 15_000;
-/** A snapshot that is not needed: the logs beside it hold everything. */
+/** A snapshot that is not needed, because the logs next to it are complete. */
 const REDUNDANT_SNAPSHOT = "shard-7/slot-b";
 const DAMAGED_OFFSET = 18;
 
@@ -14,7 +15,7 @@
   copy[DAMAGED_OFFSET] ^= 0xff;
   return copy;
 }
-/** A control group of one that is to have three voters. */
+/** Runs a control group with one member instead of three voters. */
 async function runWithTooFewVoters(): Promise<string[]> {
   const golden = new GoldenFleet(41, { controls: 1, losses: 1 });
   await golden.fleet.run(1000);
@@ -22,7 +23,10 @@
   golden.fleet.close();
   return golden.logLines;
 }
-/** Stores with a damaged snapshot and with another cluster's folder, an object that differs, and a move due now. */
+/**
+ * Restarts one storage node with a damaged snapshot and one with a data folder of another cluster, then repairs an object that
+ * differs and starts a planned operation.
+ */
 async function runOnDamagedFolders(folders: DataFolders): Promise<string[]> {
   const golden = new GoldenFleet(42, { controls: 1, stores: 2, losses: 0 });
   await golden.fleet.run(200);
@@ -49,7 +53,7 @@
   return golden.logLines;
 }
 
-/** The log lines of runs that reach the rare events. @example logEventShapes(await rareEventRun(readDataFolders())) */
+/** Returns the log lines of the rare events, from runs that produce them. */
 export async function recordRareEvents(folders: DataFolders): Promise<string[]> {
   const lines = [...(await runWithTooFewVoters()), ...(await runOnDamagedFolders(folders))];
   return lines.filter((line) => rareEventNumbers.some((event) => line.includes(` PB${event} `)));
--- a/test/golden/record.ts
+++ b/test/golden/record.ts
@@ -1,6 +1,6 @@
 /**
- * Records the golden files of the product anew: `node dist/test/golden/record.js messages|folders`, then prettier.
- * Only a change that is meant to change what is sent, answered, logged or stored may do so, and its commit says why.
+ * Rewrites the golden files. Run `node dist/test/golden/record.js messages|folders`, then format them with prettier.
+ * Do this only for intended changes of messages, responses, log events or stored data, and give the reason in the commit.
  */
 import { groupFiles, openControlLog } from "./controlLog";
 import { runMessageScenario } from "./messageRun";
--- a/test/golden/recordings.ts
+++ b/test/golden/recordings.ts
@@ -6,11 +6,11 @@
 import { Shape, shapeOf } from "./shape";
 import type { DataFolders } from "./dataFolderRun";
 
-/** Where the golden files stand, seen from the compiled tests. */
+/** Folder of the golden files in the source tree; `__dirname` is that of the compiled file in dist. */
 export const goldenFolder = path.join(__dirname, "../../../test/golden/data");
 const dataFoldersPath = path.join(goldenFolder, "folders");
 
-/** A golden JSON file. @example readGolden<Record<string, Shape>>("messages.json") */
+/** Reads a golden JSON file. */
 export const readGolden = <T>(file: string, folder = goldenFolder): T =>
   JSON.parse(fs.readFileSync(path.join(folder, file), "utf8")) as T;
 export function writeGolden(file: string, content: unknown, folder = goldenFolder): void {
@@ -25,7 +25,7 @@
   });
 }
 const FIRST_STORE = "store-1";
-/** A replica's files that equal the first store's are kept once. */
+/** Reads the recorded data folders. A file that is the same on both storage nodes is stored only in the folder of the first. */
 export function readDataFolders(): DataFolders {
   const read = (process: string): Record<string, Buffer> =>
     Object.fromEntries(
@@ -43,8 +43,8 @@
   fs.rmSync(dataFoldersPath, { recursive: true, force: true });
   for (const [process, files] of Object.entries(folders))
     for (const [file, content] of Object.entries(files)) {
-      const isReplica = process.startsWith("store-") && process !== FIRST_STORE;
-      if (isReplica && folders[FIRST_STORE][file]?.equals(content)) continue;
+      const isOtherStore = process.startsWith("store-") && process !== FIRST_STORE;
+      if (isOtherStore && folders[FIRST_STORE][file]?.equals(content)) continue;
       const target = path.join(dataFoldersPath, process, file);
       fs.mkdirSync(path.dirname(target), { recursive: true });
       fs.writeFileSync(target, content);
@@ -55,7 +55,7 @@
 const sortedByKey = <T>(record: Record<string, T>): Record<string, T> =>
   Object.fromEntries(Object.entries(record).sort(([left], [right]) => (left < right ? -1 : 1)));
 
-/** Fields of the messages of each method and kind. @example messageShapes(frames)["shard.put request"] */
+/** Returns the fields and types of the messages of each method and kind. */
 export function messageShapes(frames: Buffer[]): Record<string, Shape> {
   const bodies: Record<string, unknown[]> = {};
   for (const bytes of frames) {
@@ -66,7 +66,7 @@
 }
 
 export type GoldenFrame = Frame & { bytes: string };
-/** The shortest message of each method and kind, and one deflated message. @example shortestFrames(frames)[0].bytes */
+/** Returns the shortest message of each method and kind, and the shortest deflated message. */
 export function shortestFrames(frames: Buffer[]): GoldenFrame[] {
   const shortest: Record<string, Buffer> = {};
   const keepIfShortest = (kind: string, bytes: Buffer): void => {
@@ -82,13 +82,13 @@
   }));
 }
 
-/** What callers may rely on in each response, in the order of the run. */
+/** The parts of a response that callers may rely on, with the request. */
 export type GoldenResponse = { request: string } & ResponseShape;
 export const goldenResponses = (exchanges: Exchange[]): GoldenResponse[] =>
   exchanges.map((exchange) => ({ request: exchange.request, ...responseShape(exchange) }));
 
 const logLinePattern = /^\S+ \S+ PB(\d+) (.*)$/;
-/** Fields of each log event. @example logEventShapes(lines)["1401"] */
+/** Returns the fields and types of each log event by its number. */
 export function logEventShapes(lines: string[]): Record<string, Shape> {
   const fields: Record<string, unknown[]> = {};
   for (const line of lines) {
@@ -98,6 +98,6 @@
   return sortedByKey(Object.fromEntries(Object.entries(fields).map(([event, each]) => [event, shapeOf(each)])));
 }
 
-/** Level and text of each numbered log event. @example logCatalogue()["1401"] // "info view installed" */
+/** Returns the level and text of each log event by its number. */
 export const logCatalogue = (): Record<string, string> =>
   Object.fromEntries(Object.entries(LogEvents).map(([event, { level, text }]) => [event, `${level} ${text}`]));
--- a/test/golden/shortLogs.ts
+++ b/test/golden/shortLogs.ts
@@ -1,11 +1,11 @@
 import { Constants } from "../../src/common/constants";
 
-/** Short logs, so that a small run leaves snapshots, logs and segments. */
+/** Log lengths that are small enough for a short run to write snapshots, logs and segments. */
 const maxLogEntries = { group: 15, shard: 30 };
 const LEDGER_SEGMENT_ENTRIES = 16;
 
-/** Runs `body` with logs that are folded into a snapshot early, and small segments. */
-export async function withShortLogs<T>(body: () => Promise<T>): Promise<T> {
+/** Runs `action` with early snapshots of the logs and with small segments. */
+export async function withShortLogs<T>(action: () => Promise<T>): Promise<T> {
   const limits = Constants as { logEntriesUntilSnapshot: number; shardLogMaxEntries: number };
   const segments = Constants.segmentObjects as { ledger: number };
   const originalLimits = { ...limits };
@@ -14,7 +14,7 @@
   Object.assign(segments, Constants.simSegmentObjects);
   segments.ledger = LEDGER_SEGMENT_ENTRIES;
   try {
-    return await body();
+    return await action();
   } finally {
     Object.assign(segments, Constants.simSegmentObjects);
     limits.logEntriesUntilSnapshot = originalLimits.logEntriesUntilSnapshot;
--- a/test/goldenFolders.test.ts
+++ b/test/goldenFolders.test.ts
@@ -9,8 +9,8 @@
 import { DataFolders, reopenDataFolders, generateDataFolders } from "./golden/dataFolderRun";
 import { TaskRunner } from "./taskRunner";
 
-/** What differs, by name; whole files would not be readable in a failure. */
-function differing(expected: DataFolders, actual: DataFolders): string[] {
+/** Returns the names of the files that differ. The contents would make a failure message unreadable. */
+function differingFiles(expected: DataFolders, actual: DataFolders): string[] {
   const names = (folders: DataFolders): string[] =>
     Object.entries(folders).flatMap(([process, files]) => Object.keys(files).map((file) => `${process}/${file}`));
   const content = (folders: DataFolders, name: string): Buffer | undefined => {
@@ -24,7 +24,7 @@
   });
 }
 
-test("data folders of an earlier version are opened, and tell what was recorded of them", async () => {
+test("a fleet opens the data folders of an earlier version and gives the recorded responses", async () => {
   const exchanges = JSON.parse(JSON.stringify(await reopenDataFolders(readDataFolders()))) as Exchange[];
   const recorded = readGolden<Exchange[]>("readBack.json");
   expect(exchanges.map(({ request, status }) => ({ request, status }))).toEqual(
@@ -32,22 +32,22 @@
   );
   expect(exchanges).toEqual(recorded);
 });
-test("a control log gives term, vote, voters and entries, from the snapshot and from the logs alone", async () => {
+test("a control log has the recorded term, vote, voters and entries, with its snapshot and from the logs alone", async () => {
   const files = readDataFolders()["control-1"];
   expect({
     fromSnapshot: await openControlLog(groupFiles(files, true)),
     fromLogs: await openControlLog(groupFiles(files, false)),
   }).toEqual(readGolden("controlLog.json"));
 });
-test("a damaged snapshot, a foreign folder, a mended replica and a move that starts are logged as recorded", async () => {
+test("too few voters, a damaged snapshot, a foreign folder, a repair and a planned operation are logged as recorded", async () => {
   expect(logEventShapes(await recordRareEvents(readDataFolders()))).toEqual(readGolden("rareLogEvents.json"));
 });
-test("a fixed run writes the recorded bytes into every file of its data folders", async () => {
+test("a run with a fixed seed writes the recorded bytes to every file of its data folders", async () => {
   const recorded = readDataFolders();
   expect(Object.keys(recorded)).toEqual(["control-1", "store-1", "store-2"]);
-  expect(differing(recorded, await generateDataFolders())).toEqual([]);
+  expect(differingFiles(recorded, await generateDataFolders())).toEqual([]);
 });
-test("a real data folder holds the lock and the identity in their recorded form", async () => {
+test("a real data folder has a lock file and an identity file in the recorded formats", async () => {
   const parent = fs.mkdtempSync(path.join(os.tmpdir(), "petrelbeam-golden-"));
   const folder = path.join(parent, "data");
   const identity = { id: "store-1abc", cluster: "golden", program: "store" as const };
--- a/test/goldenMessages.test.ts
+++ b/test/goldenMessages.test.ts
@@ -13,24 +13,24 @@
 } from "./golden/recordings";
 import { Shape } from "./golden/shape";
 
-describe("a fixed run sends, answers and logs what was recorded", () => {
+describe("a run with a fixed seed matches the recording", () => {
   let recording: MessageRecording;
   beforeAll(async () => {
     recording = await runMessageScenario();
   });
 
-  test("messages of the same methods, with the same fields", () => {
+  test("it sends messages of the same methods with the same fields", () => {
     expect(messageShapes(recording.frames)).toEqual(readGolden<Record<string, Shape>>("messages.json"));
   });
-  test("HTTP responses with the same statuses, headers and fields, and metrics of the same names", () => {
+  test("it sends HTTP responses with the same statuses, headers and fields, and metrics with the same names", () => {
     expect(goldenResponses(recording.exchanges)).toEqual(readGolden<GoldenResponse[]>("responses.json"));
   });
-  test("log events of the same numbers, with the same fields", () => {
+  test("it logs events with the same numbers and fields", () => {
     expect(logEventShapes(recording.logLines)).toEqual(readGolden<Record<string, Shape>>("logEvents.json"));
   });
 });
 
-test("the codec reads each recorded message, and writes it in the same bytes", () => {
+test("the codec decodes each recorded message and encodes it to the same bytes", () => {
   for (const { bytes, kind: _kind, ...golden } of readGolden<GoldenFrame[]>("frames.json")) {
     const recorded = Buffer.from(bytes, "base64");
     const envelope = EnvelopeCodec.decode(recorded, golden.cluster)!;
@@ -39,7 +39,7 @@
     expect([golden.method, EnvelopeCodec.encode(envelope).toString("base64")]).toEqual([golden.method, bytes]);
   }
 });
-test("the fields of every log event that the operators' pages name are recorded", () => {
+test("the fields of every log event that the operators' documentation mentions are recorded", () => {
   const docs = path.join(__dirname, "../../docs");
   const pages = ["operators.md", ...fs.readdirSync(path.join(docs, "operators")).map((page) => `operators/${page}`)];
   const text = pages.map((page) => fs.readFileSync(path.join(docs, page), "utf8")).join("\n");
@@ -48,6 +48,6 @@
   expect(named.length).toBeGreaterThan(20);
   expect(named.filter((event) => !(event in recorded))).toEqual([]);
 });
-test("the catalogue of log events has the recorded numbers, levels and texts", () => {
+test("the list of log events has the recorded numbers, levels and texts", () => {
   expect(logCatalogue()).toEqual(readGolden("logCatalogue.json"));
 });
--- a/test/guardMutations.test.ts
+++ b/test/guardMutations.test.ts
@@ -14,15 +14,15 @@
   expectedInvariants: string[];
   edits: Edit[];
 }
-const folder = path.join(__dirname, "../../scripts/guardMutations");
-const { MUTATIONS } = jest.requireActual<{ MUTATIONS: Mutation[] }>(path.join(folder, "mutations.js"));
+const scriptFolder = path.join(__dirname, "../../scripts/guardMutations");
+const { MUTATIONS } = jest.requireActual<{ MUTATIONS: Mutation[] }>(path.join(scriptFolder, "mutations.js"));
 const { mutatedText, occurrences } = jest.requireActual<{
   mutatedText(edit: Edit): string;
   occurrences(edit: Edit): number;
-}>(path.join(folder, "builtCopy.js"));
+}>(path.join(scriptFolder, "builtCopy.js"));
 
-/** Syntax errors and names that are not defined: with those a mutation would break any scenario, guard or not. */
-function undefinedNames(text: string): string[] {
+/** Reports syntax errors and undefined names. A mutation with such errors would fail in any scenario and prove nothing. */
+function syntaxAndNameErrors(text: string): string[] {
   const config: Linter.Config = {
     languageOptions: { sourceType: "commonjs", globals: globals.node },
     rules: { "no-undef": "error" },
@@ -30,7 +30,7 @@
   return new Linter().verify(text, config, { allowInlineConfig: false }).map((problem) => problem.message);
 }
 
-test.each(MUTATIONS)("mutation $name finds the code of its guard, once, in the built file", ({ edits }) => {
+test.each(MUTATIONS)("mutation $name finds the code of its guard exactly once in the built file", ({ edits }) => {
   expect(edits.length).toBeGreaterThan(0);
   expect(edits.map((edit) => [edit.file, edit.find, occurrences(edit)])).toEqual(
     edits.map((edit) => [edit.file, edit.find, 1]),
@@ -38,16 +38,16 @@
   for (const { find, replacement } of edits) expect(replacement).not.toBe(find);
 });
 
-test.each(MUTATIONS)("mutation $name leaves code that parses and names only what is defined", ({ edits }) => {
-  for (const edit of edits) expect(undefinedNames(mutatedText(edit))).toEqual([]);
+test.each(MUTATIONS)("mutation $name gives code that parses and uses only defined names", ({ edits }) => {
+  for (const edit of edits) expect(syntaxAndNameErrors(mutatedText(edit))).toEqual([]);
 });
 
-test.each(MUTATIONS)("mutation $name names scenarios that exist and the invariants to be broken", (mutation) => {
+test.each(MUTATIONS)("mutation $name has existing scenarios and at least one expected invariant", (mutation) => {
   expect(mutation.expectedInvariants.length).toBeGreaterThan(0);
   for (const scenario of mutation.scenario.split(",")) expect(Scenarios.find(scenario)).toBeDefined();
 });
 
-test("mutations have distinct names", () => {
+test("the names of mutations are unique", () => {
   const names = MUTATIONS.map((mutation) => mutation.name);
   expect(new Set(names).size).toBe(names.length);
 });
--- a/test/knownViolations.test.ts
+++ b/test/knownViolations.test.ts
@@ -5,21 +5,21 @@
   to: string;
   rule: { name: string };
 }
-const { refuseAdded } = jest.requireActual<{ refuseAdded(known: Violation[], found: Violation[]): void }>(
+const { checkNoneAdded } = jest.requireActual<{ checkNoneAdded(known: Violation[], found: Violation[]): void }>(
   path.join(__dirname, "../../scripts/lint/knownViolations.js"),
 );
 const violation = (name: string, from: string): Violation => ({ from, to: "src/common/fault.ts", rule: { name } });
 
-test("the list of known violations shrinks, also while files are renamed", () => {
+test("the list of known violations may stay the same or get shorter, also when files are renamed", () => {
   const known = [violation("no-circular", "src/a.ts"), violation("no-circular", "src/b.ts")];
-  expect(() => refuseAdded(known, known)).not.toThrow();
-  expect(() => refuseAdded(known, [violation("no-circular", "src/renamed.ts")])).not.toThrow();
-  expect(() => refuseAdded(known, [])).not.toThrow();
+  expect(() => checkNoneAdded(known, known)).not.toThrow();
+  expect(() => checkNoneAdded(known, [violation("no-circular", "src/renamed.ts")])).not.toThrow();
+  expect(() => checkNoneAdded(known, [])).not.toThrow();
 });
 
-test("a rule that is broken more often is refused, also when another is broken less", () => {
+test("more violations of a rule are rejected, even if another rule has fewer", () => {
   const known = [violation("no-circular", "src/a.ts"), violation("node-imports-down", "src/b.ts")];
   const found = [violation("no-circular", "src/a.ts"), violation("no-circular", "src/c.ts")];
-  expect(() => refuseAdded(known, found)).toThrow("no-circular 1 -> 2");
-  expect(() => refuseAdded([], [violation("rpc-imports-down", "src/a.ts")])).toThrow("rpc-imports-down 0 -> 1");
+  expect(() => checkNoneAdded(known, found)).toThrow("no-circular 1 -> 2");
+  expect(() => checkNoneAdded([], [violation("rpc-imports-down", "src/a.ts")])).toThrow("rpc-imports-down 0 -> 1");
 });
--- a/test/lintBudget.test.ts
+++ b/test/lintBudget.test.ts
@@ -11,7 +11,7 @@
   path.join(__dirname, "../../scripts/lint/warningBudget.js"),
 );
 
-test("a file counts for its folder inside src, or for the folder at the top", () => {
+test("warnings count for the folder directly below src, or for the top-level folder of other files", () => {
   expect(folderOf("src/cli/cli.ts")).toBe("src/cli");
   expect(folderOf("src/control/group/log.ts")).toBe("src/control");
   expect(folderOf("src/main.ts")).toBe("src");
@@ -25,7 +25,7 @@
   expect(countByFolder(files)).toEqual({ "src/cli": 5 });
 });
 
-test("more and fewer warnings than the budget are both told, a folder without budget has none allowed", () => {
+test("counts above and below the budget are both reported, and a folder without a budget may have no warnings", () => {
   expect(differences({ "src/cli": 5, test: 1 }, { "src/cli": 5, test: 1 })).toEqual([]);
   expect(differences({ "src/cli": 5, test: 1 }, { "src/cli": 4, "src/csp": 2, test: 3 })).toEqual([
     { folder: "src/cli", budgeted: 5, found: 4 },
@@ -34,11 +34,11 @@
   ]);
 });
 
-test("the budget is lowered and a clean folder leaves it", () => {
+test("the budget is lowered to the counts, and a folder without warnings is removed from it", () => {
   expect(loweredBudget({ test: 3, "src/cli": 5 }, { "src/cli": 4 })).toEqual({ "src/cli": 4 });
 });
 
-test("the budget of a folder is never raised, and the total isn't by new folders", () => {
+test("the budget of a folder is never raised, and a new folder may not raise the total", () => {
   expect(() => loweredBudget({ "src/cli": 5, test: 3 }, { "src/cli": 6 })).toThrow("src/cli 5 -> 6");
   expect(() => loweredBudget({ "src/cli": 5 }, { "src/cli": 5, "src/new": 1 })).toThrow("5 -> 6");
   expect(loweredBudget({ "src/cli": 5 }, { "src/cli": 3, "src/new": 2 })).toEqual({ "src/cli": 3, "src/new": 2 });
