--- a/test/days.test.ts
+++ b/test/days.test.ts
@@ -86,7 +86,7 @@
   expect(text).toContain("per_s = 14.0");
 });
 
-test("--kinds gives days with all of these kinds and no others but changes and closings; --listed leaves out other kinds", () => {
+test("--kinds gives exactly these kinds besides config changes and the closing fault; --listed leaves out other kinds", () => {
   const withKinds = generateDay("--seed", "5", "--kinds", "disk_stall,after_ack_wipe");
   const kinds = new Set(values(withKinds, "kind"));
   kinds.delete("config_change");
