--- a/src/cli/scale/fullScaleCommand.ts
+++ b/src/cli/scale/fullScaleCommand.ts
@@ -5,27 +5,27 @@
 import { exitWithUsageError, printLine } from "../output";
 import { readInteger, ScaleOptions } from "./sizeOptions";
 
-const memberBound: Bound = { name: "members", least: 3, most: 5000, why: "there are loopback addresses for no more" };
-const endpointBound: Bound = { name: "replicas", least: 0, most: 100_000, why: "ten times the design size" };
+const memberBound: Bound = { name: "members", min: 3, max: 5000, reason: "there are loopback addresses for no more" };
+const endpointBound: Bound = { name: "replicas", min: 0, max: 100_000, reason: "ten times the design size" };
 const processBound: Bound = {
   name: "processes",
-  least: 1,
-  most: Math.max(1, os.cpus().length),
-  why: "the machine has no more cores",
+  min: 1,
+  max: Math.max(1, os.cpus().length),
+  reason: "the machine has no more cores",
 };
-const secondsBound: Bound = { name: "seconds", least: 10, most: 600, why: "the machine is shared" };
+const secondsBound: Bound = { name: "seconds", min: 10, max: 600, reason: "the machine is shared" };
 
 async function measureFullScale(options: ScaleOptions): Promise<void> {
   const members = readInteger(options.members, memberBound);
   const endpoints = readInteger(options.replicas, endpointBound);
   const processes = readInteger(options.processes, processBound);
   const seconds = readInteger(options.seconds, secondsBound);
-  const fits = Sizes.fits(members, endpoints);
+  const fits = Sizes.checkMemory(members, endpoints);
   if (!fits.ok) exitWithUsageError(fits.fault.detail);
-  const plan = { members, replicas: endpoints, processes, seconds, memoryLimit: Sizes.memoryLimit() };
+  const plan = { members, endpoints: endpoints, processes, seconds, memoryLimitBytes: Sizes.memoryLimitBytes() };
   const run = new FullScaleRun(plan, printLine);
-  process.on("SIGINT", () => (run.cut = true));
-  process.on("SIGTERM", () => (run.cut = true));
+  process.on("SIGINT", () => (run.isInterrupted = true));
+  process.on("SIGTERM", () => (run.isInterrupted = true));
   await run.run();
   process.exit(0);
 }
--- a/src/cli/scale/idleCommand.ts
+++ b/src/cli/scale/idleCommand.ts
@@ -6,17 +6,17 @@
 
 const processBound = (name: string, least: number): Bound => ({
   name,
-  least,
-  most: 40,
-  why: "each is a process of about 80 MB",
+  min: least,
+  max: 40,
+  reason: "each is a process of about 80 MB",
 });
-const endpointBound: Bound = { name: "replicas", least: 0, most: 500, why: "one process announces all of them" };
-const secondsBound: Bound = { name: "seconds", least: 5, most: 600, why: "the machine is shared" };
+const endpointBound: Bound = { name: "replicas", min: 0, max: 500, reason: "one process announces all of them" };
+const secondsBound: Bound = { name: "seconds", min: 5, max: 600, reason: "the machine is shared" };
 const portBound: Bound = {
   name: "port",
-  least: 1024,
-  most: 65_000,
-  why: "each process uses two of the ports that follow",
+  min: 1024,
+  max: 65_000,
+  reason: "each process uses two of the ports that follow",
 };
 
 async function measureIdle(options: ScaleOptions): Promise<void> {
@@ -24,7 +24,7 @@
     controls: readInteger(options.controls, processBound("controls", 3)),
     stores: readInteger(options.stores, processBound("stores", 1)),
     ingresses: readInteger(options.ingresses, processBound("ingresses", 1)),
-    replicas: readInteger(options.replicas, endpointBound),
+    endpoints: readInteger(options.replicas, endpointBound),
     seconds: readInteger(options.seconds, secondsBound),
     port: readInteger(options.port, portBound),
   };
--- a/src/cli/scale/lossCommand.ts
+++ b/src/cli/scale/lossCommand.ts
@@ -1,5 +1,5 @@
 import type { Sade } from "sade";
-import { Loss, LossScale } from "../../tools/scale/lossScale";
+import { Loss, LossExperiment } from "../../tools/scale/lossExperiment";
 import { Bound } from "../../tools/scale/sizes";
 import { exitWithUsageError, printLine } from "../output";
 import { readInteger, ScaleOptions, seedBound } from "./sizeOptions";
@@ -7,17 +7,17 @@
 const losses: readonly Loss[] = ["rack", "zone", "regions"];
 const memberBound: Bound = {
   name: "members",
-  least: 50,
-  most: 1000,
-  why: "one process simulates all of them",
+  min: 50,
+  max: 1000,
+  reason: "one process simulates all of them",
 };
 const endpointBound: Bound = {
   name: "replicas",
-  least: 0,
-  most: 3000,
-  why: "each simulated member stores all of them",
+  min: 0,
+  max: 3000,
+  reason: "each simulated member stores all of them",
 };
-const secondsBound: Bound = { name: "seconds", least: 10, most: 3600, why: "a longer run gives no more information" };
+const secondsBound: Bound = { name: "seconds", min: 10, max: 3600, reason: "a longer run gives no more information" };
 
 function readLoss(option: unknown): Loss {
   const loss = losses.find((kind) => kind === String(option));
@@ -30,8 +30,8 @@
   const endpoints = readInteger(options.replicas, endpointBound);
   const seconds = readInteger(options.seconds, secondsBound);
   const seed = readInteger(options.seed, seedBound);
-  const measured = await LossScale.measure(loss, members, endpoints, seconds * 1000, seed);
-  printLine(LossScale.text(measured));
+  const measured = await LossExperiment.measure(loss, members, endpoints, seconds * 1000, seed);
+  printLine(LossExperiment.format(measured));
   process.exit(0);
 }
 
--- a/src/simulation/simDisk.ts
+++ b/src/simulation/simDisk.ts
@@ -125,7 +125,7 @@
   }
 
   /** The disk as a process uses it, in virtual time. @example disk.of(process).read("data/identity") */
-  of(process: DiskUser): Disk {
+  forProcess(process: DiskUser): Disk {
     const disk = this;
     const wait = function* (): Task<void> {
       const [base, spread] = disk.syncMs;
--- a/src/simulation/simEnvironment.ts
+++ b/src/simulation/simEnvironment.ts
@@ -57,7 +57,7 @@
     return {
       name: process.name,
       scope: process.scope,
-      disk: process.disk.of(process),
+      disk: process.disk.forProcess(process),
       wallClockMs: () => WALL_CLOCK_START_MS + host.now + process.skewMs,
       monotonicMs: () => MONOTONIC_START_MS + host.now,
       random: () => host.random(),
--- a/src/tools/scale/manifestScale.ts
+++ b/src/tools/scale/configurationExperiments.ts
@@ -15,13 +15,14 @@
 ): Promise<Spread> {
   const times: number[] = [];
   const processor = Processor.now();
-  const before = membership.placed.map((each) => each.meter.copy());
+  const before = membership.placedMembers.map((each) => each.meter.copy());
   const from = membership.world.now;
   for (let round = 1; round <= rounds; round += 1) {
     times.push((await one(round)) ?? NaN);
     await membership.world.run(500);
   }
-  const bytes = membership.placed.reduce((sum, each, at) => sum + each.meter.since(before[at]).bytes, 0) / members;
+  const bytes =
+    membership.placedMembers.reduce((sum, each, at) => sum + each.meter.since(before[at]).bytes, 0) / members;
   const idle = (idleBytes * (membership.world.now - from)) / 1000;
   return {
     bytes: Math.max(0, bytes - idle) / rounds,
@@ -30,10 +31,10 @@
   };
 }
 async function measure(routes: number, seed: number): Promise<Record<string, number>> {
-  const membership = new SimulatedMembership({ members, replicas: 0, zones: 25, regions: 7, seed });
+  const membership = new SimulatedMembership({ members, endpoints: 0, zones: 25, regions: 7, seed });
   await membership.boot(60_000);
   await membership.world.run(12_000);
-  const quiet = await membership.over(10_000);
+  const quiet = await membership.measureRates(10_000);
   const whole = await spread(membership, quiet.bytes, (round) => membership.spread(routes, round, waitMs));
   const one = await spread(membership, quiet.bytes, (round) => membership.spreadChange(rounds + round, waitMs));
   membership.end();
@@ -52,30 +53,31 @@
  * @example
  * const measured = await ManifestScale.bindings.measure(1000, 1);
  */
-export const ManifestScale = {
+export const ConfigurationExperiments = {
   /** @example await ManifestScale.bindings.measure(1000, 1) */
-  bindings: {
-    about: "A configuration fetched by 30 members against its bindings, virtual time (which no processor time delays).",
+  routes: {
+    description:
+      "A configuration fetched by 30 members against its bindings, virtual time (which no processor time delays).",
     unit: "binding",
     sizes: [100, 1000, 3000, 6000],
     bound: {
       name: "bindings",
-      least: 1,
-      most: 60_000,
-      why: "an operator's manifest is refused past 8 MB, which is about as many",
+      min: 1,
+      max: 60_000,
+      reason: "an operator's manifest is refused past 8 MB, which is about as many",
     },
     metrics: {
-      wholeBytes: { what: "bytes put out a member a change of the whole", counted: true },
-      oneBytes: { what: "bytes put out a member a change of one binding", counted: true },
+      wholeBytes: { description: "bytes put out a member a change of the whole", isDeterministic: true },
+      oneBytes: { description: "bytes put out a member a change of one binding", isDeterministic: true },
       wholeProcessorMs: {
-        what: "ms of processor a member a change of the whole, the simulator's share among them",
-        counted: false,
+        description: "ms of processor a member a change of the whole, the simulator's share among them",
+        isDeterministic: false,
       },
       oneProcessorMs: {
-        what: "ms of processor a member a change of one binding, the simulator's share among them",
-        counted: false,
+        description: "ms of processor a member a change of one binding, the simulator's share among them",
+        isDeterministic: false,
       },
-      inForceMs: { what: "ms until every member has it, at most", counted: true },
+      inForceMs: { description: "ms until every member has it, at most", isDeterministic: true },
     },
     measure,
   } as Experiment,
--- a/src/tools/scale/controlScale.ts
+++ b/src/tools/scale/controlGroupExperiments.ts
@@ -1,6 +1,6 @@
 import { Command } from "../../controlState/command";
 import { Experiment, Processor } from "./experiment";
-import { GroupWorld } from "./groupWorld";
+import { SimulatedControlGroup } from "./simulatedControlGroup";
 import { SimulatedMembership } from "./simulatedMembership";
 import { Meter } from "./meter";
 
@@ -15,34 +15,34 @@
 });
 
 async function changesOf(routes: number, seed: number): Promise<Record<string, number>> {
-  const control = new GroupWorld(3, seed);
+  const control = new SimulatedControlGroup(3, seed);
   await control.boot();
   const leader = control.leader()!;
-  const before = control.voters.map((voter) => voter.meter.copy());
+  const before = control.members.map((voter) => voter.meter.copy());
   const processor = Processor.now();
   const from = control.world.now;
   const times: number[] = [];
   for (let version = 0; version < changes; version += 1)
     times.push(...(await control.propose([change(routes, version)], 5000)).tookMs);
-  const spent = control.voters.map((voter, at) => voter.meter.since(before[at]));
+  const spent = control.members.map((voter, at) => voter.meter.since(before[at]));
   const tookMs = control.world.now - from;
-  const processorMs = Processor.since(processor) / changes / control.voters.length;
-  const sent = spent[control.voters.indexOf(leader)];
+  const processorMs = Processor.since(processor) / changes / control.members.length;
+  const sent = spent[control.members.indexOf(leader)];
   control.end();
   return {
     leadBytes: sent.bytes / changes,
-    logBytes: Meter.sum(spent).writtenBytes / control.voters.length / changes,
+    logBytes: Meter.sum(spent).writtenBytes / control.members.length / changes,
     processorMs,
     changeMs: times.length === changes ? tookMs / changes : NaN,
   };
 }
 async function idle(controls: number, seed: number): Promise<Record<string, number>> {
-  const control = new GroupWorld(controls, seed);
+  const control = new SimulatedControlGroup(controls, seed);
   await control.boot();
-  const before = control.voters.map((voter) => voter.meter.copy());
+  const before = control.members.map((voter) => voter.meter.copy());
   await control.world.run(10_000);
-  const spent = control.voters.map((voter, at) => voter.meter.since(before[at]));
-  const sent = spent[control.voters.indexOf(control.leader()!)];
+  const spent = control.members.map((voter, at) => voter.meter.since(before[at]));
+  const sent = spent[control.members.indexOf(control.leader()!)];
   const all = Meter.sum(spent);
   control.end();
   return {
@@ -59,36 +59,36 @@
  * @example
  * const measured = await ControlScale.changes.measure(1000, 1);
  */
-export const ControlScale = {
+export const ControlGroupExperiments = {
   /** @example await ControlScale.changes.measure(1000, 1) */
   changes: {
-    about: "Ten changes of the manifest one after the other at three voters, against its bindings, virtual time.",
+    description: "Ten changes of the manifest one after the other at three voters, against its bindings, virtual time.",
     unit: "binding",
     sizes: [100, 1000, 3000, 6000],
     bound: {
       name: "bindings",
-      least: 1,
-      most: 60_000,
-      why: "an operator's manifest is refused past 8 MB, which is about as many",
+      min: 1,
+      max: 60_000,
+      reason: "an operator's manifest is refused past 8 MB, which is about as many",
     },
     metrics: {
-      leadBytes: { what: "bytes put out by the lead a change", counted: true },
-      logBytes: { what: "bytes written by a voter a change", counted: true },
-      processorMs: { what: "ms of processor a voter a change", counted: false },
+      leadBytes: { description: "bytes put out by the lead a change", isDeterministic: true },
+      logBytes: { description: "bytes written by a voter a change", isDeterministic: true },
+      processorMs: { description: "ms of processor a voter a change", isDeterministic: false },
     },
     measure: changesOf,
   } as Experiment,
   /** @example await ControlScale.voters.measure(23, 1) */
-  voters: {
-    about: "An idle control group, three voters and the rest standbys, against its machines, virtual time.",
+  nodes: {
+    description: "An idle control group, three voters and the rest standbys, against its machines, virtual time.",
     unit: "control machine",
     sizes: [3, 7, 13, 23],
-    bound: { name: "control machines", least: 3, most: 60, why: "more stand by than any plan here asks for" },
+    bound: { name: "control machines", min: 3, max: 60, reason: "more stand by than any plan here asks for" },
     metrics: {
-      leadBytes: { what: "bytes put out by the lead a second", counted: true },
-      leadFrames: { what: "frames put out by the lead a second", counted: true },
-      leadWakeUps: { what: "timers that fire at the lead a second", counted: true },
-      otherBytes: { what: "bytes put out by each of the others a second", counted: true },
+      leadBytes: { description: "bytes put out by the lead a second", isDeterministic: true },
+      leadFrames: { description: "frames put out by the lead a second", isDeterministic: true },
+      leadWakeUps: { description: "timers that fire at the lead a second", isDeterministic: true },
+      otherBytes: { description: "bytes put out by each of the others a second", isDeterministic: true },
     },
     measure: idle,
   } as Experiment,
@@ -98,10 +98,10 @@
     routes: number,
     seed: number,
   ): Promise<{ taken: number; lastMs: number; processorMs: number }> {
-    const control = new GroupWorld(3, seed);
+    const control = new SimulatedControlGroup(3, seed);
     await control.boot();
     const processor = Processor.now();
-    const { taken, tookMs } = await control.propose(
+    const { acceptedCount: taken, tookMs } = await control.propose(
       Array.from({ length: count }, (_none, version) => change(routes, version)),
       10_000,
     );
--- a/src/tools/scale/choiceScale.ts
+++ b/src/tools/scale/endpointSelectionExperiments.ts
@@ -59,16 +59,16 @@
  * @example
  * const measured = await ChoiceScale.candidates.measure(1000, 1);
  */
-export const ChoiceScale = {
+export const EndpointSelectionExperiments = {
   /** @example await ChoiceScale.candidates.measure(1000, 1) */
   candidates: {
-    about: "The choice of a replica against the candidates in its pool, real time, one core, nothing in flight.",
+    description: "The choice of a replica against the candidates in its pool, real time, one core, nothing in flight.",
     unit: "candidate",
     sizes: [17, 100, 1000, 10_000],
-    bound: { name: "candidates", least: 1, most: 100_000, why: "one process holds no more in a few hundred MB" },
+    bound: { name: "candidates", min: 1, max: 100_000, reason: "one process holds no more in a few hundred MB" },
     metrics: {
-      prefixUs: { what: "µs a choice by prompt prefix, median of seven", counted: false },
-      plainUs: { what: "µs a choice without a prefix, median of seven", counted: false },
+      prefixUs: { description: "µs a choice by prompt prefix, median of seven", isDeterministic: false },
+      plainUs: { description: "µs a choice without a prefix, median of seven", isDeterministic: false },
     },
     measure(count) {
       const snapshot: ClusterSnapshot = {
--- a/src/tools/scale/experiment.ts
+++ b/src/tools/scale/experiment.ts
@@ -1,12 +1,12 @@
 import { Bound } from "./sizes";
 
 export type Metric = {
-  what: string;
-  counted: boolean; // the same in every run of a seed: messages, bytes, entries; not so are processor time and memory
+  description: string;
+  isDeterministic: boolean; // the same in every run of a seed: messages, bytes, entries; not so are processor time and memory
 };
 /** One cost measured at several sizes. */
 export type Experiment = {
-  about: string;
+  description: string;
   unit: string; // what a size counts
   sizes: number[];
   bound: Bound;
--- a/src/tools/scale/fullScaleRun.ts
+++ b/src/tools/scale/fullScaleRun.ts
@@ -4,10 +4,10 @@
 
 export type FullScalePlan = {
   members: number;
-  replicas: number;
+  endpoints: number;
   processes: number;
   seconds: number;
-  memoryLimit: number;
+  memoryLimitBytes: number;
 };
 const zones = 25;
 const regions = 7;
@@ -25,13 +25,13 @@
   private readonly children: ChildProcess[] = [];
   private readonly reports: (WorkerReport | undefined)[] = [];
   private ended: string | undefined;
-  cut = false;
+  isInterrupted = false;
   constructor(
     private readonly plan: FullScalePlan,
     private readonly say: (text: string) => void,
   ) {}
   private start(): void {
-    const { members, replicas: endpoints, processes, memoryLimit } = this.plan;
+    const { members, endpoints: endpoints, processes, memoryLimitBytes: memoryLimit } = this.plan;
     const heapMB = Math.floor((memoryLimit / processes / 2 ** 20) * HEAP_FRACTION);
     for (let part = 0; part < processes; part += 1) {
       const child = fork(path.join(__dirname, "fullScaleWorker.js"), [], {
@@ -60,7 +60,7 @@
   }
   /** @example await run.run() */
   async run(): Promise<void> {
-    const { members, replicas: endpoints, seconds, memoryLimit } = this.plan;
+    const { members, endpoints: endpoints, seconds, memoryLimitBytes: memoryLimit } = this.plan;
     const from = performance.now();
     const passed = (): number => (performance.now() - from) / 1000;
     let [allKnown, allEndpoints, offeredAt, inForce, before] = [
@@ -73,7 +73,7 @@
     let [beforeAt, rss] = [0, 0];
     this.start();
     let said: WorkerReport[] = [];
-    while (passed() < seconds && !this.cut && !this.ended) {
+    while (passed() < seconds && !this.isInterrupted && !this.ended) {
       said = await this.collectReports();
       const sum = (pick: (each: WorkerReport) => number): number => said.reduce((total, each) => total + pick(each), 0);
       const least = (pick: (each: WorkerReport) => number): number => Math.min(...said.map(pick));
@@ -121,12 +121,12 @@
     rss: number;
     passed: number;
   }): void {
-    const { members, replicas: endpoints, processes } = this.plan;
+    const { members, endpoints: endpoints, processes } = this.plan;
     const time = (seconds: number): string => (Number.isNaN(seconds) ? "not in this run" : `${seconds.toFixed(0)} s`);
     const sum = (all: WorkerReport[], pick: (each: WorkerReport) => number): number =>
       all.reduce((total, each) => total + pick(each), 0);
     if (this.ended) this.say(`ended early: ${this.ended}`);
-    if (this.cut) this.say(`cut short after ${found.passed.toFixed(0)} s of ${this.plan.seconds}`);
+    if (this.isInterrupted) this.say(`cut short after ${found.passed.toFixed(0)} s of ${this.plan.seconds}`);
     this.say(`${members} members and ${endpoints} replicas in ${processes} processes, ${found.passed.toFixed(0)} s`);
     this.say(
       `every member known to every one after ${time(found.allKnown)}; every replica after ${time(found.allReplicas)}; a configuration in force everywhere ${time(found.inForce)} after it was offered`,
--- a/src/tools/scale/fullScaleWorker.ts
+++ b/src/tools/scale/fullScaleWorker.ts
@@ -102,8 +102,8 @@
     return {
       counts: this.meter.copy(),
       members: this.members.length,
-      othersLeast: least((member) => member.others()),
-      replicasLeast: least((member) => member.endpoints()),
+      othersLeast: least((member) => member.otherMemberCount()),
+      replicasLeast: least((member) => member.endpointCount()),
       suspicions: this.suspicions,
       deaths: this.deaths,
       inForce: this.members.filter((member) => (member.node.gossip.snapshot?.index ?? 0) > 0).length,
--- a/src/tools/scale/idleRun.ts
+++ b/src/tools/scale/idleRun.ts
@@ -9,7 +9,7 @@
   controls: number;
   stores: number;
   ingresses: number;
-  replicas: number;
+  endpoints: number;
   seconds: number;
   port: number;
 };
@@ -85,7 +85,7 @@
   }
   /** @example await run.run() */
   async run(): Promise<void> {
-    const { seconds, replicas: endpoints } = this.plan;
+    const { seconds, endpoints: endpoints } = this.plan;
     const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
     try {
       for (const settings of this.settings()) this.start(settings);
@@ -100,7 +100,7 @@
     }
   }
   private report(before: (Use | undefined)[], after: (Use | undefined)[]): void {
-    const { seconds, replicas: endpoints } = this.plan;
+    const { seconds, endpoints: endpoints } = this.plan;
     this.say(
       `${this.started.length} processes, ${endpoints} replicas that announce themselves, nobody calls, ${seconds} s`,
     );
--- a/src/tools/scale/lightweightMember.ts
+++ b/src/tools/scale/lightweightMember.ts
@@ -62,11 +62,11 @@
     });
   }
   /** How many other members it considers alive. @example member.others() */
-  others(): number {
+  otherMemberCount(): number {
     return this.node.membership.alive().length - 1;
   }
   /** How many endpoints it may select from. @example member.endpoints() */
-  endpoints(): number {
+  endpointCount(): number {
     return this.node.gossip.live("replica/").length;
   }
   /** Starts members in a scope of each one's own, one after the other. @example yield* LightweightMember.all(envs, settings) */
--- a/src/tools/scale/lossScale.ts
+++ b/src/tools/scale/lossExperiment.ts
@@ -23,13 +23,13 @@
  * @example
  * const found = await LossScale.measure("zone", 100, 17, 60_000, 1);
  */
-export const LossScale = {
+export const LossExperiment = {
   /** @example await LossScale.measure("regions", 100, 17, 120_000, 1) */
   async measure(loss: Loss, members: number, endpoints: number, forMs: number, seed: number): Promise<LossFound> {
-    const membership = new SimulatedMembership({ members, replicas: endpoints, zones, regions, seed });
+    const membership = new SimulatedMembership({ members, endpoints: endpoints, zones, regions, seed });
     await membership.boot(120_000);
     await membership.world.run(5000);
-    const calm = await membership.over(calmMs);
+    const calm = await membership.measureRates(calmMs);
     const suspicions = membership.suspicions;
     const from = membership.world.now;
     let lost = 0;
@@ -57,15 +57,17 @@
         throw new Error(String(never));
       }
     }
-    const falseSuspicions = loss === "regions" ? 0 : LossScale.falselySuspected(membership);
+    const falseSuspicions = loss === "regions" ? 0 : LossExperiment.falselySuspected(membership);
     const left = Math.max(1000, forMs - (membership.world.now - from));
-    const troubled = await membership.over(left);
+    const troubled = await membership.measureRates(left);
     membership.world.heal();
     const healedAt = membership.world.now;
     const whole = (): boolean =>
-      membership.alive().every((member) => member.others() === membership.alive().length - 1);
-    const mending = await membership.over(mendMs);
-    const mendedMs = loss === "regions" ? await membership.until(60_000, whole) : undefined;
+      membership
+        .runningMembers()
+        .every((member) => member.otherMemberCount() === membership.runningMembers().length - 1);
+    const mending = await membership.measureRates(mendMs);
+    const mendedMs = loss === "regions" ? await membership.runUntil(60_000, whole) : undefined;
     const found: LossFound = {
       loss,
       members,
@@ -82,13 +84,13 @@
   },
   /** Members that live and that somebody holds for suspect or dead. @example LossScale.falselySuspected(hollow) */
   falselySuspected(membership: SimulatedMembership): number {
-    const living = membership.alive();
+    const living = membership.runningMembers();
     return living.filter((member) =>
       living.some((other) => (other.node.membership.find(member.node.self.id)?.state ?? "alive") !== "alive"),
     ).length;
   },
   /** @example LossScale.text(found) */
-  text(found: LossFound): string {
+  format(found: LossFound): string {
     const ms = (value: number | undefined): string => (value === undefined ? "not in time" : `${value.toFixed(0)} ms`);
     const bytes = `bytes a member a second ${found.calmBytes.toFixed(0)} calm, ${found.troubledBytes.toFixed(0)} while it lasts, ${found.mendingBytes.toFixed(0)} in the ${mendMs / 1000} s after`;
     const what =
--- a/src/tools/scale/memberScale.ts
+++ b/src/tools/scale/membershipExperiments.ts
@@ -8,16 +8,16 @@
 
 async function measure(members: number, endpoints: number, seed: number): Promise<Record<string, number>> {
   const before = Heap.used();
-  const membership = new SimulatedMembership({ members, replicas: endpoints, zones: 25, regions: 7, seed });
+  const membership = new SimulatedMembership({ members, endpoints: endpoints, zones: 25, regions: 7, seed });
   const allKnown = await membership.boot(120_000);
   await membership.world.run(settleMs(members));
   const processor = Processor.now();
   const suspicions = membership.suspicions;
-  const spent = await membership.over(overMs);
+  const spent = await membership.measureRates(overMs);
   const processorMs = Processor.since(processor) / members / (overMs / 1000);
   const falseSuspicions = membership.suspicions - suspicions;
   const heap = (Heap.used() - before) / members / 1000;
-  const known = membership.alive().map((member) => member.endpoints());
+  const known = membership.runningMembers().map((member) => member.endpointCount());
   const dead = await membership.killMembers((each) => each.name === "hollow-9", 30_000);
   membership.end();
   return {
@@ -50,26 +50,27 @@
  * @example
  * const measured = await MemberScale.members.measure(60, 1);
  */
-export const MemberScale = {
+export const MembershipExperiments = {
   /** @example await MemberScale.members.measure(60, 1) */
   members: {
-    about: "Membership and news against members, 17 replicas that announce themselves, virtual time.",
+    description: "Membership and news against members, 17 replicas that announce themselves, virtual time.",
     unit: "member",
     sizes: [30, 60, 120, 240],
     bound,
     metrics: {
       ...metrics,
-      allKnownMs: { what: "ms from the start of all until each knows each", counted: true },
-      deadKnownMs: { what: "ms until all know that one is dead", counted: true },
+      allKnownMs: { description: "ms from the start of all until each knows each", isDeterministic: true },
+      deadKnownMs: { description: "ms until all know that one is dead", isDeterministic: true },
     },
     measure: (size: number, seed: number) => measure(size, 17, seed),
   } as Experiment,
   /** @example await MemberScale.replicas.measure(100, 1) */
-  replicas: {
-    about: "Membership and news against replicas whose load changes with each announcement, 30 members, virtual time.",
+  endpoints: {
+    description:
+      "Membership and news against replicas whose load changes with each announcement, 30 members, virtual time.",
     unit: "replica",
     sizes: [17, 50, 100, 200],
-    bound: { name: "replicas", least: 1, most: 3000, why: "each member of the simulated fleet holds all of them" },
+    bound: { name: "replicas", min: 1, max: 3000, reason: "each member of the simulated fleet holds all of them" },
     metrics,
     measure: (size: number, seed: number) => measure(30, size, seed),
   } as Experiment,
--- a/src/tools/scale/groupWorld.ts
+++ b/src/tools/scale/simulatedControlGroup.ts
@@ -7,7 +7,7 @@
 import { Rpc } from "../../rpc/rpc";
 import { Meter } from "./meter";
 
-export type Voter = { id: string; process: SimProcess; group: ConsensusGroup; rpc: Rpc; meter: Meter };
+export type GroupMember = { id: string; process: SimProcess; group: ConsensusGroup; rpc: Rpc; meter: Meter };
 
 /**
  * A control group alone, in virtual time: three voters, the others standbys, their messages and disks counted.
@@ -16,9 +16,9 @@
  * const control = new GroupWorld(5, 1);
  * await control.boot();
  */
-export class GroupWorld {
+export class SimulatedControlGroup {
   readonly world: SimWorld;
-  readonly voters: Voter[] = [];
+  readonly members: GroupMember[] = [];
   constructor(
     readonly size: number,
     seed: number,
@@ -27,7 +27,7 @@
   }
   readonly addressOf = (id: string): string => `10.1.0.1:${7000 + Number(id.slice(1))}`;
   private ids = (): string[] => Array.from({ length: this.size }, (_none, at) => `c${at + 1}`);
-  private start(id: string, disk: SimDisk, founders: string[]): Voter {
+  private start(id: string, disk: SimDisk, founders: string[]): GroupMember {
     const meter = new Meter();
     this.world.wrapEnvironment = (env) => meter.around(env);
     const process = this.world.start(id, disk);
@@ -50,7 +50,7 @@
   /** Founds the group and waits for its lead. @example await control.boot(); */
   async boot(): Promise<void> {
     const ids = this.ids();
-    for (const id of ids) this.voters.push(this.start(id, new SimDisk(this.world), ids.slice(0, 3)));
+    for (const id of ids) this.members.push(this.start(id, new SimDisk(this.world), ids.slice(0, 3)));
     for (let waited = 0; !this.leader(); waited += 1) {
       if (waited > 200) throw new Error("no control lead in 20 s");
       await this.world.run(100);
@@ -62,19 +62,19 @@
     this.world.kill(id);
   }
   /** Starts a killed process again, on its disk or, where it is emptied, on nothing. @example control.restart("c4", true); */
-  restart(id: string, emptied = false): Voter {
-    const at = this.voters.findIndex((voter) => voter.id === id);
-    const { disk } = this.voters[at].process;
+  restart(id: string, emptied = false): GroupMember {
+    const at = this.members.findIndex((voter) => voter.id === id);
+    const { disk } = this.members[at].process;
     if (emptied) disk.wipe();
-    this.voters[at] = this.start(id, disk, []);
-    return this.voters[at];
+    this.members[at] = this.start(id, disk, []);
+    return this.members[at];
   }
   /** @example control.leader()?.group.lastApplied */
-  leader(): Voter | undefined {
-    return this.voters.find((voter) => voter.process.alive && voter.group.hasLeaderLease());
+  leader(): GroupMember | undefined {
+    return this.members.find((voter) => voter.process.alive && voter.group.hasLeaderLease());
   }
   /** Proposes commands side by side; how long each took, and how many were taken. @example await control.propose([{ tag: "noop" }], 5000) */
-  async propose(commands: Command[], withinMs: number): Promise<{ taken: number; tookMs: number[] }> {
+  async propose(commands: Command[], withinMs: number): Promise<{ acceptedCount: number; tookMs: number[] }> {
     const leader = this.leader()!;
     const found = { taken: 0, tookMs: [] as number[] };
     const { world } = this;
@@ -94,6 +94,6 @@
   }
   /** @example control.end(); */
   end(): void {
-    for (const voter of this.voters) this.world.kill(voter.id);
+    for (const voter of this.members) this.world.kill(voter.id);
   }
 }
--- a/src/tools/scale/simulatedMembership.ts
+++ b/src/tools/scale/simulatedMembership.ts
@@ -9,7 +9,7 @@
 
 export type SimulatedMembershipPlan = {
   members: number;
-  replicas: number;
+  endpoints: number;
   zones: number;
   regions: number;
   seed: number;
@@ -27,7 +27,7 @@
  */
 export class SimulatedMembership {
   readonly world: SimWorld;
-  readonly placed: PlacedMember[] = [];
+  readonly placedMembers: PlacedMember[] = [];
   suspicions = 0;
   private readonly meters = new Map<string, Meter>();
   constructor(readonly plan: SimulatedMembershipPlan) {
@@ -43,7 +43,7 @@
   private address = (at: number): string => `10.${at >> 8}.${at & 255}.1:7000`;
   /** Starts all; how long until each knows each, or undefined if not in time. @example await membership.boot(60_000) */
   async boot(withinMs: number): Promise<number | undefined> {
-    const { members, replicas: endpoints, zones, regions } = this.plan;
+    const { members, endpoints: endpoints, zones, regions } = this.plan;
     const seeds = [0, 1, 2].filter((at) => at < members).map(this.address);
     for (let at = 0; at < members; at += 1) {
       const zone = at % zones;
@@ -56,7 +56,7 @@
         meter: this.meters.get(name)!,
         member: undefined,
       };
-      this.placed.push(placed);
+      this.placedMembers.push(placed);
       Csp.go(process.scope, "main", function* () {
         const settings = {
           program: at < 3 ? ("control" as const) : ("agent" as const),
@@ -68,11 +68,13 @@
         if (started.ok) placed.member = started.value;
       });
     }
-    const took = await this.until(
+    const took = await this.runUntil(
       withinMs,
-      () => this.alive().length === members && this.alive().every((each) => each.others() === members - 1),
+      () =>
+        this.runningMembers().length === members &&
+        this.runningMembers().every((each) => each.otherMemberCount() === members - 1),
     );
-    for (const [at, each] of this.placed.filter(hasStarted).entries()) {
+    for (const [at, each] of this.placedMembers.filter(hasStarted).entries()) {
       const ids = Array.from({ length: endpoints }, (_none, endpoint) => endpoint)
         .filter((endpoint) => endpoint % members === at)
         .map((endpoint) => `replica-${endpoint}`);
@@ -81,14 +83,14 @@
     return took;
   }
   /** Members whose processes run. @example membership.alive().length */
-  alive(): LightweightMember[] {
-    return this.placed
+  runningMembers(): LightweightMember[] {
+    return this.placedMembers
       .filter(hasStarted)
       .filter((each) => this.world.processes.get(each.name)!.alive)
       .map((each) => each.member);
   }
   /** Lets time pass until something holds; how long it took. @example await membership.until(5000, () => true) */
-  async until(withinMs: number, reached: () => boolean, stepMs = 10): Promise<number | undefined> {
+  async runUntil(withinMs: number, reached: () => boolean, stepMs = 10): Promise<number | undefined> {
     const from = this.world.now;
     while (!reached()) {
       if (this.world.now - from >= withinMs) return undefined;
@@ -97,11 +99,11 @@
     return this.world.now - from;
   }
   /** What all members did over so long, a member and second. @example (await membership.over(10_000)).bytes */
-  async over(ms: number): Promise<Counts> {
-    const before = this.placed.map((each) => each.meter.copy());
+  async measureRates(ms: number): Promise<Counts> {
+    const before = this.placedMembers.map((each) => each.meter.copy());
     await this.world.run(ms);
-    const spent = Meter.sum(this.placed.map((each, at) => each.meter.since(before[at])));
-    const members = this.alive().length;
+    const spent = Meter.sum(this.placedMembers.map((each, at) => each.meter.since(before[at])));
+    const members = this.runningMembers().length;
     return Object.fromEntries(
       Object.entries(spent).map(([name, value]) => [name, value / members / (ms / 1000)]),
     ) as Counts;
@@ -111,16 +113,18 @@
     chosen: (each: PlacedMember) => boolean,
     withinMs: number,
   ): Promise<{ lost: number; tookMs: number | undefined }> {
-    const lost = this.placed.filter(chosen);
+    const lost = this.placedMembers.filter(chosen);
     const ids = lost.map((each) => each.member!.node.self.id);
     for (const each of lost) this.world.kill(each.name, true);
     const known = (): boolean =>
-      this.alive().every((member) => ids.every((id) => (member.node.membership.find(id)?.state ?? "dead") === "dead"));
-    return { lost: lost.length, tookMs: await this.until(withinMs, known) };
+      this.runningMembers().every((member) =>
+        ids.every((id) => (member.node.membership.find(id)?.state ?? "dead") === "dead"),
+      );
+    return { lost: lost.length, tookMs: await this.runUntil(withinMs, known) };
   }
   /** Cuts two regions from each other. @example membership.cutRegions(0, 1); */
   cutRegions(left: number, right: number): void {
-    const of = (region: number): PlacedMember[] => this.placed.filter((each) => each.region === region);
+    const of = (region: number): PlacedMember[] => this.placedMembers.filter((each) => each.region === region);
     for (const one of of(left))
       for (const other of of(right)) {
         this.world.partition(one.name, other.name);
@@ -129,12 +133,12 @@
   }
   /** Offers a control snapshot with that many routes at one member; how long until all have it. @example await membership.spread(1000, 2, 10_000) */
   async spread(routes: number, index: number, withinMs: number): Promise<number | undefined> {
-    this.alive()[0].node.gossip.offerSnapshot(SimulatedMembership.snapshot(routes, index));
+    this.runningMembers()[0].node.gossip.offerSnapshot(SimulatedMembership.snapshot(routes, index));
     return this.inForce(index, withinMs);
   }
   /** The same for a change of one route of the previous snapshot. @example await membership.spreadChange(3, 10_000) */
   async spreadChange(index: number, withinMs: number): Promise<number | undefined> {
-    const { gossip: news } = this.alive()[0].node;
+    const { gossip: news } = this.runningMembers()[0].node;
     const snapshot = news.snapshot!;
     const changed = { ...SimulatedMembership.route(0), deadlineMs: 10_000 + index };
     const doc = ConfigurationPatch.apply(snapshot.manifest.doc, {
@@ -145,8 +149,8 @@
     return this.inForce(index, withinMs);
   }
   private inForce(index: number, withinMs: number): Promise<number | undefined> {
-    return this.until(withinMs, () =>
-      this.alive().every((member) => (member.node.gossip.snapshot?.index ?? 0) >= index),
+    return this.runUntil(withinMs, () =>
+      this.runningMembers().every((member) => (member.node.gossip.snapshot?.index ?? 0) >= index),
     );
   }
   /** A control snapshot with that many routes. @example SimulatedMembership.snapshot(12_000, 7) */
--- a/src/tools/scale/slopeRun.ts
+++ b/src/tools/scale/slopeRun.ts
@@ -8,7 +8,7 @@
  * const complete = await new SlopeRun("members", MemberScale.members, [30, 60, 120], 1, 300).run(console.log);
  */
 export class SlopeRun {
-  cut = false;
+  isInterrupted = false;
   readonly points: Record<string, Point[]> = {};
   readonly covered: number[] = [];
   constructor(
@@ -24,7 +24,7 @@
     const from = performance.now();
     let failed = "";
     for (const size of this.sizes) {
-      if (this.cut || (performance.now() - from) / 1000 > this.withinSeconds) break;
+      if (this.isInterrupted || (performance.now() - from) / 1000 > this.withinSeconds) break;
       let measured: Record<string, number>;
       try {
         measured = await this.experiment.measure(size, this.seed);
@@ -32,7 +32,7 @@
         failed = `${size} ${unit}s: ${(error as Error).message}`;
         break;
       }
-      if (this.cut) break; // what was under way when it was cut is not whole
+      if (this.isInterrupted) break; // what was under way when it was cut is not whole
       this.covered.push(size);
       for (const [metric, value] of Object.entries(measured)) (this.points[metric] ??= []).push({ at: size, value });
       const shown = Object.entries(measured).map(
@@ -46,7 +46,7 @@
       say(
         `cut short: covered ${this.covered.length === 0 ? "nothing" : this.covered.join(", ")} of ${this.sizes.join(", ")}`,
       );
-    for (const [metric, { what }] of Object.entries(metrics)) say(this.line(metric, what, unit));
+    for (const [metric, { description: what }] of Object.entries(metrics)) say(this.line(metric, what, unit));
     return complete;
   }
   private line(metric: string, what: string, unit: string): string {
--- a/src/tools/scale/storeScale.ts
+++ b/src/tools/scale/storageExperiments.ts
@@ -69,36 +69,36 @@
  * @example
  * const measured = await StoreScale.lots.measure(240, 1);
  */
-export const StoreScale = {
+export const StorageExperiments = {
   /** @example await StoreScale.idle.measure(8, 1) */
   idle: {
-    about: "A fleet that nobody calls, with 8 shards of three copies, against its stores, virtual time.",
+    description: "A fleet that nobody calls, with 8 shards of three copies, against its stores, virtual time.",
     unit: "store",
     sizes: [4, 8, 16],
-    bound: { name: "stores", least: 3, most: 60, why: "with 8 shards of three copies, more than 24 hold nothing" },
+    bound: { name: "stores", min: 3, max: 60, reason: "with 8 shards of three copies, more than 24 hold nothing" },
     metrics: {
-      bytes: { what: "bytes put out a store a second", counted: true },
-      frames: { what: "frames put out a store a second", counted: true },
-      wakeUps: { what: "timers that fire a store a second", counted: true },
-      writes: { what: "synced writes a store a second", counted: true },
-      controlBytes: { what: "bytes put out a control machine a second", counted: true },
-      controlWakeUps: { what: "timers that fire a control machine a second", counted: true },
+      bytes: { description: "bytes put out a store a second", isDeterministic: true },
+      frames: { description: "frames put out a store a second", isDeterministic: true },
+      wakeUps: { description: "timers that fire a store a second", isDeterministic: true },
+      writes: { description: "synced writes a store a second", isDeterministic: true },
+      controlBytes: { description: "bytes put out a control machine a second", isDeterministic: true },
+      controlWakeUps: { description: "timers that fire a control machine a second", isDeterministic: true },
     },
     measure: idle,
   } as Experiment,
   /** @example await StoreScale.lots.measure(240, 1) */
-  lots: {
-    about:
+  batchJobs: {
+    description:
       "One lot from acceptance to its last result, three copies on 4 stores, items of 10 bytes, against its items, virtual time.",
     unit: "item",
     sizes: [24, 240, 1000, 2000],
-    bound: { name: "items", least: 1, most: 300_000, why: "the largest lot asked for" },
+    bound: { name: "items", min: 1, max: 300_000, reason: "the largest lot asked for" },
     metrics: {
-      bytes: { what: "bytes put out by all stores together", counted: true },
-      frames: { what: "frames put out by all stores together", counted: true },
-      writtenBytes: { what: "bytes written to all disks together", counted: true },
-      writes: { what: "synced writes of all stores together", counted: true },
-      tookMs: { what: "ms from handing in to the last result read, one lot alone", counted: true },
+      bytes: { description: "bytes put out by all stores together", isDeterministic: true },
+      frames: { description: "frames put out by all stores together", isDeterministic: true },
+      writtenBytes: { description: "bytes written to all disks together", isDeterministic: true },
+      writes: { description: "synced writes of all stores together", isDeterministic: true },
+      tookMs: { description: "ms from handing in to the last result read, one lot alone", isDeterministic: true },
     },
     measure: job,
   } as Experiment,
--- a/test/gossip.test.ts
+++ b/test/gossip.test.ts
@@ -18,25 +18,25 @@
   members: number,
   seed: number,
 ): Promise<{ membership: SimulatedMembership; gossip: Gossip[] }> {
-  const membership = new SimulatedMembership({ members, replicas: 0, zones: 5, regions: 2, seed });
+  const membership = new SimulatedMembership({ members, endpoints: 0, zones: 5, regions: 2, seed });
   expect(await membership.boot(30_000)).toBeDefined();
-  return { membership, gossip: membership.alive().map((member) => member.node.gossip) };
+  return { membership, gossip: membership.runningMembers().map((member) => member.node.gossip) };
 }
 const values = (gossip: Gossip[], key: string): unknown[] => gossip.map((each) => each.find(key)?.value);
 
 test("a renewal contains only changed fields and is applied by every member that knows its base version", async () => {
   const { membership: simulation, gossip } = await startMembers(12, 1);
   gossip[0].publish("replica/r1/1", endpoint(0), LEASE_MS, true);
-  expect(await simulation.until(3000, () => gossip.every((each) => each.find("replica/r1/1")))).toBeDefined();
+  expect(await simulation.runUntil(3000, () => gossip.every((each) => each.find("replica/r1/1")))).toBeDefined();
   await simulation.world.run(1000);
-  const idle = await simulation.over(4000);
+  const idle = await simulation.measureRates(4000);
   // Three members publish four renewals a second in turn for four seconds.
   let renewalCount = 0;
   for (const at of Array(16).keys())
     simulation.world.schedule(at * 250, () =>
       gossip[at % 3].publish("replica/r1/1", endpoint((renewalCount += 1)), LEASE_MS, false),
     );
-  const renewing = await simulation.over(4000);
+  const renewing = await simulation.measureRates(4000);
   await simulation.world.run(1500);
   gossip[0].publish("replica/r1/1", endpoint(99), LEASE_MS, false);
   await simulation.world.run(2500);
@@ -61,7 +61,7 @@
   simulation.world.heal();
   const allKnow = (): boolean =>
     gossip.every((each) => each.find("replica/r1/1") && each.find("replica/r2/1") && each.isRemoved("replica/gone/1"));
-  expect(await simulation.until(4000, allKnow)).toBeDefined();
+  expect(await simulation.runUntil(4000, allKnow)).toBeDefined();
   simulation.end();
 }, 60_000);
 test("of two versions published on both sides of a partition, one wins at every member, and renewals continue from it", async () => {
@@ -74,7 +74,7 @@
   simulation.world.heal();
   const isSameEverywhere = (): boolean =>
     new Set(values(gossip, "replica/r1/1").map((value) => JSON.stringify(value))).size === 1;
-  expect(await simulation.until(6000, isSameEverywhere)).toBeDefined();
+  expect(await simulation.runUntil(6000, isSameEverywhere)).toBeDefined();
   expect(values(gossip, "replica/r1/1")[0]).toEqual(endpoint(2));
   // Both members that published the fact can renew it now, because the base version is the same everywhere.
   gossip[0].publish("replica/r1/1", endpoint(3), LEASE_MS, false);
@@ -92,10 +92,10 @@
     for (let at = 0; at < facts; at += 1)
       gossip[at % 10].publish(`replica/r${at}/1`, endpoint(0, { id: `r${at}` }), 600_000, true);
     expect(
-      await simulation.until(20_000, () => gossip.every((each) => each.live("replica/").length === facts)),
+      await simulation.runUntil(20_000, () => gossip.every((each) => each.live("replica/").length === facts)),
     ).toBeDefined();
     await simulation.world.run(3000);
-    const spent = await simulation.over(4000);
+    const spent = await simulation.measureRates(4000);
     simulation.end();
     return spent.bytes;
   };
@@ -107,15 +107,15 @@
   for (let at = 0; at < 300; at += 1)
     gossip[0].publish(`replica/r${at}/1`, endpoint(0, { id: `r${at}` }), 600_000, true);
   const allKnow = (facts: number): boolean => gossip.every((each) => each.live("replica/").length === facts);
-  expect(await simulation.until(20_000, () => allKnow(300))).toBeDefined();
+  expect(await simulation.runUntil(20_000, () => allKnow(300))).toBeDefined();
   await simulation.world.run(3000);
-  const idle = await simulation.over(4000);
+  const idle = await simulation.measureRates(4000);
   // The fact is published while its publisher reaches no other member.
   simulation.world.isolate(["hollow-1"], "both");
   gossip[0].publish("replica/late/1", endpoint(0, { id: "late" }), 600_000, true);
   await simulation.world.run(600);
   simulation.world.heal();
-  const repairing = await simulation.over(4000);
+  const repairing = await simulation.measureRates(4000);
   expect(allKnow(301)).toBe(true);
   expect(repairing.bytes).toBeLessThan(idle.bytes * 3);
   simulation.end();
--- a/test/leaderLease.test.ts
+++ b/test/leaderLease.test.ts
@@ -1,12 +1,12 @@
-import { GroupWorld } from "../src/tools/scale/groupWorld";
+import { SimulatedControlGroup } from "../src/tools/scale/simulatedControlGroup";
 import { noop, proposeAt } from "./consensusGroups";
 
 describe("the leader lease of the control group", () => {
   test("gives the latest time at which a majority is known to have acknowledged the leader", async () => {
-    const control = new GroupWorld(3, 5);
+    const control = new SimulatedControlGroup(3, 5);
     await control.boot();
     const leader = control.leader()!;
-    const follower = control.voters.find((voter) => voter !== leader)!;
+    const follower = control.members.find((voter) => voter !== leader)!;
     const quorumContactAgeMs = (): number => leader.process.env.monotonicMs() - leader.group.quorumContactAt();
     expect(quorumContactAgeMs()).toBeLessThan(300);
     expect(follower.group.quorumContactAt()).toBe(-Infinity);
@@ -21,10 +21,10 @@
 
 describe("a frozen leader", () => {
   test("holds no lease when it resumes, before it has received any response", async () => {
-    const control = new GroupWorld(3, 31);
+    const control = new SimulatedControlGroup(3, 31);
     await control.boot();
     const leader = control.leader()!;
-    const others = control.voters.filter((voter) => voter !== leader);
+    const others = control.members.filter((voter) => voter !== leader);
     leader.process.freeze();
     await control.world.run(4000);
     const newLeader = control.leader()!;
--- a/test/logReplication.test.ts
+++ b/test/logReplication.test.ts
@@ -1,5 +1,5 @@
 import { Constants } from "../src/common/constants";
-import { GroupWorld, Voter } from "../src/tools/scale/groupWorld";
+import { SimulatedControlGroup, GroupMember } from "../src/tools/scale/simulatedControlGroup";
 import { noop, noops } from "./consensusGroups";
 
 describe("a follower's log that diverges from the leader's", () => {
@@ -11,8 +11,8 @@
     seed: number,
     uncommittedCount: number,
     commitIndex: number,
-  ): Promise<{ control: GroupWorld; formerLeader: Voter }> {
-    const control = new GroupWorld(3, seed);
+  ): Promise<{ control: SimulatedControlGroup; formerLeader: GroupMember }> {
+    const control = new SimulatedControlGroup(3, seed);
     await control.boot();
     const formerLeader = control.leader()!;
     while (formerLeader.group.lastApplied < 394) await control.propose([noop], 2000);
@@ -47,7 +47,7 @@
   });
 
   test("is matched in a few requests when it diverges by hundreds of entries", async () => {
-    const control = new GroupWorld(3, 9);
+    const control = new SimulatedControlGroup(3, 9);
     await control.boot();
     const formerLeader = control.leader()!;
     control.world.isolate([formerLeader.id], "both");
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -1,14 +1,14 @@
 import { SimulatedMembership } from "../src/tools/scale/simulatedMembership";
 
 const startMembers = async (members: number, seed: number): Promise<SimulatedMembership> => {
-  const membership = new SimulatedMembership({ members, replicas: 0, zones: 5, regions: 2, seed });
+  const membership = new SimulatedMembership({ members, endpoints: 0, zones: 5, regions: 2, seed });
   expect(await membership.boot(30_000)).toBeDefined();
   await membership.world.run(6000);
   return membership;
 };
 /** Returns the ids of the members that a member does not regard as alive. */
 const notAlive = (membership: SimulatedMembership, at: number): string[] =>
-  membership.placed[at]
+  membership.placedMembers[at]
     .member!.node.membership.all()
     .filter((member) => member.state !== "alive")
     .map((member) => member.id);
@@ -31,18 +31,18 @@
     await membership.world.run(4000);
   }
   expect(wrongSuspicions).toEqual([]);
-  expect(membership.placed[4].member!.node.membership.inconclusiveProbeCount).toBeGreaterThan(3);
+  expect(membership.placedMembers[4].member!.node.membership.inconclusiveProbeCount).toBeGreaterThan(3);
   membership.end();
 }, 60_000);
 test("members that missed each other's updates find out by digests which members joined and which died", async () => {
   const simulation = await startMembers(12, 4);
-  const { membership } = simulation.placed[11].member!.node;
+  const { membership } = simulation.placedMembers[11].member!.node;
   const learned: string[] = [];
   membership.onChange((changed) => changed && learned.push(`${changed.id} ${changed.state}`));
-  const dead = simulation.placed[3].member!.node.self.id;
+  const dead = simulation.placedMembers[3].member!.node.self.id;
   const standing = membership.versions(Array.from({ length: 64 }, (_none, at) => at));
   expect(Object.keys(standing).length).toBe(12);
-  const other = simulation.placed[0].member!.node.membership;
+  const other = simulation.placedMembers[0].member!.node.membership;
   other.merge([{ ...membership.find(dead)!, state: "dead" }]);
   const lacking = membership.diff([...Array(64).keys()], other.versions([...Array(64).keys()]));
   expect(lacking).toEqual({ updates: [], want: [dead] });
@@ -51,14 +51,16 @@
 }, 60_000);
 test("an alive seed is not contacted again, a lost seed is, and a healed partition is detected", async () => {
   const membership = await startMembers(9, 5);
-  const quiet = await membership.over(10_000);
+  const quiet = await membership.measureRates(10_000);
   // The traffic is 2.5 probes and their acknowledgements per second, and little else.
   expect(quiet.datagrams).toBeLessThan(6);
   membership.world.isolate(["hollow-1", "hollow-2", "hollow-3"], "both");
   await membership.world.run(90_000); // This is longer than dead members are retained.
   membership.world.heal();
   expect(
-    await membership.until(15_000, () => membership.alive().every((member) => member.others() === 8)),
+    await membership.runUntil(15_000, () =>
+      membership.runningMembers().every((member) => member.otherMemberCount() === 8),
+    ),
   ).toBeDefined();
   membership.end();
 }, 60_000);
--- a/test/membershipChange.test.ts
+++ b/test/membershipChange.test.ts
@@ -1,20 +1,20 @@
 import { Command } from "../src/controlState/command";
-import { GroupWorld, Voter } from "../src/tools/scale/groupWorld";
+import { SimulatedControlGroup, GroupMember } from "../src/tools/scale/simulatedControlGroup";
 import { isolate, noops, proposeAt } from "./consensusGroups";
 
 describe("the group membership", () => {
   test("rejects a second change while one is uncommitted, so that two leaders never hold leases at once", async () => {
-    const control = new GroupWorld(5, 5);
+    const control = new SimulatedControlGroup(5, 5);
     await control.boot();
     const leader = control.leader()!;
     const voters = leader.group.voters();
-    const standbys = control.voters.map(({ id }) => id).filter((id) => !voters.includes(id));
+    const standbys = control.members.map(({ id }) => id).filter((id) => !voters.includes(id));
     isolate(
       control,
       voters.filter((id) => id !== leader.id),
     );
     await control.world.run(50);
-    const { taken } = await control.propose(
+    const { acceptedCount: taken } = await control.propose(
       [
         { tag: "voters", voters: [...voters, standbys[0]] },
         { tag: "voters", voters: [...voters, ...standbys] },
@@ -24,7 +24,7 @@
     expect(taken).toBe(0);
     for (let step = 0; step < 50; step += 1) {
       await control.world.run(100);
-      expect(control.voters.filter(({ group }) => group.hasLeaderLease()).length).toBeLessThan(2);
+      expect(control.members.filter(({ group }) => group.hasLeaderLease()).length).toBeLessThan(2);
     }
     control.world.heal();
     await control.world.run(3000);
@@ -37,11 +37,11 @@
   });
 
   test("accepts a change only if it adds or removes exactly one voter", async () => {
-    const control = new GroupWorld(5, 6);
+    const control = new SimulatedControlGroup(5, 6);
     await control.boot();
     const leader = control.leader()!;
     const voters = leader.group.voters();
-    const standbys = control.voters.map(({ id }) => id).filter((id) => !voters.includes(id));
+    const standbys = control.members.map(({ id }) => id).filter((id) => !voters.includes(id));
     const others = voters.filter((id) => id !== leader.id);
     const rejectedMemberships = [
       voters,
@@ -66,7 +66,7 @@
   });
 
   test("lets a leader commit its own removal without counting itself, and makes it step down then", async () => {
-    const control = new GroupWorld(3, 7);
+    const control = new SimulatedControlGroup(3, 7);
     await control.boot();
     const leader = control.leader()!;
     const others = leader.group.voters().filter((id) => id !== leader.id);
@@ -88,9 +88,9 @@
   });
 
   test("never lets a standby start an election", async () => {
-    const control = new GroupWorld(4, 8);
+    const control = new SimulatedControlGroup(4, 8);
     await control.boot();
-    const standby = control.voters[3];
+    const standby = control.members[3];
     control.world.isolate([standby.id], "both");
     await control.world.run(10_000);
     expect(standby.group.electionsStarted).toBe(0);
@@ -100,7 +100,11 @@
 });
 
 /** Waits in virtual time until one of the given voters is the leader. */
-async function leaderAmong(world: GroupWorld, voters: Voter[], withinMs: number): Promise<Voter | undefined> {
+async function leaderAmong(
+  world: SimulatedControlGroup,
+  voters: GroupMember[],
+  withinMs: number,
+): Promise<GroupMember | undefined> {
   for (let waited = 0; waited < withinMs; waited += 100) {
     const leader = voters.find((voter) => voter.group.hasLeaderLease());
     if (leader) return leader;
@@ -111,15 +115,15 @@
 
 test("a voter whose removal was proposed but never committed does not prevent the election of a leader", async () => {
   for (const seed of [1, 2, 3]) {
-    const control = new GroupWorld(3, seed);
+    const control = new SimulatedControlGroup(3, seed);
     await control.boot();
     const leader = control.leader()!;
-    const [staying, leaving] = control.voters.filter((voter) => voter !== leader);
+    const [staying, leaving] = control.members.filter((voter) => voter !== leader);
     control.world.partition(leader.id, staying.id);
     control.world.partition(staying.id, leader.id);
     // The leader reaches only the voter that it removes, and therefore no majority of the new membership.
     const proposed = await control.propose([{ tag: "voters", voters: [leader.id, staying.id] }], 500);
-    expect(proposed.taken).toBe(0);
+    expect(proposed.acceptedCount).toBe(0);
     control.world.kill(leader.id);
     control.world.heal();
     const newLeader = await leaderAmong(control, [staying, leaving], 10_000);
--- a/test/messageRejection.test.ts
+++ b/test/messageRejection.test.ts
@@ -1,9 +1,9 @@
 import { Result } from "../src/common/fault";
-import { GroupWorld, Voter } from "../src/tools/scale/groupWorld";
+import { SimulatedControlGroup, GroupMember } from "../src/tools/scale/simulatedControlGroup";
 import { noop, noops } from "./consensusGroups";
 
 describe("a follower rejects", () => {
-  const append = (control: GroupWorld, fields: object): object => {
+  const append = (control: SimulatedControlGroup, fields: object): object => {
     const leader = control.leader()!;
     return {
       group: leader.group.groupId(),
@@ -16,23 +16,28 @@
       ...fields,
     };
   };
-  const send = async (control: GroupWorld, target: Voter, method: string, body: object): Promise<Result<unknown>> => {
-    const from = control.voters.find((voter) => voter !== target)!;
+  const send = async (
+    control: SimulatedControlGroup,
+    target: GroupMember,
+    method: string,
+    body: object,
+  ): Promise<Result<unknown>> => {
+    const from = control.members.find((voter) => voter !== target)!;
     return (await control.world.runTask(
       from.process,
       () => from.rpc.call(control.addressOf(target.id), method, { to: target.id, ...body }, 500),
       1000,
     ))!;
   };
-  const logLinesOf = (voter: Voter, event: number): string[] =>
+  const logLinesOf = (voter: GroupMember, event: number): string[] =>
     voter.process.logs.filter((line) => line.includes(`PB${event} `));
 
   test("entries or a snapshot that would replace committed entries", async () => {
-    const control = new GroupWorld(3, 11);
+    const control = new SimulatedControlGroup(3, 11);
     await control.boot();
     await control.propose(noops(5), 2000);
     await control.world.run(1000);
-    const follower = control.voters.find((voter) => voter !== control.leader())!;
+    const follower = control.members.find((voter) => voter !== control.leader())!;
     const { lastApplied: applied, commitIndex: commit } = follower.group;
     const state = structuredClone(follower.group.state);
     const replacingEntry = { prevIndex: 1, prevTerm: 1, entries: [{ index: 2, term: 999, command: noop }] };
@@ -47,9 +52,9 @@
   });
 
   test("messages that are malformed, out of order or from another group, logs an event for each and keeps working", async () => {
-    const control = new GroupWorld(3, 12);
+    const control = new SimulatedControlGroup(3, 12);
     await control.boot();
-    const follower = control.voters.find((voter) => voter !== control.leader())!;
+    const follower = control.members.find((voter) => voter !== control.leader())!;
     const lastIndex = follower.group.lastLogIndex();
     const base = { prevIndex: lastIndex, prevTerm: 1 };
     const bodies: object[] = [
@@ -84,7 +89,7 @@
         expect(logLinesOf(follower, 1321).length).toBe(before + 1);
       }
     expect(follower.group.lastLogIndex()).toBe(lastIndex);
-    expect(control.voters.flatMap(({ process }) => process.errors)).toEqual([]);
+    expect(control.members.flatMap(({ process }) => process.errors)).toEqual([]);
     await control.propose([noop], 2000);
     await control.world.run(1000);
     expect(follower.group.lastApplied).toBe(control.leader()!.group.lastApplied);
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -2,18 +2,18 @@
 import * as path from "path";
 import { Experiment } from "../src/tools/scale/experiment";
 import { SimulatedMembership } from "../src/tools/scale/simulatedMembership";
-import { LossScale } from "../src/tools/scale/lossScale";
+import { LossExperiment } from "../src/tools/scale/lossExperiment";
 import { Sizes } from "../src/tools/scale/sizes";
 import { Slope } from "../src/tools/scale/slope";
 import { SlopeRun } from "../src/tools/scale/slopeRun";
 
 const bound = { name: "members", least: 3, most: 100, why: "the test says so" };
 const linear = (measured: (size: number) => number): Experiment => ({
-  about: "",
+  description: "",
   unit: "member",
   sizes: [10, 20, 30],
   bound,
-  metrics: { cost: { what: "cost", counted: true } },
+  metrics: { cost: { description: "cost", isDeterministic: true } },
   measure: (size) => Promise.resolve({ cost: measured(size) }),
 });
 async function printed(run: SlopeRun): Promise<{ complete: boolean; text: string }> {
@@ -23,7 +23,7 @@
 
 test("sizes that are negative, zero, no numbers or too great are refused, and the limit is named", () => {
   const refused = (text: unknown): string => {
-    const read = Sizes.read(text, bound);
+    const read = Sizes.parse(text, bound);
     return read.ok ? "taken" : read.fault.detail;
   };
   expect(refused("10, 20")).toBe("taken");
@@ -31,8 +31,8 @@
   expect(refused("10,0")).toMatch(/0 is under the least, 3/);
   expect(refused("10,101")).toMatch(/101 is over the limit of 100: the test says so/);
   for (const odd of ["", "ten", "10,", "1.5", "1e99", undefined, true]) expect(refused(odd)).toMatch(/members/);
-  expect(Sizes.fits(780, 10_000, 12 * 2 ** 30).ok).toBe(true);
-  const beyond = Sizes.fits(780, 100_000, 12 * 2 ** 30);
+  expect(Sizes.checkMemory(780, 10_000, 12 * 2 ** 30).ok).toBe(true);
+  const beyond = Sizes.checkMemory(780, 100_000, 12 * 2 ** 30);
   expect(beyond.ok === false && beyond.fault.detail).toMatch(
     /780 members with 100000 replicas need about .* over the limit of 12.0 GiB/,
   );
@@ -88,7 +88,7 @@
   const cutRun: SlopeRun = new SlopeRun(
     "members",
     linear((size) => {
-      if ((asked += 1) === 3) cutRun.cut = true;
+      if ((asked += 1) === 3) cutRun.isInterrupted = true;
       return size;
     }),
     [10, 20, 30, 40],
@@ -169,16 +169,16 @@
 }, 60_000);
 test("one seed gives one run: the counts of lightweight members are the same again", async () => {
   const counts = async (): Promise<unknown> => {
-    const membership = new SimulatedMembership({ members: 12, replicas: 5, zones: 5, regions: 2, seed: 4 });
+    const membership = new SimulatedMembership({ members: 12, endpoints: 5, zones: 5, regions: 2, seed: 4 });
     const known = await membership.boot(30_000);
-    const spent = await membership.over(3000);
+    const spent = await membership.measureRates(3000);
     membership.end();
     return { known, spent };
   };
   expect(await counts()).toEqual(await counts());
 }, 60_000);
 test("a lost zone becomes known to all, and nobody who lives is suspected for it", async () => {
-  const found = await LossScale.measure("zone", 50, 5, 10_000, 1);
+  const found = await LossExperiment.measure("zone", 50, 5, 10_000, 1);
   expect(found).toMatchObject({ lost: 2, falseSuspicions: 0 });
   expect(found.knownMs).toBeLessThan(8000);
 }, 120_000);
--- a/test/segments.test.ts
+++ b/test/segments.test.ts
@@ -114,7 +114,7 @@
     for (const [file, data] of disk.under("d")) {
       const bytes = Buffer.from(data);
       if (file === name) damage(bytes);
-      yield* copy.of(damagedProcess).write(`d/${file}`, bytes);
+      yield* copy.forProcess(damagedProcess).write(`d/${file}`, bytes);
     }
   });
   return runInProcess(world, damagedProcess, function* () {
--- a/test/singleVoterRecovery.test.ts
+++ b/test/singleVoterRecovery.test.ts
@@ -1,14 +1,14 @@
-import { GroupWorld } from "../src/tools/scale/groupWorld";
+import { SimulatedControlGroup } from "../src/tools/scale/simulatedControlGroup";
 import { noops } from "./consensusGroups";
 
 describe("a group recovered from one voter", () => {
   test("accepts a voter of the former group, whose log is replaced by a snapshot in chunks", async () => {
-    const control = new GroupWorld(3, 41);
+    const control = new SimulatedControlGroup(3, 41);
     await control.boot();
     await control.propose(noops(20), 2000);
     await control.world.run(500);
-    const [survivor, formerVoter, lost] = control.voters;
-    for (const { id } of control.voters) control.kill(id);
+    const [survivor, formerVoter, lost] = control.members;
+    for (const { id } of control.members) control.kill(id);
     const restarted = control.restart(survivor.id);
     await control.world.run(200);
     const request = { group: "group-scale", voter: survivor.id, by: "ann" };
--- a/test/slowLeaderDisk.test.ts
+++ b/test/slowLeaderDisk.test.ts
@@ -2,7 +2,7 @@
 import { GroupUnderTest, Machine } from "../src/model/groupUnderTest";
 import { Csp } from "../src/runtime/csp";
 import { EnvironmentTools } from "../src/runtime/env";
-import { GroupWorld } from "../src/tools/scale/groupWorld";
+import { SimulatedControlGroup } from "../src/tools/scale/simulatedControlGroup";
 import { noop } from "./consensusGroups";
 
 /** Starts a group whose leader has committed changes through its followers' disks while its own disk stalls. */
@@ -56,7 +56,7 @@
 describe("a leader whose disk is slower than its followers' disks", () => {
   test("compacts committed entries that it has not synced itself, and restarts from the state that it wrote", async () => {
     for (const seed of [51, 52, 53]) {
-      const control = new GroupWorld(3, seed);
+      const control = new SimulatedControlGroup(3, seed);
       await control.boot();
       const leader = control.leader()!;
       leader.process.disk.syncMs = [40, 5];
@@ -89,7 +89,7 @@
       await control.world.run(4000);
       expect(restarted.group.lastApplied).toBeGreaterThanOrEqual(appliedBefore);
       expect(restarted.group.lastApplied).toBe(control.leader()!.group.lastApplied);
-      expect(control.voters.flatMap(({ process }) => process.errors)).toEqual([]);
+      expect(control.members.flatMap(({ process }) => process.errors)).toEqual([]);
       control.end();
     }
   });
--- a/test/snapshotTransfer.test.ts
+++ b/test/snapshotTransfer.test.ts
@@ -3,7 +3,7 @@
 import { ChunkReceiver } from "../src/consensus/chunkReceiver";
 import { PayloadChunk } from "../src/consensus/messages";
 import { Command } from "../src/controlState/command";
-import { GroupWorld, Voter } from "../src/tools/scale/groupWorld";
+import { SimulatedControlGroup, GroupMember } from "../src/tools/scale/simulatedControlGroup";
 import { noop, noops } from "./consensusGroups";
 
 /** Link speed of 20 Mbit/s in bytes per ms. */
@@ -11,12 +11,12 @@
 /**
  * Returns random base64 text of `bytes` bytes, so that deflate finds no repetitions; the seed of the run determines it.
  */
-const randomText = (control: GroupWorld, bytes: number): string => {
+const randomText = (control: SimulatedControlGroup, bytes: number): string => {
   const randomWords = new Uint32Array(Math.floor((bytes * 3) / 16));
   for (let at = 0; at < randomWords.length; at += 1) randomWords[at] = control.world.random() * 4294967296;
   return Buffer.from(randomWords.buffer).toString("base64");
 };
-const policiesCommand = (control: GroupWorld, ifVersion: number, bytes: number): Command => ({
+const policiesCommand = (control: SimulatedControlGroup, ifVersion: number, bytes: number): Command => ({
   tag: "policies",
   changeId: `policies-${ifVersion}`,
   ifVersion,
@@ -26,7 +26,11 @@
 /**
  * Proposes about five commands per second until the follower has nearly caught up. Returns the time that took, in ms.
  */
-async function msUntilCaughtUp(control: GroupWorld, follower: Voter, withinMs: number): Promise<number> {
+async function msUntilCaughtUp(
+  control: SimulatedControlGroup,
+  follower: GroupMember,
+  withinMs: number,
+): Promise<number> {
   const startedAt = control.world.now;
   while (control.world.now - startedAt < withinMs) {
     const leader = control.leader();
@@ -37,12 +41,12 @@
   }
   return Infinity;
 }
-const countElections = (control: GroupWorld): number =>
-  control.voters.reduce((sum, { group }) => sum + group.electionsStarted, 0);
+const countElections = (control: SimulatedControlGroup): number =>
+  control.members.reduce((sum, { group }) => sum + group.electionsStarted, 0);
 
 describe("catching up over a link of 20 Mbit/s", () => {
   test("a server whose disk was wiped receives a state of 4 MB in chunks while changes continue", async () => {
-    const control = new GroupWorld(4, 21);
+    const control = new SimulatedControlGroup(4, 21);
     await control.boot();
     control.kill("c4");
     expect(await control.propose([policiesCommand(control, 0, 4_000_000)], 5000)).toMatchObject({ taken: 1 });
@@ -59,7 +63,7 @@
   });
 
   test("a transfer that was interrupted by a partition continues at the point of interruption", async () => {
-    const control = new GroupWorld(4, 22);
+    const control = new SimulatedControlGroup(4, 22);
     await control.boot();
     control.kill("c4");
     await control.propose([policiesCommand(control, 0, 4_000_000)], 5000);
@@ -81,9 +85,9 @@
   });
 
   test("a restarted voter that is needed for the majority receives long entries without causing an election", async () => {
-    const control = new GroupWorld(3, 23);
+    const control = new SimulatedControlGroup(3, 23);
     await control.boot();
-    const [follower, other] = control.voters.filter((voter) => voter !== control.leader());
+    const [follower, other] = control.members.filter((voter) => voter !== control.leader());
     control.kill(follower.id);
     for (let version = 0; version < 4; version += 1)
       expect(await control.propose([policiesCommand(control, version, 1_000_000)], 5000)).toMatchObject({ taken: 1 });
@@ -104,12 +108,12 @@
   });
 
   test("the log is compacted when it exceeds a size in bytes", async () => {
-    const control = new GroupWorld(3, 24);
+    const control = new SimulatedControlGroup(3, 24);
     await control.boot();
     for (let version = 0; version < 8; version += 1)
       await control.propose([policiesCommand(control, version, 800_000)], 5000);
     await control.world.run(1000);
-    for (const { group } of control.voters) expect(group.lastLogIndex() - group.snapshotIndex).toBeLessThan(5);
+    for (const { group } of control.members) expect(group.lastLogIndex() - group.snapshotIndex).toBeLessThan(5);
     control.end();
   });
 });
