--- a/test/snapshotTransfer.test.ts
+++ b/test/snapshotTransfer.test.ts
@@ -49,7 +49,7 @@
     const control = new SimulatedControlGroup(4, 21);
     await control.boot();
     control.kill("c4");
-    expect(await control.propose([policiesCommand(control, 0, 4_000_000)], 5000)).toMatchObject({ taken: 1 });
+    expect(await control.propose([policiesCommand(control, 0, 4_000_000)], 5000)).toMatchObject({ acceptedCount: 1 });
     while (control.leader()!.group.snapshotIndex <= Constants.trailingLogEntries)
       await control.propose(noops(50), 3000);
     const before = countElections(control);
@@ -90,7 +90,9 @@
     const [follower, other] = control.members.filter((voter) => voter !== control.leader());
     control.kill(follower.id);
     for (let version = 0; version < 4; version += 1)
-      expect(await control.propose([policiesCommand(control, version, 1_000_000)], 5000)).toMatchObject({ taken: 1 });
+      expect(await control.propose([policiesCommand(control, version, 1_000_000)], 5000)).toMatchObject({
+        acceptedCount: 1,
+      });
     const restarted = control.restart(follower.id);
     restarted.process.linkBytesPerMs = SLOW_LINK_BYTES_PER_MS;
     await control.world.run(300);
@@ -102,7 +104,7 @@
       expect(leader.group.hasLeaderLease()).toBe(true);
     }
     expect(restarted.group.lastApplied).toBe(leader.group.lastApplied);
-    expect(await control.propose([noop], 2000)).toMatchObject({ taken: 1 });
+    expect(await control.propose([noop], 2000)).toMatchObject({ acceptedCount: 1 });
     expect(countElections(control)).toBe(before);
     control.end();
   });
