--- a/test/golden/productRun.ts
+++ b/test/golden/messageRun.ts
@@ -2,11 +2,11 @@
 import { Exchange } from "./exchange";
 import { GoldenFleet } from "./goldenFleet";
 import { observeFrames } from "./observeFrames";
-import { configure, planMoves } from "./operatorSteps";
+import { configure, scheduleOperations } from "./operatorSteps";
 import { withShortLogs } from "./shortLogs";
 
-export type ProductRecording = { exchanges: Exchange[]; frames: Buffer[]; logLines: string[] };
-const seed = 11;
+export type MessageRecording = { exchanges: Exchange[]; frames: Buffer[]; logLines: string[] };
+const SEED = 11;
 const announcement = (id: string, address: string): Record<string, unknown> => ({
   address,
   pool: "events",
@@ -18,15 +18,15 @@
   instance: id,
 });
 
-/** Points an ingress to a separate agent, in place of one inside the ingress. */
-function useAgent(golden: GoldenFleet, ingress: string, agent: string): void {
+/** Restarts an ingress with a separate agent process instead of the agent inside the ingress. */
+function useSeparateAgent(golden: GoldenFleet, ingress: string, agent: string): void {
   const { fleet } = golden;
   fleet.kill(ingress);
   const { seeds: _seeds, ...settings } = fleet.settings.get(ingress)!;
   fleet.settings.set(ingress, { ...settings, agent: fleet.settings.get(agent)!.address });
   fleet.start(ingress);
 }
-async function beforeConfiguration({ call, fleet }: GoldenFleet): Promise<void> {
+async function sendRequestsBeforeConfiguration({ call, fleet }: GoldenFleet): Promise<void> {
   await fleet.run(200);
   await call("GET", "/readyz");
   await call("GET", "/readyz", { at: "ingress-1" });
@@ -35,10 +35,10 @@
   await call("GET", "/page/1", { at: "ingress-1", headers: { host: "golden.example" } });
   await fleet.run(4000);
 }
-async function startReplicas(golden: GoldenFleet): Promise<void> {
+async function startEndpoints(golden: GoldenFleet): Promise<void> {
   const { call } = golden;
-  golden.startReplica("model-1", "model", 9001, ["ingress-1", "ingress-2"]);
-  golden.startReplica("desk-1", "desk", 9002, ["ingress-2"]);
+  golden.startEndpoint("model-1", "model", 9001, ["ingress-1", "ingress-2"]);
+  golden.startEndpoint("desk-1", "desk", 9002, ["ingress-2"]);
   golden.startEventEndpoint("e1", 9003);
   const body = announcement("e1", "127.0.0.1:9003");
   golden.repeatRequest("PUT", "/v1/replicas/e1", body, golden.http("ingress-1"));
@@ -74,7 +74,7 @@
     await call("GET", path, { at: "ingress-1", headers: { host: "golden.example", "x-request-id": "direct-1" } });
   await call("POST", "/bulk/1", { at: "ingress-1", headers: { host: "golden.example" }, body: {} });
 }
-async function sendLots({ call, fleet }: GoldenFleet): Promise<void> {
+async function submitBatchJobs({ call, fleet }: GoldenFleet): Promise<void> {
   const post = (body: unknown, at = "ingress-1"): Promise<Exchange> => call("POST", "/v1/lots", { at, body });
   const items = [{ a: 1 }, { a: 2 }, { a: 3 }];
   await post({ id: "lot-1", binding: "confirm", items });
@@ -82,7 +82,7 @@
   await post({ id: "lot-1", binding: "confirm", items: [{ a: 9 }] });
   await post({ binding: "confirm", items: [] });
   await post({ binding: "status", items });
-  await post({ id: "lot-2", binding: "confirm", items: Array.from({ length: 40 }, (_each, index) => ({ index })) });
+  await post({ id: "lot-2", binding: "confirm", items: Array.from({ length: 40 }, (_unused, index) => ({ index })) });
   await call("POST", "/v1/lots/lot-2/end", { at: "ingress-2", headers: { "x-caller": "batch" } });
   await post({ id: "lot-3", binding: "bulk", requests: requestItems("lot-3", 3, 10) });
   await post({ id: "lot-3", binding: "bulk", requests: requestItems("lot-3", 3, 10) });
@@ -107,7 +107,7 @@
   await call("GET", "/v1/at/lot%20lot-1?time=1790000000000", { at: "ingress-1" });
   await call("GET", "/v1/at/nobody?waitMs=100");
 }
-async function readState({ call }: GoldenFleet): Promise<void> {
+async function readProcessState({ call }: GoldenFleet): Promise<void> {
   for (const at of ["control-1", "store-1", "agent-1", "ingress-1", "ingress-2"])
     for (const path of ["/livez", "/readyz", "/metrics", "/v1/inforce"]) await call("GET", path, { at });
   await call("GET", "/v1/members");
@@ -116,7 +116,7 @@
   await call("GET", "/v1/calendar/%ff");
   await call("DELETE", "/v1/manifest");
 }
-async function giveOrders({ call, fleet }: GoldenFleet): Promise<void> {
+async function drainAndRetire({ call, fleet }: GoldenFleet): Promise<void> {
   await call("POST", "/v1/districts/east/drain", { headers: { "x-change-id": "drain-1" } });
   await fleet.run(500);
   await call("GET", "/v1/members");
@@ -128,30 +128,30 @@
   await fleet.run(4000);
   await call("GET", "/v1/calendar");
 }
-/** Requests that members seldom send to each other. */
-async function askMembers(golden: GoldenFleet): Promise<void> {
+/** Sends RPCs that members rarely send to each other, and bytes that are not an RPC. */
+async function sendRareRpcs(golden: GoldenFleet): Promise<void> {
   const { fleet } = golden;
   const stamp = { time: 1_790_000_000_000 + fleet.world.now, node: "golden", seq: 1 };
-  await golden.ask("control-1", "control.status", {});
-  await golden.ask("control-1", "group.takeOver", { to: "nobody", group: "none", term: 0 });
-  await golden.ask("control-1", "control.op", { op: "read", what: "manifest" });
-  await golden.ask("agent-1", "agent.tell", { key: "crowd/golden/desk", value: { pool: "desk" }, grantMs: 600 });
+  await golden.sendRpc("control-1", "control.status", {});
+  await golden.sendRpc("control-1", "group.takeOver", { to: "nobody", group: "none", term: 0 });
+  await golden.sendRpc("control-1", "control.op", { op: "read", what: "manifest" });
+  await golden.sendRpc("agent-1", "agent.tell", { key: "crowd/golden/desk", value: { pool: "desk" }, grantMs: 600 });
   for (const name of ["store-1", "store-2", "store-3"]) {
-    await golden.ask(name, "work.running", { ids: ["nobody"] });
-    await golden.ask(name, "quota.tallies", { binding: "bulk", shards: [0, 1, 2, 3], anyCopy: true });
+    await golden.sendRpc(name, "work.running", { ids: ["nobody"] });
+    await golden.sendRpc(name, "quota.tallies", { binding: "bulk", shards: [0, 1, 2, 3], anyCopy: true });
     for (let shard = 0; shard < 8; shard += 1) {
-      await golden.ask(name, "lot.list", { shard, id: "lot-3", from: 0, waitMs: 0 });
-      await golden.ask(name, "shard.goesOn", { shard, epoch: 1 });
-      await golden.ask(name, "shard.mend", { shard, epoch: 0, seq: 0, works: [], lots: [] });
-      await golden.ask(name, "lot.refuse", { shard, id: `refused-${shard}`, stamp });
-      await golden.ask(name, "work.refuse", { shard, id: `refused-${shard}`, stamp });
+      await golden.sendRpc(name, "lot.list", { shard, id: "lot-3", from: 0, waitMs: 0 });
+      await golden.sendRpc(name, "shard.goesOn", { shard, epoch: 1 });
+      await golden.sendRpc(name, "shard.mend", { shard, epoch: 0, seq: 0, works: [], lots: [] });
+      await golden.sendRpc(name, "lot.refuse", { shard, id: `refused-${shard}`, stamp });
+      await golden.sendRpc(name, "work.refuse", { shard, id: `refused-${shard}`, stamp });
     }
-    await golden.ask(name, "shard.mendSegments", { shard: 0, from: fleet.settings.get("store-1")!.address });
+    await golden.sendRpc(name, "shard.mendSegments", { shard: 0, from: fleet.settings.get("store-1")!.address });
   }
-  await golden.ask("store-1", "no.such", {});
+  await golden.sendRpc("store-1", "no.such", {});
   await golden.sendBytes("store-1", Buffer.from("GET / HTTP/1.1\r\n\r\n"));
 }
-/** A store whose disk fails for a while. */
+/** Lets the disk of a storage node fail for a while. */
 async function failDisk({ fleet, call }: GoldenFleet): Promise<void> {
   const disk = fleet.disks.get("store-2")!;
   disk.failing = true;
@@ -160,7 +160,7 @@
   disk.failing = false;
   await fleet.run(5000);
 }
-/** A store that finds a damaged snapshot, a torn log and a damaged segment when it starts. */
+/** Restarts a storage node with a damaged snapshot, a torn log and damaged segments. */
 async function damageFiles(golden: GoldenFleet): Promise<void> {
   const { fleet } = golden;
   const disk = fleet.disks.get("store-1")!;
@@ -168,15 +168,17 @@
   const files = [...disk.under("data/store-1").keys()].sort();
   const tornLog = files.filter((file) => /\/log-\d+$/.test(file)).at(-1)!;
   await golden.appendFile("store-1", tornLog, Buffer.from("PBR2"));
-  // a snapshot whose former log is still there: the logs hold everything
-  const spare = files.find((file) => file.endsWith("slot-b") && files.includes(file.replace("slot-b", "log-0")));
-  disk.damage((path) => spare !== undefined && path.endsWith(spare));
+  // The log from before this snapshot still exists, so the logs are complete without the snapshot.
+  const redundantSnapshot = files.find(
+    (file) => file.endsWith("slot-b") && files.includes(file.replace("slot-b", "log-0")),
+  );
+  disk.damage((path) => redundantSnapshot !== undefined && path.endsWith(redundantSnapshot));
   disk.damage((path) => path.endsWith(".seg"));
   fleet.restart("store-1");
   await fleet.run(7000);
 }
-/** A store that comes back without its disk, then all stores down at once. */
-async function loseStores({ fleet, call }: GoldenFleet): Promise<void> {
+/** Restarts one storage node with an empty disk, then all storage nodes at once. */
+async function loseStorageNodes({ fleet, call }: GoldenFleet): Promise<void> {
   fleet.kill("store-3", true);
   await call("POST", "/v1/lots", { at: "ingress-1", body: { id: "lot-6", binding: "confirm", items: [1, 2] } });
   fleet.restart("store-3", { withEmptyDisk: true });
@@ -190,7 +192,7 @@
   for (const name of stores) fleet.restart(name);
   await fleet.run(4000);
 }
-async function troubleClocks({ fleet }: GoldenFleet): Promise<void> {
+async function freezeProcessesAndSkewClocks({ fleet }: GoldenFleet): Promise<void> {
   for (const name of ["ingress-1", "agent-1"]) fleet.world.processes.get(name)!.freeze();
   await fleet.run(4000);
   for (const name of ["ingress-1", "agent-1"]) fleet.world.processes.get(name)!.resume();
@@ -201,7 +203,7 @@
   store.skewMs = 0;
   await fleet.run(4000);
 }
-async function troubleControls(golden: GoldenFleet): Promise<void> {
+async function recoverControlGroup(golden: GoldenFleet): Promise<void> {
   const { fleet, call } = golden;
   const leader = fleet.leader()!;
   await fleet.terminate(leader);
@@ -211,9 +213,9 @@
   const group = fleet.control("control-1")!.group.groupId();
   const voters = fleet.control("control-1")!.group.voters();
   const survivor = fleet.names("control").find((name) => voters.includes(fleet.control(name)!.node.self.id))!;
-  const voter = fleet.control(survivor)!.node.self.id;
-  const recovery = { group, voter, acceptLoss: true };
-  await call("POST", "/v1/control/recover", { at: survivor, body: { group, voter } });
+  const voterId = fleet.control(survivor)!.node.self.id;
+  const recovery = { group, voter: voterId, acceptLoss: true };
+  await call("POST", "/v1/control/recover", { at: survivor, body: { group, voter: voterId } });
   await call("POST", "/v1/control/recover", { at: survivor, body: { ...recovery, voter: "nobody" } });
   await call("POST", "/v1/control/recover", { at: survivor, body: recovery });
   for (const name of fleet.names("control")) if (name !== survivor) fleet.kill(name, true);
@@ -226,35 +228,35 @@
 }
 
 const steps = [
-  beforeConfiguration,
+  sendRequestsBeforeConfiguration,
   configure,
-  planMoves,
-  startReplicas,
+  scheduleOperations,
+  startEndpoints,
   sendRequests,
-  sendLots,
+  submitBatchJobs,
   readLedger,
-  readState,
-  giveOrders,
-  askMembers,
+  readProcessState,
+  drainAndRetire,
+  sendRareRpcs,
   failDisk,
   damageFiles,
-  loseStores,
-  troubleClocks,
-  troubleControls,
+  loseStorageNodes,
+  freezeProcessesAndSkewClocks,
+  recoverControlGroup,
 ];
 
-/** The run whose messages, responses and log events the golden files keep. */
-export async function productRun(): Promise<ProductRecording> {
+/** Runs the scenario whose messages, responses and log events are recorded in the golden files. */
+export async function runMessageScenario(): Promise<MessageRecording> {
   const frames: Buffer[] = [];
   const golden = await observeFrames(
     (bytes) => frames.push(bytes),
     () =>
       withShortLogs(async () => {
-        const started = new GoldenFleet(seed, { controls: 4, stores: 4, agents: 1, ingresses: 2 });
-        useAgent(started, "ingress-2", "agent-1");
-        for (const step of steps) await step(started);
-        started.fleet.close();
-        return started;
+        const recorded = new GoldenFleet(SEED, { controls: 4, stores: 4, agents: 1, ingresses: 2 });
+        useSeparateAgent(recorded, "ingress-2", "agent-1");
+        for (const step of steps) await step(recorded);
+        recorded.fleet.close();
+        return recorded;
       }),
   );
   return { exchanges: golden.exchanges, frames, logLines: golden.logLines };
