--- a/src/tools/checker/responseInvariants.ts
+++ b/src/tools/checker/responseInvariants.ts
@@ -1,31 +1,32 @@
-/** Invariants of single responses: whose they are, and what they say about the work. */
+/** Invariants of responses: they reach the right caller and agree with what the endpoints ran. */
 
 import { Invariant, runsOf } from "./invariant";
 
+/** Returns whether a run is that of a batch item (`job/item`) or of a request with an idempotency key. */
 const hasSideEffects = (requestId: string): boolean => requestId.includes("/") || requestId.startsWith("key-");
 
 export const rightCaller: Invariant = {
   name: "right-caller",
-  sentence: "no answer reaches the wrong caller",
+  requirement: "no answer reaches the wrong caller",
   check: (history) => [
     ...history
       .of("lookup")
       .filter(({ mine }) => !mine)
-      .map(({ ingress }) => `lookup at ${ingress} got another's reply`),
+      .map(({ ingress }) => `a lookup at ${ingress} got the response of another request`),
     ...history
       .of("single")
       .filter(({ mine }) => !mine)
-      .map(({ key }) => `single ${key} got another's reply`),
+      .map(({ key }) => `the request with key ${key} got the response of another request`),
     ...history
       .of("lotResult")
       .filter(({ mine }) => !mine)
-      .map(({ lot: job, item }) => `lot ${job} item ${item} holds another's result`),
+      .map(({ lot: job, item }) => `item ${job}/${item} has the result of another item`),
   ],
 };
 
 export const noFalseSuccess: Invariant = {
   name: "no-false-success",
-  sentence: "No success is shown for work that was not run",
+  requirement: "No success is shown for work that was not run",
   check: (history, endpoints) => {
     if (endpoints.length === 0) return [];
     const executed = new Set(runsOf(endpoints).map(({ id }) => id));
@@ -42,15 +43,15 @@
   },
 };
 
-export const neverTwice: Invariant = {
+export const neverRunsTwice: Invariant = {
   name: "never-twice",
-  sentence: "A request that is not safe to repeat never runs twice",
+  requirement: "A request that is not safe to repeat never runs twice",
   check: (_history, endpoints) => {
     const runsById = new Map<string, string[]>();
     for (const { id, replica, attempt, at } of runsOf(endpoints)) {
       if (!hasSideEffects(id)) continue;
       const runs = runsById.get(id) ?? [];
-      runs.push(`${replica} round ${attempt} at ${at.toFixed(0)}`);
+      runs.push(`${replica} attempt ${attempt} at ${at.toFixed(0)}`);
       runsById.set(id, runs);
     }
     return [...runsById]
@@ -59,35 +60,35 @@
   },
 };
 
-export const busyNeverRan: Invariant = {
+export const busyMeansNotRun: Invariant = {
   name: "busy-never-ran",
-  sentence: '"Busy, try later" always means the work never ran and never will',
+  requirement: '"Busy, try later" always means the work never ran and never will',
   check: (history, endpoints) => {
     const executed = new Set(runsOf(endpoints).map(({ id }) => id));
     return [
       ...history
         .of("busy")
         .filter(({ requestId }) => requestId.startsWith("req-") && executed.has(requestId))
-        .map(({ requestId }) => `${requestId} was told busy and ran`),
+        .map(({ requestId }) => `request ${requestId} was rejected as busy but ran`),
       ...history
         .of("busy")
         .filter(({ retryAfter }) => !retryAfter)
-        .map(({ at }) => `busy at ${at} without when to come back`),
+        .map(({ at }) => `the busy response at ${at} has no Retry-After header`),
     ];
   },
 };
 
 export const streamExact: Invariant = {
   name: "stream-exact",
-  sentence: "A stream never skips or repeats a piece. A resumed stream continues exactly",
+  requirement: "A stream never skips or repeats a piece. A resumed stream continues exactly",
   check: (history) => [
     ...history
       .of("streamPiece")
       .filter(({ right }) => !right)
-      .map(({ stream, n }) => `stream ${stream}: piece ${n} is out of place or wrong`),
+      .map(({ stream, n }) => `stream ${stream}: chunk ${n} is out of order or has the wrong text`),
     ...history
       .of("streamEnd")
       .filter(({ pieces, wanted }) => pieces !== wanted)
-      .map(({ stream, pieces, wanted }) => `stream ${stream} ended with ${pieces} of ${wanted} pieces`),
+      .map(({ stream, pieces, wanted }) => `stream ${stream} ended with ${pieces} of ${wanted} chunks`),
   ],
 };
--- a/test/golden/exchange.ts
+++ b/test/golden/exchange.ts
@@ -1,6 +1,6 @@
 import { Shape, shapeOf } from "./shape";
 
-/** One HTTP request of a recorded run, and its response. */
+/** An HTTP request of a recorded run with its response. */
 export type Exchange = {
   request: string;
   status: number;
@@ -9,8 +9,8 @@
 };
 export type ResponseShape = { status: number; headers: string[]; body: Shape | string };
 
-/** The events of an event stream: name, and data as JSON. */
-function eventsOf(text: string): { event: string; data: unknown }[] {
+/** Parses the events of an event stream. Data that is a JSON object is parsed too. */
+function parseEvents(text: string): { event: string; data: unknown }[] {
   return text
     .split("\n\n")
     .filter((block) => block.startsWith("id:") || block.startsWith("event:"))
@@ -26,13 +26,13 @@
 }
 function streamShape(text: string): Shape {
   const byEvent: Record<string, unknown[]> = {};
-  for (const { event, data } of eventsOf(text)) (byEvent[event] ??= []).push(data);
+  for (const { event, data } of parseEvents(text)) (byEvent[event] ??= []).push(data);
   const shapes = Object.entries(byEvent).map(([event, values]) =>
     Object.entries(shapeOf(values)).map(([path, types]) => [`${event} ${path}`, types]),
   );
   return Object.fromEntries(shapes.flat()) as Shape;
 }
-/** Metrics by name, without their values. */
+/** Returns the sorted names of the metrics, without their values. */
 const metricNames = (text: string): string =>
   text
     .trim()
@@ -49,12 +49,7 @@
   return body === "" ? "empty" : "text";
 }
 
-/**
- * What a caller can rely on in a response: status, names of headers, fields of the body.
- *
- * @example
- * responseShape({ request: "GET /livez", status: 200, headers, body: { live: true } }).body; // { "$": "object", ... }
- */
+/** Returns the parts of a response that callers may rely on: status, header names and the fields and types of the body. */
 export const responseShape = ({ status, headers, body }: Exchange): ResponseShape => ({
   status,
   headers: Object.keys(headers).sort(),
--- a/test/golden/recordings.ts
+++ b/test/golden/recordings.ts
@@ -4,13 +4,13 @@
 import { Exchange, ResponseShape, responseShape } from "./exchange";
 import { Frame, parseFrame } from "./frame";
 import { Shape, shapeOf } from "./shape";
-import type { DataFolders } from "./storageRun";
+import type { DataFolders } from "./dataFolderRun";
 
-/** Where the golden files stand, seen from the compiled tests. */
+/** Folder of the golden files in the source tree; `__dirname` is that of the compiled file in dist. */
 export const goldenFolder = path.join(__dirname, "../../../test/golden/data");
 const dataFoldersPath = path.join(goldenFolder, "folders");
 
-/** A golden JSON file. @example readGolden<Record<string, Shape>>("messages.json") */
+/** Reads a golden JSON file. */
 export const readGolden = <T>(file: string, folder = goldenFolder): T =>
   JSON.parse(fs.readFileSync(path.join(folder, file), "utf8")) as T;
 export function writeGolden(file: string, content: unknown, folder = goldenFolder): void {
@@ -24,8 +24,8 @@
     return entry.isDirectory() ? filesBelow(folder, name) : [name];
   });
 }
-const firstStore = "store-1";
-/** A replica's files that equal the first store's are kept once. */
+const FIRST_STORE = "store-1";
+/** Reads the recorded data folders. A file that is the same on both storage nodes is stored only in the folder of the first. */
 export function readDataFolders(): DataFolders {
   const read = (process: string): Record<string, Buffer> =>
     Object.fromEntries(
@@ -36,65 +36,68 @@
     );
   const folders = Object.fromEntries(fs.readdirSync(dataFoldersPath).map((process) => [process, read(process)]));
   for (const process of Object.keys(folders))
-    if (process.startsWith("store-")) folders[process] = { ...folders[firstStore], ...folders[process] };
+    if (process.startsWith("store-")) folders[process] = { ...folders[FIRST_STORE], ...folders[process] };
   return folders;
 }
 export function writeDataFolders(folders: DataFolders): void {
   fs.rmSync(dataFoldersPath, { recursive: true, force: true });
   for (const [process, files] of Object.entries(folders))
     for (const [file, content] of Object.entries(files)) {
-      const isReplica = process.startsWith("store-") && process !== firstStore;
-      if (isReplica && folders[firstStore][file]?.equals(content)) continue;
+      const isOtherStore = process.startsWith("store-") && process !== FIRST_STORE;
+      if (isOtherStore && folders[FIRST_STORE][file]?.equals(content)) continue;
       const target = path.join(dataFoldersPath, process, file);
       fs.mkdirSync(path.dirname(target), { recursive: true });
       fs.writeFileSync(target, content);
     }
 }
 
-const kindOf = ({ method, kind }: Frame): string => `${method} ${kind}`;
-const sorted = <T>(record: Record<string, T>): Record<string, T> =>
+const messageKind = ({ method, kind }: Frame): string => `${method} ${kind}`;
+const sortedByKey = <T>(record: Record<string, T>): Record<string, T> =>
   Object.fromEntries(Object.entries(record).sort(([left], [right]) => (left < right ? -1 : 1)));
 
-/** Fields of the messages of each method and kind. @example messageShapes(frames)["shard.put request"] */
+/** Returns the fields and types of the messages of each method and kind. */
 export function messageShapes(frames: Buffer[]): Record<string, Shape> {
   const bodies: Record<string, unknown[]> = {};
   for (const bytes of frames) {
     const frame = parseFrame(bytes);
-    (bodies[kindOf(frame)] ??= []).push(frame.body);
+    (bodies[messageKind(frame)] ??= []).push(frame.body);
   }
-  return sorted(Object.fromEntries(Object.entries(bodies).map(([kind, each]) => [kind, shapeOf(each)])));
+  return sortedByKey(Object.fromEntries(Object.entries(bodies).map(([kind, each]) => [kind, shapeOf(each)])));
 }
 
 export type GoldenFrame = Frame & { bytes: string };
-/** The shortest message of each method and kind, and one deflated message. @example shortestFrames(frames)[0].bytes */
+/** Returns the shortest message of each method and kind, and the shortest deflated message. */
 export function shortestFrames(frames: Buffer[]): GoldenFrame[] {
   const shortest: Record<string, Buffer> = {};
-  const keep = (kind: string, bytes: Buffer): void => {
+  const keepIfShortest = (kind: string, bytes: Buffer): void => {
     if (!shortest[kind] || bytes.length < shortest[kind].length) shortest[kind] = bytes;
   };
   for (const bytes of frames) {
-    keep(kindOf(parseFrame(bytes)), bytes);
-    if (bytes.readUInt8(2) === 2) keep("~deflated", bytes);
+    keepIfShortest(messageKind(parseFrame(bytes)), bytes);
+    if (bytes.readUInt8(2) === 2) keepIfShortest("~deflated", bytes);
   }
-  return Object.values(sorted(shortest)).map((bytes) => ({ ...parseFrame(bytes), bytes: bytes.toString("base64") }));
+  return Object.values(sortedByKey(shortest)).map((bytes) => ({
+    ...parseFrame(bytes),
+    bytes: bytes.toString("base64"),
+  }));
 }
 
-/** What callers may rely on in each response, in the order of the run. */
+/** The parts of a response that callers may rely on, with the request. */
 export type GoldenResponse = { request: string } & ResponseShape;
 export const goldenResponses = (exchanges: Exchange[]): GoldenResponse[] =>
   exchanges.map((exchange) => ({ request: exchange.request, ...responseShape(exchange) }));
 
-const logLine = /^\S+ \S+ PB(\d+) (.*)$/;
-/** Fields of each log event. @example logEventShapes(lines)["1401"] */
+const logLinePattern = /^\S+ \S+ PB(\d+) (.*)$/;
+/** Returns the fields and types of each log event by its number. */
 export function logEventShapes(lines: string[]): Record<string, Shape> {
   const fields: Record<string, unknown[]> = {};
   for (const line of lines) {
-    const [, event, text] = logLine.exec(line)!;
+    const [, event, text] = logLinePattern.exec(line)!;
     (fields[event] ??= []).push(text === "" ? {} : JSON.parse(text));
   }
-  return sorted(Object.fromEntries(Object.entries(fields).map(([event, each]) => [event, shapeOf(each)])));
+  return sortedByKey(Object.fromEntries(Object.entries(fields).map(([event, each]) => [event, shapeOf(each)])));
 }
 
-/** Level and text of each numbered log event. @example logCatalogue()["1401"] // "info view installed" */
+/** Returns the level and text of each log event by its number. */
 export const logCatalogue = (): Record<string, string> =>
   Object.fromEntries(Object.entries(LogEvents).map(([event, { level, text }]) => [event, `${level} ${text}`]));
