--- a/test/powerLoss.test.ts
+++ b/test/powerLoss.test.ts
@@ -41,7 +41,7 @@
     name: "p",
     disk: Object.assign(durable, overrides.disk?.(durable)),
     log: () => undefined,
-    point: () => undefined,
+    faultPoint: () => undefined,
   } as unknown as Environment;
 }
 /** Runs a task that never waits. Returns false if its process stopped before the end. */
